--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts decision modules behind the simulator's pipe on standard input and output.
+// Command adapter runs policy controllers for a simulator, which it serves on standard input and output.
 package main
 
 import (
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,8 @@
-// Package wire turns frames of the simulator's pipe into calls on decision modules, and their wishes into replies.
+// Package wire connects policy controllers to a simulator by a binary protocol on a pipe.
+//
+// The simulator sends batches of event records. Each event becomes a method call on the policy.Controller of the
+// selected instance. The actions that the controllers take are returned as records of one reply per batch. Data of
+// variable length follows the records of a batch or reply as its tail; records refer to it by offset and length.
 package wire
 
 import (
@@ -13,6 +17,7 @@
 	"indigodrift/policy"
 )
 
+// Sizes in bytes and limits.
 const (
 	batchHeader = 16
 	eventSize   = 48
@@ -20,37 +25,38 @@
 	actionSize  = 24
 	entrySize   = 23
 	frameMost   = 1 << 30
-	pagesMost   = 16
+	pagesMost   = 16 // lists of switches that can be defined
 )
 
-// Codes of the events that come down the pipe.
+// Codes of the event records.
 const (
-	evLaunch    = 16
-	evTargets   = 17
-	evSubmit    = 18
-	evStarted   = 19
-	evReport    = 20
-	evClientOff = 21
-	evRing      = 22
-	evEcho      = 23
-	evDatagram  = 24
-	evHalt      = 25
-	evRegister  = 26
-	evSwitchTo  = 27
+	evLaunch    = 16 // start an instance
+	evTargets   = 17 // deliver a list of switches that was defined, or its failure
+	evSubmit    = 18 // a call is offered
+	evStarted   = 19 // a route try is answered
+	evReport    = 20 // a route try has ended
+	evClientOff = 21 // the caller has abandoned the call
+	evRing      = 22 // a timer has expired
+	evEcho      = 23 // load report of a switch
+	evDatagram  = 24 // message of another controller
+	evHalt      = 25 // stop the instance
+	evRegister  = 26 // define a list of switches
+	evSwitchTo  = 27 // select the instance that the following events are for
 )
 
-// Codes of the actions that go back up.
+// Codes of the action records.
 const (
 	acLog     = 17
 	acArm     = 19
 	acFail    = 20
 	acAbandon = 21
 	acWatch   = 22
-	acAs      = 23
+	acAs      = 23 // the following actions are of this instance
 	acDecline = 25
 	acAssign  = 27
 )
 
+// Flags of an offered call, kinds of a delivered list, and states of a switch.
 const (
 	bitRedial  = 2
 	bitTransit = 8
@@ -60,34 +66,35 @@
 	statusReady, statusDraining      = 1, 2
 )
 
-// endings maps the pipe's outcome codes to the module's words.
+// endings maps the outcome codes of the protocol to outcomes.
 var endings = map[uint16]policy.Ending{
 	100: policy.Released, 301: policy.Faulted, 302: policy.Blocked, 303: policy.TimedOut,
 	304: policy.Unreached, 305: policy.Cut, 306: policy.Cancelled, 307: policy.Unsent,
 }
 
-// Host holds the instances of one process; they share the pipe and nothing else.
+// Host runs the instances of one process. They share the pipe and the defined lists of switches.
 type Host struct {
 	instances map[uint32]*instance
 	pages     [pagesMost][]policy.Switch
 	pageSet   [pagesMost]bool
-	records   []byte
+	records   []byte // action records, tail and record count of the reply
 	tail      []byte
 	count     uint32
-	speaker   *instance // whose actions are being written
+	speaker   *instance // instance of the latest action record
 }
 
+// instance is one simulated call controller.
 type instance struct {
 	host   *Host
 	id     uint32
 	module *policy.Controller
-	fields []string // names of the report values
+	fields []string // names of the values of a load report
 }
 
 // NewHost returns a host without instances.
 func NewHost() *Host { return &Host{instances: map[uint32]*instance{}} }
 
-// Serve answers batches until the input ends.
+// Serve replies to batches until the input ends.
 func (h *Host) Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	var head [batchHeader]byte
@@ -100,7 +107,7 @@
 		}
 		length := binary.LittleEndian.Uint32(head[8:])
 		if length < batchHeader || length > frameMost {
-			return fmt.Errorf("batch %d: header: impossible length %d", n, length)
+			return fmt.Errorf("batch %d: header: invalid length %d", n, length)
 		}
 		var err error
 		if body, err = readBody(r, body, int(length)-batchHeader); err != nil {
@@ -115,7 +122,7 @@
 	}
 }
 
-// readBody reads n bytes, growing only as they arrive, so that a wrong length costs no memory.
+// readBody reads n bytes into buf. It grows buf only as they arrive, so that a wrong length allocates no memory.
 func readBody(r io.Reader, buf []byte, n int) ([]byte, error) {
 	const step = 1 << 20
 	buf = buf[:0]
@@ -138,6 +145,7 @@
 	return buf, nil
 }
 
+// reply writes the reply to a batch.
 func (h *Host) reply(w *bufio.Writer) error {
 	var head [replyHeader]byte
 	binary.LittleEndian.PutUint32(head[:], uint32(replyHeader+len(h.records)+len(h.tail)))
@@ -150,14 +158,14 @@
 	return w.Flush()
 }
 
-// Batch plays the records of one batch in order and leaves the actions for the reply.
+// Batch handles the event records of one batch in order and collects the actions for the reply.
 func (h *Host) Batch(clock float64, count uint32, body []byte) error {
 	h.records, h.tail, h.count, h.speaker = h.records[:0], h.tail[:0], 0, nil
 	if uint64(count)*eventSize > uint64(len(body)) {
 		return fmt.Errorf("%d records do not fit %d bytes", count, len(body))
 	}
 	if math.IsNaN(clock) || math.Abs(clock) > 1e15 {
-		return fmt.Errorf("impossible clock %v", clock)
+		return fmt.Errorf("invalid clock %v", clock)
 	}
 	tail := body[count*eventSize:]
 	now := deployment.Tenths(clock)
@@ -173,7 +181,7 @@
 			err = h.register(rec, tail)
 		case evLaunch:
 			if !named {
-				err = errors.New("no instance named yet")
+				err = errors.New("no instance selected")
 				break
 			}
 			err = h.launch(who, rec, tail, now)
@@ -192,14 +200,15 @@
 	return nil
 }
 
+// register stores a list of switches.
 func (h *Host) register(rec, tail []byte) error {
 	page := binary.LittleEndian.Uint16(rec[1:])
 	if page >= pagesMost {
-		return fmt.Errorf("list number %d out of range", page)
+		return fmt.Errorf("list number %d is out of range", page)
 	}
 	at, n := uint64(u32(rec[3:])), uint64(u32(rec[7:]))
 	if at+n*entrySize > uint64(len(tail)) {
-		return fmt.Errorf("entries at %d, %d of them, reach past the tail of %d bytes", at, n, len(tail))
+		return fmt.Errorf("list entries at offset %d, count %d, reach past the tail of %d bytes", at, n, len(tail))
 	}
 	list := h.pages[page][:0]
 	for e := tail[at : at+n*entrySize]; len(e) > 0; e = e[entrySize:] {
@@ -214,6 +223,7 @@
 	return nil
 }
 
+// launch starts an instance with the settings in the tail.
 func (h *Host) launch(who uint32, rec, tail []byte, now policy.Tenths) error {
 	info, err := span(rec[9:], tail)
 	if err != nil {
@@ -230,6 +240,7 @@
 	return nil
 }
 
+// event reports one event to the controller of the instance.
 func (in *instance) event(rec, tail []byte, now policy.Tenths) error {
 	m, call := in.module, u32(rec[1:])
 	switch rec[0] {
@@ -248,7 +259,7 @@
 			TTL: deployment.Tenths(f64(rec[16:])), Dest: whole(rec[32:]), Width: max(1, whole(rec[36:])), Advice: whole(rec[40:]),
 			Redial: rec[44]&bitRedial != 0, Transit: rec[44]&bitTransit != 0, Cut: rec[44]&bitCut != 0}
 		if !m.Offer(now, c) {
-			return fmt.Errorf("call %d: bearer type %d unknown", call, c.Bearer)
+			return fmt.Errorf("call %d: unknown bearer type %d", call, c.Bearer)
 		}
 	case evStarted:
 		m.Stands(now, call, int(rec[17]))
@@ -274,7 +285,7 @@
 	case evRing:
 		m.Woken(now, binary.LittleEndian.Uint64(rec[1:]))
 	case evDatagram:
-		if _, err := span(rec[5:], tail); err != nil { // nothing is asked of other controllers yet
+		if _, err := span(rec[5:], tail); err != nil { // controllers send each other no messages yet
 			return err
 		}
 	case evHalt:
@@ -285,6 +296,7 @@
 	return nil
 }
 
+// cause splits a reason code into the reason and the wait that it hints at, in milliseconds.
 func cause(v uint32) (policy.Reason, policy.Tenths) {
 	reasons := [...]policy.Reason{policy.NoReason, policy.NoCircuit, policy.TurnedBack, policy.ProcessorFull,
 		policy.NumberBusy}
@@ -298,10 +310,11 @@
 	return policy.NoReason, 0
 }
 
+// report reads the values of a load report, in the order in which the settings name them.
 func (in *instance) report(b []byte) (policy.Report, error) {
 	n := int(b[0])
 	if n > 4 {
-		return policy.Report{}, fmt.Errorf("load report of %d values", n)
+		return policy.Report{}, fmt.Errorf("load report of %d values, at most 4 are allowed", n)
 	}
 	var values [4]float64
 	for i := range n {
@@ -310,6 +323,7 @@
 	return deployment.Report(in.fields, values[:n]), nil
 }
 
+// put appends an action record of this instance and returns its fields.
 func (in *instance) put(code byte) []byte {
 	h := in.host
 	if h.speaker != in {
@@ -319,6 +333,7 @@
 	return in.blank(code)
 }
 
+// blank appends an empty record and returns its fields.
 func (in *instance) blank(code byte) []byte {
 	h := in.host
 	at := len(h.records)
@@ -328,7 +343,7 @@
 	return h.records[at+1:]
 }
 
-// Send starts a route try.
+// Send appends the action that starts a route try.
 func (in *instance) Send(call, to uint32, limit policy.Tenths) {
 	b := in.put(acAssign)
 	binary.LittleEndian.PutUint32(b, call)
@@ -336,34 +351,34 @@
 	putMS(b[8:], limit)
 }
 
-// Block gives the final answer "refused".
+// Block appends the action that rejects a call.
 func (in *instance) Block(call uint32, comeBack policy.Tenths) {
 	b := in.put(acDecline)
 	binary.LittleEndian.PutUint32(b, call)
 	putMS(b[4:], comeBack)
 }
 
-// Abort gives the final answer "failed".
+// Abort appends the action that fails a call.
 func (in *instance) Abort(call uint32) { binary.LittleEndian.PutUint32(in.put(acFail), call) }
 
-// Cancel stops waiting for a route try.
+// Cancel appends the action that cancels a route try.
 func (in *instance) Cancel(call uint32, try int) {
 	b := in.put(acAbandon)
 	binary.LittleEndian.PutUint32(b, call)
 	b[4] = byte(try)
 }
 
-// Wake asks for a ring at that time.
+// Wake appends the action that sets a timer.
 func (in *instance) Wake(at policy.Tenths, token uint64) {
 	b := in.put(acArm)
 	putMS(b, at)
 	binary.LittleEndian.PutUint64(b[8:], token)
 }
 
-// Follow subscribes to the list of switches.
+// Follow appends the action that subscribes to the list of switches.
 func (in *instance) Follow() { in.put(acWatch)[0] = 1 }
 
-// Note adds a line to the report.
+// Note appends the action that writes a log line.
 func (in *instance) Note(text string) {
 	b := in.put(acLog)
 	binary.LittleEndian.PutUint32(b, uint32(len(in.host.tail)))
@@ -371,6 +386,7 @@
 	in.host.tail = append(in.host.tail, text...)
 }
 
+// span returns the part of the tail that a reference of offset and length points to.
 func span(ref, tail []byte) ([]byte, error) {
 	at, n := uint64(u32(ref)), uint64(u32(ref[4:]))
 	if at+n > uint64(len(tail)) {
@@ -382,7 +398,7 @@
 func u32(b []byte) uint32  { return binary.LittleEndian.Uint32(b) }
 func f64(b []byte) float64 { return math.Float64frombits(binary.LittleEndian.Uint64(b)) }
 
-// whole reads a small number sent as a float; what is none reads as -1.
+// whole reads a count that is sent as a float. A value that is negative, too large or not a number reads as -1.
 func whole(b []byte) int {
 	v := float64(math.Float32frombits(u32(b)))
 	if !(v >= 0) || v > 1e6 {
@@ -391,6 +407,7 @@
 	return int(v)
 }
 
+// putMS writes a time in milliseconds.
 func putMS(b []byte, t policy.Tenths) {
 	binary.LittleEndian.PutUint64(b, math.Float64bits(float64(t)/10))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 const info = `{"family_info":{"self_no":0,"shape":"mesh","release_guard":300.0},"grades":[{"aim":1200.0,"deadline":9000.0,
 "worth":1.0}],"policy_limits":{"max_attempts":4},"load_report":{"names":["free","size"]},"unknown":[1]}`
 
-// frame lays records and their tail out as one batch.
+// frame encodes records and their tail as one batch.
 func frame(clock float64, tail string, records ...[]byte) []byte {
 	var body []byte
 	for _, r := range records {
@@ -27,6 +27,7 @@
 	return append(head, body...)
 }
 
+// rec encodes one record.
 func rec(code byte, fields ...any) []byte {
 	b := bytes.NewBuffer([]byte{code})
 	for _, f := range fields {
@@ -37,7 +38,7 @@
 	return b.Bytes()
 }
 
-// opening starts one instance with two switches and a group of 9 circuits, and offers it a call.
+// opening is a batch that starts an instance with two switches and a group of 9 circuits and offers it a call.
 func opening() []byte {
 	entry := func(id uint32, number uint16) string {
 		return string(rec(0, float32(1), 0.0, uint16(0), id, uint16(0), number, uint8(1))[1:])
@@ -63,12 +64,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// the instance is named, then asks for its first beat, then sends
+	// the instance is selected, sets the timer of its first tick and starts a route try
 	if n := binary.LittleEndian.Uint32(out[4:]); n != 3 || out[8] != acAs || out[32] != acArm || out[56] != acAssign {
 		t.Fatalf("reply of %d records: % x", n, out)
 	}
 	if call, to := u32(out[57:]), u32(out[61:]); call != 77 || to != 501 {
-		t.Fatalf("call %d sent to %d", call, to)
+		t.Fatalf("call %d routed to switch %d", call, to)
 	}
 }
 
@@ -98,6 +99,7 @@
 	return [][]byte{opening(), frame(0, ""), append(opening(), frame(1500, "", rec(evSwitchTo, uint32(3)), rec(evHalt))...)}
 }
 
+// repliesOrEnds checks that a batch, however damaged, is replied to or fails.
 func repliesOrEnds(t *testing.T, in []byte) {
 	out, err := serve(in)
 	if err == nil && len(in) >= batchHeader && len(out) < replyHeader {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -7,28 +7,28 @@
 	"testing"
 )
 
-// fleet is many controllers of one mesh, one of whose exchanges has its switch replaced by a cold one.
+// fleet is the controllers of a full mesh, in which the switch of one exchange is replaced by a cold one.
 type fleet struct {
 	d       Deployment
 	rigs    []*rig
-	share   []float64 // of the calls to the exchange, by controller
+	share   []float64 // share of the calls to each exchange, by controller
 	chance  *rand.Rand
 	now     Tenths
 	boot    Tenths
 	ids     uint32
-	perSec  float64 // first calls to each exchange from all controllers together
+	perSec  float64 // first calls per second to each exchange from all controllers together
 	arrived []Tenths
 }
 
 const (
-	fleetNumber = 1 // of the exchange whose switch is replaced
+	fleetNumber = 1 // exchange whose switch is replaced
 	fleetOld    = 101
 	fleetNew    = 9001
-	usedOf      = 0.78 // of a processor in a usual hour
-	spare       = 1.33 // circuits to what is carried then
+	usedOf      = 0.78 // load of a processor in a usual hour
+	spare       = 1.33 // circuits of a group, as a multiple of the carried calls
 )
 
-// newFleet starts n controllers; every tenth has several times the mean traffic.
+// newFleet starts n controllers, of which every tenth has several times the mean traffic.
 func newFleet(n int, perSec float64, seed uint64) *fleet {
 	f := &fleet{chance: rand.New(rand.NewPCG(seed, uint64(n))), now: 1_000_000, perSec: perSec}
 	sum := 0.0
@@ -46,7 +46,7 @@
 	return f
 }
 
-// start is a controller as it starts or starts anew: it knows the list, and the state of each group as connections open.
+// start returns a controller that has just started or restarted. It knows the list and the state of each group.
 func (f *fleet) start(n, i int) *rig {
 	r := town(2, 50)
 	f.d = r.d
@@ -77,8 +77,8 @@
 	return int(math.Ceil(f.share[i] * f.perSec * spare * float64(f.d.Bearers[0].Holding) / 10000))
 }
 
-// offer gives controller i a call to an exchange; what goes to the cold switch has arrived there. Its processor is quick: the call
-// stands at once and ends, so that circuits bound nothing.
+// offer offers controller i a call to an exchange and records the arrival if it goes to the cold switch. The call is answered at
+// once and released, so that the circuits never limit the traffic.
 func (f *fleet) offer(i, dest int, again bool) {
 	r := f.rigs[i]
 	f.ids++
@@ -99,7 +99,7 @@
 	r.order, r.sent = r.order[:0], r.sent[:0]
 }
 
-// pass lets time go by with the usual calls, times more.
+// pass advances the time with the usual calls, multiplied by a factor.
 func (f *fleet) pass(by Tenths, times float64) {
 	const step = 50
 	for end := f.now + by; f.now < end; {
@@ -115,7 +115,7 @@
 	}
 }
 
-// replace lists the cold switch; the old one drains.
+// replace lists the cold switch as ready and the old one as draining.
 func (f *fleet) replace() {
 	f.boot = f.now
 	for i, r := range f.rigs {
@@ -124,7 +124,7 @@
 	}
 }
 
-// again has the calls cut at the old switch come again: each waits some part of a span.
+// again has the calls that were disconnected at the old switch come again, spread over a time span.
 func (f *fleet) again(calls int, span Tenths) {
 	var when []Tenths
 	for range calls {
@@ -140,7 +140,7 @@
 	}
 }
 
-// who draws a controller by its share.
+// who selects a controller at random, weighted by its share.
 func (f *fleet) who() int {
 	x := f.chance.Float64()
 	for i, w := range f.share {
@@ -151,8 +151,8 @@
 	return len(f.share) - 1
 }
 
-// worst is the greatest share of what the switch could bear, N, that arrived in a window, and by how much the arrivals in some window
-// passed N and what is put down to chance.
+// worst returns the largest load of an overload window, as a share of what the switch can bear (N), the largest excess of arrivals
+// over N and random variation, and a description of that window.
 func (f *fleet) worst() (most, over float64, told string) {
 	over = math.Inf(-1)
 	for i, last := range f.arrived {
@@ -166,16 +166,16 @@
 		bears := f.d.FallMultiple * max(f.d.ColdFrom, strength) * 2 * f.perSec / usedOf * float64(f.d.FallWindow) / 10000
 		most = max(most, float64(n)/bears)
 		if by := float64(n) - bears - 2*math.Sqrt(bears) - 2; by > over {
-			over, told = by, fmt.Sprintf("%d in a fall window %.1f s after the start, N is %.1f", n, float64(last-f.boot)/10000, bears)
+			over, told = by, fmt.Sprintf("%d in an overload window %.1f s after the start, N is %.1f", n, float64(last-f.boot)/10000, bears)
 		}
 	}
 	return most, over, told
 }
 
-// TestColdSwitchBearsTheSumOfAllControllers replaces a switch and has the calls that were cut there come again within half a second:
-// at once, or when the controllers have saved up for a while, or most of them start anew before. What single controllers hold must
-// not add up to more than the switch bears, N, on the mean of the seeds, and on none by more than chance allows. First calls of a
-// usual hour must still get through, or the rule would be kept by serving nobody.
+// TestColdSwitchBearsTheSumOfAllControllers replaces a switch and has the calls that were disconnected there come again within half a
+// second: at once, or after the controllers have saved up their budgets, or after most of them have restarted. The budgets of all
+// controllers must not add up to more than the switch can bear (N) on the mean of the seeds, nor exceed it by more than random
+// variation for any seed. First calls of a usual hour must still get through, or rejecting everything would pass.
 func TestColdSwitchBearsTheSumOfAllControllers(t *testing.T) {
 	const seeds = 4
 	for _, perSec := range []float64{1.5, 5} {
@@ -204,15 +204,15 @@
 					f.pass(60000, 1)
 					most, over, told := f.worst()
 					if share += most / seeds; over > 0 {
-						t.Errorf("%d controllers, %.1f a second, %s, seed %d: %s", n, perSec, what, seed, told)
+						t.Errorf("%d controllers, %.1f calls/s, %s, seed %d: %s", n, perSec, what, seed, told)
 					}
 					sent += len(f.arrived)
 				}
 				if share > 1 {
-					t.Errorf("%d controllers, %.1f a second, %s: %.2f of what the switch bears on the mean", n, perSec, what, share)
+					t.Errorf("%d controllers, %.1f calls/s, %s: mean load is %.2f of what the switch can bear", n, perSec, what, share)
 				}
 				if asked := perSec * 6 * seeds; what == "usual" && float64(sent) < asked/2 {
-					t.Errorf("%d controllers, %.1f a second: %d of about %.0f first calls went to the cold switch", n, perSec, sent, asked)
+					t.Errorf("%d controllers, %.1f calls/s: %d of about %.0f first calls went to the cold switch", n, perSec, sent, asked)
 				}
 			}
 		}
--- a/policy/exchange.go
+++ b/policy/exchange.go
@@ -1,102 +1,102 @@
 package policy
 
-// Tenths counts time in whole tenths of a millisecond, both instants and spans.
+// Tenths is a point in time or a duration in whole tenths of a millisecond.
 type Tenths int64
 
-// Call is what a subscriber, or the exchange before this one, asks for.
+// Call is a call offered by a subscriber or by the preceding exchange.
 type Call struct {
 	ID      uint32
-	Number  uint64 // the number called, 0 when not told
-	Bearer  int    // row of Deployment.Bearers
-	Dest    int    // number of the destination exchange, or of the pool of first choice
-	Width   int    // circuits taken on each group crossed
-	Advice  int    // number of the tandem a centre advises, -1 when none
-	TTL     Tenths // from now until the caller gives this try up
-	Redial  bool   // the caller was turned away before
-	Transit bool   // it arrives over another exchange
-	Cut     bool   // it stood before, was cut and comes again
+	Number  uint64 // number called, 0 if unknown
+	Bearer  int    // index in Deployment.Bearers
+	Dest    int    // number of the destination exchange or of the pool of first choice
+	Width   int    // circuits that it takes in each group on its way
+	Advice  int    // number of the tandem that a routing centre advises, -1 if none
+	TTL     Tenths // time to live: from now until the caller abandons the call
+	Redial  bool   // the caller was rejected before and dials again
+	Transit bool   // it arrives from another exchange
+	Cut     bool   // the caller was disconnected before and dials again
 }
 
-// Switch is one line of the list of switches.
+// Switch is an entry of the list of switches.
 type Switch struct {
 	ID       uint32
-	Number   int    // the exchange or pool it serves
-	BootAt   Tenths // its last start, 0 when long ago
+	Number   int    // number of the exchange or pool that it serves
+	BootAt   Tenths // its last start, 0 if long ago
 	Ready    bool
-	Draining bool // neither ready nor draining: gone
+	Draining bool // a switch that is neither ready nor draining is gone
 }
 
-// Report is what an answer tells about a switch and the group towards it; fields not told are negative.
+// Report is the load of a switch and of the circuit group towards it. Unknown values are negative.
 type Report struct {
-	Free, Size int
+	Free, Size int     // free circuits and all circuits of the group
 	Wait       Tenths  // wait at its processor
-	HoldBack   float64 // share of new set-ups it asks to be held back
+	HoldBack   float64 // admission hold-back: share of new set-ups that it asks others not to send
 }
 
-// Ending tells how a route try ended.
+// Ending is the outcome of a route try.
 type Ending int
 
 const (
-	Released  Ending = iota // the standing call came to its end
+	Released  Ending = iota // the established call was released
 	Faulted                 // signalling fault, or the number called is busy
-	Blocked                 // turned back, or a processor or pool was full
-	TimedOut                // no answer in time
+	Blocked                 // turned back, or a processor or pool was overloaded
+	TimedOut                // not answered in time
 	Unreached               // the switch could not be reached
-	Cut                     // set-up or standing call cut
-	Cancelled               // called off
-	Unsent                  // never left this exchange
+	Cut                     // the set-up or the established call was cut off
+	Cancelled               // cancelled by the controller
+	Unsent                  // not sent by this exchange
 )
 
-// Reason says more about an ending.
+// Reason gives details of an outcome.
 type Reason int
 
 const (
 	NoReason      Reason = iota
 	NoCircuit            // no circuit or agent was free
-	TurnedBack           // the tandem turned it back
-	ProcessorFull        // the processor of the switch was full, or the own one is down
+	TurnedBack           // the tandem turned the call back
+	ProcessorFull        // the processor of the switch was overloaded, or the own one is down
 	NumberBusy           // every line of the number called is busy
-	DestFull             // the processor beyond the tandem was full
+	DestFull             // the processor beyond the tandem was overloaded
 )
 
-// Bearer is one bearer type as the operator states it.
+// Bearer holds the settings of a bearer type.
 type Bearer struct {
 	Revenue   float64
-	LateShare float64 // share of the revenue left after the GoS target
+	LateShare float64 // share of the revenue that is left after the GoS target
 	GoSTarget Tenths
-	Abandon   Tenths // callers keep trying this long
-	Holding   Tenths // mean time that a call stands, 0 when not told
-	Pools     []int  // pools that may serve it, empty when any may
+	Abandon   Tenths // how long callers keep trying
+	Holding   Tenths // mean holding time of a call, 0 if unknown
+	Pools     []int  // pools that may serve it, empty if any may
 }
 
-// Deployment is what an operator states about the network when a controller starts.
+// Deployment holds the settings of the network and of one controller in it.
 type Deployment struct {
 	Seed           uint64
-	Own            int // number of the own exchange, -1 with pools
-	Pools          bool
-	Controllers    int // call controllers of the network, 0 when not told
+	Own            int  // number of the own exchange, -1 with pools
+	Pools          bool // destinations are pools instead of exchanges
+	Controllers    int  // call controllers of the network, 0 if unknown
 	Bearers        []Bearer
-	MaxTries       int
-	ReleaseTime    Tenths
-	Resend         Tenths // a waiting set-up is sent again after this, 0 when never
-	ComeBackMost   Tenths // longest come-back time callers heed, 0 when none may be told
-	DrainGrace     Tenths
-	ColdFrom       float64
-	RampTime       Tenths
-	FallMultiple   float64
-	FallWindow     Tenths
-	ListAsked      bool   // the list comes only when followed
-	AskWithin      Tenths // how often it must at least be asked for
-	CancelsAllowed bool
+	MaxTries       int     // route tries of a call
+	ReleaseTime    Tenths  // wait after a failed try before the next one
+	Resend         Tenths  // an unanswered set-up is sent again after this, 0 if never
+	ComeBackMost   Tenths  // longest retry-after time that callers respect, 0 if they respect none
+	DrainGrace     Tenths  // tries to a switch that drains are allowed for this long
+	ColdFrom       float64 // share of its full capacity that a switch has when it starts
+	RampTime       Tenths  // time until it has its full capacity
+	FallMultiple   float64 // a cold switch collapses under this multiple of its capacity
+	FallWindow     Tenths  // within this time
+	ListAsked      bool    // the list of switches is only sent to subscribers
+	AskWithin      Tenths  // longest interval allowed between subscriptions
+	CancelsAllowed bool    // the controller may cancel route tries
 }
 
-// Exchange is the controller's only way out. Every call is carried out in the order made.
+// Exchange carries out the decisions of a Controller, in the order in which its methods are called.
 type Exchange interface {
-	Send(call uint32, to uint32, limit Tenths) // start a route try
-	Block(call uint32, comeBack Tenths)        // final: refused, with a time to come back or 0
-	Abort(call uint32)                         // final: failed
-	Cancel(call uint32, try int)               // stop waiting for a route try
-	Wake(at Tenths, token uint64)              // have Woken called at or after that time
-	Follow()                                   // subscribe to the list of switches
-	Note(text string)                          // a line for staff
+	Send(callID uint32, switchID uint32, timeout Tenths) // starts a route try
+	Block(callID uint32, retryAfter Tenths)              // final answer: rejected; retryAfter may be 0
+	Abort(callID uint32)                                 // final answer: failed
+	Cancel(callID uint32, try int)                       // cancels a route try
+	Wake(at Tenths, token uint64)                        // calls Controller.TimerExpired at or after that time
+	Follow()                                             // subscribes to the list of switches
+	Note(text string)                                    // writes a log line for operators
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,10 +1,11 @@
-// Package policy decides every call of one exchange: admit, route, try again, turn away.
+// Package policy makes every decision about the calls of one exchange: admission, routing, further route
+// tries and rejection.
 //
-// A caller makes a Controller with New and tells it what happens: Offer for a new call, Stands and Ended
-// for its route tries, CallerLeft, Circuits, Listed, ListLost, Woken. Each may act at once through the
-// Exchange it was given. The interface, both what is told and what can be done, is in exchange.go. The
-// module knows no wire and no clock: every entry point is handed the present time. docs/design.md names
-// each departure from the design page.
+// The owner creates a Controller with New and reports events to it: Offer for a new call, Answered and TryEnded
+// for its route tries, Abandoned, LoadReported, ListReceived, ListLost and TimerExpired. While it handles an
+// event, the Controller acts through the Executor that it was given. types.go declares what both sides exchange.
+// The package does no input or output and reads no clock: every method takes the current time.
+// docs/design.md lists each departure from the design page.
 package policy
 
 import (
@@ -13,124 +14,142 @@
 	"sort"
 )
 
+// Trunk reservation.
 const (
-	reserveStart = 2 // circuits kept for the protected bearer types, the paper's best setting
-	transitExtra = 2 // and so many more must stay free behind a call over a tandem
-	markShare    = 4 // the two together should close one part in so many of a group to transit
-
-	answerHalf = Tenths(15000) // half-life of what answers tell: a few answers of one far end
-	reportHalf = Tenths(60000) // half-life of a reported wait, a few report periods
-	offerHalf  = Tenths(80000) // half-life of traffic counts, longer than any burst between two calls
-	emptyPrior = 0.3           // answers' weight against which fading evidence loses its say
-	spread     = 0.7           // deviations above the mean: the upper quartile of answer times
-
-	ageWeight = 1.5  // an unanswered try is so much worse than its age, as it is not done yet
-	eachAdds  = 0.15 // of the tightest GoS target: what each further late try at the same switch adds
-
-	overdue = 2.0 // times its far end's usual answer time: a try so old that was overtaken is taken as lost
-	lossy   = 0.5 // tries overtaken lately at one switch: from here on messages are taken to get lost
-
-	shedFrom = 0.2 // of the GoS target: an expected answer this late starts shedding
-	shedAll  = 1.4 // and this late stops all; a steeper slope swings between jam and idleness
-
-	shedShared = 1.0 // lateness that far ends share stops all here already: many answers tell of it
-
-	resends = 2.5 // intervals that a set-up may wait: resent after one, and again after three
-
-	backRest = Tenths(120000) // a tandem that turned a call back is not asked again for that destination, where
-	// the longest mean holding time of the bearer types is not told: by then circuits have come free
+	reserveStart = 2 // circuits of a group reserved for the protected bearer types, the best setting in the paper
+	transitExtra = 2 // circuits that must stay free in addition behind a call in transit
+	markShare    = 4 // reserve and transit margin together close at most 1 circuit in markShare to transit calls
+)
 
-	drawWorth = 0.3 // share of the tandems drawn that must serve their call for every draw to be worth its work
+// Measurement of answer times and traffic.
+const (
+	answerHalf = Tenths(15000) // half-life of answer times: spans a few answers of one remote switch
+	reportHalf = Tenths(60000) // half-life of a reported processor wait: spans a few report periods
+	offerHalf  = Tenths(80000) // half-life of traffic counts: longer than any burst or gap between two calls
+	emptyPrior = 0.3           // sample weight of the prior, an answer time of 0, which prevails as samples decay
+	spread     = 0.7           // standard deviations from the mean to the upper quartile of answer times
+	newer      = 0.7           // share of their weight that earlier answer times keep after each new one
+
+	heardOf    = 0.2 // minimum sample weight of answer times for a remote switch to count as recently observed
+	commonFrom = 3   // minimum number of recently observed remote switches for their median to count
+)
 
-	newer = 0.7 // what earlier answers still weigh after each later one
+// Unanswered and lost route tries.
+const (
+	ageWeight = 1.5  // answer time to expect of an unanswered try, in multiples of its age, as it is not done yet
+	eachAdds  = 0.15 // what each further late try at the same switch adds to it, as a share of the tightest GoS target
 
-	heardOf    = 0.2 // weight of answers from which a far end counts as heard of lately
-	commonFrom = 3   // far ends heard of, for what they share to mean something
+	overdue = 2.0 // multiple of the usual answer time from which an overtaken try is taken as lost
+	lossy   = 0.5 // weight of recently overtaken tries from which a remote switch is taken to lose messages
+)
 
-	manyCuts = 20 // cut within a second or two: a line for staff
+// Load shedding, by the expected answer time as a share of the GoS target.
+const (
+	shedFrom   = 0.2 // start of load shedding
+	shedAll    = 1.4 // all calls are shed; a steeper slope oscillates between overload and idleness
+	shedShared = 1.0 // all calls are shed if most remote switches are this late: many answers show it
 
-	cutAdds = 0.01 // of the tightest GoS target: the work that each standing call cut lately leaves behind
+	// resends is the wait in resend intervals that sheds all calls. A set-up is sent again after one and after three.
+	resends = 2.5
 
-	comeBackLater = 3 // times the expected answer time: the line ahead and the redials that come first
+	// cutAdds is the answer time that each recent disconnection of an established call adds by the work that it
+	// causes, as a share of the tightest GoS target.
+	cutAdds = 0.01
 
-	trickleEvery = Tenths(7000) // a shed far end is asked this often, to learn of its recovery
+	trickleEvery  = Tenths(7000) // probe interval: how often a shed remote switch gets a call, to detect its recovery
+	comeBackLater = 3            // retry-after time in expected answer times: the queue and earlier redials go first
+)
 
-	noteEvery = Tenths(300000) // the same line for staff at most so often
+// Selection of tandems.
+const (
+	// backRest is the retry interval after a turn-back, for the same tandem and destination, where the bearer types
+	// have no holding times. Else it is the longest mean holding time: by then circuits have become free.
+	backRest = Tenths(120000)
 
-	beatEvery = Tenths(1000) // short against any GoS target, long against the wire's interval
+	drawWorth = 0.3 // success rate of randomly selected tandems below which not every call selects one
+)
 
-	followFirst = Tenths(2500) // first wait before the list is asked for anew; it doubles
+// Slow start of a cold switch.
+const (
+	coldDepth    = 0.5     // share of the overload window whose slow-start budget may be spent at once
+	coldFloor    = 6.0     // set-ups per second from all controllers to a cold switch of unknown traffic
+	carriedLeast = 1.0 / 3 // upper bound of that rate, as a share of what the circuits of the group can carry
+)
 
-	coldDepth    = 0.5     // share of the fall window whose budget may be spent at once
-	coldFloor    = 6.0     // set-ups a second from all controllers to a cold switch of unknown traffic
-	carriedLeast = 1.0 / 3 // or this share of what a group's circuits can carry, if less
+// Timers and log lines.
+const (
+	beatEvery   = Tenths(1000)   // tick interval: short compared to a GoS target, long compared to the input interval
+	followFirst = Tenths(2500)   // initial delay before the list is requested again; it doubles
+	manyCuts    = 20             // disconnections within one or two seconds above which a line is logged
+	noteEvery   = Tenths(300000) // minimum interval between two equal log lines
 )
 
-// callState names where a call is in its life; become is the one place that changes it.
+// callState is the state of a call. Only setState changes it.
 type callState uint8
 
 const (
-	offered  callState = iota // taken, nothing sent
-	trying                    // one route try out
-	resting                   // waiting out the release time
-	standing                  // the call stands
-	over                      // final answer given, or the caller has left
+	offered  callState = iota // accepted, no route try is out
+	trying                    // one route try is out
+	resting                   // waits for the release time of the last try
+	standing                  // connected
+	over                      // finally answered, released or abandoned
 )
 
+// call is a call that is not over.
 type call struct {
 	ask       Call
 	state     callState
-	firstAt   Tenths // when the caller first asked, as far as known
-	gosAt     Tenths // worth trying until then
-	late      bool   // a redial that can earn the late share alone
-	again     bool   // it was turned away, or cut, before
+	firstAt   Tenths // when the caller first dialled, as far as known
+	gosAt     Tenths // end of the GoS target: route tries are useful until then
+	late      bool   // a redial past its GoS target, which earns only the late share of the revenue
+	again     bool   // the caller was rejected or disconnected before
 	abandonAt Tenths
 	tries     int
-	far       int // index of the switch of the present try
+	far       int // index of the remote switch of the latest try
 	tandem    bool
-	drawn     bool // its tandem was drawn, not remembered
-	noDirect  bool // the direct route could not take it
-	lost      bool // a later try to the same switch was answered first
+	drawn     bool // its tandem was selected at random, not remembered
+	noDirect  bool // the direct route has failed
+	lost      bool // the try is taken as lost: a later one to the same switch was answered first
 	sentAt    Tenths
-	readyAt   Tenths // no send before: the release time of the last try
+	readyAt   Tenths // no try before: end of the release time of the last one
 }
 
-// bearerRow is what the module reads of a bearer type.
+// bearerRow holds the parameters of a bearer type.
 type bearerRow struct {
 	protected bool
 	gosTarget Tenths
-	rank      [2]int // place in the order of revenue, for a first call and for a redial
+	rank      [2]int // position in the order of revenue, of a first call and of a late redial
 	pools     []int
 }
 
-// pending is a route try sent and perhaps not answered yet.
+// pending is a route try that was sent and may still be unanswered.
 type pending struct {
 	id     uint32
 	sentAt Tenths
 }
 
-// farEnd is one switch and the group of circuits towards it.
+// farEnd is a remote switch and the circuit group towards it.
 type farEnd struct {
 	id         uint32
 	number     int
 	ready      bool
 	bootAt     Tenths
 	free, size int
-	answers    decaying // answer times of route tries
-	losses     decaying // tries overtaken by later ones
-	wait       Tenths   // last wait reported or hinted
+	answers    decaying // answer times of its route tries
+	losses     decaying // tries overtaken by later ones, taken as lost
+	wait       Tenths   // processor wait that it last reported or implied
 	holdBack   float64
 	reportedAt Tenths
 	sends      decaying
-	sentAt     Tenths  // last send
-	budget     float64 // first calls a cold switch may still be sent
-	chance     float64 // and calls that come again, mostly a part of one
+	sentAt     Tenths  // last route try
+	budget     float64 // slow-start budget for first calls, while it is cold
+	chance     float64 // slow-start budget for repeated calls, mostly less than one
 	budgetAt   Tenths
 	waiting    []pending
-	backAt     map[int]Tenths // destination: when this switch last turned back a call for it
+	backAt     map[int]Tenths // time of the last turn-back, by destination
 }
 
-// Controller decides for one exchange.
+// Controller decides about the calls of one exchange.
 type Controller struct {
 	d        Deployment
 	out      Exchange
@@ -139,34 +158,34 @@
 	began    Tenths
 	far      []farEnd
 	byID     map[uint32]int
-	serving  map[int]int       // number of an exchange or pool: index of the switch that serves it now
-	tandems  map[int]int       // destination: index of the tandem remembered
-	asked    map[int]*decaying // first calls by destination
-	ranks    []decaying        // offered calls by place in the order of revenue
+	serving  map[int]int       // index of the switch in service, by exchange or pool
+	tandems  map[int]int       // index of the tandem last used, by destination
+	asked    map[int]*decaying // rate of first calls, by destination
+	ranks    []decaying        // offered calls, by position in the order of revenue
 	calls    map[uint32]*call
-	turned   map[uint64]Tenths // number called: when a caller turned away first asked for it
-	longest  []Tenths          // the longest time a caller gave a try, by bearer type
-	forget   []uint64          // the same numbers, oldest first
-	patience Tenths            // the longest that a caller keeps trying
-	tightest Tenths            // the least GoS target
-	rest     Tenths            // of a tandem that turned a call back
+	turned   map[uint64]Tenths // when a rejected caller first dialled, by number called
+	longest  []Tenths          // longest time to live of a call, by bearer type
+	forget   []uint64          // keys of rejectedNumbers, oldest first
+	patience Tenths            // longest abandon time of the bearer types
+	tightest Tenths            // shortest GoS target of the bearer types
+	rest     Tenths            // retry interval after a turn-back
 	followIn Tenths
 	cuts     decaying
-	draws    decaying // tandems drawn lately, and how many of them served their call
+	draws    decaying // random selections of a tandem: 1 for success, 0 for a turn-back
 	commonAt Tenths
 	commonIs Tenths
-	beatDue  Tenths // when the next beat must come
+	beatDue  Tenths // when the next tick is due
 	stalled  Tenths // end of the last stall of this controller
 	stallFor Tenths
-	noted    map[string]Tenths // lines for staff: when each was last written
+	noted    map[string]Tenths // when each log line was last written
 }
 
 const (
-	followToken = math.MaxUint64 // wakes that no call asked for
+	followToken = math.MaxUint64 // timer tokens that belong to no call
 	beatToken   = math.MaxUint64 - 1
 )
 
-// New returns a controller at the moment its process starts.
+// New returns a controller whose process starts now.
 func New(d Deployment, out Exchange, now Tenths) *Controller {
 	c := &Controller{d: d, out: out, chance: d.Seed%0xfffffffe + 1, began: now, byID: map[uint32]int{},
 		serving: map[int]int{}, tandems: map[int]int{}, asked: map[int]*decaying{},
@@ -179,8 +198,9 @@
 	return c
 }
 
-// rankBearers orders bearer types and their redials by what a call still earns, and protects the dearest
-// types. A redial mostly comes after the GoS target of its first try, so it is worth the late share.
+// rankBearers orders first calls and redials of all bearer types by the revenue that a call still earns and
+// protects the types of highest revenue. A redial usually comes after the GoS target of its first try, so it
+// counts with the late share of the revenue.
 func (c *Controller) rankBearers() {
 	var values []float64
 	dearest := 0.0
@@ -206,13 +226,13 @@
 	c.ranks, c.longest = make([]decaying, len(values)), make([]Tenths, len(c.rows))
 }
 
-// Offer takes a call; it reports false for a bearer type that the deployment does not have.
+// Offer routes or rejects a new call. It returns false if the deployment lacks its bearer type.
 func (c *Controller) Offer(now Tenths, ask Call) bool {
 	if ask.Bearer < 0 || ask.Bearer >= len(c.rows) {
 		return false
 	}
 	c.notice(now)
-	waited := Tenths(0) // calls that came during a stall are handed over when it ends; the time they lack tells
+	waited := Tenths(0) // calls that arrived during a stall come at its end; the missing time to live is the time waited
 	if c.longest[ask.Bearer] = max(c.longest[ask.Bearer], ask.TTL); c.stalled == now && !ask.Transit {
 		waited = min(c.stallFor, c.longest[ask.Bearer]-ask.TTL)
 	}
@@ -233,11 +253,10 @@
 	return true
 }
 
-// recognise finds out whether a call is a redial that comes too late for the GoS target of its caller's
-// first try. Where callers do not mark their redials, or the mark does not say when the first try was, the
-// number called tells: asked for again soon after it was turned away here. It guards against redials
-// crowding out first calls; it could do harm where many callers ask for one number, of whom all but the
-// first would wait behind first calls.
+// recognise determines whether a call is a redial that comes too late for the GoS target of its caller's
+// first try. Callers may not mark redials, and the mark does not give the time of the first try, so a call to
+// a number that was recently rejected here counts as a redial. This keeps redials from crowding out first
+// calls. Its cost: where many callers dial one number, all but the first of them rank behind first calls.
 func (c *Controller) recognise(now Tenths, k *call) {
 	k.again = k.ask.Redial || k.ask.Cut
 	if k.ask.Transit || k.ask.Cut {
@@ -265,10 +284,10 @@
 	k.late = k.ask.Redial
 }
 
-// place is the ordinary path of a call: direct, else over one tandem, else turned away.
+// place routes a call directly, else over one tandem, else rejects it.
 func (c *Controller) place(now Tenths, k *call) {
 	dest, known := c.serving[k.ask.Dest]
-	if !known { // with pools, one of second choice may still serve it
+	if !known { // a pool of second choice may still serve it
 		dest = -1
 	}
 	if now >= k.abandonAt || !known && !c.d.Pools {
@@ -280,7 +299,7 @@
 		return
 	}
 	if known && !k.noDirect {
-		spare := c.far[dest].free - k.ask.Width // circuits left on the direct group
+		spare := c.far[dest].free - k.ask.Width // circuits that would be left in the direct group
 		direct := spare >= c.far[dest].reserve() || spare >= 0 && c.rows[k.ask.Bearer].protected
 		if k.ask.Transit || k.late {
 			direct = c.far[dest].aboveMark(k.ask.Width) >= 0
@@ -289,7 +308,7 @@
 			return
 		}
 	}
-	if k.ask.Transit { // to its destination or back
+	if k.ask.Transit { // it may only go directly to its destination
 		c.giveUp(now, k, false)
 		return
 	}
@@ -313,16 +332,18 @@
 	c.giveUp(now, k, false)
 }
 
-// reserve is what a group keeps for the protected bearer types: 2 circuits where the transit mark then closes
-// no more than a quarter of the group, else 1. In a large network most groups are so thin that the mark would
-// close half of them and leave no tandem; it could do harm where the protected type alone fills thin groups.
+// reserve is the number of circuits reserved for the protected bearer types: 2 if that closes no more than a
+// quarter of the group to transit calls, else 1. Most groups of a large network are so small that a full
+// reserve would close half of each group to transit and leave no tandem. Its cost: where the protected types
+// alone fill small groups, the reserve is too small.
 func (f *farEnd) reserve() int {
 	return min(reserveStart, max(1, f.size/markShare-transitExtra))
 }
 
-// aboveMark is how many circuits above the transit mark a call over a tandem finds, negative when none. The
-// mark is on the circuits free before the call; where the full reserve is kept, so many must stay free behind
-// a wide call, since a few of them would fill the group for all others. In thin groups that would bar them.
+// aboveMark is the number of circuits beyond the reserve and the transit margin that a call over a tandem
+// finds; negative means that it may not use the group. In a group with the full reserve, all circuits of a
+// wide call count, since a few wide calls would fill the group. In a small group only one counts, or wide
+// calls would never get through.
 func (f *farEnd) aboveMark(width int) int {
 	if f.reserve() < reserveStart && f.free >= width {
 		width = 1
@@ -330,9 +351,9 @@
 	return f.free - width - f.reserve() - transitExtra
 }
 
-// patienceWith is the time-out of a try: up to the GoS target, or, over a tandem or where messages were
-// lost lately and answers else come well within that, short enough to leave room for the release time and
-// one more try.
+// patienceWith is the timeout of a route try. It ends with the GoS target. A first try over a tandem, or to a
+// switch that recently lost messages, gets a shorter one that leaves time for the release and one more try,
+// if answers usually come well within it.
 func (c *Controller) patienceWith(now Tenths, k *call, to int) Tenths {
 	f, left := &c.far[to], k.gosAt-now
 	again := (left - c.d.ReleaseTime) / 2
@@ -343,7 +364,7 @@
 	return left
 }
 
-// tandemFits tells whether a switch may serve as tandem: behind the transit mark, warm and not pressed.
+// tandemFits reports whether a switch may serve as tandem: it has circuits for transit, is warm and not overloaded.
 func (c *Controller) tandemFits(now Tenths, k *call, t, dest int) bool {
 	f := &c.far[t]
 	if t == dest || c.serving[f.number] != t || c.cold(now, f) {
@@ -361,9 +382,9 @@
 	return c.held(now, f, k) == 0
 }
 
-// drawTandem picks one of the fitting tandems at random, each with a chance by the square of the circuits it
-// has free above the mark: a tandem well linked to here is mostly well linked to the destination too, and of
-// many thin groups most draws would be turned back.
+// drawTandem selects one of the usable tandems at random, weighted by the square of the circuits that are free
+// for transit. A tandem with many circuits to here usually has many to the destination too; with uniform
+// weights and many small groups most selections would be turned back.
 func (c *Controller) drawTandem(now Tenths, k *call, dest int) (int, bool) {
 	pick, room := 0, 0
 	for t := range c.far {
@@ -380,21 +401,23 @@
 	return pick, room > 0
 }
 
-// served is the share of the tandems drawn lately that served their call, taken as worthwhile before any
-// evidence. It guards against draws that are mostly turned back, each of them work for two processors, as in
-// large networks of thin groups or where circuits were lost: then fewer are drawn, and the centre's advised
-// tandem, if any, takes their place. Right after circuits come back draws are rare for some seconds.
+// served is the recent success rate of randomly selected tandems; without samples it is high enough to select
+// every time. Where most selections are turned back, as in large networks of small groups or after a loss of
+// circuits, each is wasted work for two processors: then fewer tandems are selected at random, and the
+// tandem that a routing centre advises, if any, is used instead. Its cost: after circuits have come back,
+// random selection stays rare for some seconds.
 func (c *Controller) served(now Tenths) float64 {
 	n := c.draws.read(now, offerHalf)
 	share := (c.draws.x + drawWorth) / (n + 1)
 	if share < drawWorth/8 {
-		c.note(now, "drawn tandems are mostly turned back")
+		c.note(now, "randomly selected tandems mostly turn calls back")
 	}
 	return share
 }
 
-// worthTheWork sheds the calls of least revenue first when the processors on the way answer late: what is
-// let through is the dearest part of the traffic, as large as the processors can still serve in time.
+// worthTheWork reports whether a call is admitted. When processors on the way answer late, calls of the lowest
+// revenue are shed first, so that the admitted part of the traffic is the most valuable one and no larger
+// than what the processors can serve in time.
 func (c *Controller) worthTheWork(now Tenths, k *call, dest int) bool {
 	keep := 1 - c.held(now, &c.far[dest], k)
 	if keep >= 1 || c.trickles(now, k, &c.far[dest]) {
@@ -414,18 +437,19 @@
 	return above+own <= keep || own > 0 && c.draw() < (keep-above)/own
 }
 
-// trickles lets a call of the dearest kind through to a shed far end that owes no answer and was not asked
-// for a while, so that a recovery is learnt of even where shedding stops all else.
+// trickles reports whether a call goes to a shed remote switch as a probe, so that a recovery is detected even
+// where all other calls are shed. A probe is of the highest revenue; the switch must have no unanswered try
+// and have had none for the probe interval.
 func (c *Controller) trickles(now Tenths, k *call, f *farEnd) bool {
 	return c.rank(k) == 0 && len(f.waiting) == 0 && now-f.sentAt > trickleEvery
 }
 
-// held is the share of new set-ups that should not go to a far end now. Where most far ends look late the
-// slope is steeper: a line that all share settles where arrivals equal what is served, and on the gentle one
-// that is so near the GoS target that most tries through it are lost.
+// held is the share of new set-ups to a remote switch that is to be shed now. The slope is steeper if most
+// remote switches are late: a queue that all share settles where arrivals equal the service rate, and on the
+// gentle slope that is so near the GoS target that most tries through the queue are lost.
 func (c *Controller) held(now Tenths, f *farEnd, k *call) float64 {
 	scale := float64(c.rows[k.ask.Bearer].gosTarget)
-	if c.d.Resend > 0 { // waiting longer makes repeats, which are work again
+	if c.d.Resend > 0 { // a longer wait causes resends, which are further work
 		scale = min(scale, resends*float64(c.d.Resend))
 	}
 	late := (float64(c.expects(now, f))/scale - shedFrom) / (shedAll - shedFrom)
@@ -434,12 +458,15 @@
 	return min(1, max(0, late, shared, asked))
 }
 
-// common is what every far end is expected to be, at the least: the median of those heard of lately. Where
-// most look late together, the own processor or all of them are pressed, and a far end that was not asked
-// of late will be no better. It guards against slowdowns of everything, which one or two answers a second a
-// pair tell too late; it could do harm where most far ends are slow and the own exchange calls the others.
-// Standing calls cut lately count as well: their releases and returns fill the processors before any answer
-// tells. Where releases go ahead of set-ups that sheds for a moment without need.
+// common is the least answer time to expect of any remote switch: the median of those observed recently. If
+// most are late together, the own processor or all of theirs are overloaded, and a switch that was not used
+// recently will be no faster. It detects a general slowdown, for which the one or two answers per second and
+// pair of switches come too late. Its cost: where most remote switches are slow, calls to the others are shed
+// too.
+//
+// Recent disconnections of established calls count as well, since their releases and redials load the
+// processors before any answer shows it. Where processors handle releases ahead of set-ups, that sheds calls
+// for a moment without need.
 func (c *Controller) common(now Tenths) Tenths {
 	if c.commonAt != now {
 		c.commonAt, c.commonIs = now, 0
@@ -452,18 +479,18 @@
 		if len(seen) >= commonFrom {
 			slices.Sort(seen)
 			if c.commonIs = seen[len(seen)/2]; c.commonIs > c.tightest/2 {
-				c.note(now, "most far ends answer late")
+				c.note(now, "most remote switches answer late")
 			}
 		}
 	}
 	return max(c.commonIs, Tenths(c.cuts.read(now, answerHalf)*cutAdds*float64(c.tightest)))
 }
 
-// expects is the answer time to reckon with: a high quantile of late answers, the wait last reported, or
-// what the tries still unanswered tell by their age and number, whichever is worst. A hung switch answers
-// nothing and a slow one answers seconds late; at one or two calls a second the unanswered tries are the
-// first sign of either. Only tries far older than usual answers count by their number: where calls follow
-// each other faster than answers come, some are always out. It misleads for a moment after a burst.
+// expects is the expected answer time of a remote switch, the largest of three estimates: the upper quartile of
+// recent answer times, the processor wait last reported, and one from the age and number of unanswered tries.
+// A hung switch does not answer and a slow one answers seconds late; at one or two calls per second the
+// unanswered tries are the first sign of either. Only tries much older than the usual answer time count by
+// number, since at high rates some tries are always out. The estimate is too high for a moment after a burst.
 func (c *Controller) expects(now Tenths, f *farEnd) Tenths {
 	usual := f.answers.quantile(now)
 	worst := max(usual, float64(f.wait)*fade(now-f.reportedAt, reportHalf))
@@ -483,7 +510,7 @@
 	return Tenths(worst)
 }
 
-// unanswered is the call of a route try that is out to a switch and not taken as lost, else nil.
+// unanswered returns the call of a route try that is still out to a switch and not taken as lost, else nil.
 func (c *Controller) unanswered(f *farEnd, p pending) *call {
 	k := c.calls[p.id]
 	if k == nil || k.state != trying || k.sentAt != p.sentAt || &c.far[k.far] != f || k.lost {
@@ -492,6 +519,7 @@
 	return k
 }
 
+// rank is the position of a call in the order of revenue.
 func (c *Controller) rank(k *call) int {
 	if k.late {
 		return c.rows[k.ask.Bearer].rank[1]
@@ -499,22 +527,26 @@
 	return c.rows[k.ask.Bearer].rank[0]
 }
 
-// cold tells whether a switch started so lately that it may not have its full strength.
+// cold reports whether a switch started so recently that it may not have its full capacity yet.
 func (c *Controller) cold(now Tenths, f *farEnd) bool {
 	return f.bootAt > 0 && now < f.bootAt+c.d.RampTime
 }
 
-// coldRoom tells whether one more set-up may go to a cold switch, and spends what it takes. What callers here
-// ask of it, or of a warm fellow on average, is this exchange's share of what such a switch can do, with room
-// to spare, since half of a processor's work is its own exchange's calls; where little is known yet, part of
-// what the group can carry. The fall multiple times that, at the strength reached so far, is what comes in.
-// Refused set-ups were counted when sent.
+// coldRoom reports whether one more set-up may go to a cold switch and takes it from the slow-start budget.
+//
+// The budget grows at a rate that starts from this exchange's traffic: the larger of the first calls offered
+// for that switch and the mean sent to a warm switch. That is this exchange's share of the capacity of a
+// switch, with a margin, since half of a processor's work is for calls of its own exchange. While little
+// traffic is known, part of what the circuit group can carry is the lower bound. The rate is this traffic
+// times the overload multiple, times the capacity that the switch has reached. Set-ups that are rejected
+// count as well, since sends are counted.
 //
-// First calls come to many controllers independently of one another, so each may save up one whole set-up and
-// the sum scatters about its mean. Calls that come again, and tries after a first one, come to all together,
-// since what caused them struck all. There whole set-ups saved up would go in one window, and their number,
-// not the share, would be the sum. So the share, far less than one set-up where controllers are many, is only
-// the chance to go, and is spent either way.
+// First calls reach the controllers independently of one another, so each controller may save up one whole
+// set-up, and the sum varies about its mean. Repeated calls and further tries reach all controllers at the
+// same time, since they have a common cause. If each controller had saved up a whole set-up for these, all
+// would be sent within one window, and their sum would be the number of controllers instead of the budget.
+// So their budget, far less than one set-up where controllers are many, is the probability that the set-up
+// is sent, and it is spent either way.
 func (c *Controller) coldRoom(now Tenths, f *farEnd, k *call) bool {
 	if !c.cold(now, f) {
 		return true
@@ -553,19 +585,19 @@
 	return true
 }
 
-// send is the guard that every route try passes; it knows the five rules and tells whether the try went
-// out.
+// send sends a route try unless one of the five rules forbids it, and reports whether it did. Every route try
+// passes through it.
 func (c *Controller) send(now Tenths, k *call, to int, limit Tenths) bool {
 	f := &c.far[to]
 	limit = min(limit, k.abandonAt-now)
 	switch {
-	case k.state != offered && k.state != resting: // answered, or a try is out: rules 1 and 2
+	case k.state != offered && k.state != resting: // rules 1 and 2: it is answered or a try is out
 		return false
-	case !f.ready || f.number == c.d.Own || c.serving[f.number] != to: // told it drains or is gone: rule 3
+	case !f.ready || f.number == c.d.Own || c.serving[f.number] != to: // rule 3: the list says that it drains or is gone
 		return false
 	case k.ask.Transit && f.number != k.ask.Dest:
 		return false
-	case now < k.readyAt: // the release is awaited: rule 5
+	case now < k.readyAt: // rule 5: the release time of the last try has not passed
 		return false
 	case limit <= 0 || k.tries >= c.d.MaxTries || f.free < k.ask.Width:
 		return false
@@ -584,8 +616,8 @@
 	return true
 }
 
-// giveUp gives a call its final answer at once. Where a processor is pressed, the caller is told to come
-// back when the line there should have been worked off.
+// giveUp gives a call its final answer. If a processor is overloaded, the answer tells the caller to try again
+// when the queue there should have been worked off.
 func (c *Controller) giveUp(now Tenths, k *call, pressed bool) {
 	c.become(k, over)
 	if now >= k.abandonAt {
@@ -599,7 +631,7 @@
 	c.out.Block(k.ask.ID, comeBack)
 }
 
-// become is the one place where a call changes its state.
+// become sets the state of a call. Nothing else does.
 func (c *Controller) become(k *call, s callState) {
 	if s == over {
 		delete(c.calls, k.ask.ID)
@@ -611,24 +643,23 @@
 	k.state = s
 }
 
-// beat asks to be woken at short intervals, so that notice can tell when this controller itself was held
-// up.
+// beat schedules the next tick, by which detectStall notices that this controller itself has stalled.
 func (c *Controller) beat(now Tenths) {
 	c.beatDue = now + beatEvery
 	c.out.Wake(c.beatDue, beatToken)
 }
 
-// notice finds a stall of this very controller: the beat is overdue. What was answered meanwhile was not
-// late, and must not count against any far end; otherwise the controller would shed for seconds after each
+// notice detects a stall of this controller: the tick is overdue. Answers that came meanwhile were not late and
+// must not count against any remote switch; otherwise the controller would shed calls for seconds after each
 // stall.
 func (c *Controller) notice(now Tenths) {
 	if now > c.beatDue+beatEvery && c.stalled != now {
 		c.stallFor, c.stalled = now-c.beatDue, now
-		c.note(now, "this controller stood still")
+		c.note(now, "this call controller stalled")
 	}
 }
 
-// note writes one of the few lines for staff that docs/oncall.md names, each seldom.
+// note writes one of the log lines that docs/oncall.md lists, each at most once per minimum interval.
 func (c *Controller) note(now Tenths, line string) {
 	if at, again := c.noted[line]; !again || now > at+noteEvery {
 		c.noted[line] = now
@@ -636,7 +667,7 @@
 	}
 }
 
-// Stands tells that a call stands.
+// Stands reports that a route try was answered and the call is established.
 func (c *Controller) Stands(now Tenths, id uint32, try int) {
 	c.notice(now)
 	k := c.calls[id]
@@ -651,11 +682,11 @@
 	c.overtaken(now, k)
 }
 
-// overtaken looks for direct tries sent to the same switch before the one just answered. A processor works
-// in one line, so the message or its answer was lost of those that have waited far longer than answers from
-// there take: they say nothing of the processor, and are called off where another try can still meet the
-// GoS target. It guards against links or switches that drop some messages. Younger ones are left alone: where
-// calls follow each other within the jitter of the links, answers overtake each other by themselves.
+// overtaken detects lost messages on links or at switches that drop some: it looks for direct tries sent to the
+// same switch before the one just answered. A processor serves one queue in order, so a try that has waited
+// much longer than the usual answer time has lost its set-up or its answer. Such a try does not count against
+// the processor, and it is cancelled if another try can still meet the GoS target. Younger tries are left
+// alone, since answers within the jitter of the links may overtake each other.
 func (c *Controller) overtaken(now Tenths, k *call) {
 	if k.tandem {
 		return
@@ -674,7 +705,8 @@
 	}
 }
 
-// Ended tells how a route try ended; final is set when the call is over with it.
+// Ended reports the outcome of a route try, with its reason, the wait that the switch hinted at and its load
+// report. final means that the call is over as well.
 func (c *Controller) Ended(now Tenths, id uint32, try int, sw uint32, end Ending, final bool,
 	why Reason, wait Tenths, rep Report) {
 	c.notice(now)
@@ -694,7 +726,7 @@
 	if k.state == standing && end == Cut {
 		c.cuts.add(now, answerHalf, 1)
 		if c.cuts.n > manyCuts {
-			c.note(now, "many standing calls cut")
+			c.note(now, "many established calls disconnected")
 		}
 	}
 	if final || k.state == standing {
@@ -707,11 +739,11 @@
 	c.become(k, offered)
 	switch end {
 	case TimedOut, Cut, Cancelled:
-		k.readyAt = now + c.d.ReleaseTime + 1 // times are cut to whole tenths: one more is the full wait
+		k.readyAt = now + c.d.ReleaseTime + 1 // times are rounded down to whole tenths: one more makes the full wait
 		if k.tandem {
 			delete(c.tandems, k.ask.Dest)
 		}
-		if k.readyAt >= min(k.abandonAt, k.gosAt) { // no further try can serve this caller in time
+		if k.readyAt >= min(k.abandonAt, k.gosAt) { // no further try can meet the GoS target
 			c.giveUp(now, k, false)
 			return
 		}
@@ -719,7 +751,7 @@
 		c.out.Wake(k.readyAt, uint64(id))
 	case Faulted:
 		c.giveUp(now, k, false)
-	default: // it never ran
+	default: // it was blocked, or never reached the switch
 		if why == ProcessorFull || why == DestFull {
 			c.giveUp(now, k, true)
 			return
@@ -737,7 +769,7 @@
 	}
 }
 
-// judge takes what a try without success tells about the processors on its way.
+// judge records what a failed try shows about the load of the processors on its way.
 func (c *Controller) judge(now Tenths, k *call, f *farEnd, end Ending, why Reason, wait Tenths) {
 	full := max(wait, c.rows[k.ask.Bearer].gosTarget)
 	switch {
@@ -754,8 +786,8 @@
 	}
 }
 
-// answered takes the time of a try's answer, unless this controller was held up while it was out. Over a
-// tandem it covers two legs and two processors, and counts half.
+// answered records the answer time of a try, unless this controller stalled while it was out. Over a tandem it
+// covers two legs and two processors, so half of it counts.
 func (c *Controller) answered(now Tenths, k *call, took Tenths) {
 	if k.sentAt >= c.stalled {
 		if k.tandem {
@@ -767,7 +799,7 @@
 	}
 }
 
-// heard takes the report that came with an answer.
+// heard records a load report.
 func (c *Controller) heard(now Tenths, f *farEnd, rep Report) {
 	if rep.Size >= 0 {
 		f.free, f.size = max(0, rep.Free), rep.Size
@@ -777,15 +809,15 @@
 	}
 }
 
-// Circuits tells the free circuits and the size of the group towards a switch.
+// Circuits reports the free circuits and the size of the group towards a switch.
 func (c *Controller) Circuits(now Tenths, sw uint32, rep Report) {
 	c.heard(now, &c.far[c.index(sw)], rep)
 }
 
-// CallerLeft tells that the caller has given up; nothing more is owed. A try older than usual answers, or
-// late enough to shed, that its caller did not wait for counts as late as the GoS target: else the latest
-// answers are never counted where callers leave early, the far ends look prompt and jam. A younger one tells
-// nothing of the far end: its caller left for no lateness of ours.
+// CallerLeft reports that the caller has abandoned the call, which needs no answer any more. A try that is older
+// than the usual answer time, or late enough for shedding, then counts as answered after the GoS target.
+// Otherwise the latest answers would never count where callers abandon early, and the remote switches would
+// look fast and be overloaded. A younger try shows nothing: its caller left for another reason.
 func (c *Controller) CallerLeft(now Tenths, id uint32) {
 	if k := c.calls[id]; k != nil {
 		goal := c.rows[k.ask.Bearer].gosTarget
@@ -797,7 +829,7 @@
 	}
 }
 
-// Woken is called at or after a time asked for.
+// Woken reports that a timer that was set with Executor.SetTimer has expired.
 func (c *Controller) Woken(now Tenths, token uint64) {
 	c.notice(now)
 	switch token {
@@ -813,13 +845,14 @@
 	}
 }
 
-// ListLost tells that the list could not be had or the subscription broke: ask again, backing off.
+// ListLost reports that the list of switches could not be fetched or that its subscription broke. It is requested
+// again after an exponential delay with jitter.
 func (c *Controller) ListLost(now Tenths) {
 	c.followIn = min(max(2*c.followIn, followFirst), max(followFirst, c.d.AskWithin/4))
 	c.out.Wake(now+c.followIn+Tenths(c.draw()*float64(c.followIn)), followToken)
 }
 
-// Listed takes the list of switches, whole or only what changed.
+// Listed reports the list of switches: all of them if whole is set, else those that changed.
 func (c *Controller) Listed(now Tenths, whole bool, list []Switch) {
 	c.followIn = 0
 	if whole {
@@ -829,7 +862,7 @@
 	}
 	for _, s := range list {
 		f := &c.far[c.index(s.ID)]
-		if s.BootAt != f.bootAt { // another process: what was learned of the old one is void
+		if s.BootAt != f.bootAt { // a new process: what was measured of the old one is void
 			f.answers, f.wait, f.holdBack, f.budget, f.chance, f.budgetAt = decaying{}, 0, 0, 1, 0, now
 		}
 		f.number, f.bootAt, f.ready = s.Number, s.BootAt, s.Ready
@@ -843,7 +876,7 @@
 	}
 }
 
-// index maps a switch id to a small index at the door.
+// index returns the index of a remote switch in remotes and adds the switch if it is unknown.
 func (c *Controller) index(id uint32) int {
 	i, ok := c.byID[id]
 	if !ok {
@@ -854,18 +887,19 @@
 	return i
 }
 
-// draw returns a chance in [0, 1) from a multiply-with-carry generator.
+// draw returns a random number in [0, 1) from a multiply-with-carry generator.
 func (c *Controller) draw() float64 {
 	c.chance = 4294957665*(c.chance&0xffffffff) + c.chance>>32
 	return float64(c.chance&0xffffffff) / (1 << 32)
 }
 
-// decaying is a set of sums that fade with a half-life, brought up to date when read.
+// decaying holds the weight, sum and sum of squares of samples that decay exponentially.
 type decaying struct {
 	n, x, xx float64
 	at       Tenths
 }
 
+// read decays the sums to the given time and returns the weight of the samples.
 func (s *decaying) read(now, half Tenths) float64 {
 	if now > s.at {
 		s.lessen(fade(now-s.at, half))
@@ -874,14 +908,17 @@
 	return s.n
 }
 
+// lessen multiplies the weight of all samples.
 func (s *decaying) lessen(by float64) { s.n, s.x, s.xx = s.n*by, s.x*by, s.xx*by }
 
+// add decays the sums to the given time and adds a sample of weight 1.
 func (s *decaying) add(now, half Tenths, x float64) {
 	s.read(now, half)
 	s.n, s.x, s.xx = s.n+1, s.x+x, s.xx+x*x
 }
 
-// quantile is the mean and some deviations; evidence that fades loses its say.
+// quantile estimates the upper quartile from mean and standard deviation. As the samples decay, it tends to the
+// prior, zero.
 func (s *decaying) quantile(now Tenths) float64 {
 	n := s.read(now, answerHalf)
 	if n <= 0 {
@@ -891,4 +928,5 @@
 	return (mean + spread*math.Sqrt(max(0, s.xx/n-mean*mean))) * n / (n + emptyPrior)
 }
 
+// fade is the factor by which a weight decays within the given age.
 func fade(age, half Tenths) float64 { return math.Exp2(-float64(age) / float64(half)) }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// town is a mesh of n exchanges, this one being number 0, with groups of equal size.
+// town is a full mesh of n exchanges with groups of equal size, seen from exchange 0.
 func town(n, size int) *rig {
 	r := newRig(Deployment{Seed: 7, Own: 0, Controllers: n, MaxTries: 4, ReleaseTime: 3000, DrainGrace: 2500,
 		ColdFrom: 0.3, RampTime: 140000, FallMultiple: 3, FallWindow: 15000, ComeBackMost: 20000,
@@ -30,7 +30,7 @@
 func expect(t *testing.T, r *rig, got, want string) {
 	t.Helper()
 	if got != want || len(r.broken) > 0 {
-		t.Fatalf("got %q, want %q; broken: %v", got, want, r.broken)
+		t.Fatalf("got %q, want %q; violations: %v", got, want, r.broken)
 	}
 }
 
@@ -77,7 +77,7 @@
 		k.Transit, k.Width = true, 3
 		expect(t, r, r.offer(k), c.want)
 	}
-	r := town(3, 20) // the direct group is full and the other group stands at the mark
+	r := town(3, 20) // the direct group is full and the other group is at the transit margin
 	r.group(101, 0, 20)
 	r.group(102, 4, 20)
 	expect(t, r, r.offer(ask(1, 0, 1)), "block")
@@ -122,10 +122,10 @@
 		return r.offer(k)
 	}
 	first := advised(0)
-	r.stand(0) // the draw serves, and is remembered
+	r.stand(0) // the random selection succeeds and is remembered
 	expect(t, r, advised(1), first)
 	for range 40 {
-		r.c.draws.add(r.now, offerHalf, 0) // a drawn tandem turned its call back
+		r.c.draws.add(r.now, offerHalf, 0) // a randomly selected tandem turned its call back
 	}
 	sent := 0
 	for id := uint32(30); id < 40; id++ {
@@ -136,7 +136,7 @@
 		}
 	}
 	if sent < 8 || len(r.broken) > 0 {
-		t.Fatalf("%d of 10 calls sent over the advised tandem after draws that all failed; broken %v", sent, r.broken)
+		t.Fatalf("%d of 10 calls sent over the advised tandem after random selections that all failed; violations: %v", sent, r.broken)
 	}
 }
 
@@ -149,11 +149,11 @@
 	}
 	r.group(101, 2, 20)
 	expect(t, r, r.offer(again(1, 55)), "block")
-	r.pass(5000) // within the GoS target of the first try, a redial is as good as a first call
+	r.pass(5000) // within the GoS target of the first try, a redial ranks as a first call
 	r.group(101, 3, 20)
 	expect(t, r, r.offer(again(2, 55)), "send 101")
 	r.end(2, Faulted, NoReason)
-	r.pass(10000) // past it, it needs the room of a call in transit, marked or not
+	r.pass(10000) // past it, it needs as many free circuits as a call in transit, marked or not
 	r.group(101, 4, 20)
 	expect(t, r, r.offer(again(3, 55)), "block")
 	marked := again(4, 56)
@@ -171,14 +171,14 @@
 	expect(t, r, r.last, "nothing")
 	r.pass(200)
 	if len(r.sent) != 2 || len(r.broken) > 0 {
-		t.Fatalf("sends %v, broken %v", r.sent, r.broken)
+		t.Fatalf("route tries %v, violations: %v", r.sent, r.broken)
 	}
 }
 
 func TestHungSwitchIsSpared(t *testing.T) {
 	for _, c := range []struct {
-		gap         Tenths // between 40 calls
-		least, most int    // that may go to a switch that answers nothing: unanswered tries are the first sign
+		gap         Tenths // between two of 40 calls
+		least, most int    // calls that may go to a switch that answers nothing: unanswered tries are the first sign
 	}{{100, 3, 12}, {1000, 8, 18}} {
 		r := town(3, 200)
 		for id := uint32(0); id < 40; id++ {
@@ -186,7 +186,7 @@
 			r.pass(c.gap)
 		}
 		if n := len(r.sent); n < c.least || n > c.most || len(r.broken) > 0 {
-			t.Fatalf("%d of 40 calls went to a switch that answers nothing; broken %v", n, r.broken)
+			t.Fatalf("%d of 40 calls went to a switch that answers nothing; violations: %v", n, r.broken)
 		}
 	}
 }
@@ -203,44 +203,44 @@
 	expect(t, r, r.end(1, Cancelled, NoReason), "nothing")
 	r.pass(3100)
 	if r.calls[1].out == nil || r.c.expects(r.now, &r.c.far[r.c.byID[101]]) > 1500 || len(r.broken) > 0 {
-		t.Fatalf("call %+v, expects %d, broken %v", r.calls[1], r.c.expects(r.now, &r.c.far[r.c.byID[101]]), r.broken)
+		t.Fatalf("call %+v, expected answer time %d, violations: %v", r.calls[1], r.c.expects(r.now, &r.c.far[r.c.byID[101]]), r.broken)
 	}
 }
 
 func TestOwnStallIsNotHeldAgainstFarEnds(t *testing.T) {
 	r := town(2, 50)
 	r.offer(ask(1, 0, 1))
-	r.now += 20000 // nothing reaches this controller for two seconds, then all at once
+	r.now += 20000 // the controller stalls for two seconds
 	r.stand(1)
 	if len(r.notes) != 1 {
-		t.Fatalf("lines for staff: %q", r.notes)
+		t.Fatalf("log lines: %q", r.notes)
 	}
 	if e := r.c.expects(r.now, &r.c.far[r.c.byID[101]]); e > 0 {
-		t.Fatalf("expects %d after a stall of its own", e)
+		t.Fatalf("expected answer time of %d after a stall of the controller", e)
 	}
 	r.pass(100)
 	late := ask(2, 0, 1)
-	late.TTL -= 20000 // it came early in the stall, so it has the standing of a late redial
+	late.TTL -= 20000 // it came early in the stall, so it ranks as a late redial
 	r.now += 25000
 	r.group(101, 4, 50)
 	expect(t, r, r.offer(late), "block")
 	expect(t, r, r.offer(ask(3, 0, 1)), "send 101")
 }
 
-// Where calls follow each other faster than answers come, some tries are always out, answers overtake each other within
-// the jitter, and some callers leave for reasons of their own. None of this is lateness, and no call may be turned away
-// or called off for it. Before the first answer nothing is known of the switch: then some may be turned away.
+// TestManyCallsAtOnceAreNoSignOfLateness guards against shedding at high call rates: some tries are always out, answers
+// overtake each other within the jitter, and some callers abandon for their own reasons. None of this is lateness, and
+// no call may be rejected or cancelled for it, except a few before the first answer, when nothing is known of the switch.
 func TestManyCallsAtOnceAreNoSignOfLateness(t *testing.T) {
 	r := town(3, 200)
 	r.c.d.CancelsAllowed = true
 	for id := uint32(0); id < 400; id++ {
 		r.offer(ask(id, 0, 1))
-		if id%10 == 9 { // leaves while its try is young
+		if id%10 == 9 { // abandons while its try is young
 			r.calls[id].done = true
 			r.c.CallerLeft(r.now, id)
 		}
 		if id >= 4 {
-			other := id - 4 + 1 - 2*(id%2) // answered in pairs the wrong way round, four calls after they were sent
+			other := id - 4 + 1 - 2*(id%2) // answered in pairs in reverse order, four calls after they were sent
 			if h := r.calls[other]; !h.done {
 				r.stand(other)
 				r.end(other, Released, NoReason)
@@ -249,7 +249,7 @@
 		r.pass(80)
 	}
 	if len(r.sent) < 390 || r.cancels > 0 || len(r.broken) > 0 {
-		t.Fatalf("%d of 400 calls sent, %d called off; broken %v", len(r.sent), r.cancels, r.broken)
+		t.Fatalf("%d of 400 calls sent, %d cancelled; violations: %v", len(r.sent), r.cancels, r.broken)
 	}
 }
 
@@ -264,7 +264,7 @@
 		}
 	}
 	if n := len(r.sent); n > 20 || len(r.broken) > 0 {
-		t.Fatalf("%d of 30 calls went to a switch that no caller waited for; broken %v", n, r.broken)
+		t.Fatalf("%d of 30 calls went to a switch at which every caller abandoned; violations: %v", n, r.broken)
 	}
 }
 
@@ -274,7 +274,7 @@
 		r.offer(ask(id, 1, 1))
 		r.pass(100)
 	}
-	r.pass(12000) // all that was sent has timed out
+	r.pass(12000) // all route tries have timed out
 	n := len(r.sent)
 	for id := uint32(20); id < 40; id++ {
 		r.offer(ask(id, 1, 1))
@@ -285,7 +285,7 @@
 		r.pass(1000)
 	}
 	if len(r.sent)-n < 12 || len(r.broken) > 0 {
-		t.Fatalf("%d of 20 calls sent in the two seconds after a jam; broken %v", len(r.sent)-n, r.broken)
+		t.Fatalf("%d of 20 calls sent in the two seconds after an overload; violations: %v", len(r.sent)-n, r.broken)
 	}
 }
 
@@ -299,16 +299,16 @@
 	}
 	r.pass(6000)
 	if late(5) > 0 {
-		t.Fatalf("two late far ends count %d against another", late(5))
+		t.Fatalf("two late remote switches add %d to the expected answer time of another", late(5))
 	}
 	for dest := 3; dest < 5; dest++ {
 		r.offer(ask(uint32(dest), 1, dest))
 	}
 	r.pass(5000)
 	if late(5) < 7000 {
-		t.Fatalf("four late far ends count %d against another", late(5))
+		t.Fatalf("four late remote switches add %d to the expected answer time of another", late(5))
 	}
-	r.pass(5000) // past the GoS target all is stopped, where a single late far end would still get some
+	r.pass(5000) // past the GoS target all calls are shed, whereas a single late switch would still get some
 	expect(t, r, r.offer(ask(9, 0, 5)), "block")
 }
 
@@ -321,7 +321,7 @@
 	for id := uint32(0); id < 60; id++ {
 		r.end(id, Cut, NoReason)
 	}
-	expect(t, r, r.offer(ask(100, 0, 2)), "block") // the cheap type waits until the releases are worked off
+	expect(t, r, r.offer(ask(100, 0, 2)), "block") // the type of low revenue is shed until the releases are worked off
 	r.pass(60000)
 	expect(t, r, r.offer(ask(101, 0, 2)), "send 102")
 }
@@ -349,7 +349,7 @@
 		r.pass(200)
 	}
 	if sent[1] < 58 || sent[0] > 160 || sent[0] < 40 {
-		t.Fatalf("sent %d of 240 cheap and %d of 60 dear calls", sent[0], sent[1])
+		t.Fatalf("sent %d of 240 calls of low and %d of 60 calls of high revenue", sent[0], sent[1])
 	}
 }
 
@@ -369,7 +369,7 @@
 	boot, warm := r.now, len(r.sent)
 	r.list(false, Switch{ID: 101, Number: 1, Ready: true, BootAt: boot})
 	for id := uint32(100); id < 300; id++ {
-		call(id, true, 250) // and then a storm of forty redials a second
+		call(id, true, 250) // and then forty redials a second
 	}
 	cold := r.sent[warm:]
 	for i, last := range cold {
@@ -381,17 +381,17 @@
 		}
 		strength := r.d.ColdFrom + (1-r.d.ColdFrom)*float64(last.sentAt-boot)/float64(r.d.RampTime)
 		if most := 1 + 4.2*r.d.FallMultiple*strength*1.5*(1+coldDepth); float64(n) > most {
-			t.Fatalf("%d set-ups in a fall window, %.1f allowed", n, most)
+			t.Fatalf("%d set-ups in an overload window, %.1f allowed", n, most)
 		}
 	}
 	if len(cold) < 10 || len(r.broken) > 0 {
-		t.Fatalf("a cold switch was sent %d; broken %v", len(cold), r.broken)
+		t.Fatalf("%d set-ups sent to a cold switch; violations: %v", len(cold), r.broken)
 	}
 }
 
 func TestColdBudgetHoldsForTheSumOfAllControllers(t *testing.T) {
 	sent := 0
-	for seed := range uint64(90) { // each has just started and knows of no traffic
+	for seed := range uint64(90) { // each has just started and has measured no traffic
 		r := town(90, 50)
 		r.c.chance = seed*7919 + 1
 		r.list(false, Switch{ID: 101, Number: 1, Ready: true, BootAt: r.now})
@@ -404,7 +404,7 @@
 		sent += len(r.sent)
 	}
 	if sent < 4 || sent > 16 {
-		t.Fatalf("90 controllers sent a cold switch %d set-ups in a fall window", sent)
+		t.Fatalf("90 controllers sent %d set-ups to a cold switch in an overload window", sent)
 	}
 }
 
@@ -415,7 +415,7 @@
 	r.c.ListLost(r.now)
 	r.pass(20000)
 	if r.follows != 2 {
-		t.Fatalf("asked %d times", r.follows)
+		t.Fatalf("subscribed %d times", r.follows)
 	}
 }
 
@@ -424,7 +424,7 @@
 		Pools: rapid.Bool().Draw(t, "pools"), CancelsAllowed: rapid.Bool().Draw(t, "cancels"), MaxTries: rapid.IntRange(1, 6).Draw(t, "tries"),
 		ReleaseTime:  Tenths(rapid.IntRange(0, 6000).Draw(t, "release")),
 		Resend:       Tenths(rapid.SampledFrom([]int{0, 4000}).Draw(t, "resend")),
-		ComeBackMost: Tenths(rapid.SampledFrom([]int{0, 20000}).Draw(t, "come back")),
+		ComeBackMost: Tenths(rapid.SampledFrom([]int{0, 20000}).Draw(t, "retry after")),
 		DrainGrace:   Tenths(rapid.SampledFrom([]int{0, 2500, 20000}).Draw(t, "grace")),
 		ColdFrom:     rapid.Float64Range(0, 1).Draw(t, "cold"), RampTime: Tenths(rapid.IntRange(0, 140000).Draw(t, "ramp")),
 		FallMultiple: 3, FallWindow: 15000, ListAsked: rapid.Bool().Draw(t, "asked")}
@@ -442,7 +442,7 @@
 	return d
 }
 
-// TestRulesHoldInAnyHistory drives the controller through legal histories; the rig checks the rules at every step.
+// TestRulesHoldInAnyHistory drives the controller through random valid histories; the harness checks the rules at every step.
 func TestRulesHoldInAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDeployment(t)
@@ -450,7 +450,7 @@
 		next := uint32(0)
 		anySwitch := func(label string) Switch {
 			n := rapid.IntRange(0, 5).Draw(t, label)
-			life := rapid.IntRange(0, 9).Draw(t, "life") // ready, mostly
+			life := rapid.IntRange(0, 9).Draw(t, "life") // mostly ready
 			s := Switch{ID: uint32(100 + n + 10*rapid.IntRange(0, 1).Draw(t, "machine")), Number: n, Ready: life > 2, Draining: life == 2}
 			if rapid.Bool().Draw(t, "restarted") {
 				s.BootAt = r.now
@@ -507,13 +507,13 @@
 				e := rapid.SampledFrom([]Ending{Faulted, Blocked, Unreached, Cut, Cancelled, Unsent}).Draw(t, "ending")
 				r.end(id, e, Reason(rapid.IntRange(0, 5).Draw(t, "reason")))
 			},
-			"caller leaves": func(*rapid.T) {
+			"caller abandons": func(*rapid.T) {
 				if id, ok := pick(); ok && !r.calls[id].stands {
 					r.calls[id].done = true
 					r.c.CallerLeft(r.now, id)
 				}
 			},
-			"stray ring": func(t *rapid.T) {
+			"stray timer": func(t *rapid.T) {
 				if id, ok := pick(); ok {
 					r.c.Woken(r.now, uint64(id))
 				}
@@ -521,13 +521,13 @@
 			"time": func(t *rapid.T) { r.pass(Tenths(rapid.IntRange(1, 15000).Draw(t, "by"))) },
 			"": func(t *rapid.T) {
 				if len(r.broken) > 0 {
-					t.Fatalf("rules broken: %v", r.broken)
+					t.Fatalf("rules violated: %v", r.broken)
 				}
 			},
 		})
 		r.pass(50000)
 		if len(r.broken) > 0 {
-			t.Fatalf("rules broken: %v", r.broken)
+			t.Fatalf("rules violated: %v", r.broken)
 		}
 	})
 }
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -16,14 +16,14 @@
 	seeded.Main(m, 3000)
 }
 
-// try is a route try as the rig sees it.
+// try is an open route try, as the harness sees it.
 type try struct {
 	to    uint32
 	no    int
 	until Tenths
 }
 
-// held is a call as the rig sees it.
+// held is a call as the harness sees it.
 type held struct {
 	ask       Call
 	leaves    Tenths
@@ -32,25 +32,26 @@
 	releaseAt Tenths
 	stands    bool
 	done      bool
-	told      bool // its end was reported to the controller, or given by it
+	told      bool // its end was reported to the controller or decided by it
 }
 
+// wake is a timer that the controller has set.
 type wake struct {
 	at    Tenths
 	token uint64
 }
 
-// rig is an exchange on paper: it carries out what the controller asks and notes every broken rule.
+// rig is a simulated exchange: it carries out what the controller decides and records every violated rule.
 type rig struct {
 	d       Deployment
 	c       *Controller
 	now     Tenths
 	calls   map[uint32]*held
 	order   []uint32
-	off     map[uint32]Tenths // switches told to drain or be gone, and when
-	named   map[uint32]int    // switches ever listed, and their numbers
+	off     map[uint32]Tenths // when a switch was first listed as draining or gone
+	named   map[uint32]int    // numbers of all switches ever listed
 	wakes   []wake
-	sent    []pending // every send: switch and time
+	sent    []pending // every route try: switch and time
 	last    string
 	follows int
 	cancels int
@@ -64,6 +65,7 @@
 	return r
 }
 
+// fault records a violated rule.
 func (r *rig) fault(format string, args ...any) {
 	r.broken = append(r.broken, fmt.Sprintf(format, args...))
 }
@@ -73,20 +75,20 @@
 	r.last = fmt.Sprintf("send %d", to)
 	switch {
 	case h == nil || h.done:
-		r.fault("send for call %d, which is over", id)
+		r.fault("route try for call %d, which is over", id)
 		return
 	case h.out != nil || h.stands:
 		r.fault("second route try for call %d", id)
 	case r.now < h.releaseAt:
-		r.fault("call %d sent before its release", id)
+		r.fault("route try for call %d before its release", id)
 	case h.tries >= r.d.MaxTries:
-		r.fault("call %d sent too often", id)
+		r.fault("too many route tries for call %d", id)
 	}
 	if at, off := r.off[to]; off && r.now > at+r.d.DrainGrace {
-		r.fault("send to switch %d, told off", to)
+		r.fault("route try to switch %d, which drains or is gone", to)
 	}
 	if n, ok := r.named[to]; !ok || n == r.d.Own || h.ask.Transit && n != h.ask.Dest {
-		r.fault("send of call %d to a forbidden switch %d", id, to)
+		r.fault("call %d routed to forbidden switch %d", id, to)
 	}
 	until := h.leaves
 	if limit > 0 {
@@ -97,6 +99,7 @@
 	r.sent = append(r.sent, pending{to, r.now})
 }
 
+// answer records a final answer.
 func (r *rig) answer(id uint32, kind string) {
 	r.last = kind
 	h := r.calls[id]
@@ -105,14 +108,14 @@
 		return
 	}
 	if h.out != nil {
-		r.fault("%s for call %d while a try is out", kind, id)
+		r.fault("%s for call %d while a route try is out", kind, id)
 	}
 	h.done = true
 }
 
 func (r *rig) Block(id uint32, comeBack Tenths) {
 	if comeBack > r.d.ComeBackMost {
-		r.fault("come-back time %d", comeBack)
+		r.fault("retry-after time of %d", comeBack)
 	}
 	r.answer(id, "block")
 }
@@ -130,7 +133,7 @@
 	r.wakes = append(r.wakes, wake{at, token})
 }
 
-// offer hands the controller a call and returns what it did last.
+// offer offers a call to the controller and returns the last action that it took.
 func (r *rig) offer(ask Call) string {
 	r.calls[ask.ID] = &held{ask: ask, leaves: r.now + ask.TTL}
 	r.order = append(r.order, ask.ID)
@@ -139,7 +142,7 @@
 	return r.last
 }
 
-// end reports the outcome of the try that is out.
+// end reports the outcome of the open route try or of the established call and returns the last action.
 func (r *rig) end(id uint32, e Ending, why Reason) string {
 	h := r.calls[id]
 	t := h.out
@@ -155,13 +158,14 @@
 	return r.last
 }
 
+// stand reports that the open route try is answered.
 func (r *rig) stand(id uint32) {
 	h := r.calls[id]
 	h.stands = true
 	r.c.Stands(r.now, id, h.out.no)
 }
 
-// list hands over the list and remembers who was told off.
+// list delivers a list of switches and records which of them drain or are gone.
 func (r *rig) list(whole bool, sw ...Switch) {
 	if whole {
 		for id := range r.named {
@@ -181,11 +185,13 @@
 	r.c.Listed(r.now, whole, sw)
 }
 
+// group reports the circuits towards a switch.
 func (r *rig) group(sw uint32, free, size int) {
 	r.c.Circuits(r.now, sw, Report{Free: free, Size: size, Wait: -1, HoldBack: -1})
 }
 
-// pass lets time go by: limits expire, rings come due, callers whose time is up must have had their answer.
+// pass advances the time. Route tries and timers expire, and callers whose time to live is over must have been
+// answered.
 func (r *rig) pass(by Tenths) {
 	for end := r.now + by; r.now < end; {
 		r.now = min(end, r.now+50)
@@ -201,7 +207,7 @@
 		}
 		asked := r.wakes
 		r.wakes = nil
-		var due []uint64 // rung after all are sorted out, as each may ask for another
+		var due []uint64 // expired after all are sorted out, since each may set another timer
 		for _, w := range asked {
 			if w.at <= r.now {
 				due = append(due, w.token)
@@ -215,7 +221,7 @@
 	}
 }
 
-// open lists the calls with a try out, in the order offered.
+// open returns the calls with an open route try, in the order offered.
 func (r *rig) open() []uint32 {
 	var ids []uint32
 	for _, id := range r.order {
