--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -1,31 +1,32 @@
-// Package b2bua is a back-to-back user agent (RFC 7092) without any socket: callers on one side, switches on the other,
-// the deciding module between. It is pure: internal/platform tells it the time and every message, carries out what it
-// asks through Carrier, and calls Tick when Next falls due.
+// Package b2bua implements a back-to-back user agent (RFC 7092): callers on one side, switches on the other, and the
+// routing policy in between. The package does no I/O. internal/platform passes it the time and every message, performs
+// the I/O that it requests through Carrier, and calls Tick when Next falls due.
 //
-// What it owes the module, which the bench's simulator else does between module and network:
+// The agent translates what it sees on the network into calls to the policy:
 //
-//	| seen                                                | told                                                  |
+//	| event                                               | reported to the policy                                |
 //	| set-up from a caller                                | Offer, once for each id, with the time left           |
-//	| 200 to the set-up of the try that is out            | Stands; the caller has its answer already             |
+//	| 200 to the set-up of the try that is out            | Stands; the caller has been answered already          |
 //	| 503                                                 | Ended(Blocked), with Warning-Word and P-Wait          |
 //	| 486, 500 and other refusals                         | Ended(Faulted)                                        |
 //	| 480                                                 | Ended(Unsent)                                         |
 //	| 504, connection lost                                | Ended(Cut)                                            |
-//	| release with cause 16 or 41, no answer yet          | CANCEL, Ended(Cut, final); the caller has its failure |
-//	| release with another cause, a first try is out      | CANCEL, Ended(Cut)                                    |
-//	| the same, where an earlier try may be meant         | nothing; the try goes on                              |
+//	| release with cause 16 or 41, no answer yet          | CANCEL, Ended(Cut, final); the caller gets a failure  |
+//	| release with another cause, the first try is out    | CANCEL, Ended(Cut)                                    |
+//	| the same, where it may refer to an earlier try      | nothing; the try continues                            |
 //	| no connection in time, or refused                   | Ended(Unreached)                                      |
-//	| no answer in the try's time, never past the caller's | CANCEL, Ended(TimedOut); the module still owes an answer |
-//	| more than MaxTries, no such switch in the list      | Ended(Unsent)                                         |
-//	| the module's Cancel                                 | CANCEL, Ended(Cancelled)                              |
-//	| caller gave up                                      | CallerLeft, then Ended(Cancelled, final) of a try out |
+//	| try timed out, at the caller's deadline at the latest | CANCEL, Ended(TimedOut); the policy still has to answer |
+//	| more than MaxTries, or no such switch in the list   | Ended(Unsent)                                         |
+//	| the policy's Cancel                                 | CANCEL, Ended(Cancelled)                              |
+//	| caller abandons the call                            | CallerLeft, then Ended(Cancelled, final) of a try that is out |
 //	| release by the switch with cause 16, or another     | Ended(Released, final), Ended(Cut, final)             |
 //	| release by the caller                               | Ended(Cancelled, final)                               |
 //	| NOTIFY                                              | Circuits                                              |
 //
-// Nothing is told to the module from inside its own Send or Cancel; what follows from these is told when it has returned.
-// An answer that comes for a try that was given up is acknowledged and never passed on; what stands by it is released ahead of the next set-up
-// at that switch, on the same connection, or once no further try can come. route_try.go has the states of a try.
+// The policy is never called from inside its own Send or Cancel; results of these are deferred until it has returned.
+// An answer to an abandoned try is acknowledged and never passed on. The call that it established at its switch is
+// released ahead of the next set-up there, on the same connection, or once no further try can come. route_try.go
+// defines the states of a try.
 package b2bua
 
 import (
@@ -42,25 +43,25 @@
 	"indigodrift/policy"
 )
 
-// Conn names a connection, a caller's or a switch's. Names are never used again; 0 is none.
+// Conn identifies a connection to a caller or to a switch. Values are never reused; 0 means none.
 type Conn uint32
 
-// Carrier carries out what the agent asks. Its methods must not call back.
+// Carrier performs the I/O that the agent requests. Its methods must not call back into the agent.
 type Carrier interface {
-	Write(to Conn, m *sip.Message) // nothing where the connection is gone
-	Close(c Conn, why string)      // once what was written before has gone out
+	Write(to Conn, m *sip.Message) // no-op if the connection is closed
+	Close(c Conn, why string)      // after pending writes are flushed
 	Dial(sw, ticket uint32, address string)
-	Left(caller Conn, callID string) bool // its connection has ended, or it has cancelled: the message of it is on its way here
+	Left(caller Conn, callID string) bool // reports whether the caller has disconnected or cancelled, even if that event is still queued
 	Note(text string)
 	Record(Record)
 }
 
-// State of a call. become is the one place that changes it.
+// State is the state of a call. Only become changes it.
 //
-//	Offered  -> Trying (a route try is out, or waits for its connection), Over
-//	Trying   -> Offered (the try ended or was given up, the module decides), Standing, Over
+//	Offered  -> Trying (a route try is out or waits for its connection), Over
+//	Trying   -> Offered (the try ended or was abandoned; the policy decides), Standing, Over
 //	Standing -> Over
-//	Over        is kept for a while, since late answers and releases still name it
+//	Over        is retained for a while, since late answers and releases still refer to the call
 type State uint8
 
 const (
@@ -74,44 +75,46 @@
 
 type call struct {
 	id       uint64
-	handle   uint32 // 0 for a call that was adopted: the module does not know it
+	handle   uint32 // 0 for an adopted call, which the policy does not know
 	state    State
-	caller   Conn // on which its set-up came
+	caller   Conn // connection on which its set-up came
 	callID   string
 	uri      string
 	class    string
 	cseq     uint32 // of the caller's set-up
-	body     []byte // the caller's description, until the call stands
+	body     []byte // the caller's session description, until the call is established
 	leavesAt policy.Tenths
-	tries    []*routeTry // in the order of their numbers; of an adopted call the one by which it stands
+	tries    []*routeTry // in the order of their numbers; an adopted call has only the one that established it
 	adopted  bool
-	// heldUntil is when the next try may be written: an answer to an earlier one came after that was given up, and the release time runs from there.
+	// heldUntil is the earliest time of the next try. After an answer to an abandoned try the release time counts
+	// from that answer.
 	heldUntil policy.Tenths
 	stoodAt   policy.Tenths
 	overAt    policy.Tenths
-	ended     bool // its caller knows that it is over, or is being told
-	// answerPlace is where its answer stands in what was written on its caller's connection, 0 before.
+	ended     bool // the caller knows that the call is over, or a release to it is pending
+	// answerPlace is the sequence number of the answer among the writes on the caller's connection, 0 before it is
+	// written.
 	answerPlace uint64
 }
 
 const (
-	// handBack is kept of a caller's time for the way of its final answer.
+	// handBack is reserved for the transit of the final answer to the caller.
 	handBack = policy.Tenths(150)
 
-	keepOver  = policy.Tenths(100000) // what is over is remembered so long
-	overMost  = 16384                 // and no more than so many
-	houseWork = policy.Tenths(250)    // connections are looked after so often
+	keepOver  = policy.Tenths(100000) // how long ended calls are retained
+	overMost  = 16384                 // and how many of them
+	houseWork = policy.Tenths(250)    // how often connections are checked
 )
 
 const (
-	dueTry  due.Kind = iota // the limit of a try
-	dueHold                 // a try that was held may be placed
+	dueTry  due.Kind = iota // a try has timed out
+	dueHold                 // a held try may be placed
 	dueLeave
 	dueWake
 	dueRelease
 )
 
-// report is an ending that the module is told once it has returned from the choice it is making.
+// report is the result of a try that is passed to the policy after the policy has returned from its current call.
 type report struct {
 	handle uint32
 	try    int
@@ -120,10 +123,10 @@
 	why    policy.Reason
 	wait   policy.Tenths
 	rep    policy.Report
-	left   bool // the caller has left: nothing is to be decided any more
+	left   bool // the caller has abandoned the call: there is nothing left to decide
 }
 
-// Tally counts what became of calls since the start.
+// Tally counts the outcomes of calls since the start.
 type Tally struct{ Taken, Stood, Blocked, Aborted, Left, Refused, Released, Cut, Crossed uint64 }
 
 // Agent is the back-to-back user agent.
@@ -136,22 +139,22 @@
 	calls    map[uint64]*call
 	byHandle map[uint32]*call
 	over     []*call // oldest first
-	open     int     // neither standing nor over
+	open     int     // calls that are neither established nor over
 	standing int
-	held     int // octets of descriptions
+	held     int // octets of session descriptions
 	openMost int
 	heldMost int
 	linkMost int
-	dialled  int // dials under way
+	dialled  int // dials in progress
 	handles  uint32
 	tickets  uint32
 	fresh    uint64
 	far      map[uint32]*farEnd
 	farOrder []uint32
 	linkOf   map[Conn]uint32
-	dialTo   map[uint32]string // addresses of dials under way, by ticket
-	starting bool              // nothing is dialled yet
-	closing  map[Conn]uint32   // connections to switches that were closed here and may still bring releases
+	dialTo   map[uint32]string // addresses of dials in progress, by dial
+	starting bool              // during start-up, when nothing is dialled yet
+	closing  map[Conn]uint32   // connections to switches that were closed locally and may still deliver releases
 	callers  callerConns
 	pending  releaseQueue
 	timers   due.Queue
@@ -160,10 +163,10 @@
 	tally    Tally
 	releases Releases
 	tries    Tries
-	lateness policy.Tenths // greatest of a timer since it was last asked for
+	lateness policy.Tenths // maximum lateness of a timer since it was last reported
 }
 
-// New makes an agent; build makes its decider round the interface that the agent offers to it.
+// New creates an agent; build creates the policy, given the interface through which it acts on the agent.
 func New(set deployment.Settled, b Bounds, out Carrier, now policy.Tenths,
 	build func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider) *Agent {
 	a := &Agent{set: set, out: out, now: now, calls: map[uint64]*call{}, byHandle: map[uint32]*call{},
@@ -173,7 +176,7 @@
 	return a
 }
 
-// Next is when Tick must be called next.
+// Next returns when Tick must be called next.
 func (a *Agent) Next() policy.Tenths {
 	if at, ok := a.timers.Next(); ok {
 		return min(at, a.houseAt)
@@ -181,13 +184,14 @@
 	return a.houseAt
 }
 
-// Taken counts the calls that were taken since the start.
+// Taken returns the number of calls accepted since the start.
 func (a *Agent) Taken() uint64 { return a.tally.Taken }
 
-// Unanswered counts the calls that have no final answer yet.
+// Unanswered returns the number of calls without a final answer.
 func (a *Agent) Unanswered() int { return a.open }
 
-// Tick does what has fallen due. stalled is the end of the last stall of this process, 0 when there was none.
+// Tick runs the timers that have fallen due. stalled is the end of the last stall of this process, 0 if there was
+// none.
 func (a *Agent) Tick(now, stalled policy.Tenths) {
 	a.now = now
 	a.silence.tick(now, stalled)
@@ -217,17 +221,17 @@
 	}
 }
 
-// expire is the last guard of the first rule: a call that the module has not answered when its caller is about to give
-// up fails now. The module answers before that, so a line is written when this acts.
+// expire fails a call that the policy has left unanswered when its caller is about to abandon it. The policy
+// normally answers earlier, so this is logged.
 func (a *Agent) expire(k *call) {
 	if k == nil || k.state == Standing || k.state == Over {
 		return
 	}
-	a.out.Note("a call found no answer before its caller's time was up")
+	a.out.Note("a call had no final answer when its caller's time was up")
 	a.fail(k)
 }
 
-// settle tells the module of endings that followed from its own choices.
+// settle passes the deferred results to the policy.
 func (a *Agent) settle() {
 	for len(a.later) > 0 {
 		r := a.later[0]
@@ -245,10 +249,10 @@
 	}
 }
 
-// become is the one place where a call changes its state.
+// become changes the state of a call; nothing else does.
 func (a *Agent) become(k *call, s State) {
 	if !slices.Contains(mayBecome[k.state], s) {
-		a.out.Note(fmt.Sprintf("fault: call in state %d was to become %d", k.state, s))
+		a.out.Note(fmt.Sprintf("fault: invalid transition of a call from state %d to %d", k.state, s))
 		return
 	}
 	open := func(s State) bool { return s == Offered || s == Trying }
@@ -274,14 +278,14 @@
 	a.releaseTryLeft(k)
 }
 
-// remember keeps a call that is over for a while.
+// remember retains a call that is over for a while.
 func (a *Agent) remember(k *call) {
 	k.overAt = a.now
 	a.calls[k.id] = k
 	a.over = append(a.over, k)
 }
 
-// forget drops what has been over for long, and the oldest where there are too many.
+// forget drops calls whose retention has expired, and the oldest ones beyond the limit.
 func (a *Agent) forget() {
 	n := 0
 	for n < len(a.over) && (a.now-a.over[n].overAt > keepOver || len(a.over)-n > overMost) {
@@ -293,7 +297,8 @@
 	}
 }
 
-// inOrder lists the calls that a choice names, by handle and then id: the map's order must decide nothing.
+// inOrder returns the calls that match, sorted by handle and then id, so that the map's iteration order has no
+// effect.
 func (a *Agent) inOrder(which func(*call) bool) []*call {
 	var found []*call
 	for _, k := range a.calls {
@@ -307,13 +312,13 @@
 	return found
 }
 
-// freshID makes the id of a test.
+// freshID returns a new Call-ID for a keepalive.
 func (a *Agent) freshID() string {
 	a.fresh++
 	return fmt.Sprintf("%016x", a.fresh)
 }
 
-// refuse writes a call's final answer that it does not stand.
+// refuse writes a final answer that refuses or fails a call.
 func (a *Agent) refuse(k *call, status int, comeBack policy.Tenths) {
 	m := sip.Message{Status: status, CallID: k.callID, CSeq: k.cseq, CSeqMethod: sip.Invite}
 	if comeBack > 0 {
@@ -323,13 +328,13 @@
 	a.writeAnswer(k, &m)
 }
 
-// left ends a call whose caller is owed nothing more.
+// left ends a call whose caller needs no further answer.
 func (a *Agent) left(k *call) {
 	a.decide.CallerLeft(a.now, k.handle)
 	if k.state == Trying {
 		a.tries.Cancelled++
 		t := k.last()
-		a.abandon(t, "its caller has left, or its call has failed")
+		a.abandon(t, "the caller abandoned the call, or the call failed")
 		a.become(k, Over)
 		a.decide.Ended(a.now, k.handle, t.number, t.sw, policy.Cancelled, true, policy.NoReason, 0, untold)
 		return
@@ -339,7 +344,7 @@
 
 var untold = policy.Report{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 
-// ended tells the module of the end of a standing call and forgets it.
+// ended reports the end of an established call to the policy.
 func (a *Agent) ended(k *call, end policy.Ending, rep policy.Report) {
 	t := k.last()
 	a.advance(t, eventRelease, "the call is over")
@@ -356,7 +361,7 @@
 	}
 }
 
-// FromSwitch takes a message of a switch.
+// FromSwitch handles a message of a switch.
 func (a *Agent) FromSwitch(now policy.Tenths, c Conn, m *sip.Message) {
 	a.now = now
 	sw, ok := a.linkOf[c]
@@ -399,8 +404,8 @@
 	a.settle()
 }
 
-// crossesSwitchClose takes a message that came while its connection to a switch was closed here: a release is worth as much as before, and what
-// was answered stands there.
+// crossesSwitchClose handles a message that arrived while its connection was being closed locally. Releases still
+// count, and a call that was answered is established at its switch.
 func (a *Agent) crossesSwitchClose(c Conn, m *sip.Message) {
 	sw, ok := a.closing[c]
 	f := a.far[sw]
@@ -415,7 +420,7 @@
 	a.settle()
 }
 
-// Far is what is believed of one switch, for the log.
+// Far is the state of one switch as the agent sees it, for the log.
 type Far struct {
 	ID         string
 	State      board.State
@@ -423,7 +428,7 @@
 	Links      int
 }
 
-// Believes lists what is believed of every switch, in the order in which they were listed.
+// Believes returns the state of every switch, in the order in which they were listed.
 func (a *Agent) Believes() []Far {
 	var all []Far
 	for _, id := range a.farOrder {
@@ -433,7 +438,7 @@
 	return all
 }
 
-// Releases tells what became of releases towards callers.
+// Releases returns the counters of releases towards callers.
 func (a *Agent) Releases() Releases {
 	r := a.releases
 	if r.Waiting = len(a.pending.order); r.Waiting > 0 {
@@ -442,11 +447,11 @@
 	return r
 }
 
-// Tries tells what became of route tries.
+// Tries returns the counters of route tries.
 func (a *Agent) Tries() Tries { return a.tries }
 
-// Counts tells calls open, standing and remembered, callers' connections, and the greatest lateness of a timer since the
-// last time.
+// Counts returns the call counters, the numbers of calls that are open, established and retained after their end,
+// the number of callers' connections, and the maximum lateness of a timer since the previous call.
 func (a *Agent) Counts() (t Tally, open, standing, kept, callers int, late policy.Tenths) {
 	late, a.lateness = a.lateness, 0
 	return a.tally, a.open, a.standing, len(a.over), len(a.callers.conns), late
--- a/internal/b2bua/b2bua_test.go
+++ b/internal/b2bua/b2bua_test.go
@@ -16,7 +16,7 @@
 	return strings.Join(slices.DeleteFunc(strings.Fields(sent), func(m string) bool { return m == sip.Options }), " ")
 }
 
-// linkTo is the first connection to a switch.
+// linkTo returns the first connection to a switch.
 func (r *rig) linkTo(sw uint32) Conn {
 	for _, c := range r.linkSeq {
 		if r.links[c] == sw {
@@ -52,7 +52,7 @@
 			if k.callerReleased != 1 || r.a.tally.Released != 1 {
 				t.Errorf("by %s: caller %q", by, r.sent(c))
 			}
-			r.a.FromSwitch(r.now, link, r.bye(k.id, 16)) // sent again on the next connection that opens
+			r.a.FromSwitch(r.now, link, r.bye(k.id, 16)) // repeated on the next connection that opens
 		default:
 			if by != "caller" {
 				r.callerDown(c)
@@ -65,7 +65,7 @@
 			}
 		}
 		if r.a.standing != 0 {
-			t.Errorf("by %s: %d stand", by, r.a.standing)
+			t.Errorf("by %s: %d established calls", by, r.a.standing)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	for _, c := range []struct {
 		status int
 		word   string
-		want   string // what the caller hears, "" when another try goes out
+		want   string // what the caller receives, "" if another try is sent
 	}{{503, "atb", ""}, {480, "atb", ""}, {503, "acc", "503"}, {486, "sub", "503"}, {500, "", "503"}, {504, "", "later"}} {
 		r := newRig(t)
 		r.dialAll(10, 10)
@@ -87,10 +87,10 @@
 				t.Errorf("%d: answered %q before the release time", c.status, got)
 			}
 			if r.pass(releaseTime + 10); k.tryOn == 0 {
-				t.Errorf("%d: not tried again after the release time", c.status)
+				t.Errorf("%d: not retried after the release time", c.status)
 			}
 		case got != c.want || (k.tryOn != 0) != (c.want == ""):
-			t.Errorf("%d %s: caller heard %q, try out %v", c.status, c.word, got, k.tryOn != 0)
+			t.Errorf("%d %s: caller received %q, try out %v", c.status, c.word, got, k.tryOn != 0)
 		}
 	}
 }
@@ -108,17 +108,17 @@
 	k.standsAt = 1
 	r.a.FromSwitch(r.now, link, &sip.Message{Status: sip.OK, CallID: k.id, CSeq: k.trySeq, CSeqMethod: sip.Invite, Body: []byte("late")})
 	if got := withoutTests(r.sent(link)); got != "INVITE CANCEL ACK BYE" || k.switchReleased != 1 {
-		t.Errorf("the switch heard %q", r.sent(link))
+		t.Errorf("the switch received %q", r.sent(link))
 	}
 }
 
-// A second copy of an answer must not release the call that stands.
+// Guards against a second copy of an answer releasing the established call.
 func TestSecondCopyOfAnAnswerIsPassedOver(t *testing.T) {
 	r, c, k := served(t)
 	r.a.FromSwitch(r.now, r.linkTo(1), &sip.Message{Status: sip.OK, CallID: k.id, CSeq: k.trySeq, CSeqMethod: sip.Invite, Body: []byte(k.switchSDP)})
 	r.a.FromSwitch(r.now, r.linkTo(1), &sip.Message{Status: sip.OK, CallID: "00000000000000ff", CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("ahead")})
 	if k.standsAt != 1 || r.a.standing != 1 || r.sent(c) != "200" {
-		t.Errorf("standing %d, caller heard %q, switch %q", r.a.standing, r.sent(c), r.sent(r.linkTo(1)))
+		t.Errorf("%d established calls, caller received %q, switch %q", r.a.standing, r.sent(c), r.sent(r.linkTo(1)))
 	}
 }
 
@@ -146,7 +146,7 @@
 		before := len(r.wrote)
 		r.a.FromCaller(r.now, r.now, c, m)
 		if got := r.sent(c); got != "400" || len(r.wrote) != before+1 || len(r.a.calls) != 0 {
-			t.Errorf("%s: heard %q, %d messages, %d calls", name, got, len(r.wrote)-before, len(r.a.calls))
+			t.Errorf("%s: received %q, %d messages, %d calls", name, got, len(r.wrote)-before, len(r.a.calls))
 		}
 	}
 }
@@ -159,10 +159,10 @@
 	r.a.FromCaller(r.now, r.now, other, invite(k.id, "voice", 1500, "dest:2;width:1;via:-1", "another"))
 	r.a.FromCaller(r.now, r.now, other, &sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: k.id, CSeq: 1})
 	if r.sent(other) != "400 481" || k.tryOn == 0 {
-		t.Fatalf("heard %q", r.sent(other))
+		t.Fatalf("received %q", r.sent(other))
 	}
 	if r.answer(k, sip.OK); !k.stood {
-		t.Error("the first was not served")
+		t.Error("the first call was not answered")
 	}
 }
 
@@ -174,7 +174,7 @@
 	k.left = false
 	r.a.CallerBad(r.now, c, &sip.Message{Method: sip.Invite, CallID: "0123456789abcdef"}, true, "60 MB")
 	if r.sent(c) != "500 413" || r.closed[c] == "" || k.answers != 1 || k.tryOn != 0 {
-		t.Errorf("heard %q, closed %q", r.sent(c), r.closed[c])
+		t.Errorf("received %q, closed %q", r.sent(c), r.closed[c])
 	}
 }
 
@@ -206,15 +206,16 @@
 		r.offer(c, 1+i%3, 20000)
 	}
 	if r.callerUp(); r.closed[all[0]] == "" || len(r.closed) != 1 {
-		t.Errorf("the one that said nothing was to go: %v", r.closed)
+		t.Errorf("the connection without a message was not closed: %v", r.closed)
 	}
 	r.offer(r.callers[5], 3, 20000)
 	if c := r.name(); r.a.CallerUp(r.now, c) {
-		t.Error("room was made though each has a set-up open")
+		t.Error("a connection was accepted although all others have open set-ups")
 	}
 }
 
-// At its end a process answers whatever is open: what is taken and not answered is lost.
+// Guards against calls without an answer at the end of the process: an accepted call that is never answered is
+// lost.
 func TestEveryOpenCallIsAnsweredAtTheEnd(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(10, 10)
@@ -233,7 +234,7 @@
 	r.dialAll(10, 10)
 	r.offer(c, 1, 1500)
 	if k := r.offer(c, 1, 1500); k.answers != 1 || r.sent(c) != "503" {
-		t.Errorf("heard %q", r.sent(c))
+		t.Errorf("received %q", r.sent(c))
 	}
 }
 
@@ -242,15 +243,16 @@
 	r.callerDown(c)
 	r.a.FromSwitch(r.now, r.linkTo(1), r.bye(k.id, 16))
 	if k.callerReleased != 0 {
-		t.Fatal("released to nobody")
+		t.Fatal("released without a connected caller")
 	}
 	next := r.callerUp()
 	if r.offer(next, 1, 1500); k.callerReleased != 1 {
-		t.Errorf("the next connection of a caller heard %q", r.sent(next))
+		t.Errorf("the next connection of a caller received %q", r.sent(next))
 	}
 }
 
-// A caller of whom no connection was open may release the call itself before it could be told.
+// Guards against a release to a caller that was not connected, and has released the call itself by the time it
+// connects.
 func TestOwedReleaseIsDroppedWhenTheCallerReleases(t *testing.T) {
 	r, c, k := served(t)
 	r.callerDown(c)
@@ -259,7 +261,7 @@
 	k.callerEnded = true
 	r.a.FromCaller(r.now, r.now, next, r.bye(k.id, 16))
 	if r.offer(next, 1, 1500); k.callerReleased != 0 {
-		t.Errorf("heard %q", r.sent(next))
+		t.Errorf("received %q", r.sent(next))
 	}
 }
 
@@ -272,20 +274,21 @@
 	at("00000000000000a2", "s-00000001")
 	at("00000000000000a3", "s-000000ee") // no such switch any more
 	if r.sent(c) != "BYE" {
-		t.Fatalf("heard %q", r.sent(c))
+		t.Fatalf("received %q", r.sent(c))
 	}
 	r.a.FromCaller(r.now, r.now, c, r.bye("00000000000000a1", 16))
 	if got := withoutTests(r.sent(r.linkTo(1))); got != "BYE" {
-		t.Errorf("the switch heard %q", got)
+		t.Errorf("the switch received %q", got)
 	}
 	r.a.FromSwitch(r.now, r.linkTo(1), r.bye("00000000000000a2", 16))
-	r.a.FromSwitch(r.now, r.linkTo(1), r.bye("00000000000000a4", 16)) // never heard of
+	r.a.FromSwitch(r.now, r.linkTo(1), r.bye("00000000000000a4", 16)) // unknown call
 	if got := r.sent(c); got != "BYE 200 BYE BYE" {
-		t.Errorf("the caller heard %q", got)
+		t.Errorf("the caller received %q", got)
 	}
 }
 
-// A new switch takes the address of one that drains and then goes: connections, calls and releases of the two stay apart.
+// Guards against mixing up two switches at one address, when a new one takes over from one that drains: their
+// connections, calls and releases stay apart.
 func TestNewSwitchAtTheAddressOfOneThatGoes(t *testing.T) {
 	r, c, k := served(t)
 	old := r.linkTo(1)
@@ -293,11 +296,11 @@
 	r.dialAll(10, 10)
 	fresh := r.linkTo(9)
 	if fresh == 0 || r.closed[old] != "" || k.callerReleased != 0 {
-		t.Fatalf("connection %d to the new one, the old one's closed %q, %d released", fresh, r.closed[old], k.callerReleased)
+		t.Fatalf("connection %d to the new one, the old one's closed %q, released %d times", fresh, r.closed[old], k.callerReleased)
 	}
 	next := r.offer(c, 1, 1500)
 	if next.tryOn != fresh {
-		t.Fatalf("a call went out on connection %d, want %d", next.tryOn, fresh)
+		t.Fatalf("a call was sent on connection %d, want %d", next.tryOn, fresh)
 	}
 	r.answer(next, sip.OK)
 	if r.a.FromSwitch(r.now, fresh, r.bye(k.id, 16)); k.callerReleased != 0 {
@@ -309,12 +312,13 @@
 	}
 }
 
-// What stood at a switch whose release cannot come any more is released towards its caller.
+// Guards against callers that are never released, because the switch of their call is lost and cannot send a
+// release.
 func TestCallsOfALostSwitchAreReleased(t *testing.T) {
 	for name, lose := range map[string]func(r *rig){
 		"gone":       func(r *rig) { r.list(false, board.Switch{ID: 1, Cell: 1, State: board.Gone}) },
 		"not listed": func(r *rig) { r.list(true, board.Switch{ID: 2, Cell: 2, Address: "10.0.0.3:1"}) },
-		"started anew": func(r *rig) {
+		"has restarted": func(r *rig) {
 			r.list(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", StartedMS: int64(r.now)/10 + 1})
 		},
 		"refuses": func(r *rig) { r.linkDown(r.linkTo(1)); r.dial(true, false) },
@@ -329,7 +333,7 @@
 				}
 			}
 		},
-		"hangs: connections come up and nothing is said": func(r *rig) {
+		"hangs: connections open but no message comes": func(r *rig) {
 			for _, c := range r.linkSeq {
 				r.silent[c] = true
 			}
@@ -354,56 +358,57 @@
 	} {
 		r, _, k := served(t)
 		if lose(r); k.callerReleased != 1 || r.a.standing != 0 || r.a.tally.Cut != 1 {
-			t.Errorf("%s: released %d times, %d stand", name, k.callerReleased, r.a.standing)
+			t.Errorf("%s: released %d times, %d established calls", name, k.callerReleased, r.a.standing)
 		}
 	}
 }
 
-// A connection that broke says nothing of the calls that stand; a switch that comes up at the same process keeps them.
+// Guards against disconnecting calls when only a connection is lost: the switch process still holds them.
 func TestCallsOutliveTheirConnection(t *testing.T) {
 	r, _, k := served(t)
 	r.linkDown(r.linkTo(1))
 	r.dialAll(10, 10)
 	if k.callerReleased != 0 || r.a.standing != 1 {
-		t.Fatal("cut with its connection")
+		t.Fatal("disconnected with its connection")
 	}
 	if r.a.FromSwitch(r.now, r.linkTo(1), r.bye(k.id, 16)); k.callerReleased != 1 {
-		t.Error("not released over the next connection")
+		t.Error("not released on the next connection")
 	}
 }
 
 func TestSilentConnectionIsAskedDoubtedAndClosed(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(10, 10)
-	r.pass(0) // the test on each new connection is answered
+	r.pass(0) // the keepalive on each new connection is answered
 	link, c := r.linkTo(1), r.callerUp()
 	if r.pass(askAfter + 2*houseWork); r.sent(link) != "OPTIONS OPTIONS" || r.closed[link] != "" {
-		t.Fatalf("an idle connection heard %q", r.sent(link))
+		t.Fatalf("an idle connection received %q", r.sent(link))
 	}
 	r.silent[link] = true
 	k := r.offer(c, 1, 1500)
 	r.pass(askBusy + 2*houseWork)
 	if got := r.sent(link); got != "OPTIONS OPTIONS INVITE OPTIONS" {
-		t.Fatalf("with a set-up out it heard %q", got)
+		t.Fatalf("with a set-up out it received %q", got)
 	}
 	if r.pass(signLeast/2 + houseWork); len(r.dials) != 1 || r.dials[0].sw != 1 {
-		t.Fatalf("in doubt: dials %v", r.dials)
+		t.Fatalf("suspect: dials %v", r.dials)
 	}
 	r.dialAll(10, 10)
 	if other := r.offer(c, 1, 1500); other.tryOn == link {
-		t.Error("a set-up went out on a connection in doubt")
+		t.Error("a set-up was sent on a suspect connection")
 	}
 	if r.pass(signLeast/2 + houseWork); r.closed[link] == "" || k.tryOn == link {
-		t.Error("the connection was kept")
+		t.Error("the connection was not closed")
 	}
 }
 
-// The answer to an earlier test must not pass for that to the last one: the way would look shorter than it is.
+// Guards against measuring too short a round trip, by taking the answer to an earlier keepalive for that to the
+// last one.
 func TestAnswerToAnEarlierTestMeasuresNothing(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(10, 10)
 	link := r.linkTo(1)
-	r.silent[link] = true // answered here
+	r.silent[link] = true // answered by this test
 	r.offer(r.callerUp(), 1, 3000)
 	r.pass(askBusy + 2*houseWork)
 	var tests []sip.Message
@@ -413,24 +418,24 @@
 		}
 	}
 	if len(tests) != 2 {
-		t.Fatalf("%d tests", len(tests))
+		t.Fatalf("%d keepalives", len(tests))
 	}
 	first, last := tests[0].Answer(sip.OK), tests[1].Answer(sip.OK)
 	if r.a.FromSwitch(r.now, link, &first); r.a.far[1].measured {
-		t.Errorf("measured %d by the first", r.a.far[1].trip)
+		t.Errorf("measured %d by the first keepalive", r.a.far[1].trip)
 	}
 	if r.a.FromSwitch(r.now, link, &last); !r.a.far[1].measured {
-		t.Error("not measured by the last")
+		t.Error("not measured by the last keepalive")
 	}
 }
 
-// How long a sign of life may be owed goes by the way there and back that tests took: a connection kept as long as the longest
-// way thought of had the module shed a switch that was well for a quarter of a second and more each time one fell silent, and
-// one closed as soon as the shortest would break every connection of a slow network.
+// The keepalive timeout follows the measured round-trip time. With the timeout for the longest possible round
+// trip, each silent connection made the policy shed a healthy switch for a quarter of a second and more; with that
+// for the shortest, every connection of a slow network would break.
 func TestSignOfLifeIsWaitedForByTheMeasuredWay(t *testing.T) {
 	for _, c := range []struct {
 		name               string
-		trip, within, from policy.Tenths // trip 0: no test was answered yet
+		trip, within, from policy.Tenths // trip 0: no keepalive was answered yet
 	}{
 		{"near", 300, signLeast + 3*houseWork, signLeast - houseWork},
 		{"far", 1000, 4000 + 3*houseWork, 4000 - houseWork},
@@ -440,7 +445,7 @@
 		r := newRig(t)
 		r.dialAll(10, 10)
 		link := r.linkTo(1)
-		r.silent[link] = true // answered here, and only once
+		r.silent[link] = true // answered by this test, and only once
 		test := r.wrote[slices.IndexFunc(r.wrote, func(w written) bool { return w.to == link })].m
 		if c.trip > 0 {
 			r.pass(c.trip)
@@ -449,12 +454,12 @@
 		}
 		r.notify(link, 10, 10)
 		r.offer(r.callerUp(), 1, 3000)
-		r.pass(askBusy + houseWork) // asked by now
+		r.pass(askBusy + houseWork) // the keepalive has been sent by now
 		if r.pass(c.from - houseWork); r.closed[link] != "" {
 			t.Errorf("%s: closed too early: %s", c.name, r.closed[link])
 		}
 		if r.pass(c.within - c.from); r.closed[link] == "" {
-			t.Errorf("%s: kept too long", c.name)
+			t.Errorf("%s: not closed in time", c.name)
 		}
 	}
 }
@@ -464,7 +469,7 @@
 	r.dialAll(10, 10)
 	k := r.offer(r.callerUp(), 1, 1500)
 	link := k.tryOn
-	r.silent[link] = true // what follows half a message is not read
+	r.silent[link] = true // the rest of the incomplete message is not read
 	r.a.LinkPart(link, r.now)
 	r.pass(4500)
 	if r.closed[link] == "" || k.answers == 0 && k.notBefore == 0 {
@@ -480,7 +485,7 @@
 	r.linkDown(link)
 	r.offer(c, 1, 1500)
 	r.list(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining})
-	r.dialAll(10, 10) // the rig fails if a set-up goes there
+	r.dialAll(10, 10) // the harness fails if a set-up goes there
 }
 
 func TestWhatIsOverIsForgotten(t *testing.T) {
@@ -493,11 +498,12 @@
 	}
 	r.pass(keepOver + 2*houseWork)
 	if len(r.a.calls)+len(r.a.byHandle)+len(r.a.over)+len(r.a.callers.conns)+len(r.a.callers.order)+r.a.open+r.a.held != 0 {
-		t.Errorf("%d calls, %d connections, %d open, %d octets kept", len(r.a.calls), len(r.a.callers.conns), r.a.open, r.a.held)
+		t.Errorf("%d calls, %d connections, %d open, %d octets retained", len(r.a.calls), len(r.a.callers.conns), r.a.open, r.a.held)
 	}
 }
 
-// Whatever both sides, the network and the board do, the rules hold at each step, and in the end nothing is left.
+// The rules hold at each step and nothing is left in the end, for random actions of both sides, the network and
+// the notice board.
 func TestRulesHoldWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(t)
@@ -508,14 +514,14 @@
 	})
 }
 
-// stepsMost is the last kind of step; stepLists has the board tell of a switch.
+// stepsMost is the last kind of step. Steps up to stepPass let time pass; stepLists reports a change of a switch.
 const (
 	stepsMost = 23
-	stepPass  = 2 // and those before it let time go by
+	stepPass  = 2
 	stepLists = 18
 )
 
-// settle lets everything end, and checks that nothing is left.
+// settle lets all calls end and checks that nothing is left.
 func (r *rig) settle(t *rapid.T) {
 	for range 40 {
 		r.pass(1000)
@@ -531,7 +537,7 @@
 	for _, id := range r.order {
 		for sw := range r.calls[id].strays {
 			if slices.ContainsFunc(r.linkSeq, func(c Conn) bool { return r.links[c] == sw && !r.silent[c] }) {
-				t.Fatalf("call %s is left standing at switch %d", id, sw)
+				t.Fatalf("call %s remains established at switch %d", id, sw)
 			}
 		}
 	}
@@ -540,7 +546,7 @@
 	}
 }
 
-// step does one thing that can happen to an agent.
+// step performs one random action.
 func (r *rig) step(t *rapid.T, what int) {
 	pick := func(name string, ok func(*heardOf) bool) *heardOf {
 		var fit []*heardOf
@@ -581,7 +587,7 @@
 				fieldWarning, rapid.SampledFrom([]string{"", "atb", "rtb", "acc", "racc", "sub"}).Draw(t, "word"), fieldWait, "30")
 		}
 	case 11:
-		if k := pick("cut before the answer", out); k != nil {
+		if k := pick("released before the answer", out); k != nil {
 			on := k.tryOn
 			k.tryOn, k.notBefore = 0, r.now+releaseTime
 			r.a.FromSwitch(r.now, on, r.bye(k.id, rapid.SampledFrom([]int{16, 31, 41}).Draw(t, "cause")))
@@ -597,7 +603,7 @@
 			r.a.FromCaller(r.now, r.now, r.callers[0], r.bye(k.id, 16))
 		}
 	case 14:
-		if k := pick("given up", func(k *heardOf) bool { return k.answers == 0 && !k.left }); k != nil {
+		if k := pick("abandoned by its caller", func(k *heardOf) bool { return k.answers == 0 && !k.left }); k != nil {
 			k.left = true
 			r.a.FromCaller(r.now, r.now, k.on, &sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: k.id, CSeq: 1})
 		}
@@ -631,22 +637,22 @@
 		if len(r.callers) > 0 {
 			r.deaf[r.callers[rapid.IntRange(0, len(r.callers)-1).Draw(t, "caller")]] = true
 		}
-	case 19: // the late answer of a try that was given up
+	case 19: // the late answer of an abandoned try
 		if k := pick("late", func(k *heardOf) bool { return len(k.given) > 0 && r.links[k.given[0].on] != 0 }); k != nil {
 			g := k.given[0]
 			k.given = k.given[1:]
-			if id, _ := readID(k.id); r.a.calls[id] != nil { // else nothing is known of it any more
+			if id, _ := readID(k.id); r.a.calls[id] != nil { // otherwise the call is forgotten already
 				k.strays[g.sw] = true
 			}
-			if k.tryOn == 0 { // until now it was out
+			if k.tryOn == 0 { // the try was out until now
 				k.notBefore = max(k.notBefore, r.now+releaseTime)
 			}
 			r.a.FromSwitch(r.now, g.on, &sip.Message{Status: sip.OK, CallID: k.id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("late")})
 		}
-	case 22, 23: // the release of what an earlier try left at a switch, while a later one is out, stands there, or is still to come
+	case 22, 23: // a switch releases what an earlier try established, while a later one is out, established or still to come
 		if c := link(); c != 0 {
 			sw := r.links[c]
-			known := func(k *heardOf) bool { id, _ := readID(k.id); return r.a.calls[id] != nil } // else any caller may be told
+			known := func(k *heardOf) bool { id, _ := readID(k.id); return r.a.calls[id] != nil } // otherwise any caller may receive the release
 			if k := pick("left", func(k *heardOf) bool { return k.ran[sw] && known(k) }); k != nil {
 				delete(k.ran, sw)
 				delete(k.strays, sw)
--- a/internal/b2bua/bounds.go
+++ b/internal/b2bua/bounds.go
@@ -1,22 +1,23 @@
 package b2bua
 
-// Bounds are what the agent may hold.
+// Bounds limits what the agent may hold.
 type Bounds struct {
-	Calls   int // neither standing nor over
-	Octets  int // of descriptions
+	Calls   int // calls that are neither established nor over
+	Octets  int // of session descriptions
 	Callers int // connections of callers
-	Links   int // connections to switches, with those being dialled
+	Links   int // connections to switches, dials included
 }
 
-// Closing is how many connections of either kind may be on their way to be closed beside those that are held.
+// Closing is how many connections of each kind may be closing in addition to those that are held.
 const Closing = 8
 
-// descriptorsKept are kept for the standard streams, the listener, the system's poller, the configuration, and the notice board: its
-// connection and one dialled beside it when its address changes.
+// descriptorsKept is reserved for the standard streams, the listener, the system's poller, the configuration and
+// the notice board, which uses two connections while its address changes.
 const descriptorsKept = 10
 
-// Descriptors divides what a process may hold between callers and switches, after what it needs for itself. The platform's callers
-// hold a third at most, and must have it; where the rest allows, as much again is for others that connect.
+// Descriptors divides the descriptors of the process between callers and switches, after its own needs. The
+// platform's callers hold a third at most and must have it; where the rest allows, as much again is for other
+// callers.
 func Descriptors(all int) (callers, links int) {
 	free := all - descriptorsKept - 2*Closing
 	callers = max(all/3, free/2)
--- a/internal/b2bua/bounds_test.go
+++ b/internal/b2bua/bounds_test.go
@@ -12,7 +12,7 @@
 	for all := 64; all <= 4096; all++ {
 		callers, links := Descriptors(all)
 		if sum := callers + links + 2*Closing + descriptorsKept; callers < all/3 || links < 1 || sum > all {
-			t.Fatalf("%d descriptors: %d for callers, %d for switches, %d with what is kept", all, callers, links, sum)
+			t.Fatalf("%d descriptors: %d for callers, %d for switches, %d with the reserve", all, callers, links, sum)
 		}
 	}
 	if _, links := Descriptors(256); links < 2*48 {
@@ -20,14 +20,14 @@
 	}
 }
 
-// manySwitches is an agent that may hold fewer connections than there are switches.
+// manySwitches creates an agent that may hold fewer connections than there are switches.
 func manySwitches(t *testing.T, links, switches int) *rig {
 	r := newRigWithin(t, Bounds{Calls: 200, Octets: 1 << 16, Callers: 6, Links: links})
 	var list []board.Switch
 	for i := range switches {
 		list = append(list, board.Switch{ID: uint32(i), Cell: i, Address: fmt.Sprintf("10.0.1.%d:1", i)})
 	}
-	for len(r.dials) > 0 { // those of the rig's own list
+	for len(r.dials) > 0 { // those of the harness's own list
 		r.dial(true, false)
 	}
 	r.list(true, list...)
@@ -52,7 +52,8 @@
 	}
 }
 
-// Every descriptor for switches is in use: a release goes out all the same, on a connection that takes the place of a quiet one.
+// Guards against a release that cannot be sent when all descriptors for switches are in use: it goes out on a
+// connection that replaces an idle one.
 func TestReleaseTakesTheDescriptorOfAQuietConnection(t *testing.T) {
 	r := manySwitches(t, 3, 4)
 	r.dialAll(9, 9)
@@ -60,12 +61,12 @@
 	k := r.offer(c, 1, 1000)
 	r.answer(k, sip.OK)
 	r.linkDown(k.standsOn)
-	r.list(false, board.Switch{ID: 4, Cell: 4, Address: "10.0.1.4:1"}) // a new switch wants one as well
+	r.list(false, board.Switch{ID: 4, Cell: 4, Address: "10.0.1.4:1"}) // the new switch needs a connection as well
 	if len(r.dials) != 1 {
 		t.Fatalf("%d dials", len(r.dials))
 	}
 	r.dial(false, false)
-	for r.pass(1000); len(r.links) < 3; r.pass(1000) { // the new switch has the one that was free
+	for r.pass(1000); len(r.links) < 3; r.pass(1000) { // the new switch gets the free descriptor
 		for len(r.dials) > 0 {
 			r.dial(false, r.dials[0].sw == 4)
 		}
--- a/internal/b2bua/caller_conn.go
+++ b/internal/b2bua/caller_conn.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// wordMost is how long a connection may be open before it has said anything whole, and how long a message may take to
-	// be whole: the platform wants an answer or a close within 3 s.
+	// wordMost is how long a connection may be open before its first complete message, and how long a message may
+	// take to become complete: the platform requires an answer or a close within 3 s.
 	wordMost = policy.Tenths(20000)
 
-	// idleMost is how long a connection may stay without a message while no set-up is open on it. Callers close theirs
-	// after 4 s without a call; what stays longer is kept for nothing.
+	// idleMost is how long a connection may stay without a message while no set-up is open on it. Callers close
+	// their connections after 4 s without a call, so one that stays longer is not in use.
 	idleMost = policy.Tenths(100000)
 
-	// readWithin is how long what must be answered may go unanswered until a connection is suspect.
+	// readWithin is how long an expected acknowledgement may be missing before a connection is suspect.
 	readWithin = policy.Tenths(3000)
 )
 
@@ -23,21 +23,21 @@
 type callerConn struct {
 	conn    Conn
 	openAt  policy.Tenths
-	wholeAt policy.Tenths // last whole message, 0 when none came yet
-	partAt  policy.Tenths // since when a message lies half read, 0 when none does
+	wholeAt policy.Tenths // last complete message, 0 before the first
+	partAt  policy.Tenths // when the message that is being received began, 0 if none
 	calls   int           // set-ups open on it
-	asked   bool          // a set-up that could be read came on it
-
-	// What was written on it in its order, and how far the far end is known to have read: TCP keeps the order, so whoever
-	// acknowledges an answer has read all that went before.
-	wrote      uint64        // the place of the last answer or release
-	readAt     policy.Tenths // of the last proof, 0 when none came yet
-	answerLast uint64        // the place of the last answer, which must be acknowledged
-	answerAt   policy.Tenths // since when an ACK is owed, 0 when none is
-	copies     []releaseCopy // not known to be read, in their order
+	asked   bool          // a valid set-up came on it
+
+	// Sequence numbers of the writes on the connection, and how far the caller is known to have read. TCP keeps
+	// the order, so an acknowledgement of an answer proves that everything before it was read.
+	wrote      uint64        // of the last answer or release
+	readAt     policy.Tenths // of the last proof that the caller reads, 0 before the first
+	answerLast uint64        // of the last answer, which must be acknowledged
+	answerAt   policy.Tenths // since when an ACK is expected, 0 if none is
+	copies     []releaseCopy // not known to be read, in write order
 }
 
-// answered notes that an answer was written, to which an ACK must come.
+// answered records that an answer was written, which the caller must acknowledge.
 func (o *callerConn) answered(place uint64, now policy.Tenths) {
 	o.answerLast = place
 	if o.answerAt == 0 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// read notes a proof that all up to a place was read.
+// read records a proof that everything up to a sequence number was read.
 func (o *callerConn) read(place uint64, now policy.Tenths) {
 	o.readAt = now
 	if o.answerAt = now; place >= o.answerLast {
@@ -53,8 +53,9 @@
 	}
 }
 
-// suspect tells that nobody may read this connection: an ACK or the answer to a release has been missing for long. It is no state: it ends
-// with the next proof, or when what is missing is given up, and only says which of several connections is the better choice.
+// suspect reports whether the caller may not be reading this connection: an ACK or the answer to a release is
+// overdue. It is derived, not stored: it ends with the next proof or when the release is dropped, and it only
+// ranks connections.
 func (o *callerConn) suspect(now policy.Tenths) bool {
 	if o.answerAt != 0 && now-o.answerAt > readWithin {
 		return true
@@ -62,37 +63,37 @@
 	return len(o.copies) > 0 && now-o.copies[0].at > readWithin
 }
 
-// callerConns keeps callers' connections and says which must go.
+// callerConns holds the callers' connections and selects those to close.
 type callerConns struct {
 	most  int
 	conns map[Conn]*callerConn
-	order []Conn // as they opened
+	order []Conn // in the order in which they opened
 }
 
 func newCallerConns(most int) callerConns {
 	return callerConns{most: most, conns: map[Conn]*callerConn{}}
 }
 
-// setUpEnded notes that a set-up is open no more on a connection.
+// setUpEnded records that a set-up on a connection is no longer open.
 func (d *callerConns) setUpEnded(c Conn) {
 	if o := d.conns[c]; o != nil {
 		o.calls--
 	}
 }
 
-// asked tells that a set-up came on a connection.
+// asked reports whether a set-up came on a connection.
 func (d *callerConns) asked(c Conn) bool {
 	o := d.conns[c]
 	return o != nil && o.asked
 }
 
-// proved tells that the far end of a connection is known to have read what was written on it.
+// proved reports whether a caller is known to have read anything written on its connection.
 func (d *callerConns) proved(c Conn) bool {
 	o := d.conns[c]
 	return o != nil && o.readAt != 0
 }
 
-// forgetCopies takes a release that is settled off the connections that bear it.
+// forgetCopies removes a finished release from the connections on which it was written.
 func (d *callerConns) forgetCopies(r *pendingRelease) {
 	for _, c := range r.on {
 		if o := d.conns[c]; o != nil {
@@ -101,8 +102,9 @@
 	}
 }
 
-// leastNeeded tells which connection must go where one more would be too many: one that said nothing whole yet, the oldest of
-// them, else, of those without an open set-up, the one that has been quiet longest, those that proved to read last; else none.
+// leastNeeded selects the connection to close when one more would exceed the limit: the oldest one without any
+// complete message, else the one without an open set-up that has been quiet longest, preferring those whose caller
+// never proved to read. It returns 0 if there is none.
 func (d *callerConns) leastNeeded() Conn {
 	var idle *callerConn
 	for _, c := range d.order {
@@ -124,13 +126,13 @@
 	return idle.conn
 }
 
-// overdue tells why a connection must go by itself, "" when it may stay.
+// overdue returns why a connection must be closed, "" if it may stay.
 func (o *callerConn) overdue(silentFor func(policy.Tenths) policy.Tenths) string {
 	switch {
 	case o.partAt != 0 && silentFor(o.partAt) > wordMost:
-		return "half a message and no more"
+		return "incomplete message"
 	case o.wholeAt == 0 && silentFor(o.openAt) > wordMost:
-		return "nothing said"
+		return "no message received"
 	case o.calls == 0 && o.wholeAt != 0 && silentFor(o.wholeAt) > idleMost:
 		return "idle"
 	}
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -8,16 +8,17 @@
 	"indigodrift/policy"
 )
 
-// CallerUp takes a new connection of a caller. False: there is no room for it, and it is to be closed.
+// CallerUp adds a new connection of a caller. It returns false when there is no room for it and it has to be
+// closed.
 func (a *Agent) CallerUp(now policy.Tenths, c Conn) bool {
 	a.now = now
 	if len(a.callers.conns) >= a.callers.most {
 		worst := a.callers.leastNeeded()
 		if worst == 0 {
-			a.out.Note("no room for one more caller's connection")
+			a.out.Note("limit of caller connections reached")
 			return false
 		}
-		a.out.Close(worst, "room is needed")
+		a.out.Close(worst, "connection limit reached")
 		a.CallerDown(now, worst)
 	}
 	a.callers.conns[c] = &callerConn{conn: c, openAt: now}
@@ -25,7 +26,7 @@
 	return true
 }
 
-// CallerDown tells that a caller's connection is gone: the set-ups open on it are given up.
+// CallerDown removes a caller's connection and abandons the set-ups open on it.
 func (a *Agent) CallerDown(now policy.Tenths, c Conn) {
 	a.now = now
 	o := a.callers.conns[c]
@@ -37,7 +38,7 @@
 		a.callers.order = slices.Delete(a.callers.order, i, i+1)
 	}
 	if o.calls > 0 || len(o.copies) > 0 {
-		a.out.Record(Record{Kind: CallerDown, Conn: c, Why: fmt.Sprintf("%d set-ups and %d releases open on it", o.calls, len(o.copies))})
+		a.out.Record(Record{Kind: CallerDown, Conn: c, Why: fmt.Sprintf("%d set-ups and %d releases pending", o.calls, len(o.copies))})
 	}
 	if o.calls > 0 {
 		for _, k := range a.inOrder(func(k *call) bool { return k.caller == c && (k.state == Offered || k.state == Trying) }) {
@@ -49,15 +50,15 @@
 	a.settle()
 }
 
-// CallerPart tells that a message lies half read on a connection since an instant, or no longer (0).
+// CallerPart records since when a message on a connection is incomplete, 0 when none is.
 func (a *Agent) CallerPart(c Conn, since policy.Tenths) {
 	if o := a.callers.conns[c]; o != nil {
 		o.partAt = since
 	}
 }
 
-// CallerBad takes what could not be read: it is answered where it has an id, and the connection is closed. What is open
-// on it fails at once, as its caller will not hear of it otherwise.
+// CallerBad handles an unreadable message: it is answered where it has an id, and the connection is closed. Calls
+// that are open on it fail at once, as their caller would not receive a later answer.
 func (a *Agent) CallerBad(now policy.Tenths, c Conn, m *sip.Message, tooLong bool, why string) {
 	a.now = now
 	if a.callers.conns[c] == nil {
@@ -78,7 +79,7 @@
 	a.CallerDown(now, c)
 }
 
-// FailOpen gives every call that is open its final answer, failed: the process ends before more can be done for it.
+// FailOpen fails every open call, because the process ends before more can be done for it.
 func (a *Agent) FailOpen(now policy.Tenths) {
 	a.now = now
 	a.failOpen(func(*call) bool { return true })
@@ -91,7 +92,7 @@
 	}
 }
 
-// fail gives an open call its final answer, failed.
+// fail gives an open call a final answer that it failed.
 func (a *Agent) fail(k *call) {
 	a.refuse(k, sip.ServerError, 0)
 	a.left(k)
@@ -113,7 +114,7 @@
 	}
 }
 
-// FromCaller takes a message of a caller that was read whole at an instant. It may be handed over later than that.
+// FromCaller handles a message of a caller. readAt is when it was completely read, which may be earlier than now.
 func (a *Agent) FromCaller(now, readAt policy.Tenths, c Conn, m *sip.Message) {
 	a.now = now
 	o := a.callers.conns[c]
@@ -143,7 +144,8 @@
 	a.settle()
 }
 
-// crossesClose takes a message that came while its connection was closed here: a release, or the answer to one, is worth as much as before.
+// crossesClose handles a message that arrived while its connection was being closed locally: releases and answers
+// to releases still count.
 func (a *Agent) crossesClose(c Conn, m *sip.Message) {
 	switch {
 	case m.Method == sip.Bye:
@@ -163,7 +165,7 @@
 	a.out.Write(c, &refusal)
 }
 
-// offer takes a set-up.
+// offer handles a set-up.
 func (a *Agent) offer(o *callerConn, readAt policy.Tenths, m *sip.Message) {
 	in, err := readOffer(m, &a.set)
 	if err != nil {
@@ -175,19 +177,19 @@
 		return
 	}
 	if a.calls[in.id] != nil {
-		a.refuseMessage(o.conn, m, sip.BadRequest, "a second set-up under one id")
+		a.refuseMessage(o.conn, m, sip.BadRequest, "duplicate call id")
 		return
 	}
 	a.asks(o)
 	k := &call{id: in.id, caller: o.conn, callID: m.CallID, uri: m.URI, class: m.Get(fieldClass), cseq: m.CSeq, body: m.Body,
 		leavesAt: readAt + in.ask.TTL - handBack}
-	if a.out.Left(k.caller, k.callID) { // its CANCEL, or the end of its connection, comes after it
+	if a.out.Left(k.caller, k.callID) { // the CANCEL or the end of the connection follows
 		k.body, k.state = nil, Over
 		a.remember(k)
 		a.tally.Left++
 		return
 	}
-	if a.open >= a.openMost || a.held+len(k.body) > a.heldMost { // the answer when full
+	if a.open >= a.openMost || a.held+len(k.body) > a.heldMost { // limit reached
 		refusal := m.Answer(sip.ServiceUnavail)
 		a.out.Write(o.conn, &refusal)
 		a.tally.Blocked++
@@ -208,7 +210,7 @@
 	a.decide.Offer(a.now, in.ask)
 }
 
-// asks marks a connection on which a set-up came: releases that found none go there.
+// asks marks a connection on which a set-up came, and writes the releases that wait for such a connection.
 func (a *Agent) asks(o *callerConn) {
 	if o.asked {
 		return
@@ -217,11 +219,12 @@
 	a.offerReleases(o)
 }
 
-// adopt takes a set-up that names a call standing at a switch already: it is known from now on, and nothing is answered.
+// adopt handles a set-up of a call that is established at a switch already. The call is tracked from now on, and
+// no answer is sent.
 func (a *Agent) adopt(o *callerConn, in offer, m *sip.Message) {
 	a.asks(o)
 	if k := a.calls[in.id]; k != nil {
-		if k.state == Over { // it may not have heard so
+		if k.state == Over { // the caller may not have received the release
 			k.ended = false
 			a.releaseCaller(k, causeTempFail)
 		}
@@ -240,31 +243,31 @@
 	}
 }
 
-// cancelled takes a caller's word that it gives a set-up up.
+// cancelled handles a caller's CANCEL.
 func (a *Agent) cancelled(c Conn, m *sip.Message) {
 	id, err := readID(m.CallID)
 	k := a.calls[id]
 	if err != nil || k == nil || k.caller != c {
-		a.refuseMessage(c, m, sip.NoSuchCall, "CANCEL of no call")
+		a.refuseMessage(c, m, sip.NoSuchCall, "CANCEL for an unknown call")
 		return
 	}
 	switch k.state {
 	case Offered, Trying:
 		a.left(k)
 		a.tally.Left++
-	case Standing: // it crossed the answer
+	case Standing: // the CANCEL crossed the answer
 		a.tally.Crossed++
 		a.releaseSwitch(k.far(), k.last().conn, a.bye(k.callID, k.uri, causeNormal))
 		a.ended(k, policy.Cancelled, untold)
 	}
 }
 
-// callerReleases takes a caller's release, which may come on any connection.
+// callerReleases handles a caller's release, which may come on any connection.
 func (a *Agent) callerReleases(c Conn, m *sip.Message) {
 	id, err := readID(m.CallID)
 	k := a.calls[id]
 	if err != nil || k == nil {
-		a.refuseMessage(c, m, sip.NoSuchCall, "release of no call")
+		a.refuseMessage(c, m, sip.NoSuchCall, "release of an unknown call")
 		return
 	}
 	heard := m.Answer(sip.OK)
--- a/internal/b2bua/desk.go
+++ b/internal/b2bua/desk.go
@@ -5,7 +5,7 @@
 	"indigodrift/policy"
 )
 
-// desk is the agent as the module sees it.
+// desk implements the interface through which the policy acts on the agent.
 type desk Agent
 
 // Send starts a route try.
@@ -13,19 +13,19 @@
 	a := (*Agent)(d)
 	k := a.byHandle[id]
 	if k == nil || k.state != Offered {
-		a.out.Note("fault: the module sends a call that is over or has a try out")
+		a.out.Note("fault: the policy routed a call that is over or has a try out")
 		return
 	}
 	t := &routeTry{call: k, number: len(k.tries), sw: to, state: tryHeld}
 	k.tries = append(k.tries, t)
-	if a.out.Left(k.caller, k.callID) { // no try may begin for a caller who has gone
-		a.advance(t, eventDrop, "its caller has left")
+	if a.out.Left(k.caller, k.callID) { // no try may start for a caller who has abandoned the call
+		a.advance(t, eventDrop, "the caller has abandoned the call")
 		a.later = append(a.later, report{handle: id, try: t.number, left: true})
 		return
 	}
 	f := a.far[to]
 	if f == nil || !a.wanted(f) || len(k.tries) > a.set.Module.MaxTries || a.now >= k.leavesAt {
-		a.advance(t, eventDrop, "no such switch, too many tries, or too late")
+		a.advance(t, eventDrop, "unknown switch, too many tries, or too late")
 		a.later = append(a.later, report{handle: id, try: t.number, sw: to, end: policy.Unsent, rep: untold})
 		return
 	}
@@ -38,7 +38,7 @@
 	a.place(t, f)
 }
 
-// Block gives the final answer "refused": trying again is harmless.
+// Block gives the final answer "refused", after which the caller may try again.
 func (d *desk) Block(id uint32, comeBack policy.Tenths) {
 	a := (*Agent)(d)
 	if k := a.byHandle[id]; k != nil && k.state == Offered {
@@ -58,21 +58,21 @@
 	}
 }
 
-// Cancel calls a try off.
+// Cancel cancels a try.
 func (d *desk) Cancel(id uint32, try int) {
 	a := (*Agent)(d)
 	if k := a.byHandle[id]; k != nil && k.state == Trying && try == k.last().number {
 		a.tries.Cancelled++
-		a.abandon(k.last(), "called off")
+		a.abandon(k.last(), "cancelled by the policy")
 		a.endTry(k.last(), policy.Cancelled)
 	}
 }
 
-// Wake has the module woken.
+// Wake sets a timer of the policy.
 func (d *desk) Wake(at policy.Tenths, token uint64) { (*Agent)(d).timers.Set(at, dueWake, token) }
 
-// Follow asks for the list of switches. The notice board is followed all the time, so nothing is to be done.
+// Follow requests the list of switches. It does nothing, as the notice board is followed all the time.
 func (d *desk) Follow() {}
 
-// Note writes a line for staff.
+// Note logs a message for the operator.
 func (d *desk) Note(text string) { d.out.Note(text) }
--- a/internal/b2bua/far.go
+++ b/internal/b2bua/far.go
@@ -11,49 +11,52 @@
 )
 
 const (
-	// A connection to a switch is asked for a sign of life when it has been quiet for askAfter, or, with a set-up out on
-	// it, for askBusy. A test passes at once wherever there is a process, so the answer takes the way there and back, which
-	// each test measures, the first as the connection comes up: unheard for signTrips such ways the connection is closed,
-	// unheard for half of that it takes no new set-up and another is made. What was sent on a silent connection is lost
-	// however long it is kept, and as long as it is, its set-ups look like a switch that answers late.
+	// A connection to a switch is probed with an OPTIONS keepalive after askAfter without a message, or after
+	// askBusy while a set-up is out on it. The process at the other end answers at once, so the answer takes one
+	// round-trip time, which each keepalive measures. After half of signTrips round trips without an answer the
+	// connection takes no new set-up and another one is opened; after all of them it counts as lost. Keeping a
+	// dead connection longer recovers nothing, and its set-ups make the switch look slow.
 	askAfter  = policy.Tenths(8000)
 	askBusy   = policy.Tenths(600)
 	signTrips = 4
-	signLeast = policy.Tenths(1200)  // a machine that stands still for a moment is not gone
-	signFirst = policy.Tenths(6000)  // where no test was answered yet
-	signMost  = policy.Tenths(20000) // a slow network must not have every connection closed again and again
-
-	// silentKeep is how long a silent connection is kept on which no set-up was written since it was heard last. Set-ups are given up by its
-	// close, but where its switch hangs, what that says when it goes on still comes there, and connections that are closed and opened
-	// meanwhile would only lie before it.
+	signLeast = policy.Tenths(1200)  // tolerates a short stall of the switch
+	signFirst = policy.Tenths(6000)  // before the first round trip is measured
+	signMost  = policy.Tenths(20000) // keeps the connections of a slow network
+
+	// silentKeep is how long a silent connection is kept if no set-up was written on it since its last message;
+	// one with set-ups is closed, which abandons them. A switch that hung and recovers still sends its pending
+	// messages on the old connection, and connections that are closed and opened meanwhile would only queue up in
+	// front of it.
 	silentKeep = goneAfter
-	silentMost = 2 // so many to one switch; those beyond are closed and dialled again
+	silentMost = 2 // per switch; silent connections beyond these are closed and replaced
 
-	// partMost is how long a message of a switch may take to be whole: what comes after it on the connection waits.
+	// partMost is how long a message of a switch may take to become complete, as it blocks the messages behind it.
 	partMost = policy.Tenths(3000)
 
-	// goneAfter is how long nothing at all may be heard of a switch until what stood there is taken as cut: the platform
-	// wants callers released within 8 s of the end of a call whose release could not be sent.
+	// goneAfter is how long a switch may send nothing before its established calls count as disconnected: the
+	// platform requires callers to be released within 8 s of the end of a call whose release could not be sent.
 	goneAfter = policy.Tenths(55000)
 
-	redialFirst = policy.Tenths(1000) // waits between dials that no call asked for
-	redialMost  = policy.Tenths(8000) // a switch that is back must be known before its calls' releases are overdue
+	redialFirst = policy.Tenths(1000) // for dials that no call requested
+	redialMost  = policy.Tenths(8000) // a switch that returns must be known before the releases of its calls are overdue
 
-	// refetchEvery is how often one more connection is opened to a switch where calls stand whose own is not open, when one has broken
-	// within lostKeep. Their release may come on that first, as long as the switch takes it for open, and on the next that opens: the
-	// platform allows 8 s.
+	// refetchEvery is how often another connection is opened to a switch with established calls whose own
+	// connection is closed, while the last loss is less than lostKeep ago. A switch that believes the old
+	// connection to be open sends a release there first, and repeats it only on the next connection that opens.
+	// The platform allows 8 s for this.
 	refetchEvery = policy.Tenths(30000)
-	refetchSoon  = policy.Tenths(3000)   // and after the first word of a switch that was silent
+	refetchSoon  = policy.Tenths(3000)   // after the first message of a switch that was silent
 	lostKeep     = policy.Tenths(600000) // longer than a switch keeps an idle connection
 
-	// A connection that held for less than heldLeast was short. After one a dial comes at once, since releases come on open connections
-	// only; after shortMost in a row it waits, redialFetch at most, so that a switch that accepts and resets is not dialled in a loop.
+	// A connection that lasted less than heldLeast was short. After a short one the redial is immediate, as
+	// releases come on open connections only. After more than shortMost in a row it is delayed by up to
+	// redialFetch, to avoid a dial loop with a switch that accepts and resets.
 	heldLeast   = policy.Tenths(10000)
 	shortMost   = 3
 	redialFetch = policy.Tenths(10000)
 
-	linksMost = 4    // connections to one switch; states of groups come on no more
-	owedMost  = 4096 // releases kept for a switch or for callers that cannot be reached
+	linksMost = 4    // per switch; switches report group states on no more connections than this
+	owedMost  = 4096 // per switch
 )
 
 // link is one connection to a switch.
@@ -61,19 +64,19 @@
 	conn    Conn
 	openAt  policy.Tenths
 	heardAt policy.Tenths
-	askedAt policy.Tenths // 0 when no sign of life is asked for
-	triedAt policy.Tenths // when a set-up or the end of one was written on it last
-	heard   bool          // anything came on it
-	silent  bool          // it was owed for too long: the connection counts as lost, and is only listened to
-	testAt  policy.Tenths // when the last test was sent
-	testID  string        // and its id, "" once it was answered
-	partAt  policy.Tenths // since when a message lies half read, 0 when none does
+	askedAt policy.Tenths // since when the answer to a keepalive is expected, 0 if none is
+	triedAt policy.Tenths // when a set-up or its cancellation was last written on it
+	heard   bool          // any message came on it
+	silent  bool          // keepalive timed out: the connection counts as lost and is only read from
+	testAt  policy.Tenths // when the last keepalive was sent
+	testID  string        // its Call-ID, "" once it was answered
+	partAt  policy.Tenths // when the message that is being received began, 0 if none
 	tries   int
-	busyAt  policy.Tenths // since when set-ups have been out on it without a break
-	byes    []bye         // releases written on it lately
+	busyAt  policy.Tenths // since when there has always been a set-up out on it
+	byes    []bye         // releases written on it recently
 }
 
-// unheard is how long a sign of life has been owed on a connection, 0 when none is.
+// unheard returns how long the answer to a keepalive has been missing, 0 if none is expected.
 func (a *Agent) unheard(l *link) policy.Tenths {
 	if l.askedAt == 0 {
 		return 0
@@ -81,7 +84,7 @@
 	return a.silentFor(l.askedAt)
 }
 
-// signWithin is how long a sign of life may be owed on a connection to a switch.
+// signWithin returns the keepalive timeout of the connections to a switch.
 func (f *farEnd) signWithin() policy.Tenths {
 	if !f.measured {
 		return signFirst
@@ -89,16 +92,17 @@
 	return min(signMost, max(signLeast, signTrips*f.trip))
 }
 
-// doubtful tells that a connection should take nothing new.
+// doubtful reports whether a connection should take no new messages.
 func (a *Agent) doubtful(f *farEnd, l *link) bool {
 	return a.unheard(l) > f.signWithin()/2
 }
 
-// tested takes the answer to a test; that to one before the last would measure too short a way. Of the ways measured the
-// longest counts, less by an eighth with each later test.
+// tested handles the answer to a keepalive. Only the last keepalive counts, as an answer to an earlier one would
+// measure too short a time. The estimate is the longest round trip measured, decayed by an eighth with each
+// further measurement.
 func (f *farEnd) tested(l *link, now policy.Tenths, id string) {
 	if l.testID != "" && id == l.testID {
-		l.byes = slices.DeleteFunc(l.byes, func(b bye) bool { return b.at < l.testAt }) // they were read before it
+		l.byes = slices.DeleteFunc(l.byes, func(b bye) bool { return b.at < l.testAt }) // read by the switch before the keepalive
 		f.trip, f.measured, l.testID = max(now-l.testAt, f.trip-f.trip/8), true, ""
 	}
 }
@@ -107,31 +111,33 @@
 type farEnd struct {
 	entry   board.Switch
 	links   []*link
-	waiting []*routeTry // those that wait for a connection
+	waiting []*routeTry // tries that wait for a connection
 	owed    []sip.Message
 	dialing bool
 	ticket  uint32
-	// fetchFrom is the least ticket of a dial whose connection brings again what was lost on one that broke: switches repeat their
-	// releases on the next connection that opens, and on no other. 0: nothing was lost since the last one opened.
+	// fetchFrom is the lowest id of a dial whose connection makes the switch repeat the releases lost on a broken
+	// connection: switches repeat them on the next connection that opens, and on no other. 0 if nothing was lost
+	// since the last one opened.
 	fetchFrom  uint32
-	lostAt     policy.Tenths // when a connection broke last, which the switch may take for open; 0 when none did
-	refetchAt  policy.Tenths // when the next connection is opened for calls whose own is not open
-	resumes    bool          // nothing was heard of the switch since a connection broke
+	lostAt     policy.Tenths // when a connection that the switch may believe to be open was last lost, 0 if none was
+	refetchAt  policy.Tenths // when the next connection is opened for calls whose own connection is closed
+	resumes    bool          // no message came from the switch since a connection was lost
 	lostRepeat lostRepeat
 	pace       *reconnect.Pace
-	dialAt     policy.Tenths // the next dial that no call asks for
-	heardAt    policy.Tenths // of the switch, on any connection
-	short      int           // connections in a row that held for less than heldLeast
-	told       policy.Report // free circuits and size last told, for the log
-	trip       policy.Tenths // the way there and back, as tests measured it
+	dialAt     policy.Tenths // next dial that no call requested
+	heardAt    policy.Tenths // last message on any connection
+	short      int           // consecutive connections that lasted less than heldLeast
+	told       policy.Report // last reported circuits, for the log
+	trip       policy.Tenths // round-trip time, as keepalives measured it
 	measured   bool
 }
 
-// room is the connection on which the next set-up goes: the least laden of those in no doubt that are not to be avoided, nil when there is none.
+// room returns the connection for the next set-up: the least loaded one that is neither suspect nor to be avoided,
+// nil if there is none.
 func (a *Agent) room(f *farEnd, most int, avoid func(Conn) bool) *link {
 	var best *link
 	for _, l := range f.links {
-		if !l.heard && a.suspects(f) { // the switch may hang, and what is sent would lie there
+		if !l.heard && a.suspects(f) { // the switch may hang, and would not read the set-up
 			continue
 		}
 		if a.doubtful(f, l) || most > 0 && l.tries >= most || avoid(l.conn) {
@@ -156,8 +162,9 @@
 	return nil
 }
 
-// dial asks for one more connection, unless one is being made. Where the descriptors for switches are all in use, one to a switch
-// that has others, on which nothing is out, makes room; else one that has been quiet longest, if calls or releases wait.
+// dial opens one more connection, unless a dial is in progress. When all descriptors for switches are in use, it
+// closes the idle connection to another switch that has been quiet longest; the only connection of a switch is
+// closed only if calls or releases wait.
 func (a *Agent) dial(f *farEnd) {
 	if a.starting || f.dialing || len(f.links) >= linksMost || a.full() && !a.makeRoom(f) {
 		return
@@ -169,7 +176,7 @@
 	a.out.Dial(f.entry.ID, f.ticket, f.entry.Address)
 }
 
-// full tells that the descriptors for switches are all in use.
+// full reports whether all descriptors for switches are in use.
 func (a *Agent) full() bool { return len(a.linkOf)+a.dialled >= a.linkMost }
 
 func (a *Agent) makeRoom(f *farEnd) bool {
@@ -194,16 +201,16 @@
 	a.closing[worst.conn] = other.entry.ID
 	other.links = slices.DeleteFunc(other.links, func(l *link) bool { return l == worst })
 	other.dialAt = a.now + other.pace.Wait()
-	a.out.Close(worst.conn, "its descriptor is needed for another switch")
+	a.out.Close(worst.conn, "descriptor needed for another switch")
 	return true
 }
 
-// wanted tells whether connections to a switch are to be kept.
+// wanted reports whether connections to a switch are to be kept open.
 func (a *Agent) wanted(f *farEnd) bool {
 	return f.entry.Cell != a.set.Module.Own && f.entry.State != board.Gone
 }
 
-// Dialled tells how a dial ended: a connection, or refused (nothing listens there) or not up in time.
+// Dialled handles the result of a dial: a connection, a refusal (no process listens at the address), or a timeout.
 func (a *Agent) Dialled(now policy.Tenths, sw, ticket uint32, c Conn, refused bool) {
 	a.now = now
 	a.dialled--
@@ -224,7 +231,7 @@
 		f.pace.Down(now)
 		f.dialAt = now + f.pace.Wait()
 		a.unreached(f)
-		if refused && len(f.links) == 0 { // the process that held what stood there is gone
+		if refused && len(f.links) == 0 { // the process that held the calls established there is gone
 			a.cutStanding(f, now+1, "its address refuses connections")
 		}
 		a.settle()
@@ -246,13 +253,14 @@
 	}
 	f.owed = nil
 	a.sendWaiting(f)
-	if f.fetchFrom != 0 { // it was under way already when something was lost
+	if f.fetchFrom != 0 { // the dial was in progress already when the connection was lost
 		a.fetch(f)
 	}
 	a.settle()
 }
 
-// openAt tells that a call is being set up or stands at a switch: a release of an earlier try there would cut it.
+// openAt reports whether a call is being set up or is established at a switch, where a release of an earlier try
+// would disconnect it.
 func (a *Agent) openAt(f *farEnd, release *sip.Message) bool {
 	id, err := readID(release.CallID)
 	k := a.calls[id]
@@ -281,12 +289,12 @@
 	waiting := f.waiting
 	f.waiting = nil
 	for _, t := range waiting {
-		a.drop(t, "its switch is not reached")
+		a.drop(t, "switch not reached")
 		a.endTry(t, policy.Unreached)
 	}
 }
 
-// LinkPart tells that a message lies half read on a connection to a switch since an instant.
+// LinkPart records since when a message on a connection to a switch is incomplete, 0 when none is.
 func (a *Agent) LinkPart(c Conn, since policy.Tenths) {
 	if f := a.far[a.linkOf[c]]; f != nil {
 		if l := f.link(c); l != nil {
@@ -295,8 +303,9 @@
 	}
 }
 
-// LinkDown tells that a connection to a switch broke or was closed: the set-ups open on it may have run. With whole its far end closed it,
-// and all that it had written was read; else what it wrote last may be lost.
+// LinkDown handles the end of a connection to a switch. The set-ups open on it may have been carried out. whole
+// means that the switch closed the connection and everything that it wrote was read; otherwise its last messages
+// may be lost.
 func (a *Agent) LinkDown(now policy.Tenths, c Conn, whole bool) {
 	a.now = now
 	delete(a.closing, c)
@@ -329,16 +338,16 @@
 		}
 	}
 	cut := a.inOrder(func(k *call) bool { return k.state == Trying && k.last().state == tryOut && k.last().conn == c })
-	a.out.Record(Record{Kind: SwitchDown, Conn: c, Switch: sw, Why: fmt.Sprintf("%d set-ups open on it", len(cut))})
+	a.out.Record(Record{Kind: SwitchDown, Conn: c, Switch: sw, Why: fmt.Sprintf("%d open set-ups", len(cut))})
 	for _, k := range cut {
 		a.tries.Lost++
-		a.advance(k.last(), eventAbandon, "its connection has ended")
+		a.advance(k.last(), eventAbandon, "connection ended")
 		a.endTry(k.last(), policy.Cut)
 	}
 	a.settle()
 }
 
-// dropLinks closes the connections to a switch that the choice names.
+// dropLinks closes the connections to a switch that match.
 func (a *Agent) dropLinks(f *farEnd, why string, which func(*link) bool) {
 	for _, l := range slices.Clone(f.links) {
 		if which(l) {
@@ -347,7 +356,8 @@
 	}
 }
 
-// closeLink closes a connection to a switch. With whole it works: what crosses the close is still read.
+// closeLink closes a connection to a switch. whole means that the connection works, and messages that cross the
+// close are still read.
 func (a *Agent) closeLink(f *farEnd, l *link, why string, whole bool) {
 	if l.conn == f.lostRepeat.conn {
 		f.lostRepeat.closed = true
@@ -357,11 +367,12 @@
 	a.closing[l.conn] = f.entry.ID
 }
 
-// cutStanding ends the calls that stood at a switch before an instant: their release cannot come any more.
+// cutStanding ends the calls that were established at a switch before the given time, as their releases cannot
+// come any more.
 func (a *Agent) cutStanding(f *farEnd, before policy.Tenths, why string) {
 	cut := a.inOrder(func(k *call) bool { return k.standsAt(f.entry.ID) && k.stoodAt < before })
 	if len(cut) > 0 {
-		a.out.Note(fmt.Sprintf("%d calls that stood at %s are taken as cut: %s", len(cut), board.Text(f.entry.ID), why))
+		a.out.Note(fmt.Sprintf("%d calls established at %s count as disconnected: %s", len(cut), board.Text(f.entry.ID), why))
 	}
 	for _, k := range cut {
 		a.releaseCaller(k, causeTempFail)
@@ -369,13 +380,13 @@
 	}
 }
 
-// test asks the far end of a connection for a sign of life.
+// test sends a keepalive on a connection.
 func (a *Agent) test(l *link) {
 	l.testAt, l.testID = a.now, a.freshID()
 	a.out.Write(l.conn, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: l.testID, CSeq: 1})
 }
 
-// keep looks after the connections to every switch.
+// keep maintains the connections to all switches.
 func (a *Agent) keep() {
 	for _, id := range a.farOrder {
 		f := a.far[id]
@@ -392,12 +403,12 @@
 			}
 			switch {
 			case l.partAt != 0 && a.silentFor(l.partAt) > partMost:
-				a.closeLink(f, l, "half a message and no more", false)
+				a.closeLink(f, l, "incomplete message", false)
 			case a.unheard(l) > f.signWithin():
 				a.silent(f, l)
 			case l.askedAt == 0 && quiet > most:
 				l.askedAt = a.now
-				a.out.Record(Record{Kind: SwitchSuspect, Conn: l.conn, Switch: id, Waited: quiet, Why: fmt.Sprintf("%d set-ups open on it", l.tries)})
+				a.out.Record(Record{Kind: SwitchSuspect, Conn: l.conn, Switch: id, Waited: quiet, Why: fmt.Sprintf("%d open set-ups", l.tries)})
 				a.test(l)
 			}
 		}
@@ -410,16 +421,16 @@
 		}
 		a.repeatDue(f)
 		if a.silentFor(f.heardAt) > goneAfter {
-			a.cutStanding(f, a.now, "nothing is heard of it")
+			a.cutStanding(f, a.now, "no message received")
 		}
 	}
 }
 
-// bootAt is when a switch that started late did so, 0 where none is told.
+// bootAt returns the start time of a switch, 0 if none is reported.
 func bootAt(s board.Switch) policy.Tenths { return policy.Tenths(max(0, s.StartedMS)) * 10 }
 
-// Known takes the events that are known at the start, all of them before anything is dialled: a connection to a switch that a later one
-// replaces would open at the address of the new one, and be closed at once.
+// Known handles the events that are known at the start, all of them before anything is dialled: a connection for
+// an entry that a later event replaces would open at the address of the new switch and be closed at once.
 func (a *Agent) Known(now policy.Tenths, events []board.Event) {
 	a.starting = true
 	for _, e := range events {
@@ -430,7 +441,7 @@
 	a.settle()
 }
 
-// Listed takes an event of the notice board.
+// Listed handles an event of the notice board.
 func (a *Agent) Listed(now policy.Tenths, e board.Event) {
 	a.now = now
 	named := map[uint32]bool{}
@@ -466,10 +477,10 @@
 		anew := bootAt(f.entry) != bootAt(s)
 		moved := f.entry.Address != s.Address
 		f.entry = s
-		if anew || moved { // another process: connections and calls of the one before are over
+		if anew || moved { // a new process: connections and calls of the previous one are over
 			f.ticket, f.dialing, f.dialAt = 0, false, now
-			a.dropLinks(f, "the switch started anew", func(l *link) bool { return moved || l.openAt < bootAt(s) })
-			a.cutStanding(f, bootAt(s), "it started anew")
+			a.dropLinks(f, "the switch restarted", func(l *link) bool { return moved || l.openAt < bootAt(s) })
+			a.cutStanding(f, bootAt(s), "it restarted")
 		}
 		if s.State == board.Draining {
 			a.unreached(f)
@@ -479,7 +490,7 @@
 	a.settle()
 }
 
-// leave forgets a switch that is gone.
+// leave removes a switch that is gone.
 func (a *Agent) leave(f *farEnd) {
 	f.entry.State = board.Gone
 	a.unreached(f)
--- a/internal/b2bua/fetch.go
+++ b/internal/b2bua/fetch.go
@@ -7,7 +7,7 @@
 	"indigodrift/policy"
 )
 
-// oweAgain keeps the releases written lately on a connection that is lost for the next one.
+// oweAgain queues the releases written recently on a lost connection for the next one.
 func (a *Agent) oweAgain(f *farEnd, l *link) {
 	for i := range l.byes {
 		if b := &l.byes[i]; a.now-b.at <= byeCrosses && !a.openAt(f, &b.m) {
@@ -17,7 +17,7 @@
 	l.byes = nil
 }
 
-// loses notes that a connection is lost, and with it perhaps what the switch wrote last.
+// loses records that a connection is lost, perhaps with the last messages of the switch.
 func (a *Agent) loses(f *farEnd, l *link) {
 	a.oweAgain(f, l)
 	f.fetchFrom = a.tickets + 1
@@ -25,8 +25,8 @@
 	f.refetchAt = a.now + refetchEvery
 }
 
-// fetch dials one more connection to a switch. Where it has as many as it may, the one that was heard last the longest ago and has nothing
-// out on it makes room.
+// fetch opens one more connection to a switch. If the switch has the maximum already, the idle one that has been
+// quiet longest is closed first.
 func (a *Agent) fetch(f *farEnd) {
 	if !f.dialing && len(f.links) >= linksMost {
 		var idle *link
@@ -39,13 +39,13 @@
 			return
 		}
 		well := idle.heard && idle.askedAt == 0
-		a.closeLink(f, idle, "a new connection to this switch is needed", well)
+		a.closeLink(f, idle, "replaced by a new connection to this switch", well)
 	}
 	a.dial(f)
 }
 
-// heard notes that a switch said something. One that hung may release calls now that ended meanwhile, on connections that were given up, so
-// the next is opened soon.
+// heard records that the switch sent a message. A switch that hung may now release calls that ended meanwhile on
+// connections that were closed here, so the next connection is opened soon.
 func (f *farEnd) heard(now policy.Tenths) {
 	f.heardAt = now
 	if f.resumes {
@@ -54,7 +54,7 @@
 	}
 }
 
-// refetch asks for one more connection where calls stand whose own connection is not open.
+// refetch schedules one more connection if calls are established whose own connection is closed.
 func (a *Agent) refetch(f *farEnd) {
 	f.refetchAt = a.now + refetchEvery
 	for _, k := range a.calls {
@@ -69,20 +69,20 @@
 	f.refetchAt = 0
 }
 
-// suspects tells that a switch may hang: nothing was heard of it since a connection was lost or came in doubt.
+// suspects reports whether a switch may hang: no message came since a connection was lost or became suspect.
 func (a *Agent) suspects(f *farEnd) bool {
 	return f.resumes || slices.ContainsFunc(f.links, func(l *link) bool { return a.doubtful(f, l) })
 }
 
-// awaited tells that the first word on a connection is awaited, on which what waits can go then.
+// awaited reports whether a connection awaits its first message, after which waiting set-ups can be sent on it.
 func (a *Agent) awaited(f *farEnd) bool {
 	return slices.ContainsFunc(f.links, func(l *link) bool { return !l.heard && !l.silent })
 }
 
-// unasked closes a connection that nobody asks for any more. Whichever switch stands at its address now may have taken it as the next on which
-// its releases come again, so that one gets another.
+// unasked closes a connection whose dial is obsolete. The switch that listens at the address may have repeated its
+// releases on it, so another connection is opened to that switch.
 func (a *Agent) unasked(c Conn, address string) {
-	a.out.Close(c, "no longer asked for")
+	a.out.Close(c, "no longer needed")
 	for _, id := range a.farOrder {
 		if f := a.far[id]; f.entry.Address == address && a.wanted(f) {
 			a.closing[c] = id
@@ -92,13 +92,13 @@
 	}
 }
 
-// silent acts on a connection that owes a sign of life for too long.
+// silent handles a connection whose keepalive has timed out.
 func (a *Agent) silent(f *farEnd, l *link) {
 	if l.silent && a.unheard(l) <= silentKeep {
 		return
 	}
-	a.out.Note("a connection to " + board.Text(f.entry.ID) + " gives no sign of life")
-	if !l.heard { // those that wait for it were never sent
+	a.out.Note("connection to " + board.Text(f.entry.ID) + " timed out without an answer to a keepalive")
+	if !l.heard { // the waiting set-ups were never sent
 		a.unreached(f)
 	}
 	kept := 0
@@ -108,7 +108,7 @@
 		}
 	}
 	if l.triedAt >= l.heardAt && l.triedAt != 0 || l.silent || kept >= silentMost {
-		a.closeLink(f, l, "no sign of life", false)
+		a.closeLink(f, l, "keepalive timeout", false)
 		return
 	}
 	l.silent = true
--- a/internal/b2bua/fetch_test.go
+++ b/internal/b2bua/fetch_test.go
@@ -8,11 +8,12 @@
 	"indigodrift/policy"
 )
 
-// twoLinks is an agent with two connections to switch 1 and a call that stands there; one was opened since the other fell silent.
+// twoLinks creates an agent with an established call at switch 1 and two connections to it; the second was opened
+// after the first fell silent.
 func twoLinks(t *testing.T) (r *rig, old, other Conn, k *heardOf) {
 	r, _, k = served(t)
 	old = r.linkTo(1)
-	r.pass(askAfter + 2*houseWork) // a test is answered after the set-up
+	r.pass(askAfter + 2*houseWork) // so that a keepalive is answered after the set-up
 	r.silent[old] = true
 	for range 200 {
 		if r.pass(houseWork); len(r.dials) > 0 {
@@ -26,7 +27,8 @@
 	return r, old, other, k
 }
 
-// Guards against a release that is lost with its connection, since the switch repeats it on the next that opens and none does.
+// Guards against a release that is lost with its connection because no further connection opens on which the
+// switch would repeat it.
 func TestConnectionThatBreaksIsReplacedThoughAnotherIsOpen(t *testing.T) {
 	r, old, _, _ := twoLinks(t)
 	r.linkDown(old)
@@ -46,20 +48,21 @@
 	}
 }
 
-// Guards against a dial that was under way when a connection broke being taken for the one that fetches what was lost: the switch may have
-// accepted it before it wrote the release.
+// Guards against taking a dial that was in progress when a connection broke for one that recovers lost releases:
+// the switch may have accepted it before it wrote the release.
 func TestDialUnderWayFetchesNothing(t *testing.T) {
 	r, first, _, _ := twoLinks(t)
 	r.linkDown(first)
 	before := r.dials[0].ticket
-	r.linkDown(r.linkTo(1)) // while the dial goes on
+	r.linkDown(r.linkTo(1)) // while the dial is in progress
 	r.dial(false, true)
 	if len(r.dials) != 1 || r.dials[0].ticket <= before {
-		t.Errorf("dials %v after ticket %d", r.dials, before)
+		t.Errorf("dials %v after dial %d", r.dials, before)
 	}
 }
 
-// A switch that closes an idle connection has written all that it had to: nothing is to be fetched while another is open.
+// Guards against needless dials: a switch that closes an idle connection has written everything, so nothing is
+// lost while another connection is open.
 func TestConnectionThatItsSwitchClosesIsNotReplaced(t *testing.T) {
 	r, old, _, _ := twoLinks(t)
 	r.forgetLink(old)
@@ -68,7 +71,7 @@
 	}
 }
 
-// Guards against a release that crosses our own close of its connection.
+// Guards against losing a release that crosses our close of its connection.
 func TestReleaseThatCrossesOurCloseIsTaken(t *testing.T) {
 	r, old, _, k := twoLinks(t)
 	for range 1 + silentKeep/houseWork {
@@ -79,18 +82,19 @@
 	k.standsAt, k.overAt = 0, r.now
 	r.a.FromSwitch(r.now, old, r.bye(k.id, 16))
 	if k.callerReleased != 1 {
-		t.Error("not told")
+		t.Error("caller not released")
 	}
 	late := &sip.Message{Status: sip.OK, CallID: k.id, CSeq: 1, CSeqMethod: sip.Invite}
 	if r.a.FromSwitch(r.now, old, late); len(r.a.closing) == 0 {
-		t.Error("forgotten before its end")
+		t.Error("removed before its end")
 	}
 	if r.a.LinkDown(r.now, old, false); len(r.a.closing) != 0 {
-		t.Error("kept after its end")
+		t.Error("still present after its end")
 	}
 }
 
-// Where a switch has as many connections as it may, an idle one makes room for the one that fetches.
+// Guards against no recovery of lost releases when a switch has the maximum of connections: an idle one is closed
+// for the new one.
 func TestIdleConnectionMakesRoomForTheOneThatFetches(t *testing.T) {
 	r, _, _ := served(t)
 	for range linksMost {
@@ -99,11 +103,11 @@
 		r.dialAll(10, 10)
 	}
 	if n := len(r.a.far[1].links); n != linksMost || r.a.far[1].fetchFrom != 0 {
-		t.Errorf("%d connections, to be fetched from ticket %d", n, r.a.far[1].fetchFrom)
+		t.Errorf("%d connections, recovery from dial %d", n, r.a.far[1].fetchFrom)
 	}
 }
 
-// Guards against a caller's release that is lost on a connection to a switch that has fallen silent: it holds the circuit.
+// Guards against losing a caller's release on a silent connection to a switch, which would hold the circuit.
 func TestCallersReleaseOnASilentConnectionGoesAgainOnTheNext(t *testing.T) {
 	r, c, k := served(t)
 	link := r.linkTo(1)
@@ -113,17 +117,17 @@
 	if k.switchReleased != 1 {
 		t.Fatalf("released %d times", k.switchReleased)
 	}
-	k.standsAt = 1 // it was not read
+	k.standsAt = 1 // the switch did not read it
 	for range 200 {
 		r.pass(houseWork)
 		r.dialAll(9, 9)
 	}
 	if k.switchReleased != 2 {
-		t.Errorf("closed %v, the switch was told %d times", r.closed, k.switchReleased)
+		t.Errorf("closed %v, the switch was released %d times", r.closed, k.switchReleased)
 	}
 }
 
-// Guards against the release of an earlier try that is repeated to a switch where the call stands by now.
+// Guards against repeating the release of an earlier try to a switch at which the call is established by now.
 func TestReleaseOfAnEarlierTryIsNotRepeatedWhereTheCallStands(t *testing.T) {
 	r, _, k := served(t)
 	link := r.linkTo(1)
@@ -135,12 +139,12 @@
 	}
 }
 
-// Guards against a loop of dials to a switch that accepts connections and resets them.
+// Guards against a dial loop with a switch that accepts connections and resets them.
 func TestSwitchThatResetsEveryConnectionIsNotDialledInALoop(t *testing.T) {
 	r, _, _ := served(t)
 	r.linkDown(r.linkTo(1))
 	dials := 0
-	for range 1000 { // of 10 ms
+	for range 1000 { // steps of 10 ms
 		for range len(r.dials) {
 			dials++
 			r.linkDown(r.dial(false, true))
@@ -152,10 +156,11 @@
 	}
 }
 
-// Guards against the release of a call whose connection has fallen silent, and is taken for open by the switch: it ends long after the
-// connections that replaced that one were opened, and its release comes again on the next only.
+// Guards against losing the release of a call whose connection is lost here but open in the view of the switch.
+// The call ends long after the replacement connections were opened, and its release is repeated only on the next
+// one.
 func TestReleaseOfACallSetUpOnALostConnectionIsFetchedWhenItComes(t *testing.T) {
-	const within = 80000 // the platform's bound where no release could be sent
+	const within = 80000 // the platform's limit where no release could be sent
 	r, old, _, k := twoLinks(t)
 	over := policy.Tenths(0)
 	for at := policy.Tenths(0); at < 130000 && k.callerReleased == 0; at += houseWork {
@@ -171,7 +176,7 @@
 		}
 	}
 	if over == 0 || k.callerReleased != 1 || r.now-over > within {
-		t.Errorf("over at %d, told %d times by %d", over, k.callerReleased, r.now)
+		t.Errorf("over at %d, caller released %d times by %d", over, k.callerReleased, r.now)
 	}
 	dialled := r.a.tickets
 	for range 400 {
@@ -179,28 +184,29 @@
 		r.dialAll(9, 9)
 	}
 	if r.a.tickets != dialled {
-		t.Errorf("%d more dials, though nothing stands there", r.a.tickets-dialled)
+		t.Errorf("%d more dials, although no call is established there", r.a.tickets-dialled)
 	}
 }
 
-// Guards against a switch that hangs and goes on: what it releases then must find a connection that was open meanwhile.
+// Guards against closing a silent connection on which a switch that only hung will send its releases.
 func TestSilentConnectionWithoutSetUpsIsListenedTo(t *testing.T) {
 	r, old, _, k := twoLinks(t)
 	r.pass(signMost)
 	if r.closed[old] != "" || r.a.room(r.a.far[1], 0, anyConn) == r.a.far[1].link(old) {
-		t.Fatalf("closed %v, or still used", r.closed)
+		t.Fatalf("closed %v, or still in use", r.closed)
 	}
 	k.standsAt, k.overAt = 0, r.now
 	if r.a.FromSwitch(r.now, old, r.bye(k.id, 16)); k.callerReleased != 1 || r.a.far[1].link(old).silent {
-		t.Errorf("told %d times", k.callerReleased)
+		t.Errorf("caller released %d times", k.callerReleased)
 	}
 	r.silent[old] = true
 	if r.pass(askAfter + silentKeep + 2*signMost); r.closed[old] == "" {
-		t.Error("kept for good")
+		t.Error("never closed")
 	}
 }
 
-// Guards against a call that waits for a connection to a switch that has as many as it may, all of them silent.
+// Guards against a call that waits for ever for a connection to a switch that has the maximum of connections, all
+// of them silent.
 func TestCallFindsAConnectionThoughAllAreSilent(t *testing.T) {
 	r, _, _ := served(t)
 	f := r.a.far[1]
@@ -221,8 +227,8 @@
 	}
 }
 
-// Guards against set-ups that are sent to a switch that hangs, on each connection that its system accepts: they lie there, and the connection
-// has to be closed under them.
+// Guards against sending set-ups to a hung switch on connections that only its system accepts: they would lie
+// there unread, and closing the connection abandons them.
 func TestSetUpWaitsForTheFirstWordOfASwitchThatFellSilent(t *testing.T) {
 	r, old, other, _ := twoLinks(t)
 	r.silent[other] = true
@@ -234,7 +240,7 @@
 	r.silent[other] = false
 	r.notify(other, 9, 9)
 	if k.tryOn != other {
-		t.Fatalf("on %d after the first word on %d", k.tryOn, other)
+		t.Fatalf("sent on %d after the first message on %d", k.tryOn, other)
 	}
 	r.answer(k, sip.OK)
 	if r.closed[old] != "" {
@@ -242,7 +248,8 @@
 	}
 }
 
-// Guards against set-ups that wait for the first word until their time is up: nothing was sent, so another way can be tried at once.
+// Guards against set-ups that wait for a silent switch until their deadline: nothing was sent, so another route
+// can be tried at once.
 func TestSetUpThatWaitedForASilentSwitchIsTakenAsUnreached(t *testing.T) {
 	r, _, other, _ := twoLinks(t)
 	r.silent[other] = true
@@ -259,8 +266,8 @@
 	}
 }
 
-// Guards against releases that are lost at a start: a switch repeats them on the first connection, which was opened for an entry of the list that a
-// later one replaces, and closed at once.
+// Guards against releases that are lost at start-up: a switch repeats them on the first connection, and that one
+// was opened for a list entry which a later one replaces, and closed at once.
 func TestNothingIsDialledBeforeAllThatIsKnownIsTaken(t *testing.T) {
 	r := newRig(t)
 	for len(r.dials) > 0 {
@@ -275,8 +282,8 @@
 	}
 }
 
-// Guards against releases that are lost on a connection that is closed as it comes up, since its switch was replaced during the dial: the new one
-// at that address took it as the next on which it repeats them.
+// Guards against releases that are lost on a connection that is closed as it comes up, because its switch was
+// replaced during the dial: the new switch at that address may have repeated its releases on it.
 func TestConnectionThatNobodyAsksForAnyMoreIsFollowedByAnother(t *testing.T) {
 	r := newRig(t)
 	for len(r.dials) > 0 && r.dials[0].sw != 1 {
@@ -292,13 +299,14 @@
 		t.Fatalf("closed %v, dials %v", r.closed, r.dials)
 	}
 	caller := r.callerUp()
-	r.a.FromSwitch(r.now, c, r.bye("00000000000000f1", 16)) // what it brought before it was closed
+	r.a.FromSwitch(r.now, c, r.bye("00000000000000f1", 16)) // delivered before the close
 	if got := r.sent(caller); got != "BYE" {
-		t.Errorf("the caller heard %q", got)
+		t.Errorf("the caller received %q", got)
 	}
 }
 
-// Guards against a loop of dials: the connection that makes room for the next is no loss that asks for one more.
+// Guards against a dial loop: closing a connection to make room for the next must not count as a loss that asks
+// for one more.
 func TestConnectionsThatMakeRoomAskForNoFurtherOnes(t *testing.T) {
 	const seconds = 60
 	r, old, _, k := twoLinks(t)
@@ -309,16 +317,17 @@
 		r.dialAll(9, 9)
 	}
 	if k.callerReleased != 0 {
-		t.Fatal("the call does not stand")
+		t.Fatal("the call is not established")
 	}
 	if dials := int(r.a.tickets - before); dials > seconds*10000/int(refetchEvery)+2*linksMost {
 		t.Errorf("%d dials in %d s", dials, seconds)
 	}
 }
 
-// Guards against a connection that is in doubt, and is closed to make room, being taken for one that was well: nothing would ask after its calls.
+// Guards against taking a suspect connection that is closed to make room for a healthy one: nothing would recover
+// the releases of its calls.
 func TestConnectionInDoubtThatMakesRoomCountsAsLost(t *testing.T) {
-	r, old, _, k := twoLinks(t) // old is in doubt
+	r, old, _, k := twoLinks(t) // old is suspect
 	f := r.a.far[1]
 	for len(f.links) < linksMost {
 		f.fetchFrom = r.a.tickets + 1
@@ -328,7 +337,7 @@
 	f.fetchFrom = r.a.tickets + 1
 	r.a.fetch(f)
 	if r.closed[old] == "" || f.refetchAt == 0 {
-		t.Fatalf("closed %v, asked after at %d", r.closed, f.refetchAt)
+		t.Fatalf("closed %v, recovery at %d", r.closed, f.refetchAt)
 	}
 	r.dialAll(9, 9)
 	before := r.a.tickets
@@ -337,11 +346,12 @@
 		r.dialAll(9, 9)
 	}
 	if r.a.tickets == before || k.callerReleased != 0 {
-		t.Errorf("no further connection while the call stands")
+		t.Errorf("no further connection while the call is established")
 	}
 }
 
-// Guards against a release that comes on a connection lost before, since the call's own has been closed in good order meanwhile.
+// Guards against losing a release that the switch sends on an earlier lost connection, when the call's own
+// connection was closed in good order meanwhile.
 func TestCallWhoseConnectionIsClosedAfterAnotherWasLostIsAskedAfter(t *testing.T) {
 	r, old, other, _ := twoLinks(t)
 	r.linkDown(old)
@@ -349,13 +359,13 @@
 	second := r.offer(r.callerUp(), 1, 2000)
 	r.answer(second, sip.OK)
 	if second.standsOn != other {
-		t.Fatalf("stands on %d", second.standsOn)
+		t.Fatalf("established on connection %d", second.standsOn)
 	}
 	r.a.refetch(r.a.far[1])
 	r.a.far[1].refetchAt = 0
 	r.forgetLink(other)
 	r.a.LinkDown(r.now, other, true)
 	if r.a.far[1].refetchAt == 0 {
-		t.Error("not asked after")
+		t.Error("no recovery scheduled")
 	}
 }
--- a/internal/b2bua/fleet_test.go
+++ b/internal/b2bua/fleet_test.go
@@ -13,22 +13,23 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is some call controllers on the same switches, told by the same board, each in its own time.
+// fleet is a group of call controllers at the same switches. They receive the events of the same notice board,
+// each at its own time.
 type fleet struct {
 	t      *rapid.T
 	rigs   []*rig
 	killed []bool
-	late   [][]board.Event // events that a controller has not been told yet
-	told   []board.Event   // all of them
+	late   [][]board.Event // events that a controller has not received yet
+	told   []board.Event   // all events
 	now    map[int]board.Switch
-	boots  map[uint32]policy.Tenths // of the cold ones
+	boots  map[uint32]policy.Tenths // start times of switches in slow start
 	sent   map[uint32][]policy.Tenths
 	next   uint32
 }
 
 var fleetBounds = Bounds{Calls: 50, Octets: 1 << 16, Callers: 6, Links: 12}
 
-const rigGroup = 9 // circuits of each group in steps
+const rigGroup = 9 // circuits of each group in random steps
 
 func newFleet(t *rapid.T, n int) *fleet {
 	f := &fleet{t: t, killed: make([]bool, n), late: make([][]board.Event, n), now: map[int]board.Switch{}, boots: map[uint32]policy.Tenths{},
@@ -47,7 +48,7 @@
 	return f
 }
 
-// start is a controller at its start: it knows what the board has told so far.
+// start starts a controller with all events of the notice board so far.
 func (f *fleet) start(now policy.Tenths) *rig {
 	r := newRigWithin(f.t, fleetBounds)
 	r.now = now
@@ -62,7 +63,7 @@
 	return r
 }
 
-// kill ends a controller and starts it anew. Its callers come again with some of the calls that stand, and say where.
+// kill restarts a controller. Its callers report some of the established calls again, with their switches.
 func (f *fleet) kill(i int) {
 	old := f.rigs[i]
 	r := f.start(old.now)
@@ -71,10 +72,10 @@
 	c := r.callerUp()
 	for _, id := range old.order {
 		k := old.calls[id]
-		if k.standsAt == 0 || !k.stood || k.callerEnded || k.callerReleased > 0 || !rapid.Bool().Draw(f.t, "comes again") {
+		if k.standsAt == 0 || !k.stood || k.callerEnded || k.callerReleased > 0 || !rapid.Bool().Draw(f.t, "reported again") {
 			continue
 		}
-		id := "1" + id[1:] // another than those that the new life will have
+		id := "1" + id[1:] // differs from the ids of the restarted controller
 		on := slices.IndexFunc(r.linkSeq, func(c Conn) bool { return r.links[c] == k.standsAt })
 		if on < 0 {
 			continue
@@ -85,7 +86,8 @@
 	}
 }
 
-// tells has the board tell something: a switch replaced by a cold one, drained, gone, or the whole list; each controller hears it later.
+// tells publishes an event: a switch replaced by one in slow start, drained or gone, or the whole list. Each
+// controller receives it later.
 func (f *fleet) tells() {
 	cell := rapid.IntRange(1, 3).Draw(f.t, "cell")
 	e := board.Event{}
@@ -94,7 +96,7 @@
 	case what <= 1 || !ok:
 		f.next++
 		cold := board.Switch{ID: f.next, Cell: cell, Address: fmt.Sprintf("10.0.1.%d:1", f.next), StartedMS: int64(f.rigs[0].now) / 10}
-		if ok && what == 1 { // it takes the address of the one that goes
+		if ok && what == 1 { // it takes over the address of the old one
 			cold.Address, s.State = s.Address, board.Gone
 			e.Switches = append(e.Switches, s)
 		} else if ok {
@@ -125,7 +127,7 @@
 	}
 }
 
-// secondAnswer has a switch say again what it has said.
+// secondAnswer repeats an answer of a switch.
 func (f *fleet) secondAnswer(r *rig) {
 	for _, id := range r.order {
 		if k := r.calls[id]; k.standsAt != 0 && r.links[k.standsOn] != 0 && k.trySeq != 0 {
@@ -135,7 +137,8 @@
 	}
 }
 
-// check holds what passed on the connections against the bounds and against what cold switches bear.
+// check compares the observed messages with the bounds of each controller and with the capacity of switches in
+// slow start.
 func (f *fleet) check() {
 	for i, r := range f.rigs {
 		open := 0
@@ -149,7 +152,7 @@
 		}
 	}
 	d := settled().Module
-	carried := float64(len(f.rigs)) * rigGroup / 12 // a second at most; half of a processor's work are its own exchange's calls
+	carried := float64(len(f.rigs)) * rigGroup / 12 // per second at most; half of a processor's work is for calls of its own exchange
 	for id, all := range f.sent {
 		last := all[len(all)-1]
 		n := 0
@@ -160,27 +163,28 @@
 		}
 		strength := d.ColdFrom + (1-d.ColdFrom)*float64(max(0, last-d.FallWindow-f.boots[id]))/float64(d.RampTime)
 		if bears := d.FallMultiple * strength * 2 * carried * float64(d.FallWindow) / 10000; float64(n) > bears+2*math.Sqrt(bears)+2 {
-			f.t.Fatalf("%d set-ups in a fall window to cold switch %d, which bears %.1f", n, id, bears)
+			f.t.Fatalf("%d set-ups in a fall window to switch %d in slow start, which can carry %.1f", n, id, bears)
 		}
 	}
 }
 
-// Kills, drains, whole and partial lists heard late, resets, second answers, callers leaving: whatever happens to some controllers on
-// the same switches, each keeps the rules at each step and its bounds, and a cold switch is sent no more than it bears by all together.
+// Each of several controllers at the same switches keeps the rules and its bounds at each step, and a switch in
+// slow start receives no more set-ups than it can carry from all of them together. The random actions include
+// restarts, drains, whole and partial lists received late, resets, repeated answers, and callers that leave.
 func TestRulesHoldForManyControllers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t, rapid.IntRange(2, 5).Draw(t, "controllers"))
 		for range rapid.IntRange(50, 300).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(f.rigs)-1).Draw(t, "controller")
 			switch what := rapid.IntRange(0, stepsMost+5).Draw(t, "step"); {
-			case what <= stepPass: // time goes by for all
+			case what <= stepPass: // time passes for all controllers
 				span := policy.Tenths(rapid.SampledFrom([]int{10, 300, 1501, 9000}).Draw(t, "span"))
 				for _, r := range f.rigs {
 					r.pass(span)
 				}
 			case what == stepLists:
 				f.tells()
-			case what == stepsMost+4: // many call the same exchange at once
+			case what == stepsMost+4: // many calls to the same exchange at once
 				cell := rapid.IntRange(1, 3).Draw(t, "called")
 				for _, r := range f.rigs {
 					r.dialAll(rigGroup, rigGroup)
@@ -195,7 +199,7 @@
 				f.rigs[i].step(t, what)
 			case what == stepsMost+1:
 				f.secondAnswer(f.rigs[i])
-			case what == stepsMost+2 && !f.killed[i]: // once, as a start takes its time
+			case what == stepsMost+2 && !f.killed[i]: // once, as a restart takes time
 				f.killed[i] = true
 				f.kill(i)
 			case what == stepsMost+3:
--- a/internal/b2bua/left_test.go
+++ b/internal/b2bua/left_test.go
@@ -6,7 +6,7 @@
 	"indigodrift/internal/sip"
 )
 
-// Here a caller has left, and the agent's carrier knows, before the agent is told.
+// In these tests a caller has abandoned the call, and Carrier.Left reports it before the agent receives the event.
 
 func TestNoTryBeginsForACallerWhoHasLeft(t *testing.T) {
 	r := newRig(t)
@@ -19,22 +19,24 @@
 	}
 	r.a.FromCaller(r.now, r.now, c, &sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: k.id, CSeq: 1})
 	if got := r.sent(c); got != "" {
-		t.Fatalf("the caller heard %q", got)
+		t.Fatalf("the caller received %q", got)
 	}
 }
 
-// A set-up that cannot be carried would be refused at once, though nothing is owed any more.
+// Guards against answering a caller that has left: a set-up that cannot be carried would otherwise be refused at
+// once.
 func TestNothingIsSentToACallerWhoHasLeft(t *testing.T) {
 	r := newRig(t)
 	c := r.callerUp()
 	r.gone["00000000000003e8"] = true
 	r.offer(c, 9, 1000)
 	if got := r.sent(c); got != "" || r.a.open != 0 {
-		t.Fatalf("the caller heard %q, %d open", got, r.a.open)
+		t.Fatalf("the caller received %q, %d open", got, r.a.open)
 	}
 }
 
-// Guards against a call that stands at its switch for nobody, since its answer goes to a connection that is known to have ended.
+// Guards against a call that stays established at its switch without a caller, because the answer goes to a
+// connection that has ended.
 func TestCallAnsweredAfterItsCallerHasLeftIsReleasedAtItsSwitch(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(9, 9)
@@ -43,7 +45,7 @@
 	r.gone[k.id] = true
 	r.answer(k, sip.OK)
 	if k.switchReleased != 1 || k.answers != 0 || r.a.standing != 0 || r.a.open != 0 {
-		t.Fatalf("%+v, %d stand, %d open", k, r.a.standing, r.a.open)
+		t.Fatalf("%+v, %d established, %d open", k, r.a.standing, r.a.open)
 	}
 	k.left = true
 	r.callerDown(c)
--- a/internal/b2bua/lost_repeat_test.go
+++ b/internal/b2bua/lost_repeat_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// wordless is an agent with a call that stands, whose connection has fallen silent, and the next connection, on which nothing came so far.
+// wordless creates an agent with an established call whose connection is silent, and with a next connection on
+// which no message has come.
 func wordless(t *testing.T) (r *rig, old, next Conn, k *heardOf) {
 	r, old, next, k = twoLinks(t)
 	r.silent[next] = true
@@ -15,7 +16,7 @@
 	return r, old, next, k
 }
 
-// later opens a further connection, on which the switch speaks.
+// later opens a further connection, on which the switch sends a message.
 func (r *rig) later() {
 	for range 60 {
 		for len(r.dials) > 0 {
@@ -27,36 +28,38 @@
 	r.t.Fatalf("no further connection")
 }
 
-// Guards against calls that stand for good when a release was lost and its repetition too, on the connection that never said a word.
+// Guards against calls that stay established for ever because their release was lost and its repetition too, on
+// the connection that never delivered a message.
 func TestCallWhoseRepeatedReleaseMayBeLostIsReleasedOnBothSides(t *testing.T) {
 	r, _, _, k := wordless(t)
 	r.later()
 	k.eitherReleased = true
 	if r.pass(repeatWait - 2*houseWork); k.callerReleased != 0 {
-		t.Fatal("too soon")
+		t.Fatal("released too soon")
 	}
 	if r.pass(4 * houseWork); k.callerReleased != 1 || k.switchReleased != 1 {
-		t.Errorf("the caller was told %d times, the switch %d times", k.callerReleased, k.switchReleased)
+		t.Errorf("the caller was released %d times, the switch %d times", k.callerReleased, k.switchReleased)
 	}
 }
 
-// Guards against calls that are cut since their switch hung for a moment: it speaks on the earlier connections too as it goes on.
+// Guards against disconnecting calls because their switch hung for a moment: it sends on the earlier connections
+// too when it recovers.
 func TestCallsOfASwitchThatHungGoOnStanding(t *testing.T) {
 	for name, speaks := range map[string]func(r *rig, old, next Conn){
 		"the connection of the set-up": func(r *rig, old, _ Conn) { r.notify(old, 9, 9) },
-		"the one without a word":       func(r *rig, _, next Conn) { r.notify(next, 9, 9) },
+		"the silent one":               func(r *rig, _, next Conn) { r.notify(next, 9, 9) },
 	} {
 		r, old, next, k := wordless(t)
 		r.later()
 		r.silent = map[Conn]bool{}
 		speaks(r, old, next)
 		if r.pass(3 * repeatWait); k.callerReleased != 0 || r.a.standing != 1 {
-			t.Errorf("%s: the caller was told %d times", name, k.callerReleased)
+			t.Errorf("%s: the caller was released %d times", name, k.callerReleased)
 		}
 	}
 }
 
-// Guards against calls that are cut though their own connection is open, on which their release would come.
+// Guards against disconnecting calls whose own connection is open, as their release would come there.
 func TestCallsOnOpenConnectionsGoOnStandingWhenARepetitionIsLost(t *testing.T) {
 	r, _, _, k := wordless(t)
 	r.later()
@@ -67,6 +70,6 @@
 		}
 	}
 	if r.pass(2 * repeatWait); k.callerReleased != 0 || r.a.standing != 1 {
-		t.Errorf("the caller was told %d times", k.callerReleased)
+		t.Errorf("the caller was released %d times", k.callerReleased)
 	}
 }
--- a/internal/b2bua/read.go
+++ b/internal/b2bua/read.go
@@ -12,7 +12,7 @@
 	"indigodrift/policy"
 )
 
-// Header fields of the platform.
+// Header fields of the platform, and limits of their values.
 const (
 	fieldClass    = "Priority-Class"
 	fieldExpires  = "Expires-Ms"
@@ -24,44 +24,44 @@
 	fieldLoad     = "P-Load"
 	fieldReason   = "Reason"
 	idDigits      = 16
-	expiresMost   = 3_600_000 // ms, an hour: more is no wait of a caller's
+	expiresMost   = 3_600_000 // in ms; no caller waits longer than an hour
 	whollyMost    = 1 << 16   // exchanges and circuits are counted in two octets
-	causeNormal   = 16        // Q.850, normal call clearing
-	causeTempFail = 41        // Q.850, temporary failure
+	causeNormal   = 16        // Q.850: normal call clearing
+	causeTempFail = 41        // Q.850: temporary failure
 )
 
-// offer is a set-up as it was read.
+// offer is a parsed set-up.
 type offer struct {
 	id  uint64
 	ask policy.Call
-	at  uint32 // the switch at which the call stands already
-	// adopted tells that at was given.
+	at  uint32 // the switch at which an adopted call is established
+	// adopted reports that the set-up names such a switch.
 	adopted bool
 }
 
-var errOffer = errors.New("set-up refused")
+var errOffer = errors.New("invalid set-up")
 
 func bad(format string, a ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{errOffer}, a...)...)
 }
 
-// readID reads 16 hex digits.
+// readID parses an id of 16 hexadecimal digits.
 func readID(s string) (uint64, error) {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || len(s) != idDigits {
-		return 0, bad("%.40q is no id", s)
+		return 0, bad("invalid id %.40q", s)
 	}
 	return v, nil
 }
 
-// readOffer reads a set-up. The numbers of exchanges and circuits are only held against what could be one; whether the
-// call can be carried is the module's to say.
+// readOffer parses a set-up. The numbers of exchanges and circuits are only checked for plausible values; the
+// policy decides whether the call can be carried.
 func readOffer(m *sip.Message, set *deployment.Settled) (o offer, err error) {
 	if o.id, err = readID(m.CallID); err != nil {
 		return o, err
 	}
 	if o.ask.Number, err = readID(m.User()); err != nil {
-		return o, fmt.Errorf("number called: %w", err)
+		return o, fmt.Errorf("called number: %w", err)
 	}
 	o.ask.Dest, o.ask.Width, o.ask.Advice, o.ask.Bearer = -1, 1, -1, -1
 	class := m.Get(fieldClass)
@@ -85,7 +85,7 @@
 			o.adopted = true
 			continue
 		}
-		v, err := strconv.ParseFloat(value, 64) // whole numbers, perhaps written with a point
+		v, err := strconv.ParseFloat(value, 64) // whole numbers, perhaps written with a decimal point
 		if err != nil || !(v >= -1 && v < whollyMost) || v != float64(int(v)) {
 			return o, bad("%s %.40q", fieldInfo, part)
 		}
@@ -106,10 +106,10 @@
 		return o, nil
 	}
 	if o.ask.Bearer < 0 {
-		return o, bad("%s %.40q is none of the settings'", fieldClass, class)
+		return o, bad("%s %.40q is not configured", fieldClass, class)
 	}
 	if o.ask.Dest < 0 || o.ask.Width < 1 {
-		return o, bad("%s tells no destination or no circuit", fieldInfo)
+		return o, bad("%s lacks a destination or a circuit", fieldInfo)
 	}
 	o.ask.Redial = m.Get(fieldRepeat) == "1"
 	ms, err := strconv.ParseFloat(m.Get(fieldExpires), 64)
@@ -120,10 +120,10 @@
 	return o, nil
 }
 
-// dialect is how reports on the sockets name what the settings name otherwise.
+// dialect maps the names of load values on the wire to those in the settings.
 var dialect = map[string]string{"x0": "free", "x1": "size", "eps": "hold_back", "latency_ms": "avg_ms"}
 
-// readLoad reads the report that a message carries, as in "x0:12;x1:40;queue:3".
+// readLoad parses the load report that a message carries, as in "x0:12;x1:40;queue:3".
 func readLoad(m *sip.Message) policy.Report {
 	var names []string
 	var values []float64
@@ -144,7 +144,7 @@
 var words = map[string]policy.Reason{"atb": policy.NoCircuit, "rtb": policy.TurnedBack, "racc": policy.DestFull,
 	"acc": policy.ProcessorFull, "sub": policy.NumberBusy}
 
-// readRefusal tells how a refused route try ended, why, and the wait told.
+// readRefusal returns how a refused route try ended, the reason, and the wait that the switch asks for.
 func readRefusal(m *sip.Message) (end policy.Ending, why policy.Reason, wait policy.Tenths) {
 	why = words[m.Get(fieldWarning)]
 	if ms, err := strconv.ParseFloat(m.Get(fieldWait), 64); err == nil && ms >= 0 && ms <= expiresMost {
@@ -163,7 +163,7 @@
 	return end, why, wait
 }
 
-// cause reads a release's Q.850 cause, -1 when it tells none (RFC 3326).
+// cause returns the Q.850 cause of a release, -1 if there is none (RFC 3326).
 func cause(m *sip.Message) int {
 	for _, part := range strings.Split(m.Get(fieldReason), ";") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "cause="); ok {
--- a/internal/b2bua/release.go
+++ b/internal/b2bua/release.go
@@ -10,46 +10,47 @@
 )
 
 const (
-	// tellWithin is what the platform allows from a switch's release to the caller's.
+	// tellWithin is the time that the platform allows from a switch's release to the release to the caller.
 	tellWithin = policy.Tenths(10000)
 
-	// copyEvery is how long a release waits for its confirmation until it is written on further connections as well. Each
-	// such round has twice as many as the one before, so that many who do not listen use up no more than tellWithin.
+	// copyEvery is how long a release waits for its confirmation before it is written on further connections. Each
+	// round doubles the number of copies, so that callers who do not read cannot use up tellWithin.
 	copyEvery  = policy.Tenths(2000)
-	roundsFast = 5                     // of these fall into tellWithin
-	roundSlow  = policy.Tenths(10000)  // between later rounds
+	roundsFast = 5                     // rounds within tellWithin
+	roundSlow  = policy.Tenths(10000)  // interval of later rounds
 	roundMost  = 8                     // copies in one round
-	copiesMost = 32                    // copies of one release in rounds, and as connections end
-	offersMost = 32                    // further ones, as connections come on which set-ups are sent
-	provedMost = 64                    // and as connections prove to be read
-	keepTold   = policy.Tenths(100000) // a release is given up so long after its first copy where set-ups came
-	keepUntold = policy.Tenths(600000) // and so long after it came where there was none
+	copiesMost = 32                    // per release, in rounds and when connections end
+	offersMost = 32                    // further copies, on connections that send set-ups later
+	provedMost = 64                    // and on connections whose callers prove to read
+	keepTold   = policy.Tenths(100000) // retention of a release after its first copy on a connection with set-ups
+	keepUntold = policy.Tenths(600000) // and after its arrival, while there is no such connection
 
-	// stallRead is how long after a stall of this process answers may lie unread. It puts a round off once.
+	// stallRead is how long answers may lie unread after a stall of this process. It postpones a round once.
 	stallRead = policy.Tenths(500)
 
-	releasesMost = 4096 // not confirmed; the oldest is given up for one more
+	releasesMost = 4096 // unconfirmed releases; beyond this the oldest is dropped
 )
 
-// pendingRelease is the release of one call towards its caller, from when the call is over until the caller is known to have
-// read it, or it is given up. It always has a due time: whatever happens to connections or does not, the next round comes.
+// pendingRelease is the release of a call towards its caller. It exists from the end of the call until the caller
+// is known to have read the release, or the release is dropped. Its next round is always scheduled, whatever
+// happens to connections.
 type pendingRelease struct {
 	call      *call
 	cause     int
 	cameAt    policy.Tenths
 	dueAt     policy.Tenths
-	writtenAt policy.Tenths // the last copy
+	writtenAt policy.Tenths // last copy
 	rounds    int
-	written   int           // copies, all in all
-	spread    int           // of them in rounds, and as connections ended
-	offered   int           // and as connections came or proved to be read
-	askedAt   policy.Tenths // the first copy on a connection on which set-ups came, 0 when there was none
-	on        []Conn        // open connections that bear a copy
-	putOff    bool          // a stall has put its round off already
-	reported  bool          // it was logged that no connection can take it
+	written   int           // copies in total
+	spread    int           // of these, in rounds and when connections ended
+	offered   int           // and on connections that came or proved to be read
+	askedAt   policy.Tenths // first copy on a connection on which a set-up came, 0 before
+	on        []Conn        // open connections with a copy
+	putOff    bool          // the round has been postponed for a stall
+	reported  bool          // the lack of connections has been logged
 }
 
-// releaseQueue keeps the releases that are not confirmed.
+// releaseQueue holds the unconfirmed releases.
 type releaseQueue struct {
 	order  []*pendingRelease // oldest first
 	byCall map[uint64]*pendingRelease
@@ -67,16 +68,16 @@
 	delete(q.byCall, r.call.id)
 }
 
-// releaseCopy is a release written on a connection.
+// releaseCopy is a copy of a release written on a connection.
 type releaseCopy struct {
 	release *pendingRelease
-	place   uint64 // in what was written on that connection
+	place   uint64 // its sequence number on that connection
 	at      policy.Tenths
 }
 
-// releaseCaller tells a call's caller that it is over.
+// releaseCaller releases a call towards its caller.
 func (a *Agent) releaseCaller(k *call, why int) {
-	if k.ended { // a caller that has released the call itself is told nothing more
+	if k.ended { // the caller knows already that the call is over
 		return
 	}
 	if before := a.pending.byCall[k.id]; before != nil {
@@ -84,7 +85,7 @@
 		a.callers.forgetCopies(before)
 	}
 	if len(a.pending.order) >= releasesMost {
-		a.giveUpRelease(a.pending.order[0], "too many are not confirmed")
+		a.giveUpRelease(a.pending.order[0], "too many unconfirmed releases")
 	}
 	k.ended = true
 	r := &pendingRelease{call: k, cause: max(why, 0), cameAt: a.now}
@@ -92,7 +93,7 @@
 	a.writeRound(r)
 }
 
-// releaseDue writes the next round of a release that is not confirmed.
+// releaseDue writes the next round of an unconfirmed release.
 func (a *Agent) releaseDue(d due.Item) {
 	r := a.pending.byCall[d.Token]
 	if r == nil || r.dueAt != d.At {
@@ -111,16 +112,16 @@
 	}
 	switch {
 	case r.askedAt != 0 && a.now-r.askedAt >= keepTold:
-		a.giveUpRelease(r, "no caller confirms it")
+		a.giveUpRelease(r, "not confirmed by any caller")
 	case r.askedAt == 0 && waited >= keepUntold:
-		a.giveUpRelease(r, "no caller has connected")
+		a.giveUpRelease(r, "no caller connected")
 	default:
 		a.writeRound(r)
 	}
 }
 
-// writeRound writes copies of a release on the connections that are most likely read, and sets the next round. Where the first
-// choice is suspect, the second has a copy from the start.
+// writeRound writes copies of a release on the connections most likely to be read, and schedules the next round.
+// If the best connection is suspect, the second best gets a copy in the first round.
 func (a *Agent) writeRound(r *pendingRelease) {
 	copies := min(1<<max(0, r.rounds-1), roundMost)
 	candidates := a.callers.forRelease(r, a.now)
@@ -143,11 +144,11 @@
 	a.timers.Set(at, dueRelease, r.call.id)
 }
 
-// writeCopies writes a release on the first of the candidates.
+// writeCopies writes a release on the first candidates.
 func (a *Agent) writeCopies(r *pendingRelease, candidates []*callerConn, copies int) {
 	if len(candidates) == 0 && r.written == 0 && !r.reported {
 		r.reported = true
-		a.out.Record(Record{Kind: ReleaseWaits, CallID: r.call.callID, Switch: r.call.far(), Why: "no caller's connection is open"})
+		a.out.Record(Record{Kind: ReleaseWaits, CallID: r.call.callID, Switch: r.call.far(), Why: "no open caller connection"})
 	}
 	copies = min(copies, len(candidates), copiesMost-r.spread)
 	for _, o := range candidates[:max(0, copies)] {
@@ -177,8 +178,8 @@
 	a.out.Write(o.conn, a.bye(k.callID, k.uri, r.cause))
 }
 
-// offerReleases writes the releases on a connection that could not be written elsewhere, that are overdue for a further copy, or that lie
-// on connections alone that are less likely read. It is called when something new is known of the connection.
+// offerReleases writes releases on a connection about which something new is known: those without a copy on an
+// equally good connection, and those whose last copy is too old.
 func (a *Agent) offerReleases(o *callerConn) {
 	for _, r := range slices.Clone(a.pending.order) {
 		most := offersMost
@@ -199,12 +200,12 @@
 	return o.readAt != 0 && !slices.ContainsFunc(r.on, a.callers.proved)
 }
 
-// releasesCross writes releases anew that may have crossed the end of their connection.
+// releasesCross rewrites releases that were written on a connection that has ended, perhaps unread.
 func (a *Agent) releasesCross(o *callerConn) {
 	for _, r := range a.pending.order {
 		r.on = slices.DeleteFunc(r.on, func(c Conn) bool { return c == o.conn })
 	}
-	if !o.asked { // the rounds go on without it; a crowd that ends would use up all copies at once
+	if !o.asked { // the rounds continue without it; many connections ending at once would use up all copies
 		return
 	}
 	for _, written := range o.copies {
@@ -212,7 +213,7 @@
 	}
 }
 
-// confirmed ends the release of a call: its caller knows that it is over.
+// confirmed ends the release of a call, as its caller knows that the call is over.
 func (a *Agent) confirmed(k *call) {
 	r := a.pending.byCall[k.id]
 	if r == nil {
@@ -238,8 +239,8 @@
 	a.callers.forgetCopies(r)
 }
 
-// hasRead takes a proof that the far end of a connection has read what was written on it up to a place. What it read of releases of its
-// own calls is confirmed; others it may have no use for.
+// hasRead handles a proof that a caller has read its connection up to a sequence number. This confirms the
+// releases of calls that came on that connection; other callers may have ignored theirs.
 func (a *Agent) hasRead(o *callerConn, place uint64) {
 	first := o.readAt == 0
 	o.read(place, a.now)
@@ -259,7 +260,7 @@
 	}
 }
 
-// answeredRelease takes a caller's answer to a BYE.
+// answeredRelease handles a caller's answer to a BYE.
 func (a *Agent) answeredRelease(o *callerConn, m *sip.Message) {
 	id, err := readID(m.CallID)
 	r := a.pending.byCall[id]
@@ -269,13 +270,13 @@
 	if i := slices.IndexFunc(o.copies, func(written releaseCopy) bool { return written.release == r }); i >= 0 {
 		a.hasRead(o, o.copies[i].place)
 	}
-	if !m.Refusal() { // who refuses it does not know the call
+	if !m.Refusal() { // a caller that refuses it does not know the call
 		a.confirmed(r.call)
 	}
 }
 
-// acknowledged takes a caller's ACK, which must follow an answer: who sends it has read the answer, and all that went before it on
-// that connection.
+// acknowledged handles a caller's ACK, which is mandatory after an answer. It proves that the caller has read the
+// answer and everything before it on that connection.
 func (a *Agent) acknowledged(o *callerConn, m *sip.Message) {
 	id, err := readID(m.CallID)
 	if k := a.calls[id]; err == nil && k != nil && k.caller == o.conn && k.answerPlace != 0 {
@@ -293,8 +294,9 @@
 	a.out.Write(k.caller, m)
 }
 
-// forRelease lists the connections that have no copy of a release yet, the most likely read first: the call's own, those on which set-ups
-// came, those that are not suspect, and among equals those that were proved to be read, or opened, last.
+// forRelease lists the connections without a copy of a release, the most likely to be read first: the call's own
+// connection, those on which set-ups came, those that are not suspect, and among equals those that proved to be
+// read, or opened, most recently.
 func (d *callerConns) forRelease(r *pendingRelease, now policy.Tenths) []*callerConn {
 	var open []*callerConn
 	for _, c := range slices.Backward(d.order) {
--- a/internal/b2bua/release_switch.go
+++ b/internal/b2bua/release_switch.go
@@ -9,8 +9,8 @@
 	"indigodrift/policy"
 )
 
-// byeCrosses is how long after a BYE was written to a switch the end of its connection may mean that it was not read, unless a test written
-// after it was answered: that long it takes until a silent connection is found. Switches need not answer a BYE.
+// byeCrosses is how long the end of a connection may mean that a BYE written on it was not read, unless a later
+// keepalive was answered. It is the time until a silent connection is detected. Switches need not answer a BYE.
 const byeCrosses = askAfter + signMost + stallRoom
 
 // bye is a release written to a switch.
@@ -24,7 +24,7 @@
 		Fields: []sip.Field{{Name: fieldReason, Value: "Q.850;cause=" + strconv.Itoa(cause)}}}
 }
 
-// released takes a switch's release.
+// released handles a switch's release.
 func (a *Agent) released(f *farEnd, c Conn, m *sip.Message) {
 	id, err := readID(m.CallID)
 	if err != nil {
@@ -32,13 +32,13 @@
 	}
 	k, why, rep := a.calls[id], cause(m), readLoad(m)
 	switch {
-	case k == nil: // it stood before this process started: its caller must hear of it all the same
+	case k == nil: // established before this process started: its caller must be released all the same
 		a.releases.Unknown++
 		a.out.Record(Record{Kind: ReleaseUnknown, CallID: m.CallID, Switch: f.entry.ID, Cause: why})
 		k = &call{id: id, callID: m.CallID, uri: m.URI, state: Over}
 		a.remember(k)
 		a.releaseCaller(k, why)
-	case k.state == Standing && (k.far() == f.entry.ID || endsCall(why) && (k.adopted || k.triedAt(f.entry.ID))): // of an adopted call the tries are not known
+	case k.state == Standing && (k.far() == f.entry.ID || endsCall(why) && (k.adopted || k.triedAt(f.entry.ID))): // the tries of an adopted call are not known
 		a.releasedStanding(k, f, why, rep)
 	case (k.state == Offered || k.state == Trying) && endsCall(why) && k.triedAt(f.entry.ID):
 		a.releasedUnanswered(k, c, f, why, rep)
@@ -49,11 +49,13 @@
 	}
 }
 
-// endsCall tells that a release says that its call stood and is over; with any other cause it resets a set-up before the answer.
+// endsCall reports whether a release cause means that an established call is over. Any other cause resets a set-up
+// before its answer.
 func endsCall(cause int) bool { return cause == causeNormal || cause == causeTempFail }
 
-// releasedStanding ends a call that stands. The release may be of an earlier try of it, there or elsewhere: the call is over for the platform all
-// the same, which knows calls by their ids alone, so what stands now is released as well.
+// releasedStanding ends an established call. The release may refer to an earlier try, there or at another switch.
+// The platform knows calls by their ids alone, so the call is over in any case, and its present switch is released
+// too.
 func (a *Agent) releasedStanding(k *call, f *farEnd, why int, rep policy.Report) {
 	rep = a.reportOf(f, k, rep)
 	a.releaseCaller(k, why)
@@ -67,16 +69,17 @@
 	}
 }
 
-// releasedUnanswered fails a call that stood and is over though its caller has no answer: that was lost on its way. What is out of it is taken
-// back. A further try would have its caller answered after its release, and never told of that.
+// releasedUnanswered fails a call that was established and is over although its caller has no answer, as the
+// switch's answer was lost. A try that is out is cancelled. A further try could be answered to the caller after
+// the release, and the caller would never be released.
 func (a *Agent) releasedUnanswered(k *call, c Conn, f *farEnd, why int, rep policy.Report) {
 	t := k.last()
 	rep = a.reportOf(f, k, rep)
 	a.tries.Reset++
 	a.out.Record(Record{Kind: TryReset, CallID: k.callID, Conn: c, Switch: f.entry.ID, Try: t.number + 1, To: k.state, Cause: why, Waited: a.now - t.sentAt,
-		Why: fmt.Sprintf("the call is over, its last try is %s on connection %d", t.state, t.conn)})
+		Why: fmt.Sprintf("call is over, last try is %s on connection %d", t.state, t.conn)})
 	if k.state == Trying {
-		a.abandon(t, "the call is over")
+		a.abandon(t, "call is over")
 	}
 	a.refuse(k, sip.ServerError, 0)
 	a.become(k, Over)
@@ -84,8 +87,8 @@
 	a.decide.Ended(a.now, k.handle, t.number, t.sw, policy.Cut, true, policy.NoReason, 0, rep)
 }
 
-// reportOf is the report that goes with the end of a call's last try: the one that came, if it is of that try's switch. One of another switch is told
-// of that.
+// reportOf returns the load report for the end of a call's last try: the one that came, if it is of the same
+// switch. The report of another switch is passed on separately.
 func (a *Agent) reportOf(f *farEnd, k *call, rep policy.Report) policy.Report {
 	if k.far() == f.entry.ID {
 		return rep
@@ -96,17 +99,17 @@
 	return untold
 }
 
-// resetTry ends a try that is out as its switch releases the call. It is taken back all the same: the release may be of a set-up under this id
-// from before this process started.
+// resetTry ends a try that is out when its switch releases the call. The try is cancelled as well, since the
+// release may refer to a set-up with the same id from before this process started.
 func (a *Agent) resetTry(t *routeTry, c Conn, why int) {
 	a.tries.Reset++
 	a.out.Record(Record{Kind: TryReset, CallID: t.call.callID, Conn: c, Switch: t.sw, Try: t.number + 1, Cause: why, Waited: a.now - t.sentAt,
-		Why: fmt.Sprintf("its set-up is on connection %d", t.conn)})
-	a.abandon(t, "released before an answer")
+		Why: fmt.Sprintf("set-up was sent on connection %d", t.conn)})
+	a.abandon(t, "released by the switch before an answer")
 	a.endTry(t, policy.Cut)
 }
 
-// releaseSwitch releases a call towards its switch, on any connection; where none is open, on the next that opens.
+// releaseSwitch releases a call towards its switch on any connection, or on the next one that opens.
 func (a *Agent) releaseSwitch(sw uint32, link Conn, m *sip.Message) {
 	f := a.far[sw]
 	if f == nil {
@@ -127,11 +130,11 @@
 	a.dial(f)
 }
 
-// owe keeps a release for the next connection to a switch.
+// owe queues a release for the next connection to a switch.
 func (a *Agent) owe(f *farEnd, m *sip.Message) {
 	if len(f.owed) < owedMost {
 		f.owed = append(f.owed, *m)
 	} else {
-		a.out.Note("too many releases wait for a switch; one is dropped")
+		a.out.Note("too many pending releases for a switch; release dropped")
 	}
 }
--- a/internal/b2bua/release_test.go
+++ b/internal/b2bua/release_test.go
@@ -9,7 +9,7 @@
 	"indigodrift/policy"
 )
 
-// stood is an agent with two callers who speak the protocol, and a call of the first one that stands.
+// stood creates an agent with two callers that keep to the protocol, and an established call of the first one.
 func stood(t *testing.T) (r *rig, first, second Conn, k *heardOf) {
 	r = newRig(t)
 	r.dialAll(9, 9)
@@ -25,18 +25,18 @@
 	r.a.FromSwitch(r.now, k.standsOn, r.bye(k.id, 16))
 }
 
-// deafCaller connects one who sends a well-formed set-up, and hears and acknowledges nothing.
+// deafCaller connects a caller that sends a well-formed set-up, and reads and acknowledges nothing.
 func (r *rig) deafCaller() {
 	c := r.callerUp()
 	r.deaf[c] = true
 	r.offer(c, 9, 1000)
 }
 
-// wantReleases checks how often a call's caller was told, and on which connection last.
+// wantReleases checks how often a call's caller was released, and on which connection last.
 func (r *rig) wantReleases(k *heardOf, n int, on Conn) {
 	r.t.Helper()
 	if k.callerReleased != n || k.releasedOn != on {
-		r.t.Fatalf("the caller was told %d times, last on %d; want %d, %d", k.callerReleased, k.releasedOn, n, on)
+		r.t.Fatalf("the caller was released %d times, last on %d; want %d, %d", k.callerReleased, k.releasedOn, n, on)
 	}
 }
 
@@ -44,7 +44,7 @@
 	r, first, second, k := stood(t)
 	r.switchReleases(k)
 	r.wantReleases(k, 1, first)
-	r.callerDown(first) // before it answered
+	r.callerDown(first) // before the caller answered it
 	r.wantReleases(k, 2, second)
 	r.pass(20000)
 	r.wantReleases(k, 2, second)
@@ -73,7 +73,7 @@
 	other := r.offer(second, 1, 1000)
 	r.answer(other, sip.OK)
 	r.callerDown(second)
-	r.switchReleases(other) // the one that is left did not hear before: told there all the same, and where the next comes
+	r.switchReleases(other) // the remaining caller did not read before; the release is still sent to it, and to the next one that connects
 	r.wantReleases(other, 1, first)
 	third := r.callerUp()
 	r.offer(third, 1, 1000)
@@ -87,16 +87,16 @@
 	for _, c := range r.callers {
 		r.deaf[c] = true
 	}
-	for range keepTold / 1000 { // ten new ones a second
+	for range keepTold / 1000 { // ten new callers a second
 		r.pass(1000)
 		r.deafCaller()
 	}
 	if told := k.callerReleased; told < copiesMost || told > copiesMost+offersMost {
-		t.Fatalf("the caller was told %d times", told)
+		t.Fatalf("the caller was released %d times", told)
 	}
 	r.pass(roundSlow)
 	if len(r.a.pending.order) != 0 {
-		t.Fatalf("%d wait", len(r.a.pending.order))
+		t.Fatalf("%d pending releases", len(r.a.pending.order))
 	}
 }
 
@@ -117,7 +117,7 @@
 	r, first, _, k := stood(t)
 	r.switchReleases(k)
 	r.now += copyEvery + 5000
-	r.a.Tick(r.now, r.now) // the process stood still, and the answer lies unread
+	r.a.Tick(r.now, r.now) // the process stalled and the answer is unread
 	r.wantReleases(k, 1, first)
 	r.pass(policy.Tenths(100))
 	r.wantReleases(k, 1, first)
@@ -131,15 +131,15 @@
 	if k.switchReleased != 1 {
 		t.Fatalf("released %d times", k.switchReleased)
 	}
-	k.standsAt = r.links[on] // it was not read
+	k.standsAt = r.links[on] // the switch did not read it
 	r.linkDown(on)
 	r.dialAll(9, 9)
 	if k.switchReleased != 2 {
-		t.Fatalf("the switch was told %d times", k.switchReleased)
+		t.Fatalf("the switch was released %d times", k.switchReleased)
 	}
 }
 
-// Many who send well-formed set-ups and hear nothing stand round one who does.
+// Guards against choosing one of many callers that send well-formed set-ups but read nothing.
 func TestReleaseGoesToOneWhoAcknowledgesAmongManyWhoDoNot(t *testing.T) {
 	r, first, second, k := stood(t)
 	r.callerDown(first)
@@ -150,7 +150,8 @@
 	r.wantReleases(k, 1, second)
 }
 
-// More connect than there is room for: who acknowledges keeps its connection, though it has been quiet longest.
+// Guards against closing the connection of a caller that acknowledges when more connect than the limit allows,
+// though it has been quiet longest.
 func TestWhoAcknowledgesIsTheLastToLoseItsConnection(t *testing.T) {
 	r, first, second, k := stood(t)
 	r.switchReleases(k)
@@ -164,7 +165,8 @@
 	}
 }
 
-// Nobody who hears is there; those who are get it one after the other, and who comes and acknowledges gets it at once.
+// Guards against a delay when no connected caller reads: the release goes to them one after the other, and at once
+// to a new caller that acknowledges.
 func TestReleaseGoesAtOnceToWhoProvesToHear(t *testing.T) {
 	r, first, second, k := stood(t)
 	r.callerDown(first)
@@ -180,12 +182,12 @@
 	r.wantReleases(k, 2, c)
 }
 
-// Guards against releases repeated for callers who never send the optional 200 to BYE: an ACK that must come later on the same connection
-// tells that the release before it was read.
+// Guards against repeating releases to callers that never send the optional 200 to BYE: a mandatory ACK later on
+// the same connection proves that the release was read.
 func TestAcknowledgementOfALaterAnswerConfirmsAnEarlierRelease(t *testing.T) {
 	r, first, _, k := stood(t)
 	other := r.offer(first, 1, 1000)
-	r.deaf[first] = true // answers no BYE; its ACKs are sent by this test
+	r.deaf[first] = true // answers no BYE; this test sends its ACKs
 	r.switchReleases(k)
 	r.answer(other, sip.OK)
 	r.a.FromCaller(r.now, r.now, first, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: k.id, CSeq: 1}) // of an answer before the release
@@ -201,7 +203,7 @@
 	}
 }
 
-// Guards against a release that is taken as heard when a caller who does not know the call refuses it.
+// Guards against taking a release as confirmed when a caller that does not know the call refuses it.
 func TestRefusalByACallerWhoDoesNotKnowTheCallConfirmsNothing(t *testing.T) {
 	r, first, second, k := stood(t)
 	r.callerDown(first)
@@ -216,8 +218,8 @@
 	r.wantReleases(k, 2, third)
 }
 
-// Guards against releases that are kept without a due time: one that comes while no caller is connected is written on the next connection,
-// though that never sends a set-up.
+// Guards against releases without a scheduled round: a release that finds no caller connected is written on the
+// next connection, even if no set-up ever comes there.
 func TestReleaseThatFindsNobodyGoesToACallerWhoOnlyListens(t *testing.T) {
 	r, first, second, k := stood(t)
 	r.callerDown(first)
@@ -229,7 +231,8 @@
 	r.wantReleases(k, 1, third)
 }
 
-// Guards against bad clients who send set-ups and acknowledge answers, and never read: a dozen of them stand before the one who does.
+// Guards against faulty clients that send set-ups and acknowledge answers but read no releases: a dozen of them
+// connect before the one that reads.
 func TestReleaseReachesTheOneWhoReadsAmongManyWhoPretendTo(t *testing.T) {
 	r := newRigWithin(t, Bounds{Calls: 50, Octets: 1 << 16, Callers: 20, Links: 12})
 	r.dialAll(50, 50)
@@ -246,11 +249,11 @@
 	r.switchReleases(k)
 	r.pass(tellWithin)
 	if !k.heardRelease {
-		t.Errorf("told %d times, not to who reads", k.callerReleased)
+		t.Errorf("released %d times, but not to the caller that reads", k.callerReleased)
 	}
 }
 
-// Guards against releases that pile up without bound while nobody listens.
+// Guards against an unbounded number of releases while no caller confirms any.
 func TestReleasesThatNobodyConfirmsAreBounded(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(9, 9)
@@ -268,18 +271,19 @@
 
 func idOf(n int) string { return fmt.Sprintf("%016x", n) }
 
-// Guards against a caller's release that is lost since our close of its connection crosses it.
+// Guards against losing a caller's release that crosses our close of its connection.
 func TestCallersReleaseThatCrossesOurCloseReachesTheSwitch(t *testing.T) {
 	r, first, _, k := stood(t)
-	r.a.CallerDown(r.now, first) // closed here; what it has sent is still read
+	r.a.CallerDown(r.now, first) // closed locally; what the caller has sent is still read
 	r.drop(first)
 	k.callerEnded = true
 	if r.a.FromCaller(r.now, r.now, first, r.bye(k.id, 16)); k.switchReleased != 1 || r.a.standing != 1 {
-		t.Errorf("the switch was told %d times, %d stand", k.switchReleased, r.a.standing)
+		t.Errorf("the switch was released %d times, %d established calls", k.switchReleased, r.a.standing)
 	}
 }
 
-// Guards against copies that are used up on a crowd that says nothing and ends all at once, before the caller comes who must be told.
+// Guards against using up all copies on many connections that send nothing and end at once, before the caller
+// connects that needs the release.
 func TestCrowdThatEndsUsesUpNoReleases(t *testing.T) {
 	r := newRigWithin(t, Bounds{Calls: 50, Octets: 1 << 16, Callers: 150, Links: 12})
 	r.dialAll(50, 50)
@@ -293,18 +297,19 @@
 	}
 	r.callerDown(first)
 	r.switchReleases(k)
-	for _, c := range slices.Backward(crowd) { // those that have copies first
+	for _, c := range slices.Backward(crowd) { // the newest first, as they have copies
 		r.callerDown(c)
 	}
 	r.pass(copyEvery)
 	second := r.callerUp()
 	r.offer(second, 1, 1000)
 	if r.pass(0); !k.heardRelease || k.releasedOn != second {
-		t.Errorf("told %d times, last on %d", k.callerReleased, k.releasedOn)
+		t.Errorf("released %d times, last on %d", k.callerReleased, k.releasedOn)
 	}
 }
 
-// Guards against a release that waited for long and is given up as soon as the first to come has a copy, though it does not read.
+// Guards against dropping a long-pending release as soon as the first caller to connect, which reads nothing, has
+// a copy.
 func TestReleaseThatWaitedIsKeptAfterItsFirstCopy(t *testing.T) {
 	r, first, second, k := stood(t)
 	r.callerDown(first)
@@ -316,6 +321,6 @@
 	last := r.callerUp()
 	r.offer(last, 1, 1000)
 	if r.pass(copyEvery); !k.heardRelease {
-		t.Errorf("told %d times, not who came last", k.callerReleased)
+		t.Errorf("released %d times, but not to the last caller", k.callerReleased)
 	}
 }
--- a/internal/b2bua/rig_test.go
+++ b/internal/b2bua/rig_test.go
@@ -19,7 +19,7 @@
 
 const releaseTime = policy.Tenths(1500)
 
-// fatalist is what a test and a rapid run have in common.
+// testReporter is the part of testing.T and rapid.T that the harness uses.
 type fatalist interface {
 	Helper()
 	Fatalf(format string, args ...any)
@@ -30,33 +30,34 @@
 	address    string
 }
 
-// heardOf is what the two sides saw of one call. It is the plain reference: every rule is judged from messages alone.
+// heardOf is what the two sides observed of one call. It is the reference model: every rule is checked on messages
+// alone.
 type heardOf struct {
 	id, caller      string
 	on              Conn
 	deadline        policy.Tenths
 	answers         int
-	stood           bool // the caller was told that it stands
+	stood           bool // the caller received the answer
 	left            bool
 	callerReleased  int
-	heardRelease    bool          // the caller answered it
+	heardRelease    bool          // the caller has answered the release
 	overAt          policy.Tenths // when its switch released it
-	releasedOn      Conn          // where the caller was last told of the release, 0 once that connection went
-	releasedAt      policy.Tenths // when it was first told
-	bears           map[Conn]bool // connections on which it was told
-	excused         int           // further copies that did not have to wait, as their connection went
+	releasedOn      Conn          // where the caller was last released, 0 once that connection ended
+	releasedAt      policy.Tenths // when it was first released
+	bears           map[Conn]bool // connections on which the release was written
+	excused         int           // further copies that were allowed at once, as their connection ended
 	callerEnded     bool          // the caller released it
-	tryOn           Conn          // a try is out there
+	tryOn           Conn          // connection of the try that is out
 	trySwitch       uint32
 	trySeq          uint32
 	notBefore       policy.Tenths
-	standsAt        uint32 // a switch holds it
+	standsAt        uint32 // the switch that holds it
 	standsOn        Conn
 	switchReleased  int
 	given           []givenUp
-	ran             map[uint32]bool // an earlier try there may have run, and be released by that switch
-	strays          map[uint32]bool // an earlier try was answered late and stands there
-	eitherReleased  bool            // a switch released an earlier try where the call stands
+	ran             map[uint32]bool // an earlier try may have been carried out there, and be released by that switch
+	strays          map[uint32]bool // an earlier try was answered late and is established there
+	eitherReleased  bool            // a switch released an earlier try where the call is established
 	body, switchSDP string
 }
 
@@ -73,7 +74,7 @@
 	k.ran[sw] = true
 }
 
-// rig is an agent with its real module, and the two sides played by a test.
+// rig is a test harness: an agent with the real policy, and both sides played by the test.
 type rig struct {
 	t         fatalist
 	a         *Agent
@@ -91,14 +92,14 @@
 	records   []Record
 	wrote     []written
 	version   uint64
-	silent    map[Conn]bool          // the far end of these says nothing any more
-	asked     []written              // signs of life asked for
+	silent    map[Conn]bool          // peers that send nothing any more
+	asked     []written              // keepalives that are unanswered
 	byes      []written              // releases that callers have not answered yet
-	finals    []written              // and answers that they have not acknowledged
-	offeredOn map[Conn]bool          // set-ups came on these
+	finals    []written              // answers that callers have not acknowledged
+	offeredOn map[Conn]bool          // connections on which set-ups came
 	openedAt  map[Conn]policy.Tenths // callers' connections
-	gone      map[string]bool        // ids whose callers have left, though the agent was not told yet
-	onSend    func(sw uint32)        // told of each set-up to a switch
+	gone      map[string]bool        // ids whose callers have left without an event to the agent
+	onSend    func(sw uint32)        // called for each set-up to a switch
 	acked     map[Conn]bool          // callers on these have acknowledged an answer
 	deaf      map[Conn]bool          // callers on these answer no release
 }
@@ -133,7 +134,7 @@
 
 func (r *rig) list(whole bool, s ...board.Switch) {
 	r.version++
-	if whole { // what is not in it is gone
+	if whole { // switches that are not listed are gone
 		for id := range r.drained {
 			r.drained[id] = true
 		}
@@ -144,7 +145,7 @@
 	r.a.Listed(r.now, board.Event{Number: r.version, Whole: whole, Switches: s})
 }
 
-// pass lets time go by, falling due as it should.
+// pass lets time pass and runs the agent's timers.
 func (r *rig) pass(span policy.Tenths) {
 	until := r.now + span
 	for next := r.a.Next(); next <= until; next = r.a.Next() {
@@ -165,7 +166,7 @@
 	r.wantToldInTime()
 }
 
-// hear has callers answer the releases, and acknowledge the answers, that came to them.
+// hear lets callers answer the releases and acknowledge the answers that they have received.
 func (r *rig) hear() {
 	for len(r.finals) > 0 {
 		w := r.finals[0]
@@ -206,7 +207,7 @@
 		if k.on == c && k.answers == 0 {
 			k.left = true
 		}
-		if k.bears[c] { // it may not have read it
+		if k.bears[c] { // the caller may not have read it
 			k.excused++
 		}
 		if k.releasedOn == c {
@@ -234,7 +235,7 @@
 	return c
 }
 
-// dialAll lets every dial come up, and tells the state of each group.
+// dialAll completes every dial, and reports the state of each group.
 func (r *rig) dialAll(free, size int) {
 	for len(r.dials) > 0 {
 		if c := r.dial(false, true); r.closed[c] == "" {
@@ -281,9 +282,9 @@
 	return k
 }
 
-// answer has a switch answer the try of a call that is out; fields follow in pairs.
+// answer lets a switch answer the try of a call that is out; header fields follow in pairs.
 func (r *rig) answer(k *heardOf, status int, fields ...string) {
-	m := &sip.Message{Status: status, CallID: k.id, CSeq: 1, CSeqMethod: sip.Invite} // whatever the set-up had
+	m := &sip.Message{Status: status, CallID: k.id, CSeq: 1, CSeqMethod: sip.Invite} // the CSeq of the set-up does not matter
 	for i := 0; i < len(fields); i += 2 {
 		m.Fields = append(m.Fields, sip.Field{Name: fields[i], Value: fields[i+1]})
 	}
@@ -304,7 +305,7 @@
 	return &m
 }
 
-// Write judges every message as it goes out.
+// Write checks every message that the agent sends.
 func (r *rig) Write(to Conn, m *sip.Message) {
 	r.wrote = append(r.wrote, written{to, *m})
 	if m.Method == sip.Options {
@@ -322,20 +323,20 @@
 		return
 	}
 	switch {
-	case to != k.on && m.Status >= 400: // somebody else used its id
+	case to != k.on && m.Status >= 400: // another caller used its id
 	case m.CSeqMethod == sip.Invite && m.Status >= 200:
 		if k.answers++; k.answers > 1 || k.left || to != k.on || r.now > k.deadline {
 			r.t.Fatalf("call %s: answer %d with status %d, left %v, %d past its time", k.id, k.answers, m.Status, k.left, r.now-k.deadline)
 		}
 		if m.Status == sip.OK {
 			if k.stood = true; k.standsAt == 0 || string(m.Body) != k.switchSDP {
-				r.t.Fatalf("call %s: served with %q, which no switch gave", k.id, m.Body)
+				r.t.Fatalf("call %s: answered with %q, which no switch sent", k.id, m.Body)
 			}
 		}
 	case m.Method == sip.Bye:
 		k.callerReleased++
 		if !k.stood || k.heardRelease || k.callerEnded || k.bears[to] || k.callerReleased > r.copiesAllowed(k, to) {
-			r.t.Fatalf("call %s: release %d, on connection %d, of a call that does not stand for its caller, or too soon: %d after the first, %+v, deaf %v, acked %v", k.id, k.callerReleased, to, r.now-k.releasedAt, *k, r.deaf, r.acked)
+			r.t.Fatalf("call %s: release %d, on connection %d, of a call that is not established for its caller, or too soon: %d after the first, %+v, deaf %v, acked %v", k.id, k.callerReleased, to, r.now-k.releasedAt, *k, r.deaf, r.acked)
 		}
 		if k.callerReleased == 1 {
 			k.releasedAt, k.bears = r.now, map[Conn]bool{}
@@ -345,8 +346,9 @@
 	}
 }
 
-// copiesAllowed is how many copies of a release may have been written, with the next on a connection: twice as many with each wait for an answer, and
-// one more for each connection that went, where the first is on a connection whose caller answers nothing, and where only the next has acknowledged, or sent a set-up.
+// copiesAllowed returns how many copies of a release may have been written, including the next one on a
+// connection: twice as many with each wait for an answer, one more for each connection that ended, one more if a
+// caller with a copy answers nothing, and one each if only the next connection has acknowledged or sent a set-up.
 func (r *rig) copiesAllowed(k *heardOf, next Conn) int {
 	if k.callerReleased == 1 {
 		return 1
@@ -367,13 +369,14 @@
 	if !asked && r.offeredOn[next] {
 		allowed++
 	}
-	if r.now-k.releasedAt >= copyEvery { // and every connection that comes then
+	if r.now-k.releasedAt >= copyEvery { // and every connection that comes after the first round
 		allowed = copiesMost + offersMost
 	}
 	return min(copiesMost+offersMost+provedMost, allowed)
 }
 
-// wantToldInTime checks that callers on connections that were open as their calls were released, and who hear, know of it in time.
+// wantToldInTime checks that callers that read, and were connected when their call was released, receive the
+// release in time.
 func (r *rig) wantToldInTime() {
 	for _, id := range r.order {
 		k := r.calls[id]
@@ -382,7 +385,7 @@
 		}
 		for _, c := range r.callers {
 			if !r.deaf[c] && r.openedAt[c] <= k.overAt {
-				r.t.Fatalf("call %s was released %d ago, and connection %d, which hears, was not told", id, r.now-k.overAt, c)
+				r.t.Fatalf("call %s ended %d ago, and connection %d, which reads, received no release", id, r.now-k.overAt, c)
 			}
 		}
 	}
@@ -395,11 +398,11 @@
 		case k.tryOn != 0:
 			r.t.Fatalf("call %s: two tries out at once", k.id)
 		case r.now < k.notBefore:
-			r.t.Fatalf("call %s: sent again %d before the release time has passed", k.id, k.notBefore-r.now)
+			r.t.Fatalf("call %s: retried %d before the release time has passed", k.id, k.notBefore-r.now)
 		case r.drained[sw]:
-			r.t.Fatalf("call %s: sent to switch %d, which was told to drain or be gone", k.id, sw)
+			r.t.Fatalf("call %s: sent to switch %d, which is draining or gone", k.id, sw)
 		case k.answers > 0 || k.left || string(m.Body) != k.body:
-			r.t.Fatalf("call %s: sent though over, or with %q", k.id, m.Body)
+			r.t.Fatalf("call %s: sent although over, or with %q", k.id, m.Body)
 		}
 		k.tryOn, k.trySwitch, k.trySeq = on, sw, m.CSeq
 		if r.onSend != nil {
@@ -419,7 +422,7 @@
 		}
 		if k.standsAt == sw {
 			if k.stood && !k.callerEnded && k.callerReleased == 0 && !k.eitherReleased {
-				r.t.Fatalf("call %s: cut though it stands and nobody ended it", k.id)
+				r.t.Fatalf("call %s: disconnected although established and not ended by either side", k.id)
 			}
 			k.standsAt = 0
 			k.switchReleased++
@@ -427,7 +430,7 @@
 	}
 }
 
-// Close takes a connection away.
+// Close closes a connection.
 func (r *rig) Close(c Conn, why string) {
 	r.closed[c] = why
 	if _, ok := r.links[c]; ok {
@@ -445,7 +448,7 @@
 
 func (r *rig) Record(e Record) { r.records = append(r.records, e) }
 
-// sent lists what went to a connection, by method or status.
+// sent lists the messages to a connection by method or status.
 func (r *rig) sent(to Conn) string {
 	var all []string
 	for _, w := range r.wrote {
--- a/internal/b2bua/route_try_test.go
+++ b/internal/b2bua/route_try_test.go
@@ -10,7 +10,8 @@
 	"indigodrift/policy"
 )
 
-// secondTry is a call whose first try at switch 1 was lost with its connection, and whose second is out there on another.
+// secondTry creates a call whose first try at switch 1 was lost with its connection, and whose second one is out
+// there on another connection.
 func secondTry(t *testing.T) (r *rig, k *heardOf) {
 	r = newRig(t)
 	r.dialAll(10, 10)
@@ -24,13 +25,13 @@
 	return r, k
 }
 
-// tryOf is the state of a try of a call, by its number from 1.
+// tryOf returns the state of a try of a call, by its number from 1.
 func (r *rig) tryOf(k *heardOf, number int) tryState {
 	id, _ := readID(k.id)
 	return r.a.calls[id].tries[number-1].state
 }
 
-// releasesMeetTries runs a test for a release of the call on each kind of connection that it may come on.
+// releasesMeetTries runs a test for a release of the call on each kind of connection on which it may come.
 func releasesMeetTries(t *testing.T, causes []int, test func(t *testing.T, r *rig, k *heardOf, release func(cause int), cause int)) {
 	for name, on := range map[string]func(*rig, *heardOf) Conn{
 		"its own connection": func(r *rig, k *heardOf) Conn { return k.tryOn },
@@ -38,7 +39,7 @@
 			r.a.dial(r.a.far[1])
 			return r.dial(false, true)
 		},
-		"one that is being closed": func(r *rig, k *heardOf) Conn {
+		"a closing connection": func(r *rig, k *heardOf) Conn {
 			r.a.dial(r.a.far[1])
 			c := r.dial(false, true)
 			r.a.closeLink(r.a.far[1], r.a.far[1].link(c), "test", true)
@@ -54,7 +55,8 @@
 	}
 }
 
-// Guards against a try that ends by the reset of an earlier one at that switch, on whichever connection that comes.
+// Guards against ending a try because of the reset of an earlier one at that switch, whichever connection that
+// comes on.
 func TestResetOfAnEarlierTryEndsNoLaterOne(t *testing.T) {
 	releasesMeetTries(t, []int{31, 34}, func(t *testing.T, r *rig, k *heardOf, release func(int), cause int) {
 		release(cause)
@@ -67,13 +69,14 @@
 	})
 }
 
-// Guards against a call that is sent again too soon, or answered after it was over, when the release comes of what an earlier try left standing.
+// Guards against retrying a call too soon, or answering it after its end, when the release comes of a call that an
+// earlier try established.
 func TestCallReleasedBeforeItsAnswerFailsAndItsTryIsTakenBack(t *testing.T) {
 	releasesMeetTries(t, []int{16, 41}, func(t *testing.T, r *rig, k *heardOf, release func(int), cause int) {
 		on := k.tryOn
 		release(cause)
 		if k.answers != 1 || k.stood || len(k.given) != 1 {
-			t.Fatalf("%d answers, stood %v, %d tries taken back", k.answers, k.stood, len(k.given))
+			t.Fatalf("%d answers, established %v, %d tries cancelled", k.answers, k.stood, len(k.given))
 		}
 		k.standsAt = 1 // it crossed the CANCEL
 		r.a.FromSwitch(r.now, on, &sip.Message{Status: sip.OK, CallID: k.id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("late")})
@@ -83,7 +86,7 @@
 	})
 }
 
-// Guards against the same while the release time of the earlier try runs, and before the next is written.
+// Guards against the same while the release time of the earlier try runs, before the next one is sent.
 func TestCallReleasedWhileTheReleaseTimeRunsFails(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(10, 10)
@@ -92,11 +95,12 @@
 	r.dialAll(10, 10)
 	r.a.FromSwitch(r.now, r.linkTo(1), r.bye(k.id, 16))
 	if r.pass(20000); k.answers != 1 || k.stood || k.trySeq != 1 {
-		t.Errorf("%d answers, stood %v, %d tries", k.answers, k.stood, k.trySeq)
+		t.Errorf("%d answers, established %v, %d tries", k.answers, k.stood, k.trySeq)
 	}
 }
 
-// Guards against a call that is over for the platform and goes on standing, as another switch released what an earlier try left there.
+// Guards against a call that stays established although it is over for the platform, because another switch
+// released an earlier try.
 func TestCallReleasedByTheSwitchOfAnEarlierTryIsOverOnAllSides(t *testing.T) {
 	r, k := secondTry(t)
 	r.answer(k, sip.OK)
@@ -109,43 +113,45 @@
 	r.a.decide = decider
 	r.a.FromSwitch(r.now, r.linkTo(2), release)
 	if r.pass(1000); k.callerReleased != 1 || k.switchReleased != 1 {
-		t.Errorf("the caller was told %d times, the switch of the call %d times", k.callerReleased, k.switchReleased)
+		t.Errorf("the caller was released %d times, the switch of the call %d times", k.callerReleased, k.switchReleased)
 	}
 	if got := fmt.Sprint(decider.of); got != "[2]" {
-		t.Errorf("the report of switch 2 was told as of %s", got)
+		t.Errorf("the report of switch 2 was passed on for %s", got)
 	}
 }
 
-// Guards against a release that cuts a later try: it goes ahead of that, on the same connection, which keeps their order.
+// Guards against a release that disconnects a later try: it goes ahead of the later set-up on the same connection,
+// which keeps the order.
 func TestWhatALostTryLeftIsReleasedAheadOfTheNextSetUpThere(t *testing.T) {
 	r, k := secondTry(t)
 	if got := withoutTests(r.sent(k.tryOn)); got != "BYE INVITE" {
-		t.Errorf("the switch read %q", got)
+		t.Errorf("the switch received %q", got)
 	}
 	if r.tryOf(k, 1) != tryOver || r.tryOf(k, 2) != tryOut {
 		t.Errorf("tries are %v and %v", r.tryOf(k, 1), r.tryOf(k, 2))
 	}
 }
 
-// Guards against a call that stands at its switch for nobody, since a release that may have been an earlier try's ended it.
+// Guards against a call that stays established at its switch without a caller, when a release that may refer to an
+// earlier try ended it.
 func TestReleaseThatMayBeOfEitherTryLeavesNothingStanding(t *testing.T) {
 	r, k := secondTry(t)
 	on := k.tryOn
 	r.answer(k, sip.OK)
 	k.overAt, k.callerEnded = r.now, false
 	from := len(r.wrote)
-	k.standsAt = 0 // for the rig: the release is of this one
+	k.standsAt = 0 // for the harness: the release is of this try
 	r.a.FromSwitch(r.now, on, r.bye(k.id, 16))
 	var wrote []string
 	for _, w := range r.wrote[from:] {
 		wrote = append(wrote, w.m.Method)
 	}
 	if got := strings.TrimSpace(strings.Join(wrote, " ")); got != "BYE BYE" || k.callerReleased != 1 {
-		t.Errorf("written %q, the caller was told %d times", got, k.callerReleased)
+		t.Errorf("written %q, the caller was released %d times", got, k.callerReleased)
 	}
 }
 
-// abandonedTry is a call whose first try at switch 1 is given up, on a connection that stays open.
+// abandonedTry creates a call whose first try at switch 1 is abandoned, on a connection that stays open.
 func abandonedTry(t *testing.T) (r *rig, k *heardOf, on Conn) {
 	r = newRig(t)
 	r.dialAll(10, 10)
@@ -162,25 +168,25 @@
 	r.a.FromSwitch(r.now, on, &sip.Message{Status: sip.OK, CallID: k.id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("late")})
 }
 
-// Guards against a call that is sent again before the release time has passed since an answer that came after its try was given up.
+// Guards against retrying a call before the release time has passed since a late answer to an abandoned try.
 func TestReleaseTimeRunsFromALateAnswer(t *testing.T) {
 	r, k, on := abandonedTry(t)
 	r.pass(releaseTime - 500)
-	k.notBefore = r.now + releaseTime // the rig finds a set-up before that
+	k.notBefore = r.now + releaseTime // the harness fails on a set-up before this time
 	r.answerLate(k, on)
 	if got := withoutTests(r.sent(on)); got != "INVITE CANCEL ACK" || r.tryOf(k, 1) != tryLeftStanding {
-		t.Errorf("the switch read %q, the try is %v", got, r.tryOf(k, 1))
+		t.Errorf("the switch received %q, the try is %v", got, r.tryOf(k, 1))
 	}
 	if r.pass(600); r.tryOf(k, 2) != tryHeld {
 		t.Fatalf("the second try is %v", r.tryOf(k, 2))
 	}
 	r.pass(910)
 	if r.dialAll(10, 10); k.tryOn == 0 || withoutTests(r.sent(k.tryOn)) != "BYE INVITE" {
-		t.Errorf("the switch read %q", r.sent(on))
+		t.Errorf("the switch received %q", r.sent(on))
 	}
 }
 
-// Guards against an answer to an abandoned try that is taken for the later one's: they go on connections of their own.
+// Guards against taking the answer to an abandoned try for that to a later one: they use different connections.
 func TestLaterTryAtASwitchHasAConnectionOfItsOwn(t *testing.T) {
 	r, k, on := abandonedTry(t)
 	r.pass(releaseTime + 2)
@@ -199,15 +205,17 @@
 	}
 }
 
-// Guards against further tries that are never taken as answered, as their switch writes another number in CSeq than the set-up had.
+// Guards against tries that never count as answered because their switch writes another number in CSeq than the
+// set-up had.
 func TestAnswerNeedsNotRepeatTheNumberInCSeq(t *testing.T) {
 	r, k := secondTry(t)
 	if r.answer(k, sip.OK); !k.stood || k.answers != 1 {
-		t.Errorf("stood %v, %d answers", k.stood, k.answers)
+		t.Errorf("established %v, %d answers", k.stood, k.answers)
 	}
 }
 
-// Guards against a call left standing at a switch where a later try was out as the late answer of the earlier one came.
+// Guards against a call that stays established at a switch where a later try was out when the late answer to the
+// earlier one came.
 func TestCallLeftStandingIsReleasedOnceNoTryCanCome(t *testing.T) {
 	r, k, on := abandonedTry(t)
 	r.pass(releaseTime + 2)
@@ -215,15 +223,15 @@
 	next := k.tryOn
 	r.answerLate(k, on)
 	if got := withoutTests(r.sent(on)); got != "INVITE CANCEL ACK" || k.stood {
-		t.Fatalf("the switch read %q, stood %v", got, k.stood)
+		t.Fatalf("the switch received %q, established %v", got, k.stood)
 	}
 	r.pass(20000) // the second try is never answered
 	if got := withoutTests(r.sent(on)) + ", " + withoutTests(r.sent(next)); got != "INVITE CANCEL ACK BYE, BYE INVITE CANCEL" {
-		t.Errorf("the switch read %q", got)
+		t.Errorf("the switch received %q", got)
 	}
 }
 
-// Guards against an answer that crosses our close of its connection and leaves the call standing.
+// Guards against an answer that crosses our close of its connection and leaves the call established.
 func TestAnswerThatCrossesOurCloseIsReleased(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(10, 10)
@@ -240,7 +248,8 @@
 	}
 }
 
-// Guards against a try that is left out at its switch when that releases the call before an answer, as it may mean an earlier life's.
+// Guards against leaving a try out at its switch when that releases the call before an answer, which may refer to
+// a call from before a restart.
 func TestTryThatItsSwitchReleasesIsTakenBack(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(10, 10)
@@ -248,11 +257,11 @@
 	on := k.tryOn
 	r.a.FromSwitch(r.now, on, r.bye(k.id, 31))
 	if got := withoutTests(r.sent(on)); got != "INVITE 200 CANCEL" || len(k.given) != 1 {
-		t.Errorf("the switch read %q", got)
+		t.Errorf("the switch received %q", got)
 	}
 }
 
-// Guards against a timer that acts on a try other than its own.
+// Guards against a timer that acts on another try than its own.
 func TestLimitOfAnEarlierTryDoesNotEndALaterOne(t *testing.T) {
 	r, k := secondTry(t)
 	id, _ := readID(k.id)
@@ -262,7 +271,8 @@
 	}
 }
 
-// Guards against a call adopted after a restart whose caller is not told, as another switch releases a try of the life before.
+// Guards against not releasing the caller of a call adopted after a restart, when another switch releases a try
+// from before the restart.
 func TestAdoptedCallReleasedByAnotherSwitchIsOverOnAllSides(t *testing.T) {
 	r := newRig(t)
 	r.dialAll(10, 10)
@@ -273,11 +283,11 @@
 	r.a.FromCaller(r.now, r.now, c, invite(id, "voice", 1000, "dest:1;width:1;at:s-00000001", ""))
 	r.a.FromSwitch(r.now, r.linkTo(2), r.bye(id, 16))
 	if k.callerReleased != 1 || k.switchReleased != 1 {
-		t.Errorf("the caller was told %d times, the switch of the call %d times", k.callerReleased, k.switchReleased)
+		t.Errorf("the caller was released %d times, the switch of the call %d times", k.callerReleased, k.switchReleased)
 	}
 }
 
-// reported notes of which switches reports of a group of 33 circuits were told.
+// reported records the switches of the load reports with 33 circuits that the policy receives.
 type reported struct {
 	exchange.Decider
 	of []uint32
--- a/internal/b2bua/silence.go
+++ b/internal/b2bua/silence.go
@@ -3,22 +3,23 @@
 import "indigodrift/policy"
 
 const (
-	// stallRoom is how much the short stalls of this process may put off, all together, that a far end is taken as silent.
+	// stallRoom limits by how much the short stalls of this process, taken together, postpone a silence timeout.
 	stallRoom = policy.Tenths(5000)
 
-	// stallLong is a stall after which all silence is counted anew: the process was stopped, not short of its processor.
+	// stallLong is the length of a stall after which all silence is measured anew, as the process was stopped
+	// rather than short of processor time.
 	stallLong = policy.Tenths(10000)
 )
 
-// silenceClock counts how long nothing has come from a far end. What came during a stall of this process was not read, so stalls are no
-// silence; but stalls that follow each other must not put a verdict off for good.
+// silenceClock measures how long a peer has sent nothing. Messages that came during a stall of this process are
+// unread, so stalls do not count as silence; but a series of stalls must not postpone a timeout for ever.
 type silenceClock struct {
 	tickAt  policy.Tenths
-	stalled policy.Tenths // end of the last stall, 0 when there was none
-	stopped policy.Tenths // end of the last long one
+	stalled policy.Tenths // end of the last stall, 0 if there was none
+	stopped policy.Tenths // end of the last long stall
 }
 
-// tick tells the time and the end of the last stall. It comes each houseWork, unless the process stalls.
+// tick records the time and the end of the last stall. It is called every houseWork unless the process stalls.
 func (s *silenceClock) tick(now, stalled policy.Tenths) {
 	if s.tickAt != 0 && now-s.tickAt >= stallLong {
 		s.stopped = now
@@ -26,7 +27,7 @@
 	s.tickAt, s.stalled = now, stalled
 }
 
-// silentFor is how long nothing has come since an instant.
+// silentFor returns how long nothing has come since the given time.
 func (a *Agent) silentFor(at policy.Tenths) policy.Tenths {
 	s := &a.silence
 	return a.now - max(at, s.stopped, min(s.stalled, at+stallRoom))
--- a/internal/b2bua/silence_test.go
+++ b/internal/b2bua/silence_test.go
@@ -6,7 +6,7 @@
 	"indigodrift/policy"
 )
 
-// passWithStalls lets time go by while this process stands still again and again.
+// passWithStalls lets time pass while this process stalls repeatedly.
 func (r *rig) passWithStalls(span, every policy.Tenths) {
 	for until := r.now + span; r.now < until; {
 		r.now += every
@@ -14,9 +14,10 @@
 	}
 }
 
-// Guards against calls that stand for good at a switch that is gone, since each stall of this process counted its silence anew.
+// Guards against calls that stay established for ever at a switch that is gone, because each stall of this process
+// restarted the silence timeout.
 func TestStallsInARowDoNotHideThatASwitchIsGone(t *testing.T) {
-	const toldAfterLoss = 80000 // the platform's bound where no release could be sent
+	const toldAfterLoss = 80000 // the platform's limit where no release could be sent
 	r, _, k := served(t)
 	r.silent[r.linkTo(1)] = true
 	for range toldAfterLoss / 10000 {
@@ -26,16 +27,16 @@
 		}
 	}
 	if k.callerReleased == 0 {
-		t.Error("its caller was not told")
+		t.Error("the caller was not released")
 	}
 }
 
-// A process that was stopped for long knows nothing of anybody's silence: what came lies unread.
+// Guards against a silence timeout after a long stop of this process, when received messages are still unread.
 func TestLongStopIsNoSilenceOfASwitch(t *testing.T) {
 	r, _, k := served(t)
 	r.now += 200000
 	r.a.Tick(r.now, r.now)
 	if k.callerReleased != 0 || r.closed[r.linkTo(1)] != "" {
-		t.Errorf("told %d times, closed %v", k.callerReleased, r.closed)
+		t.Errorf("caller released %d times, closed %v", k.callerReleased, r.closed)
 	}
 }
--- a/internal/b2bua/table_test.go
+++ b/internal/b2bua/table_test.go
@@ -10,10 +10,10 @@
 	"indigodrift/internal/sip"
 )
 
-// cell is a call in one state, with one switch that it can go to.
+// cell is one combination of a call's state and an event, with one switch to which the call can be routed.
 type cell struct {
 	*rig
-	c, other Conn // the caller's connection, and one of another caller
+	c, other Conn // the caller's connection and another caller's
 	k        *heardOf
 }
 
@@ -23,13 +23,13 @@
 	x := &cell{rig: newRig(t)}
 	x.dialAll(9, 9)
 	x.c, x.other = x.callerUp(), x.callerUp()
-	x.a.FromCaller(x.now, x.now, x.other, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", "")) // it speaks the protocol
+	x.a.FromCaller(x.now, x.now, x.other, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", "")) // marks it as a connection with set-ups
 	return x
 }
 
 func (x *cell) offer() { x.k = x.rig.offer(x.c, 1, 2000) }
 
-// In what state the call is, by the names of the state table, and how it comes there.
+// The states of a call, by their names in the state table, and how they are reached.
 var cellStates = []struct {
 	name string
 	come func(*cell)
@@ -65,14 +65,14 @@
 	} else if k != nil && m.Method == sip.Bye && k.standsAt != 0 {
 		k.standsAt = 0
 	} else if k != nil && k.tryOn != 0 {
-		if k.tryOn = 0; m.Status != sip.ServiceUnavail { // which never ran
+		if k.tryOn = 0; m.Status != sip.ServiceUnavail { // such a set-up was never carried out
 			k.notBefore = x.now + releaseTime
 		}
 	}
 	x.a.FromSwitch(x.now, x.linkOf(1), m)
 }
 
-// linkOf is the connection to a switch, 0 when there is none.
+// linkOf returns the connection to a switch, 0 if there is none.
 func (x *cell) linkOf(sw uint32) Conn {
 	i := slices.IndexFunc(x.linkSeq, func(c Conn) bool { return x.links[c] == sw })
 	if i < 0 {
@@ -97,7 +97,7 @@
 		x.a.FromCaller(x.now, x.now, x.other, invite(cellID, "voice", 1000, "dest:9;width:1;via:-1", ""))
 	}},
 	{"set-up with at", func(x *cell) {
-		if x.k != nil { // whoever says so has not heard of its end
+		if x.k != nil { // the caller has not received the release
 			x.k.stood, x.k.heardRelease, x.k.releasedOn, x.k.callerReleased, x.k.bears = true, false, 0, 0, nil
 		}
 		x.a.FromCaller(x.now, x.now, x.other, invite(cellID, "voice", 1000, "dest:1;width:1;at:s-00000001", ""))
@@ -133,7 +133,7 @@
 	{"the process ends", func(x *cell) { x.a.FailOpen(x.now) }},
 }
 
-// outcome tells the state that follows and what was written for the call.
+// outcome returns the state of the call after an event and the messages that were written for it.
 func (x *cell) outcome(from int) string {
 	state := "unknown"
 	if k := x.a.calls[0x3e8]; k != nil {
@@ -158,8 +158,8 @@
 	return strings.TrimSpace(state + "; " + strings.Join(wrote, ", "))
 }
 
-// TestEveryEventInEveryState holds the state table: what follows each event in each state, and what is written. A cell that says the
-// state alone tells that nothing is written.
+// TestEveryEventInEveryState checks the state table: the next state for each event in each state, and the messages
+// that are written. A row with a state alone means that nothing is written.
 func TestEveryEventInEveryState(t *testing.T) {
 	var lines []string
 	for _, s := range cellStates {
--- a/internal/b2bua/try.go
+++ b/internal/b2bua/try.go
@@ -10,7 +10,7 @@
 	"indigodrift/policy"
 )
 
-// leftAsItStood ends a call whose switch answered after its caller had gone.
+// leftAsItStood ends a call that its switch answered after the caller had abandoned it.
 func (a *Agent) leftAsItStood(k *call) {
 	t := k.last()
 	a.decide.CallerLeft(a.now, k.handle)
@@ -19,10 +19,10 @@
 	a.tally.Left++
 }
 
-// place writes the set-up of a try on a connection of its switch, or has it wait for one.
+// place sends the set-up of a try on a connection to its switch, or queues the try until there is one.
 func (a *Agent) place(t *routeTry, f *farEnd) {
 	if a.now < t.call.heldUntil {
-		a.advance(t, eventHold, "the release time runs")
+		a.advance(t, eventHold, "release time of an earlier try")
 		a.timers.Set(t.call.heldUntil, dueHold, t.token())
 		return
 	}
@@ -31,13 +31,13 @@
 		a.writeSetUp(t, l)
 		return
 	}
-	a.advance(t, eventWait, "no connection can take it")
+	a.advance(t, eventWait, "no connection available")
 	f.waiting = append(f.waiting, t)
 	if a.awaited(f) {
 		return
 	}
-	if a.dial(f); a.full() && !f.dialing { // nothing to wait for
-		a.drop(t, "no descriptor is left")
+	if a.dial(f); a.full() && !f.dialing { // no connection is coming up
+		a.drop(t, "no descriptor available")
 		a.endTry(t, policy.Unreached)
 	}
 }
@@ -71,14 +71,14 @@
 		a.left(k)
 		a.tally.Left++
 	case f == nil || f.entry.State != board.Ready:
-		a.drop(t, "its switch drains or is gone")
+		a.drop(t, "its switch is draining or gone")
 		a.endTry(t, policy.Unreached)
 	default:
 		a.place(t, f)
 	}
 }
 
-// limitReached gives a try up that was not answered in time.
+// limitReached ends a try that has timed out.
 func (a *Agent) limitReached(k *call, number int) {
 	if k == nil || k.state != Trying || k.last().number != number {
 		return
@@ -88,7 +88,7 @@
 	a.endTry(k.last(), policy.TimedOut)
 }
 
-// drop takes a try that was not written from those that wait.
+// drop ends a try that was not sent.
 func (a *Agent) drop(t *routeTry, why string) {
 	if f := a.far[t.sw]; f != nil {
 		f.waiting = slices.DeleteFunc(f.waiting, func(other *routeTry) bool { return other == t })
@@ -96,7 +96,7 @@
 	a.advance(t, eventDrop, why)
 }
 
-// abandon gives the present try of a call up: what is out is taken back at its switch first.
+// abandon gives up the present try of a call, and cancels it at its switch if it was sent.
 func (a *Agent) abandon(t *routeTry, why string) {
 	if t.unplaced() {
 		a.drop(t, why)
@@ -109,17 +109,17 @@
 	a.advance(t, eventAbandon, why)
 }
 
-// endTry puts a call whose try is over back to the module, once that has returned.
+// endTry returns a call whose try is over to the policy, by a deferred result.
 func (a *Agent) endTry(t *routeTry, end policy.Ending) {
 	a.become(t.call, Offered)
 	a.later = append(a.later, report{handle: t.call.handle, try: t.number, sw: t.sw, end: end, rep: untold})
 }
 
-// answer takes a switch's answer to a set-up.
+// answer handles a switch's answer to a set-up.
 func (a *Agent) answer(f *farEnd, c Conn, m *sip.Message) {
 	id, err := readID(m.CallID)
 	k := a.calls[id]
-	if err != nil || k == nil || m.Provisional() { // progress means nothing; an unknown id is none of ours
+	if err != nil || k == nil || m.Provisional() { // progress is not used, and an unknown id is not a call of this agent
 		return
 	}
 	t := k.tryAnsweredOn(f, c)
@@ -138,7 +138,7 @@
 	}
 }
 
-// refused takes the refusal of the try that is out.
+// refused handles the refusal of the try that is out.
 func (a *Agent) refused(t *routeTry, m *sip.Message) {
 	end, why, wait := readRefusal(m)
 	a.tries.Refused++
@@ -147,13 +147,13 @@
 	a.later = append(a.later, report{handle: t.call.handle, try: t.number, sw: t.sw, end: end, why: why, wait: wait, rep: readLoad(m)})
 }
 
-// stands passes on that a call stands by the try that is out.
+// stands handles the successful answer of the try that is out, and passes it on.
 func (a *Agent) stands(t *routeTry, m *sip.Message) {
 	k, rep := t.call, readLoad(m)
 	a.advance(t, eventAnswer, "answered")
-	if a.out.Left(k.caller, k.callID) { // nobody would hear that the call stands, nor that it is over
+	if a.out.Left(k.caller, k.callID) { // the caller could receive neither the answer nor the release
 		a.out.Write(t.conn, a.bye(k.callID, k.uri, causeNormal))
-		a.advance(t, eventRelease, "its caller has left")
+		a.advance(t, eventRelease, "the caller has abandoned the call")
 		a.leftAsItStood(k)
 		return
 	}
@@ -167,8 +167,8 @@
 	}
 }
 
-// lateAnswer takes an answer to a try that is not out on that connection. A try that was given up and stands all the same is released, and the
-// release time runs from now, since until then it was out.
+// lateAnswer handles an answer to a try that is not out on that connection. A try that was abandoned and is
+// established all the same is released, and the release time starts now, since the try was out until now.
 func (a *Agent) lateAnswer(t *routeTry, f *farEnd, c Conn, m *sip.Message) {
 	k := t.call
 	a.tries.AnsweredLate++
@@ -179,14 +179,14 @@
 		}
 		return
 	}
-	if t.state == tryOut || t.state == tryStanding || !a.advance(t, eventAnswer, "after it was given up") {
+	if t.state == tryOut || t.state == tryStanding || !a.advance(t, eventAnswer, "after it was abandoned") {
 		return
 	}
 	k.heldUntil = max(k.heldUntil, a.now+a.set.Module.ReleaseTime)
 	a.releaseTryLeft(k)
 }
 
-// ignoreAnswer logs an answer for which nobody waits.
+// ignoreAnswer logs an answer that no try waits for.
 func (a *Agent) ignoreAnswer(k *call, f *farEnd, c Conn, m *sip.Message) {
 	a.out.Record(Record{Kind: AnswerIgnored, CallID: k.callID, Conn: c, Switch: f.entry.ID, Try: int(m.CSeq), To: k.state,
 		Why: fmt.Sprintf("status %d, %d tries so far", m.Status, len(k.tries))})
