--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -23,7 +23,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// asker dials calls on a switch's line side and waits for each answer.
+// asker makes calls from the line side of a switch and waits for each answer.
 type asker struct {
 	conn    net.Conn
 	buf     []byte
@@ -31,6 +31,7 @@
 	n       uint32
 }
 
+// newAsker connects to a switch as a block of lines.
 func newAsker(b *testing.B, address string, block uint32) *asker {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -63,7 +64,7 @@
 	}
 }
 
-// call sets one call up and releases it; it returns how long the answer took.
+// call makes one call and releases it. It returns how long the answer took and whether the call was established.
 func (a *asker) call(b *testing.B, dest int) (took time.Duration, stood bool) {
 	a.n++
 	cic := uint16(a.n & isup.CICMost)
@@ -86,7 +87,7 @@
 	return took, stood
 }
 
-// echo is the least that can answer: it reads a set-up and writes an answer, with the same codec and nothing between.
+// echo starts a peer that answers every set-up at once, with the same codec, as a baseline. It returns its address.
 func echo(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,7 +123,8 @@
 	return ln.Addr().String()
 }
 
-// network starts exchanges on loopback whose processors take no time, and returns the address of the first one's switch.
+// network starts exchanges on loopback whose switches process messages in no time. It returns the address of the first one's
+// switch and the servers.
 func network(b *testing.B, n int, change func(i int, s *Site)) (string, []*Station) {
 	quick := standin.Work{SetUp: time.Nanosecond, Finish: time.Nanosecond, RefuseAfter: time.Hour, ReportEvery: time.Second, Reuse: true,
 		ColdFrom: 1, Ramp: 1, FallMultiple: 1e9, FallWindow: time.Second}
@@ -183,11 +185,12 @@
 	return at[0], stations
 }
 
+// discard is a writer that drops what is written to it.
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// BenchmarkAnswer times a call over two switches and two controllers beside one answered by a bare peer, in turns.
+// BenchmarkAnswer times, in turn, calls over two switches and two controllers and calls answered by the baseline peer.
 func BenchmarkAnswer(b *testing.B) {
 	at, _ := network(b, 2, nil)
 	whole, bare := newAsker(b, at, 0), newAsker(b, echo(b), 0)
@@ -204,7 +207,7 @@
 		least.RecordValue(took.Nanoseconds())
 	}
 	if stood == 0 {
-		b.Fatal("no call stood")
+		b.Fatal("no call was established")
 	}
 	for _, q := range []struct {
 		name string
@@ -217,7 +220,7 @@
 	b.ReportMetric(float64(stood)/float64(b.N), "stood")
 }
 
-// BenchmarkQueue times how long ten thousand calls offered at one instant take until the last has its answer.
+// BenchmarkQueue times ten thousand calls offered at once, until the last one has its answer.
 func BenchmarkQueue(b *testing.B) {
 	const calls = 10000
 	at, _ := network(b, 2, nil)
@@ -260,7 +263,7 @@
 		if total != calls {
 			b.Fatalf("%d of %d calls were answered", total, calls)
 		}
-		for k, a := range all { // those that stand end
+		for k, a := range all { // release the established calls
 			for i := range uint16(calls / 4) {
 				user, _ := isup.Append(nil, isup.Message{CIC: i, Type: isup.REL, Cause: isup.NormalClearing})
 				frame, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines + uint32(n%50*4+k), To: 1, User: user})
@@ -275,8 +278,8 @@
 	}
 }
 
-// BenchmarkAnswerDuringSwitch times calls before a table of ten million prefixes is loaded into the running exchange, while
-// it is read and built, and around the switch itself.
+// BenchmarkAnswerDuringSwitch times calls before a table of ten million prefixes is loaded into the running exchange, while it
+// is read and built, and after it comes into force.
 func BenchmarkAnswerDuringSwitch(b *testing.B) {
 	prefixes := 10_000_000
 	if testing.Short() {
@@ -307,7 +310,7 @@
 		for !until() {
 			took, ok := a.call(b, 1)
 			if !ok {
-				b.Fatal("a call did not stand")
+				b.Fatal("a call was not established")
 			}
 			h.RecordValue(took.Nanoseconds())
 			time.Sleep(500 * time.Microsecond)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control runs one exchange: one goroutine owns internal/exchange and the deciding module in it, the links'
-// goroutines hand it what they read through one bounded queue and take what it sends without ever making it wait. It
-// decides nothing about a call.
+// Package control runs one exchange. A single goroutine, the event loop, owns the internal/exchange instance and its
+// decision module. The goroutines of the links pass received messages to it through one bounded queue, and sending never
+// blocks it. The package makes no decisions about calls.
 package control
 
 import (
@@ -26,41 +26,42 @@
 	"indigodrift/policy"
 )
 
-// Neighbour is another exchange, the group of circuits to it, and where its switch listens.
+// Neighbour is another exchange, the group of circuits to it, and the address of its switch.
 type Neighbour struct {
 	exchange.Neighbour
 	Address string
 }
 
-// Site is what a running exchange is told.
+// Site holds the settings of a running exchange.
 type Site struct {
 	Deployment policy.Deployment
-	Exchanges  int // numbers of exchanges are below
-	OwnSwitch  string
-	Register   string
+	Exchanges  int    // exchanges in the network, numbered from 0
+	OwnSwitch  string // address
+	Register   string // address
 	Neighbours []Neighbour
-	Inbox      int         // messages that may wait to be handled
-	LinkMost   int         // octets that may wait on one link
-	Control    string      // address that takes operators' orders, "" none
-	Numbers    *Numbers    // nil: the first digits of a number name the exchange
-	Gateways   *Gateways   // nil: no phones at MGCP gateways
-	Ledger     string      // file that calls are kept in, "" none
-	Disk       ledger.Disk // nil: this machine's
+	Inbox      int         // capacity of the event queue
+	LinkMost   int         // maximum octets queued on one link
+	Control    string      // address for operators' commands, "" for none
+	Numbers    *Numbers    // nil: the first digits of a number identify the exchange
+	Gateways   *Gateways   // nil: no MGCP gateways
+	Ledger     string      // file that stores the calls, "" for none
+	Disk       ledger.Disk // nil: the local file system
 }
 
-// Build makes the deciding module of an exchange.
+// Build creates the decision module of an exchange.
 type Build func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider
 
-// clock counts from well above zero, so that no start of a switch falls before it.
+// clock is the time of this process. It starts well above zero, so that the start time of a switch is never negative.
 type clock struct {
 	base    time.Time
-	stalled atomic.Int64
+	stalled atomic.Int64 // end of the last stall
 }
 
-// lastWords is left to the links' writers for the answers that a drain ended with: they are handed to the kernel within
-// microseconds, and a connection closed before that would lose them.
+// lastWords is the time between the end of a drain and the closing of the links. The writers hand the last answers to
+// the kernel within microseconds; closing a connection earlier would lose them.
 const lastWords = 20 * time.Millisecond
 
+// epoch is the reading of the clock when the process starts.
 const epoch = policy.Tenths(1 << 32)
 
 func (c *clock) Now() policy.Tenths {
@@ -98,35 +99,36 @@
 	mgcp   datagram
 }
 
-// Station is one running exchange.
+// Station runs one exchange.
 type Station struct {
 	site   Site
 	log    *slog.Logger
 	clock  *clock
 	x      *exchange.Exchange
 	view   *membership.View
-	links  []*trunk.Link // the own switch's last
+	links  []*trunk.Link // one for each neighbour, then the own switch's
 	reg    *register.Client
 	inbox  chan event
 	done   chan struct{}
 	abort  chan struct{}
-	lags   []lag.Lag // one for each link, used by its reader alone
+	lags   []lag.Lag // one for each link, used only by its reader
 	buf    []byte
 	stall  lag.Stall
-	held   []event        // read since a stall ended, not handled yet
-	behind map[uint32]int // point code: index of the neighbour
+	held   []event        // received since a stall ended, not handled yet
+	behind map[uint32]int // point code: neighbour index
 	tables *tables
 	orders net.Listener
 	agent  *agent
 	ledger *ledger.Ledger
 	Ready  func() // called once when the own switch first answers
-	// ListenPacket opens the socket that gateways are spoken to through; tests have it in memory.
+	// ListenPacket opens the socket for MGCP gateways. Tests replace it with one in memory.
 	ListenPacket func(address string) (net.PacketConn, error)
-	// Sent, if set, stands between the exchange and the links: scripted days alone set it, to plant a broken rule.
+	// Sent, if set, intercepts messages from the exchange to the links. Only scripted days set it, to break a rule on
+	// purpose.
 	Sent func(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message))
 }
 
-// New makes the station of a site; Run runs it.
+// New creates a server from settings. Run starts it.
 func New(site Site, build Build, dial trunk.Dialer, log *slog.Logger) (*Station, error) {
 	s := &Station{site: site, log: log, clock: &clock{base: time.Now()}, view: membership.NewView(site.Exchanges),
 		inbox: make(chan event, site.Inbox), done: make(chan struct{}), abort: make(chan struct{}, 1), behind: map[uint32]int{},
@@ -163,16 +165,16 @@
 	if site.Control != "" {
 		var err error
 		if s.orders, err = net.Listen("tcp", site.Control); err != nil {
-			return nil, fmt.Errorf("control socket: %w", err)
+			return nil, fmt.Errorf("listen on control socket: %w", err)
 		}
 	}
 	return s, nil
 }
 
-// ErrAborted is what Run returns after Abort.
+// ErrAborted is returned by Run after Abort.
 var ErrAborted = errors.New("aborted")
 
-// Abort has Run return without a drain, as a killed process ends: for stations within a test, where there is no process to kill.
+// Abort makes Run return without a drain, like a killed process. Tests use it, as they have no process to kill.
 func (s *Station) Abort() {
 	select {
 	case s.abort <- struct{}{}:
@@ -180,11 +182,11 @@
 	}
 }
 
-// ErrUnanswered is what Run returns when a drain ended with calls not answered.
-var ErrUnanswered = errors.New("calls were left without an answer")
+// ErrUnanswered is returned by Run when a drain ends with unanswered calls.
+var ErrUnanswered = errors.New("drain ended with unanswered calls")
 
-// Run serves until the context ends, then drains: no new call is taken and every call taken is answered before it
-// returns.
+// Run serves until the context ends, then drains: it accepts no new call and returns once every accepted call is
+// answered.
 func (s *Station) Run(ctx context.Context) error {
 	carrying, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var all sync.WaitGroup
@@ -244,7 +246,7 @@
 			if quit == nil && now >= drainBy {
 				return fmt.Errorf("%w: %d", ErrUnanswered, s.x.Unanswered())
 			}
-			s.drainInbox(256) // what came meanwhile goes before the next timer
+			s.drainInbox(256) // queued events go before the next timer
 			continue
 		}
 		timer.Reset(trunk.Span(next - now))
@@ -269,15 +271,15 @@
 	}
 }
 
-// stood notes that the process stood still until now.
+// stood records a stall of the process that ended just now.
 func (s *Station) stood(stood bool) {
 	if stood {
 		s.clock.stalled.Store(int64(s.stall.Ended()))
-		s.log.Info("this process stood still")
+		s.log.Info("process was stalled")
 	}
 }
 
-// drainInbox handles what waits, at most so many.
+// drainInbox handles queued events, up to a limit.
 func (s *Station) drainInbox(most int) {
 	for range most {
 		select {
@@ -289,7 +291,7 @@
 	}
 }
 
-// take handles what was read, or keeps it while what lay unread during a stall comes in.
+// take handles an event, or holds it back while messages that arrived during a stall are still being read.
 func (s *Station) take(ev event) {
 	now := s.clock.Now()
 	s.stood(s.stall.Works(now))
@@ -301,8 +303,8 @@
 	s.handle(ev)
 }
 
-// release handles what was read after a stall: the own switch's word first, as a caller who left meanwhile must not be
-// answered because a far end's answer was read before the caller's release.
+// release handles the events held back after a stall, those of the own switch first: a caller who abandoned the call
+// during the stall must not be answered because a remote switch's answer was read before the caller's release.
 func (s *Station) release() {
 	if len(s.held) == 0 {
 		return
@@ -320,7 +322,7 @@
 		s.handle(ev)
 		now := s.clock.Now()
 		if s.stood(s.stall.Works(now)); i+1 < len(order) {
-			if _, reading := s.stall.Reading(now); reading { // it stood still again: the rest is old once more
+			if _, reading := s.stall.Reading(now); reading { // another stall: hold the rest back again
 				s.held = append(s.held, order[i+1:]...)
 				return
 			}
@@ -337,21 +339,21 @@
 		s.x.Receive(now, ev.hop, ev.m, ev.age)
 	case evUp:
 		if own {
-			s.log.Info("own switch answers", "life", ev.life)
+			s.log.Info("own switch is up", "life", ev.life)
 			s.x.OwnUp(now, ev.life)
 			s.Ready()
 			s.Ready = func() {}
 			return
 		}
-		s.log.Debug("link up", "to", s.site.Neighbours[ev.link].Number, "life", ev.life)
+		s.log.Debug("link is up", "to", s.site.Neighbours[ev.link].Number, "life", ev.life)
 		s.x.LinkUp(now, ev.link, ev.life)
 	case evDown:
 		if own {
-			s.log.Info("link to the own switch broke", "why", ev.err)
+			s.log.Info("link to own switch is down", "why", ev.err)
 			s.x.OwnDown(now)
 			return
 		}
-		s.log.Info("link broke", "to", s.site.Neighbours[ev.link].Number, "why", ev.err)
+		s.log.Info("link is down", "to", s.site.Neighbours[ev.link].Number, "why", ev.err)
 		s.x.LinkDown(now, ev.link)
 	case evList:
 		verdict, told, doubts := s.view.Take(now, ev.list)
@@ -362,13 +364,15 @@
 		case membership.Accepted:
 			s.x.Listed(now, ev.list.Whole, told)
 			s.reg.Ack(ev.list.Version)
-		case membership.Refused: // asked for anew at the module's pace: a register that goes on so was asked without end
+		case membership.Refused:
+			// The decision module paces the next request: asking at once never ended with a register that kept sending
+			// bad lists.
 			s.x.ListLost(now)
 		}
 	case evAdvice:
 		s.x.Advise(ev.advice)
 	case evLost:
-		s.log.Info("register lost", "why", ev.err)
+		s.log.Info("connection to register lost", "why", ev.err)
 		s.x.ListLost(now)
 	case evDo:
 		ev.do()
@@ -385,8 +389,7 @@
 	}
 }
 
-// Do has the goroutine that owns the exchange run something between two events, and waits for it. False: the station has
-// ended.
+// Do runs a function on the event loop, between two events, and waits for it. It returns false if the server has ended.
 func (s *Station) Do(do func()) bool {
 	ran := make(chan struct{})
 	select {
@@ -402,7 +405,8 @@
 	}
 }
 
-// reader is the station as its links and its register client see it, each from its own goroutine.
+// reader receives what happens on the links and at the register client, each on its own goroutine, and queues it for the
+// event loop.
 type reader Station
 
 func (r *reader) put(ev event) {
@@ -412,22 +416,30 @@
 	}
 }
 
-// Up, Down, List, Advice and Lost hand over what happened.
+// Up reports that a link came up.
 func (r *reader) Up(link int, g trunk.Greeting) {
-	// A switch in a new life has a new clock: with what was learned of the old one, every call seemed to have waited for
-	// as long as the old life had lasted, and none was taken.
+	// A restarted switch has a new clock. With the estimate of the old one every call seemed to have waited for as long as
+	// the switch had run before, and none was accepted.
 	r.lags[link] = lag.Lag{}
 	if g.HasClock {
 		r.lags[link] = lag.Begin(g.Asked, g.Read, g.Clock)
 	}
 	r.put(event{kind: evUp, link: link, life: g.Life})
 }
-func (r *reader) Down(link int, err error)  { r.put(event{kind: evDown, link: link, err: err}) }
-func (r *reader) List(l membership.List)    { r.put(event{kind: evList, list: l}) }
+
+// Down reports that a link went down.
+func (r *reader) Down(link int, err error) { r.put(event{kind: evDown, link: link, err: err}) }
+
+// List reports a list of switches from the register.
+func (r *reader) List(l membership.List) { r.put(event{kind: evList, list: l}) }
+
+// Advice reports tandems that the register advises.
 func (r *reader) Advice(advice map[int]int) { r.put(event{kind: evAdvice, advice: advice}) }
-func (r *reader) Lost(err error)            { r.put(event{kind: evLost, err: err}) }
 
-// Frame hands over a message. A new call that finds no room in the inbox is answered here, at once.
+// Lost reports that the connection to the register ended.
+func (r *reader) Lost(err error) { r.put(event{kind: evLost, err: err}) }
+
+// Frame queues a message from a link. If the queue has no capacity for a new call, the call is refused here, at once.
 func (r *reader) Frame(link int, f m3ua.Frame) error {
 	m, err := isup.Decode(f.User)
 	if err != nil {
@@ -440,7 +452,7 @@
 		} else if f.From >= exchange.Lines && f.From < 1<<14 {
 			hop = exchange.Hop{Side: exchange.Line, Point: uint16(f.From)}
 		} else {
-			return fmt.Errorf("point code %d is nobody's", f.From)
+			return fmt.Errorf("point code %d is not known", f.From)
 		}
 	}
 	ev := event{kind: evMessage, link: link, hop: hop, m: m}
@@ -455,11 +467,11 @@
 	return nil
 }
 
-// transmit sends a message; buf is scratch, nil to have some made.
+// transmit encodes and sends a message. buf is scratch memory and may be nil.
 func (s *Station) transmit(buf []byte, to exchange.Hop, m isup.Message) []byte {
 	buf, err := isup.Append(buf[:0], m)
 	if err != nil {
-		s.log.Error("message cannot be sent", "why", err)
+		s.log.Error("cannot encode message", "why", err)
 		return buf
 	}
 	own := len(s.links) - 1
@@ -478,10 +490,10 @@
 	return buf
 }
 
-// hands is the station as the exchange sees it: what carries out its wishes.
+// hands carries out what the exchange asks for.
 type hands Station
 
-// Transmit sends a message.
+// Transmit sends a message to a line or a neighbour.
 func (h *hands) Transmit(to exchange.Hop, m isup.Message) {
 	s := (*Station)(h)
 	if to.Side == exchange.Line && s.agent.hears(to.Point, m) {
@@ -494,13 +506,13 @@
 	s.buf = s.transmit(s.buf, to, m)
 }
 
-// Follow asks the register for the whole list.
+// Follow requests the full list of switches from the register.
 func (h *hands) Follow() { h.reg.Ask() }
 
-// Note writes a turning point.
+// Note logs a notable event.
 func (h *hands) Note(text string) { h.log.Info(text) }
 
-// Answered writes the final answer of a call.
+// Answered logs the final answer of a call.
 func (h *hands) Answered(a exchange.Answer) {
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
 		h.log.Debug("answer", "call", a.Ref.Identity, "from", a.Ref.Point, "outcome", a.Outcome.String(), "dest", a.Dest,
@@ -508,6 +520,6 @@
 	}
 }
 
-// Reload takes settings read again while the exchange runs. Nothing in them can change under calls yet, so it tells
-// whether they are the ones in force.
+// Reload compares settings that were read again with those in force. No setting can change while the exchange runs, so
+// it only reports whether they are equal.
 func (s *Station) Reload(again Site) bool { return reflect.DeepEqual(s.site, again) }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is one station with its own switch played by the test, octet by octet.
+// bench is a running server whose own switch is played by the test.
 type bench struct {
 	t       *testing.T
 	station *Station
@@ -39,6 +39,7 @@
 	return b.log.Write(p)
 }
 
+// start runs a server with an event queue of the given capacity and accepts its link.
 func start(t *testing.T, inbox int) *bench {
 	m := memnet.New()
 	ln, err := m.Listen("own")
@@ -64,6 +65,7 @@
 	return b
 }
 
+// accept answers the handshake of the server's link and collects the messages that it sends.
 func (b *bench) accept(ln net.Listener) {
 	c, err := ln.Accept()
 	if err != nil {
@@ -101,6 +103,7 @@
 	b.own.Write(buf)
 }
 
+// dial sends a set-up from a line, with the time left for its caller and the stamp of the switch's clock.
 func (b *bench) dial(cic uint16, dest int, left policy.Tenths, stamp uint32) {
 	buf, err := isup.Append(nil, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.Called(dest, 1),
 		Ref: isup.Reference{Point: 1, Identity: uint32(cic) + 1}, Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: uint32(left), Stamp: stamp}})
@@ -110,7 +113,7 @@
 	b.frame(m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines, To: 1, User: buf})
 }
 
-// released counts the releases that came for a circuit.
+// released counts the releases received for a circuit.
 func (b *bench) released(cic uint16) (n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,6 +125,7 @@
 	return n
 }
 
+// end drains the server and returns what Run returned.
 func (b *bench) end() error {
 	b.drain()
 	err := <-b.ended
@@ -133,7 +137,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, 16)
 		stop := make(chan struct{})
-		go b.station.Do(func() { <-stop }) // the owner of the module is held up
+		go b.station.Do(func() { <-stop }) // blocks the event loop
 		time.Sleep(time.Millisecond)
 		for cic := range uint16(200) {
 			b.dial(cic, 1, 30000, 0)
@@ -144,7 +148,7 @@
 			at += b.released(cic)
 		}
 		if at < 180 {
-			t.Fatalf("%d of 200 calls were answered at once with the inbox full", at)
+			t.Fatalf("%d of 200 calls were answered at once with a full event queue", at)
 		}
 		close(stop)
 		time.Sleep(time.Second)
@@ -171,7 +175,7 @@
 			t.Fatalf("log: %s", told)
 		}
 		if !b.station.Do(func() {}) {
-			t.Fatal("the station ended")
+			t.Fatal("the server ended")
 		}
 		b.end()
 	})
@@ -180,7 +184,7 @@
 func TestDrainAnswersWhatWasTakenAndRefusesTheRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, 64)
-		b.dial(1, 0, 30000, 0) // to a line here: it rings
+		b.dial(1, 0, 30000, 0) // to a line of this exchange, which rings
 		time.Sleep(time.Millisecond)
 		b.drain()
 		time.Sleep(time.Millisecond)
@@ -194,9 +198,9 @@
 func TestCallReadTooLateIsNotTouched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, 64)
-		b.dial(1, 2, 30000, 100000) // sets what the way takes; there is no route, so it is refused
+		b.dial(1, 2, 30000, 100000) // sets the transmission time; refused, as there is no route
 		time.Sleep(time.Millisecond)
-		b.dial(2, 2, 5000, 90000) // stamped one second earlier: its caller left half a second ago
+		b.dial(2, 2, 5000, 90000) // stamped 1 s earlier: the caller abandoned it 0.5 s ago
 		b.dial(3, 2, 5000, 100000)
 		time.Sleep(time.Millisecond)
 		if b.released(1) != 1 || b.released(2) != 0 || b.released(3) != 1 {
@@ -206,8 +210,8 @@
 	})
 }
 
-// The switch comes back in a new life, whose clock starts again: calls are taken as before. Once they were not, as each
-// seemed to have waited for as long as the old life had lasted.
+// Guards against refusing all calls after the own switch restarts with a new clock: measured against the old clock, every call
+// seemed to have waited for as long as the switch had run before.
 func TestNewLifeOfTheOwnSwitchHasANewClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memnet.New()
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -17,29 +17,31 @@
 	"indigodrift/policy"
 )
 
-// Gateways is what a site says of its MGCP gateways.
+// Gateways holds the settings for MGCP gateways.
 type Gateways struct {
-	Listen string // where this call agent takes datagrams
+	Listen string // address where the call agent receives datagrams
 	callagent.Site
 }
 
-// datagram is what was read from the gateways' socket at an instant.
+// datagram holds the messages of one datagram from a gateway.
 type datagram struct {
 	from netip.AddrPort
 	all  []mgcp.Message
-	at   policy.Tenths
+	at   policy.Tenths // when it was read
 }
 
+// packet is an encoded message to a gateway.
 type packet struct {
 	to   netip.AddrPort
 	text []byte
 }
 
-// datagramsMost may wait to be written. What comes beyond is dropped, as the network may drop it: commands are repeated.
+// datagramsMost is the capacity of the send queue. Datagrams beyond it are dropped, as the network may drop them: commands
+// are retransmitted.
 const datagramsMost = 4096
 
-// agent joins the call agent with the station: the owning goroutine calls it, one goroutine reads its socket, one writes. A nil
-// agent is that of a site without gateways.
+// agent connects the call agent to the server. The event loop calls it, one goroutine reads its socket and one writes to
+// it. Without gateways it is nil.
 type agent struct {
 	s      *Station
 	a      *callagent.Agent
@@ -50,16 +52,16 @@
 func newAgent(s *Station, g *Gateways) *agent {
 	n := &agent{s: s, listen: g.Listen, send: make(chan packet, datagramsMost)}
 	site := g.Site
-	site.Life = uint32(time.Now().Unix()) // two starts within a second would share call ids: the first had no time to make any
+	site.Life = uint32(time.Now().Unix()) // two starts within a second would share call IDs, but the first had no time to use any
 	n.a = callagent.New(site, n, s.clock.Now())
 	return n
 }
 
-// open opens the socket and starts what reads and writes it, until ctx ends.
+// open opens the socket and starts its reader and writer, which run until ctx ends.
 func (n *agent) open(ctx context.Context, all *sync.WaitGroup) error {
 	conn, err := n.s.ListenPacket(n.listen)
 	if err != nil {
-		return fmt.Errorf("gateways' socket: %w", err)
+		return fmt.Errorf("listen for gateways: %w", err)
 	}
 	all.Go(func() {
 		<-ctx.Done()
@@ -72,7 +74,7 @@
 			case <-ctx.Done():
 				return
 			case p := <-n.send:
-				conn.WriteTo(p.text, net.UDPAddrFromAddrPort(p.to)) // what cannot be sent is lost, as on the way
+				conn.WriteTo(p.text, net.UDPAddrFromAddrPort(p.to)) // a failed write counts as a lost datagram
 			}
 		}
 	})
@@ -102,8 +104,8 @@
 		if err != nil {
 			n.s.log.Debug("datagram", "from", at, "why", err)
 		}
-		if len(all) > 0 { // of what is at fault the messages before it count
-			// Beside the own switch's: after a stall what users did goes before what far ends answered.
+		if len(all) > 0 { // the messages before a malformed one are used
+			// Queued like events of the own switch: after a stall what users did is handled before remote switches' answers.
 			(*reader)(n.s).put(event{kind: evDatagram, link: len(n.s.links) - 1, mgcp: datagram{at, all, n.s.clock.Now()}})
 		}
 	}
@@ -126,7 +128,7 @@
 	}
 }
 
-// report writes what came of gateways and their calls in this life.
+// report logs the counters of gateways and their calls since the start of the process.
 func (n *agent) report() {
 	if n == nil {
 		return
@@ -138,12 +140,12 @@
 		}
 	}
 	c := n.a.Counts
-	n.s.log.Info("gateways in this life", "dialled", c.Dialled, "stood", c.Stood, "refused", c.Refused, "failed", c.Failed, "rung", c.Rung, "turned away", c.TurnedAway,
+	n.s.log.Info("gateway counters", "dialled", c.Dialled, "stood", c.Stood, "refused", c.Refused, "failed", c.Failed, "rung", c.Rung, "turned away", c.TurnedAway,
 		"joined", c.Joined, "lost", c.Lost, "leftovers", c.Leftovers, "contradictions", c.Contradictions, "stale", c.Stale, "cut short", c.Incomplete,
 		"unexpected", unexpected, "faults", c.Faults, "datagrams", c.Sent)
 }
 
-// telling counts what calls still wait for at gateways.
+// telling counts the lines whose gateway has not answered a command that a call still depends on.
 func (n *agent) telling(now policy.Tenths) int {
 	if n == nil {
 		return 0
@@ -161,7 +163,7 @@
 	return n != nil && n.a.Hear(point, m.CIC, m)
 }
 
-// takes tells whether a place is a line at a gateway.
+// takes reports whether a call's side is a line at a gateway.
 func (n *agent) takes(p recovery.Place) bool {
 	return n != nil && !p.Trunk && n.a.Takes(p.Point, p.CIC)
 }
@@ -173,11 +175,11 @@
 	}
 }
 
-// Send puts a message in the writer's queue and never waits.
+// Send queues a message for a gateway without blocking.
 func (n *agent) Send(to netip.AddrPort, m mgcp.Message) {
 	text, err := mgcp.Append(nil, m)
 	if err != nil {
-		n.s.log.Error("message to a gateway cannot be sent", "why", err)
+		n.s.log.Error("cannot encode message to gateway", "why", err)
 		return
 	}
 	select {
@@ -186,13 +188,15 @@
 	}
 }
 
-// Offer gives the exchange a message from a line at a gateway.
+// Offer passes a message from a line at a gateway to the exchange.
 func (n *agent) Offer(point, cic uint16, m isup.Message) {
 	n.s.x.Receive(n.s.clock.Now(), exchange.Hop{Side: exchange.Line, Point: point}, m, 0)
 }
 
-// Note and Told write lines for staff.
+// Note logs a notable event.
 func (n *agent) Note(text string) { n.s.log.Info(text) }
+
+// Told logs why a call of a line failed.
 func (n *agent) Told(line int, words string) {
-	n.s.log.Debug("call from a gateway came to nothing", "line", line, "why", words)
+	n.s.log.Debug("call from gateway failed", "line", line, "why", words)
 }
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -24,8 +24,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// oneSession is a session description.
 const oneSession = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 4000 RTP/AVP 0\r\n"
 
+// gatewaySite returns settings with gateways of so many endpoints; rate is how many gateways a second may be brought into service.
 func gatewaySite(own, gateways, endpoints int, rate float64) *Gateways {
 	m, _ := mgcp.ParseMap("(xxxxxxxxx)")
 	g := &Gateways{Site: callagent.Site{Own: own, Point: exchange.Point(own), Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
@@ -36,7 +38,7 @@
 	return g
 }
 
-// joined is an agent and an exchange without sockets; what they send is kept as octets.
+// joined is a call agent and an exchange connected without sockets. Messages that they send are encoded and recorded.
 type joined struct {
 	x    *exchange.Exchange
 	a    *callagent.Agent
@@ -45,7 +47,7 @@
 	isup []byte
 	to   exchange.Hop
 	m    isup.Message
-	x1   string // id of the last request for notifications
+	x1   string // ID of the last notification request
 }
 
 func (j *joined) Follow()                  {}
@@ -72,6 +74,7 @@
 	j.x.Receive(j.now, exchange.Hop{Side: exchange.Line, Point: point}, m, 0)
 }
 
+// datagram passes a datagram of the gateway to the agent.
 func (j *joined) datagram(text []byte) {
 	all, err := mgcp.Decode(text)
 	if err != nil {
@@ -83,6 +86,7 @@
 	j.a.Settle(j.now)
 }
 
+// trunk passes a message from a trunk to the exchange.
 func (j *joined) trunk(from exchange.Hop, b []byte) {
 	m, err := isup.Decode(b)
 	if err != nil {
@@ -96,7 +100,7 @@
 
 var benchFrom = netip.MustParseAddrPort("127.0.0.1:2427")
 
-// replies answers all that was sent to the gateway.
+// replies returns the gateway's responses to all commands sent to it.
 func (j *joined) replies() (all [][]byte) {
 	for _, b := range j.text {
 		m, _ := mgcp.Decode(b)
@@ -108,7 +112,7 @@
 		}
 		r := mgcp.Message{Transaction: m[0].Transaction, Code: 200, Comment: "OK"}
 		switch m[0].Verb {
-		case mgcp.AuditEndpoint: // between calls alone
+		case mgcp.AuditEndpoint: // sent only between calls
 			r.Params = []mgcp.Param{{Name: "I", Value: ""}, {Name: "ES", Value: "L/hu"}}
 		case mgcp.CreateConnection:
 			r.Params, r.Session = []mgcp.Param{{Name: "I", Value: "A1"}}, []byte(oneSession)
@@ -120,6 +124,7 @@
 	return all
 }
 
+// newJoined connects an agent and an exchange with two neighbours and brings the gateways into service.
 func newJoined(gateways, endpoints int) *joined {
 	j := &joined{now: 1 << 32}
 	j.x = exchange.New(policy.Deployment{Own: 0, MaxTries: 4, ReleaseTime: 3000, ColdFrom: 1, FallMultiple: 3, FallWindow: 15000, RampTime: 1,
@@ -155,9 +160,9 @@
 	return j
 }
 
-// BenchmarkCallByGatewayAndByTrunk times what one core does for a call from a phone at a gateway to another exchange (off hook,
-// dial tone, number, connection, answer, hang-up) and for one that arrives by trunk and goes on by trunk, in turns: decoding,
-// agent, exchange, module, encoding.
+// BenchmarkCallByGatewayAndByTrunk times, in turn, the CPU work of a call from a telephone at a gateway to another exchange (off
+// hook, dial tone, number, connection, answer, hang-up) and of a transit call from trunk to trunk: decoding, call agent,
+// exchange, decision module, encoding.
 func BenchmarkCallByGatewayAndByTrunk(b *testing.B) {
 	j := newJoined(1, 24)
 	if j.a.Lines(callagent.Idle) != 24 {
@@ -178,7 +183,7 @@
 	for b.Loop() {
 		calls++
 		j.now += 400
-		spent(&byGateway, func() { // timers of both are shared out evenly
+		spent(&byGateway, func() { // counts the timers, the exchange's too, as part of the gateway call
 			for j.x.Next() <= j.now {
 				j.x.Tick(j.now)
 			}
@@ -234,7 +239,7 @@
 	b.ReportMetric(1/g, "calls/s-a-core-by-gateway")
 }
 
-// BenchmarkIdleEndpoint is the memory of one endpoint that is in service and does nothing, of 100,000.
+// BenchmarkIdleEndpoint measures the memory of an idle endpoint in service, over 100,000 endpoints.
 func BenchmarkIdleEndpoint(b *testing.B) {
 	for range b.N {
 		var before, after runtime.MemStats
@@ -252,17 +257,19 @@
 	}
 }
 
-// district is ten thousand gateways behind one socket that answer everything and repeat their reports until they are answered.
+// district is a set of gateways behind one socket. They answer every command and repeat their restart reports until these are
+// answered.
 type district struct {
 	conn  *net.UDPConn
 	agent *net.UDPAddr
 	mu    sync.Mutex
-	back  map[string]bool
-	wait  map[string]time.Time
-	armed map[string]bool
-	sent  int
+	back  map[string]bool      // transactions whose report was answered
+	wait  map[string]time.Time // when a report may be repeated after a provisional response
+	armed map[string]bool      // endpoints that were asked to report off hook
+	sent  int                  // reports sent
 }
 
+// serve answers the agent's commands until the socket is closed.
 func (d *district) serve() {
 	buf := make([]byte, 8192)
 	for {
@@ -276,7 +283,7 @@
 				d.mu.Lock()
 				if m.Code == 200 {
 					d.back[fmt.Sprint(m.Transaction)] = true
-				} else if m.IsProvisional() { // repeated no sooner than 5 s later (RFC 3435, 3.5.6)
+				} else if m.IsProvisional() { // repeated after at least 5 s (RFC 3435, 3.5.6)
 					d.wait[fmt.Sprint(m.Transaction)] = time.Now().Add(5 * time.Second)
 				}
 				d.mu.Unlock()
@@ -293,7 +300,8 @@
 	}
 }
 
-// storm has all report within a second, and again every second or so until they are answered; it returns when all are in service.
+// storm makes all gateways report a restart within a second and repeat it about every second until it is answered. It returns the
+// time until all are in service.
 func (d *district) storm(gateways, life int) time.Duration {
 	d.mu.Lock()
 	d.back, d.wait, d.armed, d.sent = map[string]bool{}, map[string]time.Time{}, map[string]bool{}, 0
@@ -327,8 +335,8 @@
 	return time.Since(from)
 }
 
-// BenchmarkStorm has ten thousand gateways restart within a second while calls go on by trunk, first with the door's pace, then
-// with none to speak of.
+// BenchmarkStorm restarts ten thousand gateways within a second while calls go on by trunk: first with the rate limit on bringing
+// gateways into service, then practically without one.
 func BenchmarkStorm(b *testing.B) {
 	const gateways = 10000
 	for range b.N {
@@ -385,6 +393,7 @@
 	}
 }
 
+// freeUDP returns a free UDP address on loopback.
 func freeUDP(b *testing.B) string {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -394,12 +403,12 @@
 	return c.LocalAddr().String()
 }
 
-// patch is the bare path: an agent whose exchange joins its lines at once, with no module, no circuits and no switches.
+// patch is the baseline: a call agent whose exchange connects its lines at once, without a decision module, circuits or switches.
 type patch struct {
 	a    *callagent.Agent
 	conn net.PacketConn
 	now  policy.Tenths
-	far  map[[2]uint16][2]uint16
+	far  map[[2]uint16][2]uint16 // the other side of each connected call, as point code and CIC
 	next uint16
 	todo []func()
 }
@@ -428,6 +437,7 @@
 	p.a.Hear(there[0], there[1], m)
 }
 
+// run serves the agent's socket and timers until ctx ends.
 func (p *patch) run(ctx context.Context) {
 	base := time.Now()
 	in := make(chan []byte, 4096)
@@ -471,8 +481,8 @@
 	}
 }
 
-// BenchmarkSetUpByGateway times set-ups from a phone to a phone at another exchange, through two agents, controllers and
-// switches, beside the bare path, at four shares of datagrams lost either way.
+// BenchmarkSetUpByGateway times set-ups between telephones of two exchanges, through two call agents, controllers and switches,
+// compared with the baseline, at four rates of datagram loss in both directions.
 func BenchmarkSetUpByGateway(b *testing.B) {
 	const calls, phones = 400, 100
 	for range b.N {
@@ -537,7 +547,7 @@
 					}
 				}
 				if slices.Sort(at[path]); len(at[path]) < calls/4 {
-					b.Fatalf("%d of %d calls stood at loss %v on path %d", len(at[path]), calls, loss, path)
+					b.Fatalf("%d of %d calls were established at loss %v on path %d", len(at[path]), calls, loss, path)
 				}
 			}
 			q := func(path, of int) float64 { return at[path][len(at[path])*of/100].Seconds() }
--- a/internal/control/keep.go
+++ b/internal/control/keep.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keeper keeps the exchange's calls in a ledger. A call with a side at a gateway is not kept: the call agent starts anew with all
-// its connections, so that such a call could not stand on.
+// keeper stores the calls of the exchange in a ledger. A call with a side at a gateway is not stored: the call agent restarts
+// with no connections, so the call could not continue.
 type keeper struct {
 	*ledger.Ledger
 	a *agent
@@ -26,12 +26,13 @@
 	k.Ledger.Put(c)
 }
 
-// wall is an instant in tenths since 1970.
+// wall converts a clock reading to tenths of a millisecond since 1970.
 func (c *clock) wall(at policy.Tenths) int64 {
 	return c.base.UnixNano()/100_000 + int64(at-epoch)
 }
 
-// openLedger reads what the life before kept, has the exchange take it up, and keeps on from there.
+// openLedger reads the calls that the previous process stored, restores them in the exchange, and stores its calls from then
+// on.
 func (s *Station) openLedger(name string) error {
 	disk := s.site.Disk
 	if disk == nil {
@@ -70,7 +71,7 @@
 	}
 	l.Knows(-1, c.Life.Own)
 	standing := s.x.Restore(now, c.Life, verdicts)
-	s.log.Info("calls of the life before", "stand on", standing, "answered failed", count[recovery.AnswerFail], "cut", count[recovery.Cut],
+	s.log.Info("restored calls of the previous process", "stand on", standing, "answered failed", count[recovery.AnswerFail], "cut", count[recovery.Cut],
 		"forgotten", count[recovery.Forget], "dead for", time.Duration(s.clock.wall(now)-c.Life.Alive)*100*time.Microsecond)
 	return nil
 }
--- a/internal/control/keep_bench_test.go
+++ b/internal/control/keep_bench_test.go
@@ -12,9 +12,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// slowDisk takes two seconds a sync.
+// slowDisk is a disk on which a sync takes two seconds.
 type slowDisk struct{ ledger.OnDisk }
 
+// slowFile is a file on a slow disk.
 type slowFile struct{ ledger.File }
 
 func (f slowFile) Sync() error { time.Sleep(2 * time.Second); return f.File.Sync() }
@@ -23,8 +24,8 @@
 	return slowFile{f}, err
 }
 
-// BenchmarkAnswerKept times calls in turns through three networks: without a ledger, with one, and with one on a disk that takes two
-// seconds a sync.
+// BenchmarkAnswerKept times calls in turn through three networks: without a ledger, with one, and with one on a disk on which a
+// sync takes two seconds.
 func BenchmarkAnswerKept(b *testing.B) {
 	var all []*asker
 	var keeps []*Station
@@ -47,7 +48,7 @@
 		for i, a := range all {
 			d, ok := a.call(b, 1)
 			if !ok {
-				b.Fatal("a call did not stand")
+				b.Fatal("a call was not answered")
 			}
 			took[i].RecordValue(d.Nanoseconds())
 			time.Sleep(200 * time.Microsecond)
@@ -62,7 +63,7 @@
 	b.ReportMetric(float64(keeps[1].ledger.Wrote())/float64(b.N), "octets-a-call")
 }
 
-// BenchmarkTakeUp times reading a ledger, judging its calls and having the exchange take them up.
+// BenchmarkTakeUp times reading a ledger and deciding on its calls.
 func BenchmarkTakeUp(b *testing.B) {
 	for _, calls := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(calls), func(b *testing.B) {
@@ -98,7 +99,7 @@
 					}
 				}
 				if stand != calls {
-					b.Fatalf("%d of %d stand on", stand, calls)
+					b.Fatalf("%d of %d continue", stand, calls)
 				}
 			}
 		})
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -15,30 +15,30 @@
 	"indigodrift/policy"
 )
 
-// Numbers is what a site says of number analysis; a site without it routes by the first digits.
+// Numbers holds the settings of number analysis. Without them calls are routed by the first digits of the number.
 type Numbers struct {
-	Store   string // folder of versions
-	Table   string // rules to begin with when the store is empty
+	Store   string // folder of table versions
+	Table   string // file of the first table, read when the store is empty
 	Trial   numbers.Trial
-	Callers int // callers whose share is remembered
-	Servers []string
-	Zone    string
+	Callers int      // callers remembered for splitting traffic between choices
+	Servers []string // ENUM servers for portability: two, or none
+	Zone    string   // ENUM zone
 	Limits  numbers.Limits
 }
 
-// tables is a station's part in number analysis: files and queries, off the goroutine that owns the exchange.
+// tables does the file access and the ENUM queries of number analysis, outside the event loop.
 type tables struct {
 	s       *Station
 	store   *numberfile.Store
-	keep    chan numberfile.Record // into the history, in order
+	keep    chan numberfile.Record // records to be written to the history, in order
 	client  *enum.Client
 	asking  sync.WaitGroup
 	ctx     context.Context
 	cancel  context.CancelFunc
-	loading sync.Mutex // one change at a time is read and kept
+	loading sync.Mutex // serializes Load
 }
 
-// openTables finds the version to begin with and gives the exchange its numbering.
+// openTables loads the table version to start with and sets up number analysis in the exchange.
 func (s *Station) openTables(n *Numbers, seed uint64) error {
 	t := &tables{s: s, keep: make(chan numberfile.Record, 64)}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
@@ -76,9 +76,10 @@
 	return nil
 }
 
+// first reads the initial table and puts it in the store.
 func (t *tables) first(name string) (*numbers.Table, error) {
 	if name == "" {
-		return nil, errors.New("the store of tables is empty and no table is named to begin with")
+		return nil, errors.New("the table store is empty and no initial table is configured")
 	}
 	src, table, err := t.read(name)
 	if err != nil {
@@ -97,7 +98,7 @@
 	return src, table, err
 }
 
-// query asks about a number, on a goroutine of its own; the inquirer bounds how many are out.
+// query looks up a number on a goroutine of its own. The inquirer limits how many queries are pending.
 func (t *tables) query(id uint32, server int, number string) {
 	t.asking.Go(func() {
 		a, err := t.client.Ask(t.ctx, server, number)
@@ -108,29 +109,29 @@
 	})
 }
 
-// changed is called by the exchange when another version comes into force.
+// changed is called on the event loop when another version comes into force. A reason means that it was a rollback.
 func (t *tables) changed(table *numbers.Table, why string) {
 	r := numberfile.Record{Version: table.Version, Name: table.Name, At: time.Now(), What: "in force", Why: why}
 	if why != "" {
 		r.What = "in force again"
-		t.s.log.Warn("table taken back", "version", table.Version, "why", why)
+		t.s.log.Warn("table rolled back", "version", table.Version, "why", why)
 	} else {
 		t.s.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
 	}
 	select {
 	case t.keep <- r:
-	default: // the disk has stood still for 64 changes
-		t.s.log.Error("table's change is not in the history", "version", r.Version)
+	default: // the disk has not accepted a record for 64 changes
+		t.s.log.Error("table change not written to history: queue is full", "version", r.Version)
 	}
 }
 
-// run writes the history until the station ends.
+// run writes the history until ctx ends.
 func (t *tables) run(ctx context.Context) {
 	for {
 		select {
 		case r := <-t.keep:
 			if err := t.store.Note(r); err != nil {
-				t.s.log.Error("table's change is not in the history", "version", r.Version, "why", err)
+				t.s.log.Error("table change not written to history", "version", r.Version, "why", err)
 			}
 		case <-ctx.Done():
 			t.cancel()
@@ -140,11 +141,11 @@
 	}
 }
 
-// ErrNoNumbers is told where a site has no number analysis.
-var ErrNoNumbers = errors.New("this exchange has no table of numbers")
+// ErrNoNumbers is returned when number analysis is not configured.
+var ErrNoNumbers = errors.New("number analysis is not configured")
 
-// Load reads a table, keeps it, and has it come into force at an instant, or at once. A table that cannot be read, built or
-// kept changes nothing.
+// Load reads a table, stores it, and puts it into force at the given time, or at once if that has passed. If the table cannot
+// be read, built or stored, nothing changes.
 func (s *Station) Load(name string, at time.Time) (*numbers.Table, error) {
 	t := s.tables
 	if t == nil {
@@ -172,6 +173,7 @@
 	})
 }
 
+// versions reads a number from the table versions on the event loop.
 func (s *Station) versions(get func(*numbers.Versions) (uint64, error)) (got uint64) {
 	s.change(func(n *exchange.Numbering, _ policy.Tenths) (err error) {
 		got, err = get(n.Versions)
@@ -180,7 +182,7 @@
 	return got
 }
 
-// Rollback returns to the version before.
+// Rollback puts the previous version into force.
 func (s *Station) Rollback(why string) (back *numbers.Table, err error) {
 	err = s.change(func(n *exchange.Numbering, now policy.Tenths) (err error) {
 		if back, err = n.Versions.Rollback(why, now); err == nil {
@@ -191,10 +193,10 @@
 	return back, err
 }
 
-// ErrEnded is told to an order that comes as the station ends.
-var ErrEnded = errors.New("the exchange is ending")
+// ErrEnded is returned to a command that arrives while the server ends.
+var ErrEnded = errors.New("the exchange is shutting down")
 
-// change does something to the numbering on the goroutine that owns it.
+// change runs a function on the number analysis, on the event loop.
 func (s *Station) change(do func(n *exchange.Numbering, now policy.Tenths) error) error {
 	if s.tables == nil {
 		return ErrNoNumbers
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -19,7 +19,7 @@
 	"indigodrift/policy"
 )
 
-// withTables runs a station whose store is in a folder, until stop.
+// withTables runs a server whose table store is in dir, until stop is called.
 func withTables(t *testing.T, dir string) (s *Station, stop func()) {
 	m := memnet.New()
 	s, err := New(Site{Deployment: policy.Deployment{Own: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}},
@@ -43,7 +43,7 @@
 	}
 }
 
-// tableAt writes a version that leads all numbers to an exchange.
+// tableAt writes a table version that routes all numbers to one exchange.
 func tableAt(t *testing.T, dir string, version, to int) string {
 	t.Helper()
 	name := filepath.Join(dir, fmt.Sprintf("v%d.hcl", version))
@@ -54,6 +54,7 @@
 	return name
 }
 
+// inForce returns the version in force.
 func inForce(s *Station) uint64 {
 	return s.versions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil })
 }
@@ -74,14 +75,14 @@
 		if v := inForce(s); v != 2 {
 			t.Fatalf("version %d after its instant", v)
 		}
-		time.Sleep(time.Second) // the history is written beside
+		time.Sleep(time.Second) // for the history to be written
 		stop()
 		s, stop = withTables(t, dir)
 		if v := inForce(s); v != 2 {
 			t.Fatalf("version %d after a restart", v)
 		}
 		if _, err := s.Rollback("test"); !errors.Is(err, numbers.ErrNone) {
-			t.Fatalf("rolled back to what it does not have: %v", err)
+			t.Fatalf("rolled back to a version that does not exist: %v", err)
 		}
 		stop()
 	})
@@ -93,7 +94,7 @@
 		s, stop := withTables(t, dir)
 		defer stop()
 		store := filepath.Join(dir, "store")
-		if err := errors.Join(os.Rename(store, store+"-away"), os.WriteFile(store, nil, 0o644)); err != nil { // a disk that takes no file
+		if err := errors.Join(os.Rename(store, store+"-away"), os.WriteFile(store, nil, 0o644)); err != nil { // a store that accepts no file
 			t.Fatal(err)
 		}
 		if _, err := s.Load(tableAt(t, dir, 2, 2), time.Now()); err == nil || inForce(s) != 1 {
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -13,28 +13,29 @@
 	"indigodrift/policy"
 )
 
-// Order is one line of JSON that an operator's command sends to a running exchange.
+// Order is a command to a running exchange, sent as one line of JSON.
 type Order struct {
 	Do   string `json:"do"` // load, rollback, versions
 	File string `json:"file,omitempty"`
-	At   int64  `json:"at,omitempty"` // seconds since 1970, 0 at once
+	At   int64  `json:"at,omitempty"` // seconds since 1970; 0: at once
 	Why  string `json:"why,omitempty"`
 }
 
-// Reply is the one line that answers it.
+// Reply is the answer to a command, sent as one line of JSON.
 type Reply struct {
 	Exchange int    `json:"exchange"`
 	Error    string `json:"error,omitempty"`
-	Version  uint64 `json:"version"` // in force once the order is done
+	Version  uint64 `json:"version"` // in force after the command
 	Name     string `json:"name"`
-	Waiting  uint64 `json:"waiting,omitempty"`
-	At       int64  `json:"at,omitempty"`
-	Held     int    `json:"held"` // versions that calls go by
+	Waiting  uint64 `json:"waiting,omitempty"` // version that is to come into force
+	At       int64  `json:"at,omitempty"`      // and when, in seconds since 1970
+	Held     int    `json:"held"`              // versions in memory
 }
 
+// orderMost is the maximum length of a command, in octets.
 const orderMost = 1 << 16
 
-// takeOrders serves the control socket until ctx ends.
+// takeOrders serves commands on the control socket until ctx ends.
 func (s *Station) takeOrders(ctx context.Context, ln net.Listener) {
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -56,7 +57,7 @@
 				var o Order
 				var r Reply
 				if err := json.Unmarshal(in.Bytes(), &o); err != nil {
-					r.Error = "order does not read: " + err.Error()
+					r.Error = "read command: " + err.Error()
 				} else {
 					r = s.obey(o)
 				}
@@ -68,6 +69,7 @@
 	}
 }
 
+// obey runs a command.
 func (s *Station) obey(o Order) Reply {
 	var err error
 	switch o.Do {
@@ -85,7 +87,7 @@
 		_, err = s.Rollback(why)
 	case "versions":
 	default:
-		err = fmt.Errorf("order %q is not known; there are load, rollback, versions", o.Do)
+		err = fmt.Errorf("unknown command %q; there are load, rollback, versions", o.Do)
 	}
 	r := Reply{Exchange: s.site.Deployment.Own}
 	if asked := s.change(func(n *exchange.Numbering, _ policy.Tenths) error {
@@ -103,22 +105,22 @@
 	return r
 }
 
-// Tell sends an order to a running exchange and returns its reply.
+// Tell sends a command to a running exchange and returns its reply.
 func Tell(address string, o Order) (Reply, error) {
 	c, err := net.DialTimeout("tcp", address, 3*time.Second)
 	if err != nil {
-		return Reply{}, fmt.Errorf("order: %w", err)
+		return Reply{}, fmt.Errorf("connect to exchange: %w", err)
 	}
 	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(5 * time.Minute)); err != nil { // ten million prefixes take a while to read
-		return Reply{}, fmt.Errorf("order: %w", err)
+	if err := c.SetDeadline(time.Now().Add(5 * time.Minute)); err != nil { // loading ten million prefixes takes time
+		return Reply{}, fmt.Errorf("set deadline: %w", err)
 	}
 	if err := json.NewEncoder(c).Encode(o); err != nil {
-		return Reply{}, fmt.Errorf("order: %w", err)
+		return Reply{}, fmt.Errorf("send command: %w", err)
 	}
 	var r Reply
 	if err := json.NewDecoder(c).Decode(&r); err != nil {
-		return r, fmt.Errorf("reply of %s: %w", address, err)
+		return r, fmt.Errorf("read reply of %s: %w", address, err)
 	}
 	return r, nil
 }
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -1,23 +1,24 @@
-// Package lag estimates how old a message is when it is read. A sender stamps it with its own clock, which need not
-// agree with ours; the least difference seen lately between our clock and its stamps is the way without any waiting, and
-// what a message exceeds it by it has waited, in a buffer or before a process that stood still. It is pure.
+// Package lag estimates how long a message has waited before it is read, in a buffer or because this process was stalled. The
+// sender stamps messages with its own clock, which need not agree with the local one. The minimum difference between the local
+// clock and the stamps in recent windows is the transmission time without waiting; anything beyond it is waiting time. The
+// package is pure.
 package lag
 
 import "indigodrift/policy"
 
-// window is how long the least difference is kept, at least: clocks drift apart by less than a tenth of a millisecond
-// meanwhile, and a path that becomes longer for good is learned within two windows.
+// window is how long a minimum difference is used at least. Clocks drift by less than a tenth of a millisecond within it, and a
+// path that has become permanently longer is learned within two windows.
 const window = policy.Tenths(600000)
 
-// Lag follows the stamps of one link. The zero value knows nothing yet.
+// Lag estimates the waiting time of messages on one link. The zero value takes the first message as one that did not wait.
 type Lag struct {
-	now, before int32 // least differences in this window and in the last one
-	since       policy.Tenths
-	known       bool
+	now, before int32         // minimum differences in this window and in the last one
+	since       policy.Tenths // start of this window
+	known       bool          // a stamp has been read
 }
 
-// Age takes the stamp of a message read at an instant and returns how long it has waited. The difference is taken in 32
-// bits, as stamps are, so that neither clock's beginning matters.
+// Age returns how long a message with the given stamp, read at the given time, has waited. Differences are computed in 32 bits
+// like the stamps, so the origins of the two clocks do not matter.
 func (l *Lag) Age(at policy.Tenths, stamp uint32) policy.Tenths {
 	d := int32(uint32(at) - stamp)
 	switch {
@@ -35,10 +36,10 @@
 	return max(0, policy.Tenths(d-least))
 }
 
-// Begin knows from the first what a message's way takes: the far end was asked for its clock at one instant and its stamp was
-// read at another. Where the two are as far apart as a stall the answer lay unread, and the far end's clock is taken to be of
-// the instant at which it was asked. Without this the first messages of a link that came up as the process stood still all
-// seemed new, and their callers were answered after they had left.
+// Begin returns an estimator that knows the clock of the remote switch from the handshake, which was sent at asked and whose
+// answer was read at read. If the two are as far apart as a stall, the answer may have waited, and the remote clock reading is
+// attributed to the time of asking. Without this, the first messages of a link that came up during a stall all seemed new, and
+// callers were answered after they had abandoned their calls.
 func Begin(asked, read policy.Tenths, stamp uint32) Lag {
 	at := read
 	if read-asked >= stallMin {
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -14,14 +14,14 @@
 func TestWaitIsFoundWhateverTheClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Lag
-		offset := rapid.Uint32().Draw(t, "offset") // the two clocks wrap at any point
+		offset := rapid.Uint32().Draw(t, "offset") // the stamps may wrap at any point
 		now, way := policy.Tenths(rapid.Uint32().Draw(t, "start")), policy.Tenths(20)
 		l.Age(now+way, uint32(now)+offset)
 		for range 50 {
 			now += policy.Tenths(rapid.IntRange(0, 20000).Draw(t, "gap"))
 			waited := policy.Tenths(rapid.IntRange(0, 30000).Draw(t, "waited"))
 			if got := l.Age(now+way+waited, uint32(now)+offset); got != waited {
-				t.Fatalf("waited %d, told %d", waited, got)
+				t.Fatalf("message waited %d, got %d", waited, got)
 			}
 		}
 	})
@@ -33,16 +33,16 @@
 	for now := policy.Tenths(0); now < 3*window; now += 1000 {
 		got := l.Age(now+500, uint32(now))
 		if now > 2*window+2000 && got != 0 {
-			t.Fatalf("a way longer for good still counts as %d of waiting", got)
+			t.Fatalf("a permanently longer path still counts as %d of waiting", got)
 		}
 	}
 }
 
 func TestFirstMessagesAfterAStallAreOld(t *testing.T) {
-	for _, c := range []struct{ read, want policy.Tenths }{{1010, 18990}, {20000, 19000}} { // the greeting was read at once, or after the stall
+	for _, c := range []struct{ read, want policy.Tenths }{{1010, 18990}, {20000, 19000}} { // the handshake was read at once, or after the stall
 		l := Begin(1000, c.read, 500)
 		if got := l.Age(20000, 500); got != c.want {
-			t.Errorf("greeting read at %d: age %d, want %d", c.read, got, c.want)
+			t.Errorf("handshake read at %d: age %d, want %d", c.read, got, c.want)
 		}
 	}
 }
--- a/internal/lag/stall.go
+++ b/internal/lag/stall.go
@@ -3,35 +3,36 @@
 import "indigodrift/policy"
 
 const (
-	stallMin  = policy.Tenths(500)  // woken so much too late, the process stood still
-	readFirst = policy.Tenths(200)  // then what came meanwhile is read for so long before any timer acts
-	heldMost  = policy.Tenths(1000) // timers are held back no longer than this, however many stalls follow each other
+	stallMin  = policy.Tenths(500)  // waking up later than planned by so much is a stall
+	readFirst = policy.Tenths(200)  // after a stall timers are held for so long, while messages are read
+	heldMost  = policy.Tenths(1000) // maximum total hold, however many stalls follow each other
 )
 
-// Stall finds out that this process stood still: stopped, swapped out, or starved of its processor. Until the messages
-// that lay unread are read, a timer that fell due meanwhile knows less than the sockets do: it would fail a call whose
-// answer has come, or answer a caller who has left.
+// Stall detects that this process was stalled: stopped, swapped out, or starved of CPU time. Timers that expired meanwhile must
+// wait until the messages that arrived during the stall are read. Otherwise a timer would fail a call whose answer has arrived,
+// or answer a caller who has abandoned the call.
 type Stall struct {
-	last  policy.Tenths
-	until policy.Tenths
-	ended policy.Tenths
-	held  policy.Tenths // since when timers have been held back, 0 when they are not
+	last  policy.Tenths // when the process was last seen running
+	until policy.Tenths // end of the hold on timers
+	ended policy.Tenths // end of the last stall
+	held  policy.Tenths // since when timers are held, 0 when they are not
 }
 
-// Woke tells that the process runs at an instant, after waiting, and was to run at due, if not before.
+// Woke records that the process woke up from waiting, at the latest at due as planned. It reports whether it was stalled.
 func (s *Stall) Woke(now, due policy.Tenths) (stood bool) {
 	s.last = now
 	return s.check(now, now-due)
 }
 
-// Works tells that the process runs at an instant, between two pieces of work and without having waited: it can be stopped
-// there as well, and what it has already taken from its sockets is then as old as the stall.
+// Works records that the process is running, between two pieces of work and without having waited. It reports whether it was
+// stalled since it was last seen running: what it has already read is then as old as the stall.
 func (s *Stall) Works(now policy.Tenths) (stood bool) {
 	last := s.last
 	s.last = now
 	return last != 0 && s.check(now, now-last)
 }
 
+// check starts or extends the hold on timers if the gap is long enough for a stall.
 func (s *Stall) check(now, gap policy.Tenths) bool {
 	if gap < stallMin {
 		return false
@@ -43,7 +44,7 @@
 	return true
 }
 
-// Reading tells that timers must still wait, and until when.
+// Reading returns until when timers are held, and whether they still are.
 func (s *Stall) Reading(now policy.Tenths) (policy.Tenths, bool) {
 	if now >= s.until {
 		s.held = 0
@@ -52,5 +53,5 @@
 	return s.until, true
 }
 
-// Ended is the end of the last stall, 0 when there was none.
+// Ended returns the end of the last stall, 0 if there was none.
 func (s *Stall) Ended() policy.Tenths { return s.ended }
--- a/internal/lag/stall_test.go
+++ b/internal/lag/stall_test.go
@@ -12,16 +12,16 @@
 		t.Fatal("no stall found")
 	}
 	if until, reading := s.Reading(10000); !reading || until != 10000+readFirst {
-		t.Errorf("reading %v until %d", reading, until)
+		t.Errorf("timers held %v until %d", reading, until)
 	}
 	if _, reading := s.Reading(10000 + readFirst); reading {
-		t.Error("still reading")
+		t.Error("timers still held")
 	}
 }
 
-// Guards against timers that never act: under a processor quota one stall follows the other before the wait after the first is over.
+// Guards against timers that never run: under a CPU quota a new stall begins before the hold after the previous one has ended.
 func TestStallsInARowDoNotHoldTimersForGood(t *testing.T) {
-	const runs, stands = policy.Tenths(100), policy.Tenths(900) // a tenth of a processor
+	const runs, stands = policy.Tenths(100), policy.Tenths(900) // a quota of a tenth of a CPU
 	var s Stall
 	acted := 0
 	for now := policy.Tenths(10000); now < 110000; now += runs + stands {
@@ -34,6 +34,6 @@
 		}
 	}
 	if acted < 30 {
-		t.Errorf("timers acted in %d of 100 turns", acted)
+		t.Errorf("timers ran in %d of 100 turns", acted)
 	}
 }
--- a/internal/ledger/format_test.go
+++ b/internal/ledger/format_test.go
@@ -9,7 +9,7 @@
 	"indigodrift/internal/recovery"
 )
 
-// A file of format 1, whose calls had no slots, is read as it was meant; what goes on from it is written in the format of now.
+// Guards against misreading files of format 1, whose calls have no slots. What is read from one is written in the current format.
 func TestFileOfTheFormatBeforeIsRead(t *testing.T) {
 	frame := func(b []byte, body ...byte) []byte {
 		b = binary.BigEndian.AppendUint16(b, uint16(len(body)))
@@ -18,7 +18,7 @@
 	}
 	old := append([]byte(magic), 1)
 	old = frame(old, append([]byte{'H'}, 0, 0, 0, 0, 0, 0, 0, 7)...)
-	call := []byte{'C', 0, 0, 0, 9, 1<<4 | 4}                           // call 9, stands, goes out by trunk
+	call := []byte{'C', 0, 0, 0, 9, 1<<4 | 4}                           // call 9, established, out by trunk
 	call = append(call, 0, 0, 0x20, 0, 0, 5)                            // from line 2000/5
 	call = append(call, 0, 3, 0, 0, 0, 33)                              // to exchange 3, circuit 33
 	call = append(call, 0, 1, 0, 0, 0, 77)                              // reference
@@ -34,7 +34,7 @@
 	if again.Version != version || again.Calls[9] != want {
 		t.Fatalf("%+v", again)
 	}
-	old[len(magic)] = version // the same octets under the new format are no calls of it
+	old[len(magic)] = version // in the current format the same octets are not valid calls
 	if c := Read(old); c.Why == "" || len(c.Calls) != 0 {
 		t.Fatalf("%+v", c)
 	}
--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -1,7 +1,7 @@
-// Package ledger keeps on disk what must outlive a controller's process: its calls and the lives it knew. It decides nothing
-// about them; internal/recovery does when they are read again. The file is a header and frames, each with its length and a
-// checksum, appended in order; reading goes on to the first frame that is not whole and says how much was left and why.
-// docs/notes-restart.md has why it is no database.
+// Package ledger stores on disk what must survive a restart of the controller: its calls and the incarnations of the switches
+// it knows. It decides nothing about them; internal/recovery does when they are read again. The file is a header followed by
+// frames in the order of writing, each with its length and a checksum. Reading stops at the first damaged frame and reports how
+// many octets were not read and why. docs/notes-restart.md explains why it is not a database.
 package ledger
 
 import (
@@ -14,16 +14,16 @@
 	"indigodrift/internal/recovery"
 )
 
-// Kind of a frame.
+// Kind is the type of a frame.
 type Kind byte
 
 const (
-	Head Kind = 'H' // which exchange it is for; the first frame
-	Call Kind = 'C' // a call is in a phase
-	Over Kind = 'O' // a call is over
-	Far  Kind = 'F' // the life of a neighbour's switch; number -1: the own one
-	Beat Kind = 'B' // sign of life
-	Full Kind = 'S' // the snapshot that a file begins with ends here
+	Head Kind = 'H' // the exchange that the file belongs to; the first frame
+	Call Kind = 'C' // a call and its phase
+	Over Kind = 'O' // the end of a call
+	Far  Kind = 'F' // the incarnation of a neighbour's switch; number -1: the own switch
+	Beat Kind = 'B' // heartbeat
+	Full Kind = 'S' // the end of the snapshot that a file begins with
 )
 
 // Record is one frame.
@@ -38,16 +38,16 @@
 
 const (
 	magic   = "indigoledger"
-	version = 2 // 1 had calls without Slots
-	lenMost = 1 << 12
+	version = 2       // version 1 has calls without Slots
+	lenMost = 1 << 12 // octets of a payload
 )
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged is wrapped by what is told of a file that is not whole.
-var ErrDamaged = errors.New("damaged ledger")
+// ErrDamaged is wrapped by every error about a damaged file.
+var ErrDamaged = errors.New("ledger is damaged")
 
-// appendFrame adds a record as a frame: length, checksum, payload.
+// appendFrame appends a record as a frame: length, checksum, payload.
 func appendFrame(b []byte, r Record) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, 0, 0)
@@ -89,26 +89,27 @@
 	return b
 }
 
+// Payload sizes of a call in the current format and in version 1, in octets without the kind.
 const (
 	callSize   = 4 + 1 + 2*10 + 6 + 16
 	callSizeV1 = 4 + 1 + 2*6 + 6 + 16
 )
 
-// readFrame takes the first frame; n is its size.
+// readFrame decodes the first frame of b; n is its size.
 func readFrame(b []byte, version byte) (r Record, n int, err error) {
 	if len(b) < 7 {
-		return r, 0, fmt.Errorf("%w: %d octets of a frame", ErrDamaged, len(b))
+		return r, 0, fmt.Errorf("%w: frame header is cut off after %d octets", ErrDamaged, len(b))
 	}
 	size := int(binary.BigEndian.Uint16(b))
 	if size == 0 || size > lenMost || len(b) < 6+size {
-		return r, 0, fmt.Errorf("%w: a frame of %d octets, %d are there", ErrDamaged, size, len(b)-6)
+		return r, 0, fmt.Errorf("%w: frame of %d octets, %d available", ErrDamaged, size, len(b)-6)
 	}
 	body := b[6 : 6+size]
 	if crc32.Checksum(body, table) != binary.BigEndian.Uint32(b[2:]) {
-		return r, 0, fmt.Errorf("%w: checksum", ErrDamaged)
+		return r, 0, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
 	r.Kind, n = Kind(body[0]), 6+size
-	wrong := fmt.Errorf("%w: a frame %q of %d octets", ErrDamaged, r.Kind, size)
+	wrong := fmt.Errorf("%w: invalid frame %q of %d octets", ErrDamaged, r.Kind, size)
 	p := body[1:]
 	switch r.Kind {
 	case Head:
@@ -160,21 +161,21 @@
 	return r, n, nil
 }
 
-// header is what a file begins with.
+// header returns the first octets of a file.
 func header() []byte { return append([]byte(magic), version) }
 
-// Contents is what a file holds.
+// Contents is the state that a file describes, and how much of the file was read.
 type Contents struct {
 	Life    recovery.Life
 	Calls   map[uint32]recovery.Kept
 	Frames  int
 	Version byte
-	Good    int    // octets that were read
-	Left    int    // octets after them that were not
-	Why     string // why not, "" where all was read
+	Good    int    // octets read
+	Left    int    // octets after them that were not read
+	Why     string // why they were not read, "" if all were
 }
 
-// Read reads a file's octets forward to the last good place.
+// Read decodes the contents of a file up to the first damaged frame.
 func Read(b []byte) Contents {
 	c := Contents{Calls: map[uint32]recovery.Kept{}, Life: recovery.Life{Far: map[int]string{}}}
 	stop := func(at int, why string) Contents {
@@ -182,10 +183,10 @@
 		return c
 	}
 	if len(b) < len(magic)+1 || string(b[:len(magic)]) != magic {
-		return stop(0, "it does not begin as a ledger does")
+		return stop(0, "not a ledger file")
 	}
 	if c.Version = b[len(magic)]; c.Version == 0 || c.Version > version {
-		return stop(0, fmt.Sprintf("its format is %d, this program knows up to %d", c.Version, version))
+		return stop(0, fmt.Sprintf("format %d is not supported; the latest known is %d", c.Version, version))
 	}
 	for at := len(magic) + 1; ; {
 		if at == len(b) {
@@ -201,6 +202,7 @@
 	}
 }
 
+// take applies a record.
 func (c *Contents) take(r Record) {
 	switch r.Kind {
 	case Head:
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -14,64 +14,65 @@
 	"indigodrift/internal/recovery"
 )
 
-// File is what a ledger is written to; a disk's file in service, one that fails in tests.
+// File is an open ledger file. Tests replace it with one that fails.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Disk opens and replaces files.
+// Disk reads, creates and renames files.
 type Disk interface {
 	Read(name string) ([]byte, error)
-	Create(name string) (File, error) // empty
+	Create(name string) (File, error) // creates an empty file, in place of an existing one
 	Rename(from, to string) error
 }
 
 const (
-	gather      = 5 * time.Millisecond // what changes within it is written together
+	gather      = 5 * time.Millisecond // changes within it are written together
 	beatEvery   = time.Second
-	compactFrom = 1 << 20 // octets from which a file may be compacted
-	compactOver = 4       // and only where it is so many times what a snapshot takes
+	compactFrom = 1 << 20 // octets; a smaller file is not compacted
+	compactOver = 4       // size of the file in snapshots at which it is compacted
 	retryFirst  = 200 * time.Millisecond
 	retryMost   = 5 * time.Second
 )
 
-// Ledger takes changes from the deciding goroutine without ever making it wait, and writes them behind it. What changed and
-// changed back before it was written is never written: what waits is bounded by the calls there are, however slow the disk.
+// Ledger accepts changes without blocking the caller and writes them in the background. Only the latest state of a call is
+// written, so the pending changes are bounded by the number of calls, however slow the disk is.
 type Ledger struct {
 	name string
 	disk Disk
 	site uint64
-	note func(text string)
+	note func(text string) // logs a message
 	mu   sync.Mutex
-	live map[uint32]recovery.Kept // as it is now
-	far  map[int]string
-	todo map[uint32]bool // calls that changed since they were written
-	onto map[uint32]bool // calls that the file holds
-	farT map[int]bool
+	live map[uint32]recovery.Kept // current state
+	far  map[int]string           // incarnations of switches, by exchange; -1: the own one
+	todo map[uint32]bool          // calls that changed since they were last written
+	onto map[uint32]bool          // calls in the file
+	farT map[int]bool             // incarnations that changed since they were last written
 	kick chan struct{}
 	stop chan struct{}
 	done chan struct{}
 
-	wrote int64 // octets, all files together
-	size  int64
-	bad   bool
+	wrote int64 // octets, over all files
+	size  int64 // octets of the present file
+	bad   bool  // the last write failed
 }
 
-// Open reads a ledger and goes on with it; what it held is returned. A file that is damaged is kept aside beside it.
+// Open reads a ledger file and returns its contents and a ledger that replaces it. A file of which nothing can be read is renamed
+// to NAME.damaged.
 func Open(name string, site uint64, disk Disk, note func(string)) (*Ledger, Contents, error) {
 	b, err := disk.Read(name)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, Contents{}, fmt.Errorf("ledger: %w", err)
+		return nil, Contents{}, fmt.Errorf("read ledger: %w", err)
 	}
 	c := Contents{Calls: map[uint32]recovery.Kept{}, Life: recovery.Life{Far: map[int]string{}}}
 	if len(b) > 0 {
 		if c = Read(b); c.Why != "" {
-			note(fmt.Sprintf("ledger %s: %d octets were read, %d after them not: %s", name, c.Good, c.Left, c.Why))
+			note(fmt.Sprintf("ledger %s: read %d octets, skipped the remaining %d: %s", name, c.Good, c.Left, c.Why))
 			if c.Good == 0 {
 				if err := disk.Rename(name, name+".damaged"); err != nil {
-					return nil, c, fmt.Errorf("ledger: %w", err)
+					return nil, c, fmt.Errorf("rename damaged ledger: %w", err)
 				}
 			}
 		}
@@ -81,7 +82,7 @@
 	return l, c, nil
 }
 
-// Put keeps a call as it is now; Drop forgets it; Knows keeps the life of a switch (number -1: the own one). None of them waits.
+// Put stores the present state of a call. It does not block.
 func (l *Ledger) Put(k recovery.Kept) {
 	l.mu.Lock()
 	l.live[k.ID] = k
@@ -89,6 +90,8 @@
 	l.mu.Unlock()
 	l.nudge()
 }
+
+// Drop removes a call. It does not block.
 func (l *Ledger) Drop(id uint32) {
 	l.mu.Lock()
 	delete(l.live, id)
@@ -100,6 +103,8 @@
 	l.mu.Unlock()
 	l.nudge()
 }
+
+// Knows stores the incarnation of a neighbour's switch, or of the own switch for number -1. It does not block.
 func (l *Ledger) Knows(number int, life string) {
 	l.mu.Lock()
 	if l.far[number] != life {
@@ -109,6 +114,7 @@
 	l.nudge()
 }
 
+// nudge wakes the writer.
 func (l *Ledger) nudge() {
 	select {
 	case l.kick <- struct{}{}:
@@ -116,10 +122,10 @@
 	}
 }
 
-// Wrote is how many octets went to disk.
+// Wrote returns how many octets have been written to disk.
 func (l *Ledger) Wrote() int64 { l.mu.Lock(); defer l.mu.Unlock(); return l.wrote }
 
-// Run writes until Close. It begins with a snapshot in a file of its own, so that a file of an older format is never appended to.
+// Run writes changes until Close. It starts with a snapshot in a new file, so that it never appends to a file of an older format.
 func (l *Ledger) Run() {
 	defer close(l.done)
 	var f File
@@ -130,7 +136,7 @@
 		if f == nil {
 			if f, err = l.snapshot(); err == nil && l.bad {
 				l.bad = false
-				l.note("ledger: the disk is back, all is kept again")
+				l.note("ledger: writing works again, all calls are stored")
 			}
 		} else if err = l.write(f, time.Since(beat) >= beatEvery); err == nil && time.Since(beat) >= beatEvery {
 			beat = time.Now()
@@ -147,7 +153,7 @@
 			}
 			if !l.bad {
 				l.bad = true
-				l.note("ledger: calls go on, but are not kept: " + err.Error())
+				l.note("ledger: calls continue but are not stored: " + err.Error())
 			}
 			retry = min(retryMost, max(retryFirst, 2*retry))
 		} else {
@@ -177,15 +183,16 @@
 	}
 }
 
-// Close writes what is left and ends.
+// Close writes the pending changes and ends Run.
 func (l *Ledger) Close() {
 	close(l.stop)
 	<-l.done
 }
 
+// now is the wall time in tenths of a millisecond since 1970.
 func now() int64 { return time.Now().UnixNano() / 100_000 }
 
-// snapshot writes all that is live into a new file and puts it in the old one's place: whichever is found after a crash is whole.
+// snapshot writes the current state to a new file and renames it over the old one, so that a crash leaves one complete file.
 func (l *Ledger) snapshot() (File, error) {
 	l.mu.Lock()
 	b := appendFrame(header(), Record{Kind: Head, Site: l.site})
@@ -200,7 +207,7 @@
 	todo, farT := l.todo, l.farT
 	l.todo, l.farT = map[uint32]bool{}, map[int]bool{}
 	l.mu.Unlock()
-	again := func(err error) (File, error) { // nothing of it is kept: all of it is to be written yet
+	again := func(err error) (File, error) { // nothing was stored: mark the changes as pending again
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		for id := range todo {
@@ -229,7 +236,7 @@
 	for id := range taken {
 		l.onto[id] = true
 	}
-	for id := range l.todo { // changed while it was written: one that is over must be told so
+	for id := range l.todo { // changed meanwhile: a call that ended needs a record only if the file has it
 		if _, live := l.live[id]; !live && !l.onto[id] {
 			delete(l.todo, id)
 		}
@@ -245,7 +252,7 @@
 	return f, nil
 }
 
-// write appends what has changed.
+// write appends the pending changes, and a heartbeat with them or when one is due.
 func (l *Ledger) write(f File, beat bool) error {
 	l.mu.Lock()
 	var b []byte
@@ -270,7 +277,7 @@
 	if len(b) == 0 {
 		return nil
 	}
-	if _, err := f.Write(b); err != nil { // the file may end in half a frame: a snapshot takes its place
+	if _, err := f.Write(b); err != nil { // the file may end in a partial frame and is replaced by a snapshot
 		return fmt.Errorf("write: %w", err)
 	}
 	if err := f.Sync(); err != nil {
@@ -283,23 +290,28 @@
 	return nil
 }
 
-// large tells whether the file is worth a snapshot.
+// large reports whether the file should be compacted into a snapshot.
 func (l *Ledger) large() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.size > compactFrom && l.size > compactOver*int64((len(l.live)+16)*(callSize+7))
 }
 
-// OnDisk is the machine's disk.
+// OnDisk is the local file system.
 type OnDisk struct{}
 
+// Read returns the contents of a file.
 func (OnDisk) Read(name string) ([]byte, error) { return os.ReadFile(name) }
+
+// Create creates an empty file, and its folder if that is missing.
 func (OnDisk) Create(name string) (File, error) {
 	if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
 		return nil, err
 	}
 	return os.Create(name)
 }
+
+// Rename renames a file and syncs the folder, so that the new name survives a crash.
 func (OnDisk) Rename(from, to string) error {
 	if err := os.Rename(from, to); err != nil {
 		return err
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -27,7 +27,7 @@
 		Ref: isup.Reference{Point: rapid.Uint16().Draw(t, "point"), Identity: rapid.Uint32().Draw(t, "identity")}, Since: rapid.Int64().Draw(t, "since"), Until: rapid.Int64().Draw(t, "until")}
 }
 
-// kept drives a ledger on a disk in memory with calls that come and go, and returns what was live at its end and the file.
+// kept runs a ledger on an in-memory disk with random changes. It returns the calls at the end and the file.
 func kept(t *rapid.T, disk *memnet.Disk, steps int) (map[uint32]recovery.Kept, []byte) {
 	l, _, err := ledger.Open("l", 7, disk, func(string) {})
 	if err != nil {
@@ -58,7 +58,7 @@
 	})
 }
 
-// What is live at the end is what is read, whatever came and went and however it was gathered; the lives of switches as well.
+// Guards against calls or incarnations that are lost or left over in the file, however the changes were batched.
 func TestWhatIsLiveIsRead(t *testing.T) {
 	inBubble(t, func(t *rapid.T) {
 		live, file := kept(t, memnet.NewDisk(), rapid.IntRange(0, 60).Draw(t, "steps"))
@@ -69,8 +69,8 @@
 	})
 }
 
-// Cut at every octet, and with every bit of a record turned, a file reads as it was at some earlier time, says that it is damaged,
-// and holds no call that never was.
+// Guards against damaged files that are read as valid: a file truncated at any octet, or with any bit flipped, reads as an earlier
+// state and contains no call that was never stored. A flipped bit is always reported as damage.
 func TestDamagedFilesReadToTheLastGoodPlace(t *testing.T) {
 	inBubble(t, func(t *rapid.T) {
 		_, file := kept(t, memnet.NewDisk(), rapid.IntRange(1, 5).Draw(t, "steps"))
@@ -80,7 +80,7 @@
 		for n := 0; n <= len(file); n++ {
 			c := ledger.Read(file[:n])
 			if c.Good+c.Left != n || c.Frames > whole.Frames {
-				t.Fatalf("cut at %d: %+v", n, c)
+				t.Fatalf("truncated at %d: %+v", n, c)
 			}
 			if c.Why == "" {
 				ends[n] = true
@@ -90,24 +90,24 @@
 			}
 		}
 		if len(ends) != whole.Frames+1 {
-			t.Fatalf("%d places where the file is whole, %d frames", len(ends), whole.Frames)
+			t.Fatalf("%d lengths at which the file is complete, %d frames", len(ends), whole.Frames)
 		}
 		bit := rapid.IntRange(0, 8*len(file)-1).Draw(t, "bit")
 		turned := append([]byte(nil), file...)
 		turned[bit/8] ^= 1 << (bit % 8)
 		c := ledger.Read(turned)
 		if c.Why == "" || c.Good > bit/8 {
-			t.Fatalf("bit %d turned, and %d of %d octets were read: %q", bit, c.Good, len(file), c.Why)
+			t.Fatalf("bit %d flipped, and %d of %d octets were read: %q", bit, c.Good, len(file), c.Why)
 		}
 		for _, k := range c.Calls {
 			if !seen[k] {
-				t.Fatalf("a call that never was: %+v", k)
+				t.Fatalf("a call that was never stored: %+v", k)
 			}
 		}
 	})
 }
 
-// A disk that fails, is slow or gone holds up nobody; once it is back the file is whole again and holds what is live.
+// Guards against a failing or slow disk that blocks the callers, and against a file that stays incomplete after the disk recovers.
 func TestBadDiskHoldsUpNobodyAndIsMadeGood(t *testing.T) {
 	for _, bad := range []string{"full", "slow"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -137,10 +137,10 @@
 			}
 			l.Drop(1)
 			if took := time.Since(from); took != time.Second {
-				t.Errorf("%s: putting took %v", bad, took)
+				t.Errorf("%s: storing calls took %v", bad, took)
 			}
 			if c := ledger.Read(disk.Get("l")); c.Why != "" || len(c.Calls) == 0 {
-				t.Errorf("%s: the file reads as %+v while the disk is bad", bad, c)
+				t.Errorf("%s: the file reads as %+v while the disk fails", bad, c)
 			}
 			disk.Fail(nil)
 			disk.Slow(nil)
@@ -151,13 +151,13 @@
 				t.Errorf("%s: %d calls, %q", bad, len(c.Calls), c.Why)
 			}
 			if bad == "full" && len(told) != 2 {
-				t.Errorf("staff were told %q", told)
+				t.Errorf("logged messages: %q", told)
 			}
 		})
 	}
 }
 
-// A long day does not make a long file, and a kill at any write of a compaction leaves a file that is whole.
+// Guards against a file that grows without bound, and against a file that is damaged at some point of a compaction.
 func TestFileStaysSmallThroughCompactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := memnet.NewDisk()
@@ -179,7 +179,7 @@
 				file := disk.Get("l")
 				most = max(most, len(file))
 				if c := ledger.Read(file); c.Why != "" || len(c.Calls) > 250 {
-					t.Fatalf("after %d calls: %d are held, %q", id, len(c.Calls), c.Why)
+					t.Fatalf("after %d calls: the file has %d, %q", id, len(c.Calls), c.Why)
 				}
 			}
 		}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,7 @@
-// Package membership judges the lists of switches that a register sends before the deciding module sees them: which are
-// stale, cut short or contradict themselves, and when a switch really started. It is pure. A list that cannot be trusted
-// is refused whole, with the reason, and the one before stays; what a good list says of a drain or an absence always
-// counts, at once.
+// Package membership validates the lists of switches from the register before the decision module sees them: it detects
+// stale, truncated and contradictory lists, and works out when each switch started. It is pure. An invalid list is rejected as
+// a whole, with the reason, and the previous one stays in force. What a valid list says about draining or missing switches
+// takes effect at once.
 package membership
 
 import (
@@ -10,60 +10,61 @@
 	"indigodrift/policy"
 )
 
-// Line is what the register says of one switch.
+// Line is the register's entry for one switch. It is encoded as JSON under its field names.
 type Line struct {
 	ID       uint32
 	Number   int           // the exchange it serves
-	Life     uint64        // counts its starts
-	UpFor    policy.Tenths // since its last start, as the register reckons when it writes
+	Life     uint64        `json:"Life"`  // incarnation: the number of its starts
+	UpFor    policy.Tenths `json:"UpFor"` // time since its last start, estimated by the register when it writes
 	Ready    bool
 	Draining bool
 }
 
-// List is one message of the register.
+// List is a full list of switches or a change to one. It is encoded as JSON under its field names.
 type List struct {
-	Epoch   uint64 // one life of the register
-	Version uint64 // rises within an epoch
-	Whole   bool   // else only what changed since the version before
-	Count   int    // lines that the register meant to send
-	Lines   []Line
+	Epoch   uint64 // incarnation of the register
+	Version uint64 // increases within an epoch
+	Whole   bool   `json:"Whole"` // otherwise only what changed since the previous version
+	Count   int    // number of lines that the register sent, to detect truncation
+	Lines   []Line `json:"Lines"`
 }
 
+// known is what a view holds of one switch.
 type known struct {
 	line   Line
-	bootAt policy.Tenths
+	bootAt policy.Tenths // when it started
 }
 
-// View is what one controller holds to be so.
+// View is the list of switches that a controller has in force.
 type View struct {
 	exchanges int
 	epoch     uint64
 	version   uint64
-	any       bool
+	any       bool // whether a list has been accepted
 	switches  map[uint32]known
 }
 
-// NewView makes a view of a network whose exchanges are numbered below a bound.
+// NewView creates an empty view of a network with a number of exchanges, numbered from 0.
 func NewView(exchanges int) *View { return &View{exchanges: exchanges, switches: map[uint32]known{}} }
 
-// Version is the version held.
+// Version returns the version in force.
 func (v *View) Version() uint64 { return v.version }
 
-// Verdict is what follows from a list.
+// Verdict is the result of validating a list.
 type Verdict uint8
 
 const (
 	Accepted Verdict = iota
-	Old              // stale or repeated: nothing follows
-	Refused          // not to be trusted: the whole list should be asked for
+	Old              // stale or repeated: ignored
+	Refused          // invalid: the full list should be requested
 )
 
-// Take judges a list. When it is accepted the result is what to tell the deciding module; doubts are remarks for staff
-// on single lines.
+// Take validates a list and, if it is accepted, puts it in force and returns the switches to report to the decision module.
+// The doubts describe what is wrong with the list or with single lines, for the log.
 func (v *View) Take(now policy.Tenths, l List) (verdict Verdict, told []policy.Switch, doubts []string) {
 	switch {
 	case len(l.Lines) != l.Count:
-		return Refused, nil, []string{fmt.Sprintf("list %d has %d lines and says %d", l.Version, len(l.Lines), l.Count)}
+		return Refused, nil, []string{fmt.Sprintf("list %d has %d lines, announced are %d", l.Version, len(l.Lines), l.Count)}
 	case v.any && l.Epoch == v.epoch && l.Version <= v.version:
 		return Old, nil, nil
 	case !l.Whole && (!v.any || l.Epoch != v.epoch || l.Version != v.version+1):
@@ -73,16 +74,16 @@
 	var order []uint32
 	for _, n := range l.Lines {
 		if n.Number < 0 || n.Number >= v.exchanges {
-			doubts = append(doubts, fmt.Sprintf("switch %d serves exchange %d, which there is not", n.ID, n.Number))
+			doubts = append(doubts, fmt.Sprintf("switch %d serves unknown exchange %d", n.ID, n.Number))
 			continue
 		}
 		if was, ok := v.switches[n.ID]; ok && l.Epoch == v.epoch && n.Life < was.line.Life {
-			doubts = append(doubts, fmt.Sprintf("switch %d is told in life %d after life %d", n.ID, n.Life, was.line.Life))
-			n.Life, n.Ready = was.line.Life, false // one of the two is wrong: nothing new goes there until it is settled
+			doubts = append(doubts, fmt.Sprintf("switch %d has incarnation %d after incarnation %d", n.ID, n.Life, was.line.Life))
+			n.Life, n.Ready = was.line.Life, false // one of the two is wrong: no new calls until a list settles it
 		}
 		if other, twice := merged[n.ID]; twice {
 			if other != n {
-				doubts = append(doubts, fmt.Sprintf("switch %d is told twice, and differently", n.ID))
+				doubts = append(doubts, fmt.Sprintf("switch %d is listed twice with different values", n.ID))
 			}
 			n.Ready = n.Ready && other.Ready
 			n.Draining = n.Draining || other.Draining
@@ -100,7 +101,7 @@
 	for _, id := range order {
 		n := merged[id]
 		k := known{line: n}
-		// The register's reckoning of one start wavers from list to list; a start is dated once.
+		// The register's estimates for one start vary between lists, so the first one is kept.
 		if was, ok := v.switches[id]; ok && was.line.Life == n.Life && l.Epoch == v.epoch {
 			k.bootAt = was.bootAt
 		} else if n.UpFor < now {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -33,7 +33,7 @@
 		v.Take(1000, whole(3, line(1, 1, 100), line(2, 1, 100)))
 		got, told, _ := v.Take(2000, c.l)
 		if got != c.want || (got != Accepted) != (told == nil) {
-			t.Errorf("%s: %d, told %v", c.name, got, told)
+			t.Errorf("%s: verdict %d, switches %v", c.name, got, told)
 		}
 	}
 }
@@ -45,10 +45,10 @@
 	_, told, doubts := v.Take(1000, whole(1, line(1, 1, 0), drains, line(2, 3, 0), line(7, 1, 0)))
 	want := []policy.Switch{{ID: 1, Number: 1, BootAt: 1000, Draining: true}, {ID: 2, Number: 2, BootAt: 1000, Ready: true}}
 	if !slices.Equal(told, want) || len(doubts) != 2 {
-		t.Fatalf("told %v, doubts %q", told, doubts)
+		t.Fatalf("switches %v, doubts %q", told, doubts)
 	}
 	if _, told, _ = v.Take(2000, whole(2, line(2, 2, 0))); told[0].Ready {
-		t.Fatalf("a switch told in an earlier life counts as ready: %v", told)
+		t.Fatalf("a switch listed in an earlier incarnation counts as ready: %v", told)
 	}
 }
 
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -1,5 +1,5 @@
-// Package reconnect decides when a signalling link is dialled again and when a silent one is held to be dead. It is
-// pure: told the time and the seed, it returns instants. internal/trunk carries them out.
+// Package reconnect decides when a signalling link is dialled again and when a silent link is dead. It is pure: it depends
+// only on the seed and on the times that are passed in. internal/trunk does the dialling.
 package reconnect
 
 import (
@@ -9,44 +9,43 @@
 )
 
 const (
-	first  = policy.Tenths(2000)  // the least wait after a failure
-	most   = policy.Tenths(60000) // the longest
-	steady = policy.Tenths(50000) // a link that held so long starts anew with the least wait
+	first  = policy.Tenths(2000)  // minimum delay after a failure
+	most   = policy.Tenths(60000) // maximum delay
+	steady = policy.Tenths(50000) // a link that was up for so long starts again with the minimum delay
 
-	// perLink spreads an exchange's dials: a whole network that starts, or loses a switch, at once reaches each switch
-	// with one dial in so long, as every exchange has about as many links as there are exchanges. With the least wait
-	// alone, a thousand exchanges came back within two tenths of a second.
+	// perLink spreads the dials of an exchange over its links. Every exchange has about as many links as there are
+	// exchanges, so when the whole network starts or loses a switch at once, each switch gets one dial per perLink. With
+	// the minimum delay alone, a thousand exchanges reconnected within 0.2 s.
 	perLink = policy.Tenths(30)
 
-	beatEvery  = policy.Tenths(10000) // a link is asked for a sign of life so often
-	silentMost = policy.Tenths(35000) // and is dead when nothing came for so long: three beats and some
+	beatEvery  = policy.Tenths(10000) // time between heartbeats
+	silentMost = policy.Tenths(35000) // a link is dead after such a silence: three heartbeats and a margin
 )
 
-// Pace is the history of one link's dials.
+// Pace computes the delays between the dials of one link: exponential backoff with jitter.
 type Pace struct {
 	chance  *rand.Rand
 	links   int
-	least   policy.Tenths // the span that the first failure is spread over
-	most    policy.Tenths
-	failed  int
-	dialled bool
-	upAt    policy.Tenths
+	least   policy.Tenths // minimum delay, and at least the random part after the first failure
+	most    policy.Tenths // maximum random part
+	failed  int           // failures in a row
+	dialled bool          // the first dial was made
+	upAt    policy.Tenths // when the link came up, 0 while it is down
 }
 
-// NewPace starts the pace of one of an exchange's links. The seed must differ between links and exchanges.
+// NewPace creates the backoff for one of the links of an exchange. The seed must differ between links and exchanges.
 func NewPace(seed uint64, links int) *Pace {
 	return &Pace{chance: rand.New(rand.NewPCG(seed, 0x11)), links: links, least: first, most: most}
 }
 
-// NewPaceBetween starts the pace of a link with bounds of its own: the span that the wait after the first failure is drawn
-// from, and the longest.
+// NewPaceBetween creates a backoff with its own minimum delay and maximum random part. The first dial counts as made.
 func NewPaceBetween(seed uint64, least, most policy.Tenths) *Pace {
 	return &Pace{chance: rand.New(rand.NewPCG(seed, 0x11)), links: 1, least: least, most: most, dialled: true}
 }
 
-// Wait is how long to wait before the next dial. The first dial is spread over all links; later ones wait for a random
-// part of a span that doubles with each failure, never less than the least wait, so that many exchanges which lost the
-// same switch at the same instant come back spread out.
+// Wait returns the delay before the next dial. The first dials are spread over all links. Later delays are the minimum delay
+// and a random part of a span that doubles with each failure, so that many exchanges that lost the same switch at once do not
+// reconnect at once.
 func (p *Pace) Wait() policy.Tenths {
 	if !p.dialled {
 		p.dialled = true
@@ -57,11 +56,11 @@
 	return p.least + policy.Tenths(p.chance.Int64N(int64(span)))
 }
 
-// Up tells that the link came up; Down that it broke. A link that broke soon after it came up counts as failed: a
-// switch that accepts and drops must not be dialled at full speed.
+// Up records that the link came up.
 func (p *Pace) Up(now policy.Tenths) { p.upAt = now }
 
-// Down tells that the link broke or could not be had.
+// Down records that the link went down or could not be established. The failure count is reset only if the link was up for
+// long, so that a switch that accepts connections and drops them is not dialled at full speed.
 func (p *Pace) Down(now policy.Tenths) {
 	if p.upAt != 0 && now-p.upAt >= steady {
 		p.failed = 0
@@ -69,14 +68,14 @@
 	p.upAt = 0
 }
 
-// Life follows the signs of life of one link that is up.
+// Life tracks the liveness of one link that is up.
 type Life struct{ heardAt, beatAt policy.Tenths }
 
-// Heard tells that anything at all came over the link.
+// Heard records that something was received on the link.
 func (l *Life) Heard(now policy.Tenths) { l.heardAt = now }
 
-// Check tells whether a heartbeat is due, whether the link is dead, and when to check again. stalled is the end of the
-// last stall of this very process: what came meanwhile has not been read, so silence counts from then.
+// Check reports whether a heartbeat is due, whether the link is dead, and when to check again. stalled is the end of the last
+// stall of this process: what arrived during the stall has not been read, so silence counts from its end.
 func (l *Life) Check(now, stalled policy.Tenths) (beat, dead bool, next policy.Tenths) {
 	if quiet := now - max(l.heardAt, stalled); quiet >= silentMost {
 		return false, true, now
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -6,8 +6,8 @@
 	"indigodrift/policy"
 )
 
-// A thousand exchanges lose one switch at the same instant, and it stays away for a minute. However unlucky the seed, no
-// tenth of a second sees more than a small part of them dial.
+// Guards against a thundering herd: a thousand exchanges lose one switch at the same time, and it is down for a minute. In no
+// tenth of a second may more than a tenth of them dial.
 func TestManyExchangesDoNotHammerOneSwitch(t *testing.T) {
 	const exchanges, tenth, length = 1000, 1000, 600000
 	for _, starting := range []bool{true, false} {
@@ -15,7 +15,7 @@
 		total := 0
 		for e := range uint64(exchanges) {
 			p := NewPace(e, exchanges)
-			if !starting { // they were up for long
+			if !starting { // the links were up for long
 				p.Wait()
 				p.Up(1)
 				p.Down(1 + steady)
@@ -32,7 +32,7 @@
 			}
 		}
 		if total < exchanges*5 {
-			t.Errorf("starting %v: %d dials in a minute: too shy to find the switch again", starting, total)
+			t.Errorf("starting %v: %d dials in a minute are too few", starting, total)
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	p.Down(now + steady)
 	p.failed = 0
 	if w := p.Wait(); w > 2*first {
-		t.Fatalf("a link that held for long waits %d", w)
+		t.Fatalf("delay of %d after a link was up for long", w)
 	}
 }
 
@@ -73,6 +73,6 @@
 		t.Fatalf("dead at %d after %d beats", diedAt, beats)
 	}
 	if _, dead, _ := l.Check(diedAt, diedAt-10); dead {
-		t.Fatal("dead though this process itself stood still until now")
+		t.Fatal("link is dead although this process was stalled until now")
 	}
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,6 +1,7 @@
-// Package recovery decides what becomes of calls and circuits when a controller starts anew: from what was kept of its life
-// before, what neighbours say of their circuits, and the time. It is pure: internal/exchange asks it and does as it says,
-// internal/ledger keeps what it is given. Instants are tenths of a millisecond since 1970, as no other clock outlives a process.
+// Package recovery decides what happens to calls and circuits when a controller restarts. It decides from the calls that the
+// previous process stored, the states that neighbours report for their circuits, and the time. It is pure: internal/exchange
+// carries out its decisions and internal/ledger stores the calls. Timestamps are tenths of a millisecond since 1970, because only
+// the wall clock survives a restart.
 package recovery
 
 import (
@@ -11,57 +12,57 @@
 	"indigodrift/policy"
 )
 
-// Phase of a call as it was kept.
+// Phase is the state of a stored call.
 type Phase uint8
 
 const (
-	Asked    Phase = iota // offered to the module, not answered yet
-	Standing              // answered, and not over
+	Asked    Phase = iota // offered to the decision module, not answered yet
+	Standing              // answered and not released
 )
 
-// Place is one side of a call: circuits of the group to a neighbour, or a line.
+// Place is one side of a call: circuits of the group to a neighbour, or a line. It is written as JSON under its field names.
 type Place struct {
 	Trunk  bool
-	Number int    // the neighbour's exchange (Trunk)
-	Point  uint16 // block of lines
+	Number int    // exchange number of the neighbour (trunk)
+	Point  uint16 // point code of the block of lines (line)
 	CIC    uint16
-	Slots  uint32
+	Slots  uint32 // circuits of a call over several of them, a bit each within the multiplex of CIC; 0: CIC alone
 }
 
-// Kept is one call as it was kept.
+// Kept is one call as the ledger stores it. It is written as JSON under its field names.
 type Kept struct {
 	ID      uint32
 	Phase   Phase
-	In, Out Place // Out: Standing alone
+	In, Out Place // Out only once it is established
 	Ref     isup.Reference
 	Transit bool
-	Since   int64 // when it came to this phase
-	Until   int64 // when its caller gives up (Asked)
+	Since   int64 // when it entered this phase
+	Until   int64 // when its caller abandons it, during set-up
 }
 
-// Life is what was kept of the program's last life beside its calls.
+// Life is what the ledger stores of the process that wrote it, besides its calls.
 type Life struct {
-	Site  uint64         // digest of who it was: a ledger of another exchange is not ours
-	Alive int64          // last sign of life
-	Own   string         // life of the own switch
-	Far   map[int]string // lives of the neighbours' switches
+	Site  uint64         // digest that identifies the exchange: calls of another one are discarded
+	Alive int64          // last heartbeat
+	Own   string         // incarnation of the own switch
+	Far   map[int]string // incarnations of the neighbours' switches
 }
 
-// Fate is what becomes of a kept call.
+// Fate is what happens to a stored call.
 type Fate uint8
 
 const (
-	StandsOn   Fate = iota // its circuits are asked about, meanwhile it goes on
-	AnswerFail             // its caller still waits: told that it failed, once
-	Forget                 // nothing is sent to its caller: he has given up, or cannot be told
-	Cut                    // it stood, and cannot any more: what is left of it is released
+	StandsOn   Fate = iota // the call continues while its circuits are queried
+	AnswerFail             // its caller still waits and is told once that it failed
+	Forget                 // nothing is sent to its caller, who has abandoned it or cannot be reached
+	Cut                    // it was established and cannot continue: what remains of it is released
 )
 
 func (f Fate) String() string {
-	return [...]string{"stands on", "answered failed", "forgotten", "cut"}[f]
+	return [...]string{"still established", "answered as failed", "forgotten", "cut"}[f]
 }
 
-// Verdict on one kept call, and why where it does not stand on.
+// Verdict is the decision on one stored call, with the reason if the call does not continue.
 type Verdict struct {
 	Kept
 	Fate Fate
@@ -69,20 +70,20 @@
 }
 
 const (
-	believed  = int64(6 * 3600 * 10000) // what is older than six hours of death is not believed: people have hung up
-	clockSlip = int64(5 * 10000)        // a clock may be set by so much over a restart without a word
-	wayBack   = int64(300)              // an answer takes so long to its caller
+	believed  = int64(6 * 3600 * 10000) // tenths; after a longer downtime callers have hung up
+	clockSlip = int64(5 * 10000)        // tenths; tolerated clock adjustment over a restart
+	wayBack   = int64(300)              // tenths; time an answer takes to reach its caller
 )
 
-// Sites tells what the settings of this life have.
+// Sites describes the exchange as it is configured now.
 type Sites struct {
 	Digest   uint64
-	Circuits map[int]int // neighbour's exchange: circuits of its group
-	Lines    func(point uint16) bool
+	Circuits map[int]int             // circuits of the group to each neighbour, by exchange number
+	Lines    func(point uint16) bool // whether a point code is a block of lines
 }
 
-// Judge decides what becomes of each kept call, in the order of their ids. Two that claim a circuit: the one that came later to
-// its phase counts, and the other is cut, as a circuit is given again only when its call is over.
+// Judge decides what happens to each stored call, in the order of their IDs. If two calls claim a circuit, the one that entered
+// its phase later holds it and the other is released, since a circuit is reused only when its call is over.
 func Judge(now int64, life Life, kept []Kept, s Sites) []Verdict {
 	all := make([]Verdict, 0, len(kept))
 	for _, k := range kept {
@@ -114,7 +115,7 @@
 	return all
 }
 
-// spread lists the single circuits, or the line, of a place.
+// spread lists the single circuits of a place, or its line.
 func spread(p Place) []Place {
 	if !p.Trunk || p.Slots == 0 {
 		return []Place{{Trunk: p.Trunk, Number: p.Number, Point: p.Point, CIC: p.CIC}}
@@ -128,30 +129,31 @@
 	return all
 }
 
+// one decides on a single call.
 func one(now int64, life Life, k Kept, s Sites) (Fate, string) {
 	dead := now - life.Alive
 	switch {
 	case life.Site != s.Digest:
-		return Forget, "it was kept for another exchange"
+		return Forget, "the ledger belongs to another exchange"
 	case dead > believed:
-		return Forget, "it was kept too long ago"
+		return Forget, "the ledger is too old"
 	case k.Phase == Asked && (k.Since > now+clockSlip || dead < -clockSlip):
-		return Forget, "the clock went back: whether its caller still waits is not known"
+		return Forget, "the clock was set back: whether the caller still waits is unknown"
 	case k.Phase == Asked && now >= k.Until-wayBack:
-		return Forget, "its caller has given up"
+		return Forget, "the caller has abandoned the call"
 	case k.Phase == Asked && !fits(k.In, s):
-		return Forget, "its caller's side is not in the settings any more"
+		return Forget, "the caller's side is no longer in the settings"
 	case k.Phase == Asked:
-		return AnswerFail, "its set-up ended with the program"
+		return AnswerFail, "the set-up ended with the previous process"
 	case k.Phase != Standing:
-		return Forget, "it is in no phase that there is"
+		return Forget, "the phase is unknown"
 	case !fits(k.In, s) || !fits(k.Out, s):
-		return Cut, "a circuit or line of it is not in the settings any more"
+		return Cut, "a circuit or line of the call is no longer in the settings"
 	}
 	return StandsOn, ""
 }
 
-// fits tells whether a place is one that the settings have.
+// fits reports whether a place exists in the settings.
 func fits(p Place, s Sites) bool {
 	if !p.Trunk {
 		return s.Lines(p.Point)
@@ -165,33 +167,34 @@
 	return true
 }
 
-// Ours is what this exchange holds a circuit to be.
+// Ours is the state of a circuit at this exchange.
 type Ours uint8
 
 const (
 	Free     Ours = iota
-	Incoming      // it carries a call of the neighbour's
-	Outgoing      // it carries a call that went there
-	Under         // a release or reset of ours is under way
+	Incoming      // carries a call from the neighbour
+	Outgoing      // carries a call to the neighbour
+	Under         // this exchange is releasing or resetting it
 )
 
-// Step is what to do about one circuit after the neighbour has told its state (CQR).
+// Step is what to do about one circuit after the neighbour has reported its state (CQR).
 type Step uint8
 
 const (
 	Agreed    Step = iota
-	DropOurs       // they released it while we were dead: our call is over, and nothing is sent on the circuit
-	ResetBoth      // they claim what we do not know, or another way round: both ends start anew (RSC)
-	AskLater       // a release or reset is under way there
+	DropOurs       // the neighbour released it during the downtime: the call here is over and nothing is sent
+	ResetBoth      // the neighbour has a call that is unknown here, or in the other direction: reset at both ends (RSC)
+	AskLater       // the neighbour is releasing or resetting it
 )
 
-// Compare sets our word against the neighbour's. A claim of ours never wins over their "idle": a call needs both ends. A claim of
-// theirs never wins over ours: neither end can know which call the other means, and a reset frees both. It cannot loop: a reset
-// leaves the circuit idle at both ends, which agrees; Transient is asked about again, and ends when their release does.
+// Compare decides from the state of a circuit here and at the neighbour. If the neighbour reports idle, the call here is over,
+// since a call needs both ends. If the two ends claim different calls, neither wins: no end can know which call the other means,
+// and a reset frees the circuit at both. This ends: after a reset both ends are idle and agree, and a transient state is queried
+// again until the neighbour's release is done.
 func Compare(ours Ours, theirs byte) Step {
 	switch {
 	case ours == Under:
-		return Agreed // what is under way settles it
+		return Agreed // the release or reset settles it
 	case theirs&isup.Processing == 0: // transient, or not equipped
 		if theirs&3 == isup.Unequipped {
 			if ours == Free {
@@ -211,14 +214,15 @@
 	return ResetBoth
 }
 
-// ColdUntil is the instant before which nothing is sent to a switch that is cold, by a controller that has just started: the life
-// before may have sent all that the budget of a window allows, and nobody can say.
+// ColdUntil returns the time before which a controller that has just started sends nothing to a cold switch. The previous process
+// may have used the whole slow-start budget of the window, and that is not stored.
 func ColdUntil(started policy.Tenths, d policy.Deployment) policy.Tenths {
 	return started + d.FallWindow
 }
 
-// AuditAt is when a controller that has just started asks a neighbour about its circuits: ninety that start together spread their
-// questions, each over the neighbours by their place in its own list, so that no processor gets all at once.
+// AuditAt returns when a controller that has just started queries a neighbour about its circuits. Each controller spreads its
+// queries by the neighbour's place in its list, so that no processor gets all queries at once when ninety controllers start
+// together.
 func AuditAt(started policy.Tenths, own, place, neighbours int) policy.Tenths {
 	const each = policy.Tenths(100)
 	if neighbours == 0 {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -33,21 +33,21 @@
 		k    Kept
 		want Fate
 	}{
-		{"stands", life, standing, StandsOn},
-		{"stands, in transit", life, change(standing, func(k *Kept) { k.In = trunk(2, 31) }), StandsOn},
+		{"established", life, standing, StandsOn},
+		{"established, in transit", life, change(standing, func(k *Kept) { k.In = trunk(2, 31) }), StandsOn},
 		{"of another exchange", Life{Site: 8, Alive: wall}, standing, Forget},
-		{"dead for seven hours", Life{Site: 7, Alive: wall - 7*3600*10000}, standing, Forget},
-		{"a clock that went back an hour, standing", Life{Site: 7, Alive: wall + 3600*10000}, standing, StandsOn},
-		{"a neighbour that is gone", life, change(standing, func(k *Kept) { k.Out.Number = 9 }), Cut},
-		{"a group that is smaller now", life, change(standing, func(k *Kept) { k.Out = trunk(2, 33) }), Cut},
-		{"a circuit code that none has", life, change(standing, func(k *Kept) { k.Out.CIC = 32 }), Cut},
-		{"slots past the group", life, change(standing, func(k *Kept) { k.Out = Place{Trunk: true, Number: 1, CIC: 33, Slots: 1 << 30}; k.Out.Number = 2 }), Cut},
-		{"being set up, its caller waits", life, asked, AnswerFail},
-		{"its caller has given up", life, change(asked, func(k *Kept) { k.Until = wall }), Forget},
-		{"its caller gives up before an answer comes", life, change(asked, func(k *Kept) { k.Until = wall + wayBack }), Forget},
-		{"the clock went back", Life{Site: 7, Alive: wall + 100*10000}, asked, Forget},
-		{"from the future", life, change(asked, func(k *Kept) { k.Since = wall + 100*10000 }), Forget},
-		{"in no phase", life, change(standing, func(k *Kept) { k.Phase = 9 }), Forget},
+		{"down for seven hours", Life{Site: 7, Alive: wall - 7*3600*10000}, standing, Forget},
+		{"clock set back an hour, established", Life{Site: 7, Alive: wall + 3600*10000}, standing, StandsOn},
+		{"neighbour removed from the settings", life, change(standing, func(k *Kept) { k.Out.Number = 9 }), Cut},
+		{"group made smaller", life, change(standing, func(k *Kept) { k.Out = trunk(2, 33) }), Cut},
+		{"circuit code that no circuit has", life, change(standing, func(k *Kept) { k.Out.CIC = 32 }), Cut},
+		{"slots outside the group", life, change(standing, func(k *Kept) { k.Out = Place{Trunk: true, Number: 1, CIC: 33, Slots: 1 << 30}; k.Out.Number = 2 }), Cut},
+		{"being set up, caller waits", life, asked, AnswerFail},
+		{"caller has abandoned the call", life, change(asked, func(k *Kept) { k.Until = wall }), Forget},
+		{"caller abandons before an answer can arrive", life, change(asked, func(k *Kept) { k.Until = wall + wayBack }), Forget},
+		{"clock set back", Life{Site: 7, Alive: wall + 100*10000}, asked, Forget},
+		{"starts in the future", life, change(asked, func(k *Kept) { k.Since = wall + 100*10000 }), Forget},
+		{"unknown phase", life, change(standing, func(k *Kept) { k.Phase = 9 }), Forget},
 	} {
 		if got := Judge(wall, c.life, []Kept{c.k}, sites()); got[0].Fate != c.want || got[0].Why == "" && c.want != StandsOn {
 			t.Errorf("%s: %v (%s), want %v", c.name, got[0].Fate, got[0].Why, c.want)
@@ -55,7 +55,7 @@
 	}
 }
 
-// No two calls that stand on share a circuit or a line, and of two that claimed one the later is not the one that was cut for it.
+// Guards against two restored calls on one circuit or line, and against releasing the later of two calls that claim one.
 func TestNoCircuitIsHeldTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Kept
@@ -80,17 +80,17 @@
 			}
 			for _, p := range append(spread(v.In), spread(v.Out)...) {
 				if other, twice := held[p]; twice && other != v.ID {
-					t.Fatalf("%+v is held by %d and %d", p, other, v.ID)
+					t.Fatalf("%+v is used by calls %d and %d", p, other, v.ID)
 				}
 				held[p] = v.ID
 			}
 		}
-		for _, v := range got { // each that was cut met one that came to its phase no earlier
+		for _, v := range got { // each released call conflicts with one that entered its phase no earlier
 			if v.Fate != Cut {
 				continue
 			}
 			if slices.ContainsFunc(spread(v.In), func(p Place) bool { return slices.Contains(spread(v.Out), p) }) {
-				continue // both its sides are one: it was never whole
+				continue // both its sides are the same circuit or line
 			}
 			rival := slices.ContainsFunc(got, func(o Verdict) bool {
 				return o.ID != v.ID && o.Since >= v.Since && slices.ContainsFunc(append(spread(o.In), spread(o.Out)...), func(p Place) bool {
@@ -98,13 +98,14 @@
 				})
 			})
 			if !rival {
-				t.Fatalf("call %d was cut for nobody: %+v", v.ID, got)
+				t.Fatalf("call %d was released without a conflict: %+v", v.ID, got)
 			}
 		}
 	})
 }
 
-// Two ends that compare and do as they are told agree after at most two rounds, whatever each held; none of it loops.
+// Guards against circuits that two ends never agree on: whatever state each end starts with, comparing and acting on the result
+// ends with both in agreement, and keeps a call only if both ends had it.
 func TestTwoEndsAgree(t *testing.T) {
 	tell := map[Ours]byte{Free: isup.CircuitIdle, Incoming: isup.IncomingBusy, Outgoing: isup.OutgoingBusy, Under: isup.Transient}
 	for a := Free; a <= Under; a++ {
@@ -118,15 +119,15 @@
 					case DropOurs:
 						ends[me] = Free
 						steps++
-					case ResetBoth: // RSC frees the far end as it comes, ours as it is answered
+					case ResetBoth: // RSC frees the circuit at the remote end on arrival, here once it is answered
 						ends = [2]Ours{Free, Free}
 						steps++
-					case AskLater: // their release ends
+					case AskLater: // the remote release ends
 						ends[1-me] = Free
 						steps++
 					}
 				}
-				if ends[0] == Under || ends[1] == Under { // a release or reset of ours ends at both
+				if ends[0] == Under || ends[1] == Under { // a release or reset started here ends at both
 					ends = [2]Ours{Free, Free}
 					steps++
 				}
@@ -139,7 +140,7 @@
 				t.Errorf("from %v and %v: %v, agreed %v", a, b, ends, agreed)
 			}
 			if kept := ends != [2]Ours{Free, Free}; kept != (a == Incoming && b == Outgoing || a == Outgoing && b == Incoming) {
-				t.Errorf("from %v and %v: a call stands on: %v", a, b, kept)
+				t.Errorf("from %v and %v: a call continues: %v", a, b, kept)
 			}
 		}
 	}
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -1,5 +1,5 @@
-// Package register speaks with the register of switches and the centre that advises: lines of JSON over TCP, as
-// docs/protocol.md has them. It reads and writes; whether a list is to be trusted is internal/membership's.
+// Package register is the client of the register of switches, which also sends routing advice. The protocol is lines of
+// JSON over TCP, described in docs/protocol.md. internal/membership decides whether a list is valid.
 package register
 
 import (
@@ -16,26 +16,26 @@
 	"indigodrift/internal/trunk"
 )
 
-// Word is one line of either direction; what is not said is absent.
+// Word is one message in either direction. Absent fields are left out.
 type Word struct {
-	Exchange *int             `json:"exchange,omitempty"` // controller: who calls
-	Ask      bool             `json:"ask,omitempty"`      // controller: the whole list, please
-	Ack      uint64           `json:"ack,omitempty"`      // controller: this version is in force here
+	Exchange *int             `json:"exchange,omitempty"` // controller: its exchange
+	Ask      bool             `json:"ask,omitempty"`      // controller: requests the full list
+	Ack      uint64           `json:"ack,omitempty"`      // controller: the version that it has in force
 	List     *membership.List `json:"list,omitempty"`     // register
-	Advice   map[int]int      `json:"advice,omitempty"`   // register: for each destination a tandem
+	Advice   map[int]int      `json:"advice,omitempty"`   // register: a tandem for each destination
 }
 
-// LineMost is the longest line taken, in octets: a list of some thousand switches.
+// LineMost is the maximum length of a message in octets, enough for a list of some thousand switches.
 const LineMost = 1 << 20
 
-// Sink takes what the register says.
+// Sink receives what the register sends.
 type Sink interface {
 	List(l membership.List)
 	Advice(a map[int]int)
 	Lost(err error)
 }
 
-// Client keeps a connection to the register.
+// Client maintains a connection to the register.
 type Client struct {
 	exchange int
 	address  string
@@ -46,17 +46,19 @@
 	words    chan Word
 }
 
-// NewClient makes a client for an exchange; Keep runs it.
+// NewClient creates a client for an exchange. Keep runs it.
 func NewClient(exchange int, address string, seed uint64, links int, dial trunk.Dialer, clock trunk.Clock, sink Sink) *Client {
 	return &Client{exchange: exchange, address: address, dial: dial, clock: clock, sink: sink,
 		pace: reconnect.NewPace(seed, links), words: make(chan Word, 16)}
 }
 
-// Ask wants the whole list anew; Ack says that a version is in force. A register that does not read loses such words:
-// the next list makes up for them.
-func (c *Client) Ask()               { c.say(Word{Ask: true}) }
+// Ask requests the full list. The request is dropped if the register does not read; its next list makes up for it.
+func (c *Client) Ask() { c.say(Word{Ask: true}) }
+
+// Ack reports that a version is in force. Like a request, it may be dropped.
 func (c *Client) Ack(version uint64) { c.say(Word{Ack: version}) }
 
+// say queues a message without blocking.
 func (c *Client) say(w Word) {
 	select {
 	case c.words <- w:
@@ -64,7 +66,7 @@
 	}
 }
 
-// Keep talks with the register until the context ends.
+// Keep connects to the register, again and again, until the context ends.
 func (c *Client) Keep(ctx context.Context) {
 	for {
 		select {
@@ -80,6 +82,7 @@
 	}
 }
 
+// once dials the register and serves one connection.
 func (c *Client) once(ctx context.Context) error {
 	conn, err := c.dial(ctx, c.address)
 	if err != nil {
@@ -116,7 +119,7 @@
 	for in.Scan() {
 		var w Word
 		if err := json.Unmarshal(in.Bytes(), &w); err != nil {
-			return fmt.Errorf("register %s: %w", c.address, err)
+			return fmt.Errorf("decode message of register %s: %w", c.address, err)
 		}
 		if w.List != nil {
 			c.sink.List(*w.List)
@@ -126,7 +129,7 @@
 		}
 	}
 	if err := in.Err(); err != nil {
-		return fmt.Errorf("register %s: %w", c.address, err)
+		return fmt.Errorf("read from register %s: %w", c.address, err)
 	}
-	return errors.New("the register closed the connection")
+	return errors.New("register closed the connection")
 }
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -1,6 +1,6 @@
-// Package trunk keeps signalling links to switches over TCP: it dials, greets, reads, writes and notices that a link is
-// dead. When to dial and when to give a link up is internal/reconnect's; what the messages mean is internal/exchange's.
-// A slow or faulty far end loses its own link and holds up nothing else.
+// Package trunk maintains signalling links to switches over TCP: it dials, does the M3UA handshake, reads and writes frames,
+// and detects dead links. internal/reconnect decides when to dial and when a silent link is dead; internal/exchange interprets
+// the messages. A slow or faulty remote switch loses its own link and delays nothing else.
 package trunk
 
 import (
@@ -19,36 +19,36 @@
 	"indigodrift/policy"
 )
 
-// Clock tells the time of the process that owns a link.
+// Clock is the time of this process.
 type Clock interface {
 	Now() policy.Tenths
 	Stalled() policy.Tenths // end of the last stall of this process
 }
 
-// Dialer opens a connection.
+// Dialer connects to an address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Sink takes what happens to a link, one call at a time for each link. Frame's octets are valid until it returns.
+// Sink receives the events of links, one call at a time for each link. The octets of a frame are valid until the method returns.
 type Sink interface {
 	Up(link int, g Greeting)
-	Frame(link int, f m3ua.Frame) error // an error costs the link
+	Frame(link int, f m3ua.Frame) error // an error closes the link
 	Down(link int, err error)
 }
 
-// Line is what a link needs to know.
+// Line holds the settings of a link.
 type Line struct {
-	Link    int    // how Sink calls it
+	Link    int    // index of the link, passed to Sink
 	Own     uint32 // point code of this exchange
-	Peer    uint32 // point code that must answer
+	Peer    uint32 // point code of the switch, which must answer with it
 	Address string
-	Most    int // octets that may wait to be written
+	Most    int // maximum octets queued for writing
 	Seed    uint64
-	Links   int // links of this exchange, to spread their dials
+	Links   int // number of links of this exchange, over which the dials are spread
 }
 
 const greetWithin = 3 * time.Second
 
-// Link is one link, dialled again for as long as its context lasts.
+// Link is a signalling link that is dialled again whenever it fails.
 type Link struct {
 	line  Line
 	dial  Dialer
@@ -58,22 +58,22 @@
 
 	mu      sync.Mutex
 	pending []byte
-	conn    net.Conn // nil while down
-	wake    chan struct{}
-	full    atomic.Int64 // times the queue was found full
+	conn    net.Conn      // nil while down
+	wake    chan struct{} // signals the writer
+	full    atomic.Int64  // how often the queue overflowed
 }
 
-// NewLink makes a link; Keep runs it.
+// NewLink creates a link. Keep runs it.
 func NewLink(line Line, dial Dialer, clock Clock, sink Sink) *Link {
 	return &Link{line: line, dial: dial, clock: clock, sink: sink, pace: reconnect.NewPace(line.Seed, line.Links),
 		wake: make(chan struct{}, 1)}
 }
 
-// Errors that a link ends with.
+// Errors that end a link.
 var (
-	ErrStranger = errors.New("another party answered")
-	ErrSilent   = errors.New("no sign of life")
-	ErrSlow     = errors.New("the far end reads too slowly")
+	ErrStranger = errors.New("unexpected peer")
+	ErrSilent   = errors.New("keepalive timeout")
+	ErrSlow     = errors.New("remote switch reads too slowly")
 )
 
 // Keep dials and serves the link until the context ends.
@@ -92,10 +92,10 @@
 	}
 }
 
-// Span is a span as the library counts it.
+// Span converts tenths of a millisecond to a time.Duration.
 func Span(t policy.Tenths) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
-// once dials and serves one connection; up tells whether the sink was told of it.
+// once dials and serves one connection; up tells whether the link came up.
 func (l *Link) once(ctx context.Context) (up bool, err error) {
 	greeting, cancel := context.WithTimeout(ctx, greetWithin)
 	defer cancel()
@@ -122,7 +122,7 @@
 	})
 	g, scratch, err := l.greet(conn)
 	if err != nil {
-		return false, fmt.Errorf("greet %s: %w", l.line.Address, err)
+		return false, fmt.Errorf("handshake with %s: %w", l.line.Address, err)
 	}
 	var pulse pulse
 	pulse.heard(l.clock.Now())
@@ -136,7 +136,7 @@
 	all.Go(func() { failed <- l.watch(&pulse, conn, stop) })
 	err = l.read(conn, scratch, &pulse)
 	select {
-	case e := <-failed: // the writer or the watch closed the connection: its reason counts
+	case e := <-failed: // the writer or the keepalive check closed the connection, and knows why
 		if e != nil {
 			err = e
 		}
@@ -145,21 +145,22 @@
 	return true, err
 }
 
-// Greeting is what the far end said as the link came up, and when.
+// Greeting is the remote switch's part of the handshake.
 type Greeting struct {
-	Life        string // which of its starts this is
-	Clock       uint32 // its stamps count with this clock, in tenths of a millisecond
+	Life        string // incarnation of the switch, which changes with every start
+	Clock       uint32 // reading of the clock that stamps its messages, in tenths of a millisecond
 	HasClock    bool
-	Asked, Read policy.Tenths
+	Asked, Read policy.Tenths // when the handshake was sent and its answer read
 }
 
+// greet announces this exchange to the switch and reads the answer.
 func (l *Link) greet(conn net.Conn) (g Greeting, scratch []byte, err error) {
 	hello, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Up, ASP: l.line.Own})
 	if err != nil {
 		return g, nil, err
 	}
 	if err := conn.SetDeadline(time.Now().Add(greetWithin)); err != nil {
-		return g, nil, fmt.Errorf("deadline: %w", err)
+		return g, nil, fmt.Errorf("set deadline: %w", err)
 	}
 	g.Asked = l.clock.Now()
 	if _, err := conn.Write(hello); err != nil {
@@ -170,7 +171,7 @@
 		return g, nil, err
 	}
 	if f.Kind != m3ua.UpAck || f.ASP != l.line.Peer {
-		return g, nil, fmt.Errorf("%w: kind %04x, point code %d in place of %d", ErrStranger, uint16(f.Kind), f.ASP, l.line.Peer)
+		return g, nil, fmt.Errorf("%w: frame kind %04x, point code %d, want %d", ErrStranger, uint16(f.Kind), f.ASP, l.line.Peer)
 	}
 	g.Read = l.clock.Now()
 	for _, part := range strings.Fields(f.Info) {
@@ -189,6 +190,7 @@
 	return g, scratch, conn.SetDeadline(time.Time{})
 }
 
+// read passes received frames to the sink and answers heartbeats.
 func (l *Link) read(conn net.Conn, scratch []byte, p *pulse) error {
 	for {
 		var f m3ua.Frame
@@ -208,8 +210,8 @@
 	}
 }
 
-// Send puts a frame in the link's queue and never waits. False: the link is down, or its queue is full and so the link
-// is given up, as what it would still carry is late beyond use.
+// Send queues a frame without blocking. It returns false if the link is down or its queue is full. A full queue closes the
+// link: what it would still carry is too late to be useful.
 func (l *Link) Send(f m3ua.Frame) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -234,6 +236,7 @@
 	return true
 }
 
+// write writes queued frames to the connection.
 func (l *Link) write(conn net.Conn, stop chan struct{}) error {
 	var buf []byte
 	for {
@@ -256,7 +259,7 @@
 	}
 }
 
-// pulse is a link's signs of life; the reader and the watch share it.
+// pulse is the liveness of a link, shared by its reader and its keepalive check.
 type pulse struct {
 	mu   sync.Mutex
 	life reconnect.Life
@@ -268,7 +271,7 @@
 	p.mu.Unlock()
 }
 
-// watch sends heartbeats and closes a link that gives no sign of life.
+// watch sends heartbeats and closes a link on which nothing is received.
 func (l *Link) watch(p *pulse, conn net.Conn, stop chan struct{}) error {
 	for {
 		now := l.clock.Now()
