--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -18,15 +18,15 @@
 	"indigodrift/internal/sip/siptest"
 )
 
-// What follows runs on real connections. Each test makes two events cross in the bad order every time, by gates in its own listener,
-// connections, dialer or log.
+// These tests run on TCP connections. Each forces two events into the unfavourable order with gates in its listener, connections,
+// dialer or log.
 
-// gatedLog holds up whoever writes a line, when it is shut: the owner, which writes its lines itself. Lines may be let through one
-// by one.
+// gatedLog is a log output that blocks its writers while shut. The event loop logs synchronously, so this stops it. Lines can be
+// let through one at a time.
 type gatedLog struct {
 	memnet.Gate
-	lines chan struct{} // one token for each line that waits
-	let   chan struct{} // and one for each that may go
+	lines chan struct{} // receives a token when a line is blocked
+	let   chan struct{} // a token lets one blocked line through
 }
 
 func (g *gatedLog) Write(p []byte) (int, error) {
@@ -43,21 +43,21 @@
 	return len(p), nil
 }
 
-// waits until a line waits at the shut gate.
+// waits waits until a line is blocked.
 func (g *gatedLog) waits(t *testing.T) {
 	t.Helper()
 	select {
 	case <-g.lines:
 	case <-time.After(3 * time.Second):
-		t.Fatal("the owner writes no line")
+		t.Fatal("the event loop logged nothing")
 	}
 }
 
-// gatedListener holds up accepted connections until it is told to close or has a deadline; its connections are gatedConns.
+// gatedListener delays Accept while its gate is shut. Close and SetDeadline open the gate. Its connections are gatedConns.
 type gatedListener struct {
 	net.Listener
 	gate   memnet.Gate
-	closed chan struct{} // closed with the listener
+	closed chan struct{} // closed by Close
 	once   sync.Once
 	conns  chan *gatedConn
 }
@@ -89,10 +89,10 @@
 	return err
 }
 
-// gatedConn is the controller's end of a connection. It keeps what was read from it.
+// gatedConn is the controller's end of a connection. It records the input.
 type gatedConn struct {
 	*net.TCPConn
-	in, out memnet.Gate // shut: what is read, or written, waits
+	in, out memnet.Gate // delay reads and writes while shut
 	mu      sync.Mutex
 	text    []byte
 	ended   bool
@@ -111,7 +111,7 @@
 func (c *gatedConn) CloseWrite() error           { defer c.in.Open(); return c.TCPConn.CloseWrite() }
 func (c *gatedConn) Close() error                { defer c.in.Open(); return c.TCPConn.Close() }
 
-// until waits until what was read is as told.
+// until waits until a condition on the recorded input holds.
 func (c *gatedConn) until(t *testing.T, ok func() bool) {
 	t.Helper()
 	for late := time.Now().Add(3 * time.Second); time.Now().Before(late); time.Sleep(time.Millisecond) {
@@ -122,22 +122,22 @@
 			return
 		}
 	}
-	t.Fatalf("only this was read: %q", c.text)
+	t.Fatalf("timeout; input so far: %q", c.text)
 }
 
-// hasRead waits until some octets were read, among whatever else: reads may end anywhere.
+// hasRead waits until the input contains some octets, however the reads divide it.
 func (c *gatedConn) hasRead(t *testing.T, text []byte) {
 	t.Helper()
 	c.until(t, func() bool { return bytes.Contains(c.text, text) })
 }
 
-// hasEnded waits until its end was read.
+// hasEnded waits until the end of the stream or an error was read.
 func (c *gatedConn) hasEnded(t *testing.T) {
 	t.Helper()
 	c.until(t, func() bool { return c.ended })
 }
 
-// crossing is a controller with one switch, whose owner can be held up.
+// crossing is a test harness: a controller with one switch, whose event loop can be stopped.
 type crossing struct {
 	t     *testing.T
 	here  *gatedListener
@@ -191,7 +191,7 @@
 	x.board.Close()
 }
 
-// caller connects, and gives the controller's end as well.
+// caller connects to the controller and returns both ends of the connection.
 func (x *crossing) caller() (net.Conn, *gatedConn) {
 	c, err := net.Dial("tcp", x.here.Addr().String())
 	if err != nil {
@@ -200,7 +200,7 @@
 	return c, <-x.here.conns
 }
 
-// noise sends what cannot be read: the owner writes two lines when it comes to it.
+// noise sends a malformed message on a new connection: the event loop logs two lines when it handles that.
 func (x *crossing) noise() {
 	c, near := x.caller()
 	text := []byte("noise\r\n")
@@ -209,14 +209,14 @@
 	x.t.Cleanup(func() { c.Close() })
 }
 
-// holdOwner has the owner stand still.
+// holdOwner stops the event loop.
 func (x *crossing) holdOwner() {
 	x.log.Shut()
 	x.noise()
 	x.log.waits(x.t)
 }
 
-// nothingMore checks that a switch hears of no set-up.
+// nothingMore checks that a switch receives no set-up.
 func nothingMore(t *testing.T, sw *siptest.Peer) {
 	t.Helper()
 	for {
@@ -225,7 +225,7 @@
 			return
 		}
 		if m.Method == sip.Invite {
-			t.Fatalf("a try began for a caller who has gone: %+v", m)
+			t.Fatalf("a try began for a caller that has left: %+v", m)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 	return sip.Message{Method: sip.Cancel, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1}
 }
 
-// Ways in which a caller can have gone: what it writes after its set-up, and how it ends its connection.
+// waysToGo are the ways in which a caller can leave: what it writes after its set-up and how it ends its connection.
 var waysToGo = []struct {
 	name  string
 	after []byte
@@ -252,8 +252,8 @@
 	{"half close", nil, (*net.TCPConn).CloseWrite},
 	{"reset", nil, func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) }},
 	{"CANCEL", octets(cancel(id1)), nil},
-	{"CANCEL behind a run of messages", octets(append(make100(), cancel(id1))...), nil},
-	{"close behind half a message", []byte("INVITE sip:x@net SIP/2.0\r\nContent-Le"), (*net.TCPConn).Close},
+	{"CANCEL after 100 messages", octets(append(make100(), cancel(id1))...), nil},
+	{"close within a message", []byte("INVITE sip:x@net SIP/2.0\r\nContent-Le"), (*net.TCPConn).Close},
 }
 
 func make100() []sip.Message {
@@ -264,7 +264,8 @@
 	return all
 }
 
-// leaves has a caller go: what it still writes comes in pieces. It returns when the reader has seen all of it.
+// leaves makes a caller leave: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
+// all of that.
 func (x *crossing) leaves(c net.Conn, near *gatedConn, after []byte, end func(*net.TCPConn) error) {
 	x.t.Helper()
 	for len(after) > 0 {
@@ -285,8 +286,9 @@
 	time.Sleep(20 * time.Millisecond)
 }
 
-// leavesWhileHeld has a caller go while the owner stands still, with noise between what the owner would begin a try for and what tells
-// it that the caller has gone; then the owner goes on to the noise, where it stands still again, and writers have all the time they want.
+// leavesWhileHeld makes a caller leave while the event loop is stopped. A malformed message is queued between the event that would
+// begin a try and the one that reports the departure, and the event loop is stopped there again, so that writers have enough
+// time to send a set-up by mistake.
 func (x *crossing) leavesWhileHeld(leave func(), sw *siptest.Peer) {
 	x.t.Helper()
 	time.Sleep(20 * time.Millisecond)
@@ -302,7 +304,7 @@
 	nothingMore(x.t, sw)
 }
 
-// forEachWayToGo plays a caller who goes, in each way; leave has it go.
+// forEachWayToGo runs a subtest for each way to leave; leave makes the caller leave.
 func forEachWayToGo(t *testing.T, play func(x *crossing, c net.Conn, near *gatedConn, leave func())) {
 	for _, way := range waysToGo {
 		t.Run(way.name, func(t *testing.T) {
@@ -325,13 +327,13 @@
 	})
 }
 
-// What lies in the inbox is handled before any timer acts.
+// Guards against a retry by timer while the caller's departure waits in the inbox: queued events are handled before timers.
 func TestNoFurtherTryBeginsForACallerWhoHasGone(t *testing.T) {
 	forEachWayToGo(t, func(x *crossing, c net.Conn, near *gatedConn, leave func()) {
 		c.Write(octets(setUp(id1, 3000)))
 		m := x.sw.Want(sip.Invite)
 		x.holdOwner()
-		cut := m.Answer(sip.ServerTimeout) // it may go again once the release time has passed
+		cut := m.Answer(sip.ServerTimeout) // permits a retry after the release time
 		x.sw.Say(cut)
 		x.link.hasRead(x.t, octets(cut))
 		time.Sleep(20 * time.Millisecond)
@@ -346,11 +348,11 @@
 		x.dials.Shut()
 		x.sw.Close()
 		x.link.hasEnded(x.t)
-		c.Write(octets(setUp(id1, 3000))) // waits for the connection that is being dialled
+		c.Write(octets(setUp(id1, 3000))) // the try waits for the connection being dialled
 		near.hasRead(x.t, octets(setUp(id1, 3000)))
 		next := x.accept()
 		x.holdOwner()
-		x.dials.Open() // the connection is up, and the owner is yet to be told
+		x.dials.Open() // the connection is up, but the event loop has not handled that yet
 		x.leavesWhileHeld(leave, next)
 	})
 }
@@ -362,7 +364,7 @@
 	defer c.Close()
 	x.link.out.Shut()
 	first := setUp(id2, 3000)
-	c.Write(octets(first)) // the writer has it, and waits
+	c.Write(octets(first)) // blocks the writer
 	time.Sleep(20 * time.Millisecond)
 	c.Write(octets(setUp(id1, 3000)))
 	time.Sleep(20 * time.Millisecond)
@@ -370,16 +372,16 @@
 	time.Sleep(20 * time.Millisecond)
 	x.link.out.Open()
 	if m := x.sw.Want(sip.Invite); m.CallID != id2 {
-		t.Fatalf("the switch heard %+v", m)
+		t.Fatalf("the switch received %+v", m)
 	}
 	nothingMore(t, x.sw)
 }
 
-// The kernel has accepted a connection, and a set-up on it counts as taken, when the listener is about to close.
+// Guards against a lost set-up at shutdown: the kernel has queued a connection with a set-up when the listener is about to close.
 func TestSetUpOnAConnectionNotYetAcceptedIsAnsweredAtTheEnd(t *testing.T) {
 	x := newCrossing(t, "300.0")
 	x.here.gate.Shut()
-	first, near := x.caller() // one accept was under way
+	first, near := x.caller() // for the Accept call that is already blocked
 	defer first.Close()
 	_ = near
 	c, err := net.Dial("tcp", x.here.Addr().String())
@@ -392,12 +394,12 @@
 	p := siptest.New(t, c)
 	x.sw.Want(sip.Invite)
 	if m, ok := p.Next(3 * time.Second); !ok || m.CallID != id1 {
-		t.Fatalf("the caller heard %v %+v", ok, m)
+		t.Fatalf("the caller received %v %+v", ok, m)
 	}
 	x.end()
 }
 
-// The listener has closed, nothing is open, and a set-up comes on a connection that is still there.
+// A set-up arrives on an established connection after the listener has closed, while no call is open.
 func TestSetUpThatCrossesTheEndOfTheListenerIsAnswered(t *testing.T) {
 	x := newCrossing(t, "300.0")
 	c, _ := x.caller()
@@ -411,28 +413,29 @@
 	x.end()
 }
 
-// At the end an answer goes out while octets of the caller lie unread: closing then would reset the connection.
+// At shutdown an answer is written while input from the caller is unread. Closing the socket at once would reset the connection
+// and destroy the answer.
 func TestAnswerAtTheEndIsReadThoughOctetsOfTheCallerLieUnread(t *testing.T) {
 	x := newCrossing(t, "300.0")
 	c, near := x.caller()
 	defer c.Close()
 	c.Write(octets(setUp(id1, 3000)))
-	x.sw.Want(sip.Invite) // never answered: the process ends first
+	x.sw.Want(sip.Invite) // not answered before the shutdown
 	near.in.Shut()
-	c.Write(octets(cancel("00000000000000ff"))) // ends the read that is under way; the next waits at the gate
+	c.Write(octets(cancel("00000000000000ff"))) // completes the blocked read; the next one blocks at the gate
 	near.hasRead(t, octets(cancel("00000000000000ff")))
 	c.Write(bytes.Repeat([]byte("x"), 5000))
 	x.term()
 	x.ended()
 	text, err := io.ReadAll(c)
 	if err != nil || !strings.Contains(string(text), "CSeq: 1 INVITE") {
-		t.Errorf("the caller read %q, %v", text, err)
+		t.Errorf("the caller received %q, %v", text, err)
 	}
 	x.far.Close()
 	x.board.Close()
 }
 
-// Connections of callers are ever new; each leaves nothing behind.
+// Guards against leaked goroutines: callers keep opening new connections.
 func TestCallersWhoComeAndGoLeaveNothingBehind(t *testing.T) {
 	x := newCrossing(t, "300.0")
 	defer x.end()
@@ -449,12 +452,12 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if now := runtime.NumGoroutine(); now > before+10 {
-		t.Errorf("%d goroutines, %d before 200 callers came and went", now, before)
+		t.Errorf("%d goroutines, %d before 200 callers connected and left", now, before)
 	}
 }
 
-// The board is away, idle callers take every descriptor they can get and keep them: the platform's test, a caller with a call, the
-// switch and the board get theirs all the same, and the limit holds.
+// The notice board is unreachable and idle callers hold all the connections they can get. The platform's test message, a caller
+// with a call, the switch and the board must still be served, within the limit of descriptors.
 func TestIdleCallersLeaveDescriptorsForAllOthersWhileTheBoardIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 64
@@ -464,7 +467,7 @@
 		for range 3 * limit {
 			c := b.caller()
 			c.Say(sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
-			c.Want("200") // ready, though neither the board nor the switch is there
+			c.Want("200") // in service without the board and the switch
 			idle = append(idle, c)
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -486,7 +489,7 @@
 		for _, p := range idle {
 			p.Close()
 		}
-		if most := b.most; most+1 > limit-3 { // the listener; the standard streams
+		if most := b.most; most+1 > limit-3 { // one for the listener, three for the standard streams
 			t.Errorf("%d connections at once with %d descriptors", most, limit)
 		}
 	})
--- a/internal/platform/crowd_test.go
+++ b/internal/platform/crowd_test.go
@@ -15,7 +15,7 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-// pieces writes a text split at any octet, so that a write holds parts of a message or several.
+// pieces writes a text in chunks of random size, which hold parts of messages or several of them.
 func pieces(p *siptest.Peer, rng *rand.Rand, text string) {
 	for len(text) > 0 {
 		n := min(len(text), 1+rng.IntN(700))
@@ -24,8 +24,8 @@
 	}
 }
 
-// Three hundred calls on one connection to a caller and one to a switch, messages split at any octet and several in one
-// write, answers in another order than the set-ups: each call gets its own description and its own one answer and release.
+// 300 calls share one caller connection and one switch connection, messages are split at random, and answers arrive in another
+// order than the set-ups. Each call must get its own session description, one answer and one release.
 func TestHundredsOfCallsOnOneConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 300
@@ -44,7 +44,7 @@
 		for range calls {
 			m := sw.Want(sip.Invite)
 			if string(m.Body) != "offer "+m.CallID || slices.ContainsFunc(heard, func(o sip.Message) bool { return o.CallID == m.CallID }) {
-				t.Fatalf("the switch heard %+v", m)
+				t.Fatalf("the switch received %+v", m)
 			}
 			heard = append(heard, m)
 		}
@@ -59,7 +59,7 @@
 		stood, released := map[string]bool{}, map[string]bool{}
 		for range calls {
 			if m := c.Want("200"); string(m.Body) != "answer "+m.CallID || stood[m.CallID] {
-				t.Fatalf("the caller heard %+v", m)
+				t.Fatalf("the caller received %+v", m)
 			} else {
 				stood[m.CallID] = true
 			}
@@ -79,14 +79,14 @@
 			released[m.CallID] = true
 		}
 		if m, ok := c.Next(100 * time.Millisecond); ok {
-			t.Errorf("the caller heard more: %+v", m)
+			t.Errorf("the caller received more: %+v", m)
 		}
 		b.end()
 	})
 }
 
-// Forty connections flood the controller with what cannot be used, each sending again as soon as it is turned away. All of it
-// is refused, nothing of it reaches the switch, and the calls of the caller beside them are served as always.
+// 40 connections flood the controller with invalid messages, each sending the next as soon as one is rejected. All must be
+// rejected, none may reach the switch, and the calls of another caller must be served without delay.
 func TestFloodsAreRefusedAndTouchNoOtherCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, sw, c := serving(t)
@@ -127,7 +127,7 @@
 			c.Say(setUp(id(n), 1000))
 			m := sw.Want(sip.Invite)
 			if m.CallID != id(n) {
-				t.Fatalf("the switch heard %+v", m)
+				t.Fatalf("the switch received %+v", m)
 			}
 			sw.Stand(m, "answer")
 			sw.Want(sip.Ack)
@@ -138,15 +138,15 @@
 		}
 		for range flooders {
 			if refused := <-done; refused != each {
-				t.Errorf("%d of %d refused", refused, each)
+				t.Errorf("%d of %d rejected", refused, each)
 			}
 		}
 		if m, ok := sw.Next(100 * time.Millisecond); ok {
-			t.Errorf("the switch heard %+v", m)
+			t.Errorf("the switch received %+v", m)
 		}
 		b.end()
 		if lines := strings.Count(b.log.String(), "message is refused"); lines == 0 || lines > notesMost {
-			t.Errorf("%d lines for one flood", lines)
+			t.Errorf("%d log lines for one flood", lines)
 		}
 	})
 }
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -29,7 +29,7 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// onLoopback makes a controller with one switch and a notice board; deadline is the longest wait of its callers, in milliseconds.
+// onLoopback returns a controller with one switch and a notice board; deadline is the callers' abandon time in milliseconds.
 func onLoopback(t *testing.T, far, board, deadline string, dial Dialer, log io.Writer) *Station {
 	text := strings.NewReplacer("10.0.0.2:1", far, `"board":"board"`, fmt.Sprintf("%q:%q", "board", board), "3000.0", deadline).Replace(fmt.Sprintf(configuration, 256))
 	m, err := ParseMachine([]byte(text))
@@ -39,7 +39,7 @@
 	return New(m, module, dial, slog.New(slog.NewTextHandler(log, nil)))
 }
 
-// runOnLoopback runs a controller whose callers come to here, with one switch and a notice board; the function ends it.
+// runOnLoopback runs a controller that listens at here, with one switch and a notice board. The returned function shuts it down.
 func runOnLoopback(t *testing.T, here net.Listener, far, board string) func() {
 	term, ended := run(t, onLoopback(t, far, board, "3000.0", dialLoopback, io.Discard), here)
 	return func() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// run runs a controller. The first function has it drain, the second waits for its end.
+// run runs a controller. term makes it drain, ended waits for its end.
 func run(t *testing.T, s *Station, here net.Listener) (term, ended func()) {
 	ctx, term := context.WithCancel(t.Context())
 	end := make(chan error, 1)
@@ -61,8 +61,8 @@
 	}
 }
 
-// watched tells when the controller closes a connection that it accepted, by the address of the far end. What that far end
-// sees of the close is no measure where it reads nothing: its system drops what comes, the reset with it, for seconds.
+// watched reports the remote address of each accepted connection that the controller closes. A client that reads nothing cannot
+// observe the close itself: its kernel drops incoming segments, the reset among them, for seconds.
 type watched struct {
 	net.Listener
 	closed chan string
@@ -87,7 +87,8 @@
 	return c.Conn.Close()
 }
 
-// On real sockets: a caller that asks and asks and reads nothing loses its connection, and one beside it is answered as always.
+// Guards against a slow reader that blocks the controller: a caller that sends requests and reads no responses loses its
+// connection, while another caller is served without delay.
 func TestSlowReaderBesideAHealthyCallerOnLoopback(t *testing.T) {
 	far, board := listenOnLoopback(t), listenOnLoopback(t)
 	here := &watched{Listener: listenOnLoopback(t), closed: make(chan string, 2)}
@@ -105,7 +106,7 @@
 	asked := make(chan struct{})
 	go func() {
 		defer close(asked)
-		const most = 64 << 20 // octets; far more than the system buffers
+		const most = 64 << 20 // octets, far more than the kernel buffers
 		many := bytes.Repeat(sip.Append(nil, &ping), 100)
 		for sent := 0; sent < most; sent += len(many) {
 			if _, err := slow.Write(many); err != nil {
@@ -140,8 +141,8 @@
 	conn.Close()
 }
 
-// On real sockets: a switch that resets its connection under a set-up and then listens no more. The call that stood there is
-// released, the one that was being set up gets its one answer, and nothing hangs.
+// A switch resets its connection during a set-up and stops listening. Its established call must be released, the call being set
+// up must get one final answer, and the shutdown must not hang.
 func TestSwitchThatDiesOnLoopback(t *testing.T) {
 	here, far, board := listenOnLoopback(t), listenOnLoopback(t), listenOnLoopback(t)
 	defer board.Close()
@@ -173,7 +174,7 @@
 	for len(seen) < 2 {
 		got, ok := caller.Next(3 * time.Second)
 		if !ok {
-			t.Fatalf("the caller heard %v and no more", seen)
+			t.Fatalf("the caller received only %v", seen)
 		}
 		if got.Method == sip.Bye && got.CallID == id1 {
 			seen["release of the first"]++
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -12,24 +12,24 @@
 	"indigodrift/internal/deployment"
 )
 
-// Limits are what the platform gives one call controller.
+// Limits are the resources that the platform grants one call controller.
 type Limits struct {
 	Cores    float64
 	MemoryMB int
 	Sockets  int // file descriptors
 }
 
-// Machine is what the platform tells a call controller.
+// Machine is the configuration of one call controller, as the platform provides it.
 type Machine struct {
 	Name, Listen, Board string
 	Limits              Limits
-	Known               []board.Event
+	Known               []board.Event // the list of switches at the start
 	Settled             deployment.Settled
-	planted             string
+	planted             string // fault to inject, "" for none
 }
 
-// ErrMachine tells that the configuration cannot be used.
-var ErrMachine = errors.New("configuration of the platform")
+// ErrMachine reports a configuration that cannot be used.
+var ErrMachine = errors.New("platform configuration")
 
 const (
 	socketsLeast = 64
@@ -50,7 +50,7 @@
 	return m, nil
 }
 
-// ParseMachine reads the text of the platform's configuration.
+// ParseMachine parses the text of the platform's configuration.
 func ParseMachine(text []byte) (Machine, error) {
 	var f struct {
 		Name, Listen, Seed, Board string
@@ -67,7 +67,7 @@
 	m := Machine{Name: f.Name, Listen: f.Listen, Board: f.Board}
 	switch {
 	case f.Listen == "" || f.Board == "":
-		return m, fmt.Errorf("%w: listen %q, board %q", ErrMachine, f.Listen, f.Board)
+		return m, fmt.Errorf("%w: neither listen nor board may be empty: %q, %q", ErrMachine, f.Listen, f.Board)
 	case !(f.Limits.Sockets >= socketsLeast && f.Limits.Sockets <= limitMost):
 		return m, fmt.Errorf("%w: limits.sockets: %g is not between %d and %d", ErrMachine, f.Limits.Sockets, socketsLeast, limitMost)
 	case !(f.Limits.MemoryMB >= memoryLeast && f.Limits.MemoryMB <= limitMost):
@@ -78,7 +78,7 @@
 	if m.Settled, err = deployment.Read(f.Settings); err != nil {
 		return m, fmt.Errorf("%w: %w", ErrMachine, err)
 	}
-	if i := slices.Index(m.Settled.Bearers, ""); i >= 0 { // set-ups name their class
+	if i := slices.Index(m.Settled.Bearers, ""); i >= 0 { // set-ups name their bearer type
 		return m, fmt.Errorf("%w: settings: grades[%d].name is empty", ErrMachine, i)
 	}
 	if m.Settled.Module.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
--- a/internal/platform/plant.go
+++ b/internal/platform/plant.go
@@ -7,23 +7,23 @@
 	"indigodrift/internal/sip"
 )
 
-// Faults that a station can be made to have, so that a test of a judge can see it find them.
+// Faults that a controller can be made to have, to test that the checks of internal/soak detect them.
 const (
-	PlantRelease = "release" // no release of some calls is written to callers
-	PlantAnswer  = "answer"  // some final answers are written twice
-	PlantEarly   = "early"   // calls are sent again before the release time has passed
+	PlantRelease = "release" // no release is written to the callers of some calls
+	PlantAnswer  = "answer"  // the final answers to some calls are written twice
+	PlantEarly   = "early"   // calls are retried before the release time has passed
 
 	PlantStanding = "standing" // no release is written to switches
-	PlantCrossing = "crossing" // a switch's release ends whatever try of its call is out there
+	PlantCrossing = "crossing" // a release by a switch ends any pending try of its call on that connection
 )
 
-// ErrPlant tells that there is no such fault to plant.
-var ErrPlant = errors.New("no such fault")
+// ErrPlant reports the name of a fault that does not exist.
+var ErrPlant = errors.New("unknown fault to inject")
 
-// plantEvery is the share of calls that a planted fault meets: one in so many.
+// plantEvery sets the share of affected calls: one in plantEvery.
 const plantEvery = 5
 
-// Plant gives the configuration a fault; "" is none. All but PlantEarly act in the station that is made of it.
+// Plant sets the fault to inject, "" for none. PlantEarly changes the settings; the others act in the server made of this configuration.
 func (m *Machine) Plant(fault string) error {
 	switch fault {
 	case "", PlantRelease, PlantAnswer, PlantStanding, PlantCrossing:
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// copies is how often a message is written to a caller or a switch: once, unless a fault is planted.
+// copies returns how often a message is written to a caller or a switch: once, unless a fault is injected.
 func (m *Machine) copies(toCaller bool, out *sip.Message) int {
 	if !toCaller {
 		if m.planted == PlantStanding && out.Method == sip.Bye {
@@ -53,7 +53,7 @@
 	return 1
 }
 
-// crossing is the answer that ends the try on whose connection a release came, nil unless that fault is planted.
+// crossing returns an answer that ends the try on whose connection a release arrived, nil unless that fault is injected.
 func (m *Machine) crossing(in *sip.Message) *sip.Message {
 	if m.planted != PlantCrossing || in.Method != sip.Bye {
 		return nil
@@ -61,4 +61,5 @@
 	return &sip.Message{Status: sip.ServerTimeout, CallID: in.CallID, CSeq: 1, CSeqMethod: sip.Invite}
 }
 
+// chosen reports whether an injected fault affects a call.
 func chosen(id string) bool { return id != "" && id[len(id)-1]%plantEvery == 0 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -32,7 +32,7 @@
 "settings":{"family_info":{"self_no":0,"shape":"mesh","release_guard":150.0},"grades":[{"name":"voice","aim":300.0,"deadline":3000.0,"worth":1.0}],
 "policy_limits":{"cancel":true,"dial_timeout":500.0,"max_attempts":4,"retry_after":true,"max_retry_after":2000.0}}}`
 
-// bench is a call controller with its surroundings in memory.
+// bench is a test harness: a call controller whose network is in memory.
 type bench struct {
 	t      *testing.T
 	net    *memnet.Net
@@ -45,11 +45,11 @@
 	boards chan net.Conn
 	sw     chan *siptest.Peer
 	lns    []net.Listener
-	held   int // connections that the controller holds, and the most at once
-	most   int
+	held   int // connections that the controller holds now
+	most   int // highest value of held
 }
 
-// counted is a connection of the controller that counts until it is closed.
+// counted is a connection of the controller that is counted until it is closed.
 type counted struct {
 	net.Conn
 	b    *bench
@@ -69,7 +69,7 @@
 	b.most = max(b.most, b.held)
 }
 
-// countedListener counts what is accepted.
+// countedListener counts the accepted connections.
 type countedListener struct {
 	net.Listener
 	b *bench
@@ -115,7 +115,7 @@
 	return b
 }
 
-// serve starts the controller itself.
+// serve starts the controller.
 func (b *bench) serve(sockets int) {
 	var err error
 	if b.m, err = ParseMachine(fmt.Appendf(nil, configuration, sockets)); err != nil {
@@ -136,7 +136,7 @@
 	go func() { b.ended <- s.Run(ctx, ln, b.reload) }()
 }
 
-// serving starts a controller that knows the state of its group, with a switch and a caller.
+// serving starts a controller that has received its switch's load report, and returns a connected switch and caller.
 func serving(t *testing.T) (b *bench, sw, c *siptest.Peer) {
 	b = start(t, 256)
 	sw, c = <-b.sw, b.caller()
@@ -162,7 +162,7 @@
 	return siptest.New(b.t, c)
 }
 
-// end terminates the controller and says how long it took.
+// end shuts the controller down and returns how long that took.
 func (b *bench) end() time.Duration {
 	b.t.Helper()
 	began := time.Now()
@@ -192,12 +192,12 @@
 		c.Say(setUp(id1, 1500))
 		m := sw.Want(sip.Invite)
 		if m.CallID != id1 || m.User() != "7f3a9c21e0b4d655" || m.Get("Priority-Class") != "voice" || string(m.Body) != "offer" || m.Get("Expires-Ms") == "" || m.Get("P-Trunk-Info") != "" {
-			t.Errorf("the switch heard %+v", m)
+			t.Errorf("the switch received %+v", m)
 		}
 		sw.Stand(m, "answer")
 		sw.Want(sip.Ack)
 		if got := c.Want("200"); string(got.Body) != "answer" || got.CSeqMethod != sip.Invite {
-			t.Errorf("the caller heard %+v", got)
+			t.Errorf("the caller received %+v", got)
 		}
 		sw.Say(release(id1))
 		sw.Want("200")
@@ -220,7 +220,7 @@
 			p.Raw(text)
 			bad = append(bad, p)
 		}
-		for range 150 { // more than there is room for, and they say nothing
+		for range 150 { // more than the limit allows, all silent
 			bad = append(bad, b.caller())
 		}
 		c := b.caller()
@@ -245,10 +245,10 @@
 		sw.Want(sip.Invite)
 		sw.Raw("SIP/2.0 200 OK\r\nCall-ID: " + id1 + "\r\nCSeq: 1 INVITE\r\nContent-Length: 3000000000\r\n\r\n")
 		if !sw.ClosedWithin(100 * time.Millisecond) {
-			t.Error("the connection was kept")
+			t.Error("the connection is still open")
 		}
 		next := <-b.sw
-		next.Want(sip.Bye)         // of what the set-up may have left there
+		next.Want(sip.Bye)         // releases a call that the set-up may have established there
 		m := next.Want(sip.Invite) // after the release time
 		next.Say(m.Answer(sip.BusyHere))
 		next.Want(sip.Ack)
@@ -261,7 +261,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b, sw, c := serving(t)
 		c.Say(setUp(id1, 3000))
-		sw.Want(sip.Invite) // and is never answered
+		sw.Want(sip.Invite) // never answered
 		var late *siptest.Peer
 		go func() {
 			time.Sleep(600 * time.Millisecond)
@@ -273,13 +273,13 @@
 		}
 		for _, p := range []*siptest.Peer{c, late} {
 			if got, ok := p.Next(time.Second); !ok || got.Status < 400 {
-				t.Errorf("a caller heard %+v", got)
+				t.Errorf("a caller received %+v", got)
 			}
 		}
 	})
 }
 
-// stuck is a connection whose writes wait until it is closed, as to a reader that has stopped.
+// stuck is a connection whose writes block until it is closed, as with a peer that has stopped reading.
 type stuck struct {
 	net.Conn
 	shut chan struct{}
@@ -301,13 +301,13 @@
 	go func() { w.write(); close(done) }()
 	m := setUp(id1, 1000)
 	kept := 0
-	for kept < 1000 && w.put(&m) { // never waits
+	for kept < 1000 && w.put(&m) { // put must never block
 		kept++
 	}
 	if kept == 0 || kept > 100 {
-		t.Errorf("%d messages kept for a reader that takes none", kept)
+		t.Errorf("%d messages queued for a peer that reads none", kept)
 	}
-	<-done // the connection was closed, so the writer has ended
+	<-done // the writer ends since the connection is closed
 }
 
 func TestNoticeBoardMovesAndIsFollowed(t *testing.T) {
@@ -327,7 +327,7 @@
 		}
 		c.Write(frame)
 		if !sw.ClosedWithin(100 * time.Millisecond) {
-			t.Error("the connection to a switch that is gone was kept")
+			t.Error("the connection to a removed switch is still open")
 		}
 		caller := b.caller()
 		caller.Say(setUp(id1, 1500))
--- a/internal/platform/record.go
+++ b/internal/platform/record.go
@@ -8,10 +8,10 @@
 	"indigodrift/internal/board"
 )
 
-// recordsMost lines of one kind are written between two summaries; the rest is counted. At level debug all are written.
+// recordsMost bounds the lines of one kind between two summaries; further ones are counted. At level debug all are written.
 const recordsMost = 20
 
-// recordLevel is the level at which a kind of record is logged: what happens to every call is for debugging only.
+// recordLevel returns the level at which a kind of record is logged: debug for what happens to every call.
 func recordLevel(kind b2bua.RecordKind) slog.Level {
 	switch kind {
 	case b2bua.CallState, b2bua.TryState, b2bua.CallRefused, b2bua.ReleaseWritten, b2bua.SwitchSuspect:
@@ -22,7 +22,7 @@
 	return slog.LevelInfo
 }
 
-// Record logs what happened to a call or a connection.
+// Record logs an event of a call or a connection.
 func (h *hands) Record(r b2bua.Record) {
 	level, ctx := recordLevel(r.Kind), context.Background()
 	if !h.log.Enabled(ctx, level) {
--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -1,6 +1,6 @@
-// Package platform carries a call controller on the platform: it listens for callers, keeps connections to switches,
-// follows the notice board and minds signals. It decides nothing: one goroutine owns the back-to-back user agent
-// (internal/b2bua) and with it the module; connections only bring messages to it and take them away.
+// Package platform runs a call controller on the platform: it listens for callers, keeps connections to switches, follows
+// the notice board and drains at shutdown. It makes no routing decisions. One goroutine, the event loop, owns the
+// back-to-back user agent (internal/b2bua) and the policy module inside it; the goroutines of connections only pass messages.
 package platform
 
 import (
@@ -25,28 +25,28 @@
 )
 
 const (
-	// Messages that wait for the owner; then their readers wait, and so do the senders. On a quarter of a core a message takes up to
-	// half a millisecond, and a caller who has gone must be known to have gone within 100 ms.
+	// inboxMost bounds the events that wait for the event loop; beyond it readers block, and TCP holds the senders back. On a
+	// quarter of a core a message takes up to 0.5 ms, and a caller's departure must be noticed within 100 ms.
 	inboxMost = 128
 
-	octetsPart   = 8        // one part in so many of the memory may hold callers' descriptions
-	octetsACall  = 16 << 10 // and a call is reckoned to cost so much at the most, to bound their number
-	memoryOf     = 0.75     // of its limit, from where the collector works harder
-	dialMost     = 500 * time.Millisecond
+	octetsPart   = 8        // callers' descriptions may take 1/8 of the memory limit
+	octetsACall  = 16 << 10 // highest memory use of one call; bounds the number of open calls
+	memoryOf     = 0.75     // share of the memory limit from which the garbage collector works harder
+	dialMost     = 500 * time.Millisecond // where the settings have none
 	summaryEvery = 10 * time.Second
-	notesMost    = 40 // lines between two summaries; the rest is counted
+	notesMost    = 40 // log lines between two summaries; further ones are counted
 
-	// A planned restart: the platform kills 0.7 s after the longest abandon time, or 0.7 s after 3 s, and starts anew no
-	// sooner. Until shortly before that the process goes on, since calls in transit come for as long as it runs and the
-	// releases of standing calls pass through it; then it stops listening, answers what is open, and ends.
-	stopBefore = 500 * time.Millisecond
+	// At a planned restart the platform kills the process 700 ms after the longest abandon time, capped at 3 s, and starts it
+	// again no sooner. The process serves until shortly before, since transit calls arrive as long as it runs and releases of
+	// established calls pass through it. Then it stops listening, answers the open calls and exits.
+	stopBefore = 500 * time.Millisecond // before the kill: the listener closes
 	abandonTop = 3 * time.Second
 	killAfter  = 700 * time.Millisecond
-	killRoom   = 150 * time.Millisecond
+	killRoom   = 150 * time.Millisecond // before the kill: open calls fail and the process exits
 
-	// Before the process ends no set-up may have come for so long: one that crosses the end is lost.
+	// quietBefore is how long no set-up may have arrived before the process exits: one that crosses the exit is lost.
 	quietBefore = 50 * time.Millisecond
-	acceptLast  = 5 * time.Millisecond // for what the kernel has accepted already, before the listener closes
+	acceptLast  = 5 * time.Millisecond // to accept what the kernel has queued before the listener closes
 )
 
 // Dialer opens a connection.
@@ -68,13 +68,13 @@
 	boardChange
 )
 
-// event is one thing that came to the owner.
+// event is one input of the event loop. Which fields are set depends on its kind.
 type event struct {
 	kind    kind
 	conn    b2bua.Conn
 	w       *wire
 	m       sip.Message
-	at      policy.Tenths
+	at      policy.Tenths // when the message was read
 	err     error
 	sw      uint32
 	ticket  uint32
@@ -91,30 +91,30 @@
 	agent   *b2bua.Agent
 	began   time.Time
 	inbox   chan event
-	stop    chan struct{} // closed when the station has ended: nobody handles what is posted
+	stop    chan struct{} // closed after shutdown: no more events are handled
 	ending  context.Context
 	cancel  context.CancelFunc
 	all     sync.WaitGroup
-	room    chan struct{} // one token for each connection of a caller
-	lines   chan struct{} // and for each to a switch, from its dial on
+	room    chan struct{} // holds one token per caller connection
+	lines   chan struct{} // holds one token per switch connection, from its dial on
 	callers map[b2bua.Conn]*wire
 	links   map[b2bua.Conn]*wire
-	mu      sync.Mutex // names, open
-	names   b2bua.Conn
+	mu      sync.Mutex // guards names and open
+	names   b2bua.Conn // last identifier given to a connection
 	open    map[*wire]struct{}
-	boardAt chan string
-	shut    chan struct{} // closed when the listener takes no more
-	known   uint64        // number of the last event
+	boardAt chan string   // new addresses of the notice board
+	shut    chan struct{} // closed once no more connections are accepted
+	known   uint64        // number of the last notice board event
 	isUp    bool
 	stall   lag.Stall
-	stood   int
-	notes   int
-	// recorded counts the records of each kind since the last summary.
+	stood   int // stalls since the last summary
+	notes   int // log lines since the last summary
+	// recorded counts the records of each kind since the last summary, unsaid the log lines that were suppressed.
 	recorded map[b2bua.RecordKind]int
 	unsaid   int
 }
 
-// New makes a call controller; build makes its module.
+// New returns a call controller; build creates its policy module.
 func New(m Machine, build func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider, dial Dialer,
 	log *slog.Logger) *Station {
 	callers, links := b2bua.Descriptors(m.Limits.Sockets)
@@ -135,17 +135,18 @@
 	return s
 }
 
-// MemoryTarget is how many octets the program may use before the collector works harder.
+// MemoryTarget returns how many octets the process may use before the garbage collector works harder.
 func (m Machine) MemoryTarget() int64 { return int64(memoryOf * float64(m.Limits.MemoryMB<<20)) }
 
-// now counts tenths of a millisecond of Unix time, so that starts of switches compare with it; it never goes back.
+// now returns Unix time in tenths of a millisecond, comparable with the start times of switches. It is monotonic.
 func (s *Station) now() policy.Tenths {
 	return policy.Tenths(s.began.UnixMicro()/100) + policy.Tenths(time.Since(s.began)/(100*time.Microsecond))
 }
 
+// until returns the time left to an instant.
 func (s *Station) until(at policy.Tenths) time.Duration { return trunk.Span(at - s.now()) }
 
-// post brings an event to the owner; it waits where the inbox is full. False: the station has ended.
+// post passes an event to the event loop and blocks while the inbox is full. It returns false after shutdown.
 func (s *Station) post(e event) bool {
 	select {
 	case s.inbox <- e:
@@ -155,7 +156,7 @@
 	}
 }
 
-// wire takes a new connection into care.
+// wire registers a new connection.
 func (s *Station) wire(c net.Conn, most int) *wire {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +166,7 @@
 	return w
 }
 
-// done ends the care for a connection; its reader has seen its end.
+// done closes and unregisters a connection whose reader has returned.
 func (s *Station) done(w *wire) {
 	w.finish()
 	w.c.Close()
@@ -174,7 +175,7 @@
 	delete(s.open, w)
 }
 
-// Run serves callers at a listener until ctx ends, and then until every call taken is answered.
+// Run serves callers at a listener until ctx ends, and then until every accepted call is answered.
 func (s *Station) Run(ctx context.Context, ln net.Listener, reload <-chan Machine) error {
 	s.all.Go(func() {
 		s.accept(ln)
@@ -196,7 +197,7 @@
 	return nil
 }
 
-// end lets every connection write what waits and closes it. What still comes is thrown away; what does not end by itself is ended.
+// end closes every connection after writing what is queued for it, by force after a timeout. Further events are discarded.
 func (s *Station) end() {
 	finish := func(w *wire) {
 		if w != nil {
@@ -217,7 +218,7 @@
 	for {
 		select {
 		case e := <-s.inbox:
-			if finish(e.w); e.kind == dialled && e.w != nil { // nobody carries it
+			if finish(e.w); e.kind == dialled && e.w != nil { // a new connection that nothing reads or writes yet
 				s.done(e.w)
 			}
 		case <-late:
@@ -233,7 +234,7 @@
 	}
 }
 
-// own is the owner's loop.
+// own is the event loop. Only its goroutine uses the agent.
 func (s *Station) own(ctx context.Context, ln net.Listener, reload <-chan Machine) {
 	summary := time.NewTicker(summaryEvery)
 	defer summary.Stop()
@@ -241,7 +242,7 @@
 	defer wait.Stop()
 	done, shut := ctx.Done(), (<-chan struct{})(nil)
 	var stopListening, giveUp, quiet <-chan time.Time
-	before := uint64(0) // calls taken when it was last looked whether more come
+	before := uint64(0) // accepted calls when the last quiet period began
 	for {
 		now := s.now()
 		due := s.agent.Next()
@@ -291,7 +292,7 @@
 			s.woke(due)
 			s.summary()
 		}
-		s.handleWaiting() // sockets before timers
+		s.handleWaiting() // messages before timers: a message may make a timer void
 		now = s.now()
 		if s.stall.Works(now) {
 			s.stood++
@@ -302,20 +303,22 @@
 	}
 }
 
-// handleWaiting handles what lies in the inbox, but no more than lay there: a flood must not hold timers up.
+// handleWaiting handles the events that are in the inbox now, but not those added meanwhile: a flood must not delay timers.
 func (s *Station) handleWaiting() {
 	for range len(s.inbox) {
 		s.handle(<-s.inbox)
 	}
 }
 
-// lastCallers lets a listener take what the kernel has accepted for it: closing it resets these, and a set-up on one counts as taken.
+// lastCallers stops a listener after it has accepted the connections that the kernel has queued: closing it at once would reset
+// these, and a set-up on one of them counts as accepted.
 func lastCallers(ln net.Listener) {
 	if d, ok := ln.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(time.Now().Add(acceptLast)) != nil {
 		ln.Close()
 	}
 }
 
+// woke counts a stall if the event loop woke too late.
 func (s *Station) woke(due policy.Tenths) {
 	if s.stall.Woke(s.now(), due) {
 		s.stood++
@@ -333,7 +336,7 @@
 		}
 	case callerDown:
 		if s.callers[e.conn] != nil {
-			s.log.Debug("caller connection read to its end", "conn", e.conn, "err", e.err)
+			s.log.Debug("caller connection: end of stream", "conn", e.conn, "err", e.err)
 			delete(s.callers, e.conn)
 			s.agent.CallerDown(now, e.conn)
 		}
@@ -350,16 +353,16 @@
 	case dialled:
 		if e.w != nil {
 			s.links[e.conn] = e.w
-			s.log.Debug("connected to a switch", "conn", e.conn, "switch", board.Text(e.sw))
+			s.log.Debug("switch connected", "conn", e.conn, "switch", board.Text(e.sw))
 			s.carry(e.w, s.readSwitch, s.lines)
 		}
 		s.agent.Dialled(now, e.sw, e.ticket, e.conn, e.refused)
 	case switchDown:
 		if s.links[e.conn] != nil {
-			s.log.Debug("switch connection read to its end", "conn", e.conn, "err", e.err)
+			s.log.Debug("switch connection: end of stream", "conn", e.conn, "err", e.err)
 			delete(s.links, e.conn)
 		}
-		s.agent.LinkDown(now, e.conn, e.err == io.EOF) //nolint:errorlint // within a message it is another error
+		s.agent.LinkDown(now, e.conn, e.err == io.EOF) //nolint:errorlint // within a message the error is io.ErrUnexpectedEOF
 	case switchSays:
 		if ahead := s.m.crossing(&e.m); ahead != nil {
 			s.agent.FromSwitch(now, e.conn, ahead)
@@ -372,14 +375,14 @@
 		s.agent.Listed(now, e.notice)
 	case boardChange:
 		if s.isUp = e.up; e.up {
-			s.log.Info("notice board is up", "list", s.known)
+			s.log.Info("notice board connected", "list", s.known)
 			return
 		}
-		s.log.Warn("notice board is lost", "list", s.known, "err", e.err)
+		s.log.Warn("notice board disconnected", "list", s.known, "err", e.err)
 	}
 }
 
-// accept takes callers' connections; where all tokens are out, those that come wait to be accepted.
+// accept accepts callers' connections. While all tokens are taken, further connections wait in the kernel's queue.
 func (s *Station) accept(ln net.Listener) {
 	for {
 		select {
@@ -394,7 +397,7 @@
 				ln.Close()
 				return
 			}
-			select { // out of descriptors, or the connection broke before it was taken
+			select { // out of descriptors, or the connection broke before it was accepted
 			case <-time.After(5 * time.Millisecond):
 				continue
 			case <-s.stop:
@@ -411,7 +414,7 @@
 	}
 }
 
-// carry starts what writes to a connection and what reads from it; its token comes free once it is closed.
+// carry starts the writer and the reader of a connection. Its token is returned once the connection is closed.
 func (s *Station) carry(w *wire, read func(*wire), tokens <-chan struct{}) {
 	s.all.Go(w.write)
 	s.all.Go(func() {
@@ -427,7 +430,7 @@
 	for {
 		m, err := r.Read()
 		switch {
-		case err == nil && w.finishing() && m.Method != sip.Bye && m.CSeqMethod != sip.Bye: // only until the far end has read what was written to it
+		case err == nil && w.finishing() && m.Method != sip.Bye && m.CSeqMethod != sip.Bye: // closing here: only releases and their answers still count
 			continue
 		case err == nil:
 			if m.Method == sip.Cancel {
@@ -439,8 +442,8 @@
 			continue
 		case errors.Is(err, sip.ErrMalformed), errors.Is(err, sip.ErrTooLong):
 			s.post(event{kind: callerBad, conn: w.id, m: m, err: err})
-			// What still comes is read and thrown away until the answer is written and the connection closed.
-			io.Copy(io.Discard, w.c) //nolint:errcheck // its end is all that matters
+			// Discards further input until the answer is written and the connection closed.
+			io.Copy(io.Discard, w.c) //nolint:errcheck // only the end of the stream matters
 		}
 		w.gone.Store(true)
 		s.post(event{kind: callerDown, conn: w.id, err: err})
@@ -457,33 +460,34 @@
 		case err != nil:
 			s.post(event{kind: switchDown, conn: w.id, err: err})
 			return
-		case !s.post(event{kind: switchSays, conn: w.id, m: m}): // also while it is closed: a release may cross that
+		case !s.post(event{kind: switchSays, conn: w.id, m: m}): // also while the connection is being closed, since a release may cross the close
 			return
 		}
 	}
 }
 
-// reload takes a new configuration: what it may change in service is the address of the notice board.
+// reload applies a new configuration. Only the address of the notice board can change in service.
 func (s *Station) reload(m Machine) {
 	if m.Board != s.m.Board {
-		s.log.Info("notice board at another address", "board", m.Board)
-		select { // only the newest counts
+		s.log.Info("notice board address changed", "board", m.Board)
+		select { // replaces an address that was not taken yet
 		case <-s.boardAt:
 		default:
 		}
 		s.boardAt <- m.Board
 	}
 	s.m.Board = m.Board
-	s.log.Info("configuration read again")
+	s.log.Info("configuration reloaded")
 }
 
+// say logs a warning, within the limit between two summaries.
 func (s *Station) say(text string) {
 	if s.mayNote() {
 		s.log.Warn(text)
 	}
 }
 
-// mayNote tells whether one more line may be written before the next summary.
+// mayNote reports whether one more line may be logged before the next summary.
 func (s *Station) mayNote() bool {
 	if s.notes++; s.notes > notesMost {
 		s.unsaid++
@@ -492,7 +496,7 @@
 	return true
 }
 
-// summary writes what is believed, to be held against what passed on the sockets.
+// summary logs the controller's counters and its view of the switches, to be compared with the traffic on the sockets.
 func (s *Station) summary() {
 	t, open, standing, kept, callers, late := s.agent.Counts()
 	r, y := s.agent.Releases(), s.agent.Tries()
@@ -511,9 +515,10 @@
 	clear(s.recorded)
 }
 
-// hands is the station as the agent sees it.
+// hands is the output of the agent, carried out by the server.
 type hands Station
 
+// wire returns a connection of a caller or to a switch, nil when it is gone.
 func (h *hands) wire(c b2bua.Conn) *wire {
 	if w := h.callers[c]; w != nil {
 		return w
@@ -529,12 +534,12 @@
 	}
 	for range copies {
 		if w != nil && !w.put(m) {
-			(*Station)(h).say("a far end reads too slowly")
+			(*Station)(h).say("connection closed: the peer reads too slowly")
 		}
 	}
 }
 
-// Close closes a connection once what waits for it is written.
+// Close closes a connection after writing what is queued for it.
 func (h *hands) Close(c b2bua.Conn, why string) {
 	if w := h.wire(c); w != nil {
 		w.finish()
@@ -555,7 +560,7 @@
 	}
 	select {
 	case s.lines <- struct{}{}:
-	default: // many are being closed: their descriptors come free in a moment
+	default: // many connections are being closed; their descriptors are free shortly
 		s.all.Go(func() { s.post(event{kind: dialled, sw: sw, ticket: ticket}) })
 		return
 	}
@@ -578,11 +583,11 @@
 	})
 }
 
-// Left tells that a caller has closed its connection or cancelled its call, though the message of it may lie in the inbox.
+// Left reports whether a caller has closed its connection or cancelled its call, even if that event is still in the inbox.
 func (h *hands) Left(caller b2bua.Conn, callID string) bool {
 	w := h.callers[caller]
 	return w == nil || w.left(callID)
 }
 
-// Note writes a line for staff.
+// Note logs a line for operators.
 func (h *hands) Note(text string) { (*Station)(h).say(text) }
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	callerMost  = 256 << 10 // octets that may wait to be written to a caller
-	switchMost  = 512 << 10 // and to a switch
+	callerMost  = 256 << 10 // octets queued for one caller connection
+	switchMost  = 512 << 10 // octets queued for one switch connection
 	writeWithin = 2 * time.Second
 
-	// lingerMost is how long a connection that is closed is still read from, and what comes thrown away: closing a socket on
-	// unread octets sends a reset, which destroys an answer that the far end has not read yet.
+	// lingerMost is how long input is still read and discarded after the write side is closed: closing a socket with unread
+	// input sends a reset, which destroys an answer that the peer has not read yet.
 	lingerMost = 100 * time.Millisecond
 
-	cancelsMost = 1024 // ids of CANCELs read on one connection that the owner has not seen yet
+	cancelsMost = 1024 // CANCELs read on one connection and not yet handled by the event loop
 )
 
-// wire is one connection and what waits to be written to it. No write is waited for: a far end that reads too slowly
-// loses its connection.
+// wire is one connection with its write queue. Queueing never blocks: a peer that reads too slowly loses its
+// connection.
 type wire struct {
 	id   b2bua.Conn
 	c    net.Conn
 	most int
 	wake chan struct{}
-	gone atomic.Bool // its reader has seen its end
+	gone atomic.Bool // the reader has seen the end of the stream
 
 	mu        sync.Mutex
 	pending   []byte
-	setUps    []span // set-ups among what is pending
+	setUps    []span // set-ups in pending
 	cancelled map[string]struct{}
 	closing   bool
 	wrote     bool
 }
 
-// span is where a set-up lies in what is pending.
+// span is the position of a set-up in the queued octets.
 type span struct {
 	from, to int
 	id       string
@@ -51,8 +51,8 @@
 	return &wire{id: id, c: c, most: most, wake: make(chan struct{}, 1)}
 }
 
-// put queues a message. A CANCEL takes back its set-up where that has not gone out: it would begin long after its caller has
-// left. False: too much waits already, and the connection is given up.
+// put queues a message. A CANCEL removes its set-up from the queue if that is not written yet: the try would begin long after
+// its caller has left. It returns false if the queue is full, and closes the connection.
 func (w *wire) put(m *sip.Message) bool {
 	w.mu.Lock()
 	if !w.closing && !(m.Method == sip.Cancel && w.takeBack(m)) {
@@ -72,6 +72,7 @@
 	return true
 }
 
+// takeBack removes the set-up that a CANCEL names from the queue.
 func (w *wire) takeBack(m *sip.Message) bool {
 	i := slices.IndexFunc(w.setUps, func(s span) bool { return s.id == m.CallID && s.seq == m.CSeq })
 	if i < 0 {
@@ -87,7 +88,7 @@
 	return true
 }
 
-// finish has the connection closed once what waits has been written.
+// finish closes the connection after writing what is queued.
 func (w *wire) finish() {
 	w.mu.Lock()
 	w.closing = true
@@ -101,7 +102,7 @@
 	return w.closing
 }
 
-// cancels notes a CANCEL as soon as it is read: it may lie a while until the owner sees it, and no try may begin meanwhile.
+// cancels records a CANCEL as soon as it is read: it may wait in the inbox, and no try may begin meanwhile.
 func (w *wire) cancels(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -113,14 +114,14 @@
 	}
 }
 
-// seen forgets a CANCEL that the owner has before it.
+// seen removes the record of a CANCEL that the event loop has handled.
 func (w *wire) seen(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.cancelled, id)
 }
 
-// left tells that the far end has gone, or has cancelled a call, though the owner may not have seen so.
+// left reports whether the peer has closed the connection or cancelled a call, even if the event loop has not seen that.
 func (w *wire) left(id string) bool {
 	if w.gone.Load() {
 		return true
@@ -131,6 +132,7 @@
 	return ok
 }
 
+// tell wakes the writer.
 func (w *wire) tell() {
 	select {
 	case w.wake <- struct{}{}:
@@ -138,7 +140,8 @@
 	}
 }
 
-// write writes until the connection fails or is finished. Then the connection is closed, by its reader where that still reads on.
+// write is the writer: it writes until the connection fails or finish is called, and closes the connection or, after a half-close,
+// leaves that to the reader.
 func (w *wire) write() {
 	var buf []byte
 	for range w.wake {
@@ -161,14 +164,14 @@
 			}
 			break
 		}
-		if cap(buf) > 4<<10 { // a connection without traffic holds no buffer
+		if cap(buf) > 4<<10 { // idle connections keep no large buffer
 			buf = nil
 		}
 	}
 	w.c.Close()
 }
 
-// halfClose ends this side of the connection and has its reader stop soon. False: it cannot be done here.
+// halfClose closes the write side of the connection and sets a deadline for its reader. It returns false if that fails.
 func (w *wire) halfClose() bool {
 	half, ok := w.c.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil && w.c.SetReadDeadline(time.Now().Add(lingerMost)) == nil
