--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,5 +1,5 @@
-// Package board follows the platform's notice board, from which the list of switches comes: frames and the JSON of the
-// start to events and back, which is pure, and the connection that asks for them.
+// Package board follows the platform's notice board, the service that publishes the list of switches. It has the codec of
+// its frames, the parser of the list in the start configuration, and a client that keeps a connection to the board.
 package board
 
 import (
@@ -15,7 +15,7 @@
 	"strings"
 )
 
-// State of a switch.
+// State is the service state of a switch.
 type State uint8
 
 const (
@@ -24,43 +24,43 @@
 	Gone
 )
 
-// Switch is one entry. Zones, kinds and weights are not read: the module does not go by them.
+// Switch is one entry of the list. Zones, kinds and weights are not read: the policy doesn't use them.
 type Switch struct {
 	ID        uint32
 	Address   string // host:port
 	State     State
 	Cell      int   // number of the exchange
-	StartedMS int64 // Unix millisecond of a late start, or 0
+	StartedMS int64 // Unix time in milliseconds if it started later than the network, 0 otherwise
 }
 
-// Event is one numbered change of the list.
+// Event is one numbered update of the list.
 type Event struct {
 	Number   uint64
-	Whole    bool
+	Whole    bool // the complete list rather than changes
 	Switches []Switch
 }
 
-// Kinds of frames.
+// Frame kinds and sizes.
 const (
 	kindNothing = 0
 	kindWhole   = 1
 	kindChanges = 2
 
 	numberSize = 8
-	headSize   = numberSize + 1 // what the length counts before the records
+	headSize   = numberSize + 1 // counted by the length field, as the records are
 	recordSize = 27
 
-	// recordsMost is how many records a frame may hold, far beyond any list; it bounds what a wrong length may cost.
+	// recordsMost bounds the records of a frame, far above any real list, so that a wrong length can't exhaust memory.
 	recordsMost = 1 << 14
 )
 
-// ErrMalformed tells that a frame or the JSON of the start cannot be read.
+// ErrMalformed reports a frame or an initial list that cannot be parsed.
 var ErrMalformed = errors.New("malformed notice")
 
-// Text is the form that a switch's id takes in text.
+// Text formats a switch id.
 func Text(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
-// ID reads the text form of a switch's id.
+// ID parses a switch id in text form.
 func ID(text string) (uint32, error) {
 	digits, ok := strings.CutPrefix(text, "s-")
 	v, err := strconv.ParseUint(digits, 16, 32)
@@ -70,16 +70,16 @@
 	return uint32(v), nil
 }
 
-// ReadFrame reads one frame; something is false for the empty frame of each second. A length is checked before anything
-// is held for it.
+// ReadFrame reads one frame; something is false for the keepalive frame that the board sends each second. The length is
+// checked before memory is allocated for it.
 func ReadFrame(r io.Reader) (e Event, something bool, err error) {
 	var head [4 + headSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return e, false, fmt.Errorf("frame: %w", err)
+		return e, false, fmt.Errorf("read frame header: %w", err)
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n < headSize || (n-headSize)%recordSize != 0 || n > headSize+recordsMost*recordSize {
-		return e, false, fmt.Errorf("%w: frame of %d octets", ErrMalformed, n)
+		return e, false, fmt.Errorf("%w: invalid frame length %d", ErrMalformed, n)
 	}
 	e.Number = binary.BigEndian.Uint64(head[4:])
 	records := int(n-headSize) / recordSize
@@ -94,20 +94,20 @@
 	for range records {
 		var b [recordSize]byte
 		if _, err := io.ReadFull(r, b[:]); err != nil {
-			return e, false, fmt.Errorf("record: %w", err)
+			return e, false, fmt.Errorf("read record: %w", err)
 		}
 		s := Switch{ID: binary.BigEndian.Uint32(b[:]), State: State(b[10]), Cell: int(binary.BigEndian.Uint16(b[13:])),
 			Address:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])).String(),
 			StartedMS: int64(binary.BigEndian.Uint64(b[19:]))}
 		if s.State > Gone || s.StartedMS < 0 {
-			return e, false, fmt.Errorf("%w: record of switch %s", ErrMalformed, Text(s.ID))
+			return e, false, fmt.Errorf("%w: invalid state or start time of switch %s", ErrMalformed, Text(s.ID))
 		}
 		e.Switches = append(e.Switches, s)
 	}
 	return e, true, nil
 }
 
-// AppendFrame adds the octets of an event's frame. Addresses that are no IPv4 address and port are an error.
+// AppendFrame appends the frame of an event to b. Each address must be an IPv4 address and port.
 func AppendFrame(b []byte, e Event) ([]byte, error) {
 	b = binary.BigEndian.AppendUint32(b, uint32(headSize+len(e.Switches)*recordSize))
 	b = binary.BigEndian.AppendUint64(b, e.Number)
@@ -119,32 +119,32 @@
 	for _, s := range e.Switches {
 		at, err := netip.ParseAddrPort(s.Address)
 		if err != nil || !at.Addr().Is4() {
-			return b, fmt.Errorf("%w: address %q", ErrMalformed, s.Address)
+			return b, fmt.Errorf("%w: address %q is no IPv4 address and port", ErrMalformed, s.Address)
 		}
 		b = binary.BigEndian.AppendUint32(b, s.ID)
 		b = append(b, at.Addr().AsSlice()...)
 		b = binary.BigEndian.AppendUint16(b, at.Port())
 		b = append(b, byte(s.State), 0, 0)
 		b = binary.BigEndian.AppendUint16(b, uint16(s.Cell))
-		b = binary.BigEndian.AppendUint32(b, 1000) // the weight of a full switch, in thousandths
+		b = binary.BigEndian.AppendUint32(b, 1000) // weight of a full-sized switch, in thousandths
 		b = binary.BigEndian.AppendUint64(b, uint64(s.StartedMS))
 	}
 	return b, nil
 }
 
-// AppendNothing adds the empty frame of each second.
+// AppendNothing appends a keepalive frame to b.
 func AppendNothing(b []byte, number uint64) []byte {
 	b = binary.BigEndian.AppendUint32(b, headSize)
 	b = binary.BigEndian.AppendUint64(b, number)
 	return append(b, kindNothing)
 }
 
-// AppendAsk adds what a call controller writes: the number of its last event.
+// AppendAsk appends a controller's request for the events after last to b.
 func AppendAsk(b []byte, last uint64) []byte { return binary.BigEndian.AppendUint64(b, last) }
 
 var states = map[string]State{"in_service": Ready, "terminating": Draining, "terminated": Gone}
 
-// Known reads the events of the start, in their order.
+// Known parses the events in the start configuration. They must be in order.
 func Known(text []byte) ([]Event, error) {
 	var k struct {
 		Rev     uint64
@@ -184,7 +184,7 @@
 		events = append(events, e)
 	}
 	if !slices.IsSortedFunc(events, func(a, b Event) int { return cmp.Compare(a.Number, b.Number) }) {
-		return nil, fmt.Errorf("%w: events out of order", ErrMalformed)
+		return nil, fmt.Errorf("%w: events are out of order", ErrMalformed)
 	}
 	return events, nil
 }
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -39,7 +39,7 @@
 			t.Fatalf("cut at %d: %v", n, err)
 		}
 	}
-	for at, octet := range map[int]byte{0: 0x70, 3: 35, 12: 3, 23: 3, 32: 0x80} { // lengths, kind, state, start
+	for at, octet := range map[int]byte{0: 0x70, 3: 35, 12: 3, 23: 3, 32: 0x80} { // length (twice), kind, state, start time
 		bad := bytes.Clone(in)
 		bad[at] = octet
 		if _, _, err := ReadFrame(bytes.NewReader(bad)); !errors.Is(err, ErrMalformed) {
@@ -104,7 +104,7 @@
 
 func readsWhatIsThere(t *testing.T, in []byte) {
 	if e, _, err := ReadFrame(bytes.NewReader(in)); err == nil && len(e.Switches)*recordSize > len(in) {
-		t.Fatalf("%d records of %d octets", len(e.Switches), len(in))
+		t.Fatalf("%d records from %d octets", len(e.Switches), len(in))
 	}
 }
 
@@ -117,7 +117,7 @@
 	f.Fuzz(readsWhatIsThere)
 }
 
-// script plays a board in virtual time: one function for each connection that the client makes, handed the number asked for.
+// script is a scripted board in virtual time: each function serves one connection of the client, given the requested number.
 type script struct {
 	t   *testing.T
 	net *memnet.Net
@@ -173,8 +173,8 @@
 	return b
 }
 
-// A board breaks off within an event, repeats events, leaves one out and falls silent; each event comes once, in order, and
-// none of these costs more than the 2 s and 4 s after which its news count as told.
+// The board disconnects within an event, repeats events, leaves one out and falls silent. Each event must be passed on once, in
+// order, and the client must reconnect well before its events count as known: 2 s after a disconnect, 4 s after silence began.
 func TestEveryEventComesOnceWhateverTheBoardDoes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{t: t, net: memnet.New()}
@@ -209,10 +209,10 @@
 			t.Errorf("events %v, want %v", s.numbers(), want)
 		}
 		if want := []uint64{1, 2, 4, 4, 5}; !reflect.DeepEqual(asked, want) {
-			t.Errorf("asked from %v, want %v", asked, want)
+			t.Errorf("requested numbers %v, want %v", asked, want)
 		}
 		if away := backAt.Sub(silentAt); away > silentMost+retryAfter/2 {
-			t.Errorf("a silent board was asked again after %v", away)
+			t.Errorf("reconnected to a silent board after %v", away)
 		}
 	})
 }
@@ -232,14 +232,15 @@
 		cancel()
 		<-done
 		if from != 2 || !reflect.DeepEqual(s.numbers(), []uint64{2, 3}) {
-			t.Errorf("asked from %d, events %v", from, s.numbers())
+			t.Errorf("requested number %d, events %v", from, s.numbers())
 		}
 		old.Close()
 		next.Close()
 	})
 }
 
-// The address changes while the old board is being dialled, which takes no new connection any more: the new one is asked at once.
+// Guards against a late switch-over: the address changes while a dial to the old board blocks. The client must connect to the
+// new one at once.
 func TestAddressToldDuringADialIsFollowedAtOnce(t *testing.T) {
 	old, next := listenHere(t), listenHere(t)
 	defer old.Close()
@@ -248,7 +249,7 @@
 	got := make(chan Event, 1)
 	c := Client{Address: moves, Took: func(e Event) { got <- e }, Change: func(bool, error) {},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
-			if address == old.Addr().String() { // never up
+			if address == old.Addr().String() { // never accepts
 				close(dialling)
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -266,11 +267,11 @@
 		t.Fatal(err)
 	}
 	if took := time.Since(told); took > dialMost/2 {
-		t.Errorf("asked after %v", took)
+		t.Errorf("connected after %v", took)
 	}
 	conn.Write(frame(t, 2))
 	if e := <-got; e.Number != 2 {
-		t.Errorf("came %+v", e)
+		t.Errorf("received %+v", e)
 	}
 	cancel()
 	<-done
@@ -285,7 +286,8 @@
 	return ln
 }
 
-// A board breaks off for all its followers at once. They ask again spread over some time, each still well before its news are overdue.
+// A board disconnects all its clients at once. Their reconnects must be spread over time, and each must come well before the
+// board's events count as known.
 func TestFollowersOfABoardThatBreaksOffComeBackSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const followers = 48
@@ -332,14 +334,14 @@
 		mu.Lock()
 		for i, at := range asked {
 			if i >= 8 && at.Sub(asked[i-8]) < time.Millisecond {
-				t.Errorf("nine asked within %v", at.Sub(asked[i-8]))
+				t.Errorf("nine clients reconnected within %v", at.Sub(asked[i-8]))
 			}
 			if at.Sub(began) > 200*time.Millisecond {
-				t.Errorf("one asked after %v", at.Sub(began))
+				t.Errorf("a client reconnected after %v", at.Sub(began))
 			}
 		}
 		if len(asked) != followers {
-			t.Errorf("%d asked", len(asked))
+			t.Errorf("%d clients reconnected", len(asked))
 		}
 		mu.Unlock()
 		cancel()
--- a/internal/board/client.go
+++ b/internal/board/client.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// silentMost is how long the board may say nothing: its empty frame comes each second. What it would have told counts
-	// as told 4 s after it fell silent, so a dead connection is given up at about half of that.
+	// silentMost closes a connection on which nothing arrived for this long. The board sends a keepalive frame each second, and
+	// controllers are expected to know its events 4 s after it fell silent, so a dead connection is closed at about half of that.
 	silentMost = 2200 * time.Millisecond
 
 	dialMost   = time.Second
-	retryAfter = 150 * time.Millisecond // between two dials: a board that broke off is asked again within its 2 s
+	retryAfter = 150 * time.Millisecond // events count as known 2 s after a disconnect, so the first retry comes well before
 	retryMost  = time.Second
 )
 
-// ErrMissing tells that events are missing between two that came.
+// ErrMissing reports a gap in the event numbers.
 var ErrMissing = errors.New("events are missing")
 
-// Client asks a notice board for its events, again and again, until its context ends.
+// Client receives events from a notice board and reconnects until its context ends.
 type Client struct {
 	Dial    func(ctx context.Context, address string) (net.Conn, error)
-	Took    func(Event)              // each event once, in order
-	Change  func(up bool, why error) // the connection came up, or broke
-	Address <-chan string            // the board's address, whenever it is told anew
-	Seed    uint64                   // spreads the dials of many who lose the board at once
+	Took    func(Event)              // called for each event once, in order
+	Change  func(up bool, why error) // called when the connection is established or lost
+	Address <-chan string            // new addresses of the board
+	Seed    uint64                   // of the random retry delays, which spread the clients of a failed board
 	last    uint64
 }
 
-// Keep follows the board at an address, from the event after last.
+// Keep follows the board at an address, from the event after last, until ctx ends.
 func (c *Client) Keep(ctx context.Context, address string, last uint64) {
 	c.last = last
 	chance := rand.New(rand.NewPCG(c.Seed, 0x12))
@@ -55,7 +55,7 @@
 		}
 		c.Change(false, err)
 		pause := spread(wait)
-		if conn != nil && time.Since(began) > retryMost { // its news are overdue, but the board broke off for all who follow it
+		if conn != nil && time.Since(began) > retryMost { // reconnect fast, but spread the load: all clients of the board may have lost it
 			wait, pause = retryAfter, spread(retryAfter/2)
 		} else {
 			wait = min(2*wait, retryMost)
@@ -69,8 +69,8 @@
 	}
 }
 
-// open connects to the board and asks. An address told meanwhile ends the attempt: the old board may take no connection any more,
-// and what the new one has to tell must not wait for that.
+// open connects to the board and requests its events. A new address cancels the attempt: the old board may no longer accept
+// connections, and the events of the new one must not wait for that.
 func (c *Client) open(ctx context.Context, address string) (conn net.Conn, next string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dialMost)
 	defer cancel()
@@ -101,22 +101,22 @@
 			}
 			if _, err := d.conn.Write(AppendAsk(nil, c.last)); err != nil {
 				d.conn.Close()
-				return nil, address, fmt.Errorf("ask %s: %w", address, err)
+				return nil, address, fmt.Errorf("send request to %s: %w", address, err)
 			}
 			return d.conn, address, nil
 		}
 	}
 }
 
-// arrival is what came of one read.
+// arrival is the result of reading one frame.
 type arrival struct {
 	e         Event
 	something bool
 	err       error
 }
 
-// follow takes events from a connection until it breaks or another address is told, and returns the address to ask next. What
-// the old board may still tell then, the new one tells as well: the numbers go on.
+// follow receives events from a connection until it fails or the address changes, and returns the address to connect to next.
+// Events that the old board had yet to send come from the new one: the numbering is continuous.
 func (c *Client) follow(ctx context.Context, conn net.Conn, address string) (string, error) {
 	stop := make(chan struct{})
 	defer close(stop)
@@ -148,7 +148,7 @@
 				return next, nil
 			}
 		case <-silent.C:
-			return address, fmt.Errorf("board %s: nothing for %v", address, silentMost)
+			return address, fmt.Errorf("board %s: nothing received for %v", address, silentMost)
 		case a := <-in:
 			if a.err != nil {
 				return address, fmt.Errorf("board %s: %w", address, a.err)
@@ -163,13 +163,13 @@
 	}
 }
 
-// take passes an event on once. One that came before is passed over; a whole list may skip numbers.
+// take passes on each event once. It ignores repeated events. Only an event with the complete list may skip numbers.
 func (c *Client) take(e Event) error {
 	switch {
 	case e.Number <= c.last:
 		return nil
 	case e.Number != c.last+1 && !e.Whole:
-		return fmt.Errorf("%w: %d after %d", ErrMissing, e.Number, c.last)
+		return fmt.Errorf("%w: received %d after %d", ErrMissing, e.Number, c.last)
 	}
 	c.last = e.Number
 	c.Took(e)
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment reads the operators' settings object into what the module is told of its deployment. The bench's
-// first message and the platform's configuration hold the same object, so both doors read it here.
+// Package deployment parses the operators' settings object into the policy's view of its deployment. The test bench's first
+// message (internal/wire) and the platform's configuration (internal/platform) contain the same object.
 package deployment
 
 import (
@@ -12,33 +12,33 @@
 	"indigodrift/policy"
 )
 
-// Settled is what a settings object states: the module's part, and what the doors themselves need.
+// Settled is a parsed settings object: the policy's part, and settings for the programs around it.
 type Settled struct {
 	Module      policy.Deployment
-	Bearers     []string      // names of the bearer types, in the order of Module.Bearers
-	Reported    []string      // names of the values of a load report
-	DialTime    policy.Tenths // a connection not up within this is given up, 0 when not told
-	OpenMost    int           // calls that may be open at once, 0 when not told
-	StreamsMost int           // route tries that one connection carries at once, 0 when not told
+	Bearers     []string      // names of the bearer types, in the order of the policy's list
+	Reported    []string      // names of the values in a load report
+	DialTime    policy.Tenths // 0 if not set
+	OpenMost    int           // limit of concurrent open calls, 0 if not set
+	StreamsMost int           // limit of concurrent route tries on one connection, 0 if not set
 }
 
-// whole is a whole number, perhaps written with a point or an exponent.
+// whole is a whole number, which may be written with a point or an exponent.
 type whole int
 
-// UnmarshalJSON reads a number that is whole and can be a count.
+// UnmarshalJSON parses a whole number within the limits of a count.
 func (w *whole) UnmarshalJSON(text []byte) error {
 	if string(text) == "null" { // as if absent
 		return nil
 	}
 	v, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || v != math.Trunc(v) || math.Abs(v) > countMost {
-		return fmt.Errorf("%.40s is no whole number that could be meant", text)
+		return fmt.Errorf("%.40s is not a whole number up to 2^31", text)
 	}
 	*w = whole(v)
 	return nil
 }
 
-// object holds the keys that are read; all others are ignored.
+// object is the settings object; other keys are ignored.
 type object struct {
 	Grades []struct {
 		Name                 string
@@ -77,16 +77,16 @@
 
 const (
 	countMost = 1 << 31
-	spanMost  = 1e12 // ms, thirty years: a span that long can be no mistake of ours in counting
+	spanMost  = 1e12 // ms, about 30 years; sums of several spans can't overflow
 )
 
-// ErrSettings tells that a settings object cannot be served.
+// ErrSettings reports settings that are invalid.
 var ErrSettings = errors.New("settings")
 
-// check tells the first place at which the settings cannot be served, and why.
+// check returns an error that names the first invalid setting.
 func (o *object) check() error {
 	if len(o.Grades) == 0 {
-		return fmt.Errorf("%w: grades: no class of calls is named", ErrSettings)
+		return fmt.Errorf("%w: grades: no bearer type is defined", ErrSettings)
 	}
 	type bounded struct {
 		place       string
@@ -107,7 +107,7 @@
 	for i, g := range o.Grades {
 		place := fmt.Sprintf("grades[%d].", i)
 		if g.Name != "" && named[g.Name] {
-			return fmt.Errorf("%w: %sname: %q is named twice", ErrSettings, place, g.Name)
+			return fmt.Errorf("%w: %sname: %q is defined twice", ErrSettings, place, g.Name)
 		}
 		named[g.Name] = true
 		all = append(all, bounded{place + "aim", g.Aim, spanLeast, spanMost}, bounded{place + "deadline", g.Deadline, spanLeast, spanMost},
@@ -121,11 +121,12 @@
 	return nil
 }
 
-const spanLeast = 0.1 // ms, the least that is counted
+const spanLeast = 0.1 // ms, the resolution of policy.Tenths
 
-// Read reads a settings object. The seed is not part of it. What may be absent: max_attempts, then tries are bounded by time alone;
-// tip_multiple, tip_after and ramp_time, then no switch is taken as cold; replicas_of_me, then one call controller is reckoned with;
-// dial_timeout, max_open and streams_per_conn, then the doors' own bounds hold; all others count as 0 or false.
+// Read parses a settings object. It doesn't set the seed. Defaults for absent keys: without max_attempts the tries are limited
+// by time only; without tip_multiple, tip_after or ramp_time no switch counts as cold; without replicas_of_me one call
+// controller is assumed; without dial_timeout, max_open or streams_per_conn the program's own limits apply; all others are 0
+// or false.
 func Read(text []byte) (Settled, error) {
 	var o object
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -173,11 +174,11 @@
 	return s, nil
 }
 
-// spanUp rounds a span in milliseconds up to whole tenths, so that no wait falls short.
+// spanUp converts a span in milliseconds and rounds up, so that no wait is too short.
 func spanUp(ms float64) policy.Tenths { return policy.Tenths(math.Ceil(ms*10 - 1e-6)) }
 
-// Report reads the values of a load report, named as the settings name them. A value that is absent, negative or no
-// number is not told.
+// Report converts the values of a load report, in the order of the names in the settings. An absent, negative or non-numeric
+// value counts as not reported.
 func Report(names []string, values []float64) policy.Report {
 	r := policy.Report{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 	for i, name := range names[:min(len(names), len(values))] {
@@ -199,5 +200,5 @@
 	return r
 }
 
-// Tenths cuts an instant or span in milliseconds to whole tenths.
+// Tenths converts a time or span in milliseconds and rounds down.
 func Tenths(ms float64) policy.Tenths { return policy.Tenths(math.Floor(ms*10 + 1e-6)) }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -34,7 +34,7 @@
 	} {
 		_, err := Read([]byte(c.text))
 		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), c.place) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want a line that names %s", c.text, err, c.place)
+			t.Errorf("%s: %v, want one line that names %s", c.text, err, c.place)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	}
 }
 
-// nobody is an exchange that carries nothing out.
+// nobody is a policy.Exchange that counts the calls sent or answered and does nothing else.
 type nobody struct{ answered int }
 
 func (n *nobody) Send(uint32, uint32, policy.Tenths) { n.answered++ }
@@ -65,7 +65,7 @@
 func (n *nobody) Follow()                            {}
 func (n *nobody) Note(string)                        {}
 
-// The module takes a call under settings at either end of what is served, and under none of the optional ones.
+// The policy must work with the extreme values of the settings, and without the optional ones.
 func TestModuleWorksAtTheExtremesOfSettings(t *testing.T) {
 	for _, text := range []string{least,
 		`{"grades":[{"name":"a","aim":0.1,"deadline":0.1,"worth":0}],"rules":{"cold_from":0,"ramp_time":1e12,"tip_after":0.1,"tip_multiple":2e9},"replicas_of_me":2e9}`,
--- a/internal/due/due.go
+++ b/internal/due/due.go
@@ -1,5 +1,4 @@
-// Package due keeps what falls due, in the order of its instants; what falls due at one instant comes in the order in
-// which it was set. It is pure.
+// Package due is a timer queue without a clock: it orders items by due time, and items of equal time by insertion.
 package due
 
 import (
@@ -8,10 +7,10 @@
 	"indigodrift/policy"
 )
 
-// Kind tells its owner what is to be done.
+// Kind identifies the action of an item. Its values belong to the queue's user.
 type Kind uint8
 
-// Item is one thing that falls due.
+// Item is an entry of the queue.
 type Item struct {
 	At    policy.Tenths
 	Kind  Kind
@@ -19,19 +18,19 @@
 	order uint64
 }
 
-// Queue holds what has not fallen due. The zero value is empty.
+// Queue is a priority queue of items by due time. The zero value is empty.
 type Queue struct {
 	items items
 	order uint64
 }
 
-// Set adds an item. Items cannot be withdrawn: the owner passes over those it no longer needs.
+// Set adds an item. Items can't be removed: the user ignores those that it no longer needs.
 func (q *Queue) Set(at policy.Tenths, kind Kind, token uint64) {
 	q.order++
 	heap.Push(&q.items, Item{at, kind, token, q.order})
 }
 
-// Next is the earliest instant; false when there is none.
+// Next returns the earliest due time, and false if the queue is empty.
 func (q *Queue) Next() (policy.Tenths, bool) {
 	if len(q.items) == 0 {
 		return 0, false
@@ -39,7 +38,7 @@
 	return q.items[0].At, true
 }
 
-// Pop takes the earliest item if it has fallen due.
+// Pop removes and returns the earliest item if it is due at now.
 func (q *Queue) Pop(now policy.Tenths) (Item, bool) {
 	if len(q.items) == 0 || q.items[0].At > now {
 		return Item{}, false
--- a/internal/due/due_test.go
+++ b/internal/due/due_test.go
@@ -33,13 +33,13 @@
 					break
 				}
 				if got.At > now || got.Token != want[0].Token || got.Kind != want[0].Kind {
-					t.Fatalf("at %d came %+v, want %+v", now, got, want[0])
+					t.Fatalf("at %d: got %+v, want %+v", now, got, want[0])
 				}
 				want = want[1:]
 			}
 		}
 		if len(q.items) != 0 || len(want) != 0 {
-			t.Fatalf("%d left, %d wanted", len(q.items), len(want))
+			t.Fatalf("%d items left in the queue, %d still expected", len(q.items), len(want))
 		}
 	})
 }
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a TCP proxy that spoils what passes: it delays connections, passes octets in pieces, swallows them,
-// resets connections, hangs and refuses. internal/soak and tests put it between a controller and everything it talks to. It
-// knows nothing of what the octets mean.
+// Package faultproxy is a TCP proxy that injects network faults: it delays connections and data, splits writes into chunks,
+// drops data, resets connections, stalls new ones and refuses them. internal/soak and tests put it between a controller and its
+// peers. It doesn't interpret the data.
 package faultproxy
 
 import (
@@ -18,26 +18,26 @@
 
 const (
 	dialWithin = time.Second
-	readMost   = 16 << 10 // octets of one read
+	readMost   = 16 << 10 // octets per read
 )
 
-// Shape is how a proxy passes octets while it works. The zero value passes them as they come.
+// Shape sets how a proxy forwards connections and data without a fault. The zero value forwards at once and unchanged.
 type Shape struct {
-	ConnectMost time.Duration // a connection is passed on after a random wait up to this
-	Way         time.Duration // octets take this long each way, in their order
-	Jitter      time.Duration // and up to so much longer
-	PieceMost   int           // octets are passed in pieces of at most so many, 0: as they come
-	PieceWait   time.Duration // between two pieces, at most
-	PieceAll    time.Duration // and for the pieces of what was read at once all together; none where more waits, so that a flood is not held up
+	ConnectMost time.Duration // maximum random delay of a new connection
+	Way         time.Duration // one-way delay of data; the order is kept
+	Jitter      time.Duration // maximum random addition to the one-way delay
+	PieceMost   int           // data is written in chunks of at most this many octets, 0 for no splitting
+	PieceWait   time.Duration // maximum random delay between two chunks
+	PieceAll    time.Duration // maximum sum of these delays per read; 0 while more data waits, so that a flood is not held up
 }
 
-// Proxy passes connections from one address to another.
+// Proxy forwards connections from its address to a target.
 type Proxy struct {
 	address string
 	shape   Shape
 
-	// Ended, if set before the first connection, is called when the near side of a connection has ended, with the address from which
-	// the target sees it.
+	// Ended is called when the client has closed a connection, with the proxy's local address of the connection to the target. It
+	// must be set before the first connection.
 	Ended func(from string)
 
 	mu     sync.Mutex
@@ -56,7 +56,7 @@
 	silent    atomic.Bool
 }
 
-// Listen starts a proxy at an address that passes connections on to target; seed draws its waits and pieces.
+// Listen starts a proxy at an address that forwards connections to target. seed is of the random delays and chunk sizes.
 func Listen(address, target string, shape Shape, seed uint64) (*Proxy, error) {
 	p := &Proxy{shape: shape, random: rand.New(rand.NewPCG(seed, 0x50)), target: target, links: map[*Link]struct{}{}}
 	ln, err := net.Listen("tcp", address)
@@ -68,17 +68,17 @@
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.address }
 
-// Retarget has later connections passed on to another address.
+// Retarget sets the target of later connections.
 func (p *Proxy) Retarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// Refuse ends the listener: connections are refused until Accept. Those that are open stay.
+// Refuse closes the listener, so that new connections are refused until Accept is called. Open connections stay.
 func (p *Proxy) Refuse() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// Accept listens again after Refuse.
+// Accept reopens the listener after Refuse.
 func (p *Proxy) Accept() error {
 	p.mu.Lock()
 	open := p.ln != nil || p.closed
@@ -104,34 +104,38 @@
 	return nil
 }
 
-// Hang has later connections accepted and not passed on, until it is called with false.
+// Hang sets whether later connections are accepted but never forwarded.
 func (p *Proxy) Hang(hung bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.hung = hung
 }
 
-// Silence has nothing pass on the connections that are open now, in either direction, for good. They stay open.
+// Silence stops all data, in both directions and for good, on the connections that are open now. They stay open.
 func (p *Proxy) Silence() { p.each(func(l *Link) { l.silent.Store(true) }) }
 
-// Reset resets the connections that are open now, at both ends.
+// Reset resets the connections that are open now towards client and target.
 func (p *Proxy) Reset() { p.each((*Link).reset) }
 
-// ResetOne resets one of the connections that are open now, and returns the address from which its target sees it, "" where there is none.
+// ResetOne resets one of the connections that are open now. It returns the proxy's local address of the connection to the target,
+// "" if none is open.
 func (p *Proxy) ResetOne() string { return p.one((*Link).reset) }
 
-// EndOne ends the direction to the near side of one of the connections that are open now; the other goes on until the near side closes it.
+// EndOne closes the direction to the client on one of the connections that are open now. The other direction stays open until the
+// client closes it.
 func (p *Proxy) EndOne() {
 	p.one(func(l *Link) {
 		if half, ok := l.near.(*net.TCPConn); ok {
-			_ = half.CloseWrite() // it may be gone already
+			_ = half.CloseWrite() // fails only if the connection is closed already
 		}
 	})
 }
 
-// SilenceOne silences one of the connections that are open now, and returns the address from which its target sees it.
+// SilenceOne stops all data on one of the connections that are open now. It returns the proxy's local address of the connection
+// to the target, "" if none is open.
 func (p *Proxy) SilenceOne() string { return p.one(func(l *Link) { l.silent.Store(true) }) }
 
+// one applies an action to one connection that is open to the target and not silent.
 func (p *Proxy) one(do func(*Link)) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,7 +156,7 @@
 	}
 }
 
-// Close ends the proxy and everything that passes through it.
+// Close closes the proxy and its connections and waits for its goroutines.
 func (p *Proxy) Close() {
 	p.Refuse()
 	p.mu.Lock()
@@ -172,7 +176,7 @@
 func (l *Link) reset() {
 	for _, c := range []net.Conn{l.near, l.far} {
 		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // a connection that is closed already needs no reset
+			_ = t.SetLinger(0) // fails only if the connection is closed already
 		}
 	}
 	l.close()
@@ -197,7 +201,7 @@
 	})
 }
 
-// drawn is a random wait up to most.
+// drawn returns a random duration up to most.
 func (p *Proxy) drawn(most time.Duration) time.Duration {
 	if most <= 0 {
 		return 0
@@ -207,7 +211,7 @@
 	return time.Duration(p.random.Int64N(int64(most) + 1))
 }
 
-// pass passes one connection on until either side ends it.
+// pass forwards one connection until both directions have ended.
 func (p *Proxy) pass(near net.Conn) {
 	l := &Link{near: near}
 	p.mu.Lock()
@@ -230,12 +234,12 @@
 	} else {
 		time.Sleep(p.drawn(p.shape.ConnectMost))
 	}
-	if l.silent.Load() { // perhaps since it waited: it never comes up
+	if l.silent.Load() { // also if it became silent during the delay: it is never connected to the target
 		p.copy(l, near, nil)
 		near.Close()
 		return
 	}
-	if PeerClosed(near) { // whoever dialled has given up: the connection never came up
+	if PeerClosed(near) { // the client has given up during the delay
 		near.Close()
 		return
 	}
@@ -264,7 +268,7 @@
 	l.close()
 }
 
-// PeerClosed tells whether the far end of a TCP connection has closed it, though octets of it may lie unread.
+// PeerClosed reports whether the peer of a TCP connection has closed it, even if input is still unread.
 func PeerClosed(c net.Conn) bool {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
@@ -283,23 +287,24 @@
 	return closed || err != nil
 }
 
-// waysMost reads of a connection are under way at a time; then the far end waits.
+// waysMost bounds the reads that are queued in one direction of a connection; beyond it the sender is held back.
 const waysMost = 256
 
-// parcel is what one read gave, and when it is due at the other side.
+// parcel is the result of one read, with the time at which it is forwarded.
 type parcel struct {
 	due    time.Time
 	octets []byte
 	err    error
 }
 
-// delayLine is a connection whose octets, and its end, are read later than they came.
+// delayLine is a reader that returns data and the end of a stream after a delay.
 type delayLine struct {
 	parcels chan parcel
 	rest    []byte
 }
 
-// delayed reads a connection by the way of the proxy's shape; ended is called as its end is read, before the way.
+// delayed returns a reader of a connection with the delay of the proxy's shape. It calls ended at the end of the stream, before
+// the delay.
 func (p *Proxy) delayed(from io.Reader, ended func()) io.Reader {
 	line := &delayLine{parcels: make(chan parcel, waysMost)}
 	p.all.Go(func() {
@@ -325,7 +330,7 @@
 	return line
 }
 
-// Read waits for what is due next.
+// Read returns the next data once its delay has passed.
 func (d *delayLine) Read(b []byte) (int, error) {
 	if len(d.rest) == 0 {
 		next, ok := <-d.parcels
@@ -342,13 +347,13 @@
 	return n, nil
 }
 
-// behind tells that more has come than what was read last.
+// behind reports whether more data is queued after the last read.
 func behind(from io.Reader) bool {
 	d, ok := from.(*delayLine)
 	return ok && len(d.parcels) > 0
 }
 
-// drain reads a line to its end, so that what fills it does not wait for good.
+// drain empties a delay line, so that the goroutine that fills it can end.
 func drain(from io.Reader) {
 	if d, ok := from.(*delayLine); ok {
 		for range d.parcels { //nolint:revive // only the end matters
@@ -356,8 +361,8 @@
 	}
 }
 
-// copy passes octets one way. At their end the other side's end is passed on as well, a reset as a reset; on a silent connection
-// nothing is, and it stays open for the side that has not closed it.
+// copy forwards one direction of a connection. It forwards the end of the stream as a half-close and an error as a reset. A silent
+// connection forwards neither, and stays open for the side that has not closed it.
 func (p *Proxy) copy(l *Link, from io.Reader, to net.Conn) {
 	defer drain(from)
 	buf := make([]byte, readMost)
@@ -373,7 +378,7 @@
 			return
 		}
 		if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-			_ = half.CloseWrite() // it may be gone already
+			_ = half.CloseWrite() // fails only if the connection is closed already
 			return
 		}
 		l.reset()
@@ -381,6 +386,7 @@
 	}
 }
 
+// write writes b in chunks with random delays between them.
 func (p *Proxy) write(l *Link, to net.Conn, b []byte, behind bool) {
 	left := p.shape.PieceAll
 	if behind {
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -1,7 +1,6 @@
-// Package sip turns the few SIP messages that the platform speaks into octets and back (RFC 3261, sections 7, 18.3 and
-// 20). It is pure. What is read is checked strictly, since a stream in which one message was misread cannot be trusted
-// any further: lines end with CRLF, lengths are counted before anything is kept, and a field that settles where a message
-// ends or what it belongs to stands once.
+// Package sip encodes and decodes the SIP messages that the platform uses (RFC 3261, sections 7, 18.3 and 20). The parser is
+// strict, since the rest of a stream is worthless once one message was misread: lines end with CRLF, lengths are checked
+// before memory is allocated, and a header field that sets a message's length or identity may appear only once.
 package sip
 
 import (
@@ -13,17 +12,17 @@
 	"strings"
 )
 
-// Most is the greatest length of a message, in octets.
+// Most is the maximum length of a message in octets.
 const Most = 16 << 10
 
 const (
 	fieldsMost = 64
-	blankMost  = 8 // empty lines before a message that are passed over (RFC 3261, section 7.5)
+	blankMost  = 8 // empty lines that are skipped before a message (RFC 3261, section 7.5)
 	readFirst  = 2 << 10
 	readStep   = 4 << 10
 )
 
-// The methods that are spoken.
+// Request methods.
 const (
 	Invite  = "INVITE"
 	Ack     = "ACK"
@@ -33,7 +32,7 @@
 	Notify  = "NOTIFY"
 )
 
-// The statuses that are told or read.
+// Status codes, their limits, and names of the Content-Length header field in lower case.
 const (
 	OK              = 200
 	BadRequest      = 400
@@ -49,10 +48,10 @@
 	statusMost      = 699
 	refusalFrom     = 300
 	contentLength   = "content-length"
-	contentLengthIn = "l" // its compact form (RFC 3261, section 7.3.3)
+	contentLengthIn = "l" // compact form (RFC 3261, section 7.3.3)
 )
 
-// Errors that reading ends with.
+// Errors of Reader.Read.
 var (
 	ErrTooLong   = errors.New("message too long")
 	ErrMalformed = errors.New("malformed message")
@@ -61,7 +60,7 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// Message is a request, or, where Status is not 0, an answer.
+// Message is a request or, if Status is not 0, a response.
 type Message struct {
 	Method     string
 	URI        string
@@ -69,17 +68,17 @@
 	CallID     string
 	CSeq       uint32
 	CSeqMethod string
-	Fields     []Field // all others, in their order
+	Fields     []Field // the other header fields, in order
 	Body       []byte
 }
 
-// Provisional tells that an answer is not final.
+// Provisional reports whether m is a provisional response.
 func (m *Message) Provisional() bool { return m.Status != 0 && m.Status < finalFrom }
 
-// Refusal tells that a final answer refuses.
+// Refusal reports whether m is a final response other than 2xx.
 func (m *Message) Refusal() bool { return m.Status >= refusalFrom }
 
-// Get returns the value of a field, "" when it is absent. Names are compared without regard to case.
+// Get returns the value of a header field, "" if it is absent. Names are case-insensitive.
 func (m *Message) Get(name string) string {
 	for _, f := range m.Fields {
 		if strings.EqualFold(f.Name, name) {
@@ -89,7 +88,7 @@
 	return ""
 }
 
-// User is the part of the request's address before the host (RFC 3261, section 19.1.1), "" when there is none.
+// User returns the user part of the request URI (RFC 3261, section 19.1.1), "" if there is none.
 func (m *Message) User() string {
 	rest, ok := strings.CutPrefix(m.URI, "sip:")
 	if !ok {
@@ -102,7 +101,7 @@
 	return user
 }
 
-// Answer begins an answer to a request.
+// Answer returns a response to the request m.
 func (m *Message) Answer(status int) Message {
 	return Message{Status: status, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: m.Method}
 }
@@ -111,7 +110,7 @@
 	BusyHere: "Busy Here", Unavailable: "Temporarily Unavailable", TooLarge: "Request Entity Too Large",
 	ServerError: "Server Internal Error", ServiceUnavail: "Service Unavailable", ServerTimeout: "Server Time-out"}
 
-// Append adds the octets of a message.
+// Append appends the encoding of a message to b.
 func Append(b []byte, m *Message) []byte {
 	method := m.CSeqMethod
 	if m.Status != 0 {
@@ -151,26 +150,26 @@
 
 // Reader reads messages from a stream.
 type Reader struct {
-	// Part, if set, is called once for a message of which the rest must be waited for.
+	// Part, if set, is called once for each message that is incomplete when the buffered octets are used up.
 	Part func()
 
 	told bool
 	r    io.Reader
-	buf  []byte // read and not yet taken
+	buf  []byte // read but not yet parsed
 }
 
-// NewReader reads messages from r.
+// NewReader returns a Reader of the messages in r.
 func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
 
-// Read returns the next message. After any error the stream is of no further use. With ErrMalformed and ErrTooLong the
-// message holds what could be read of it, so that it may be answered. At the end between two messages the error is io.EOF,
-// within one io.ErrUnexpectedEOF. The message shares no memory with the reader.
+// Read returns the next message. After an error the stream can't be used any further. With ErrMalformed and ErrTooLong the
+// message holds what could be parsed, so that a response can be sent. The error is io.EOF at the end of the stream between
+// messages and io.ErrUnexpectedEOF within one. The message shares no memory with the Reader.
 func (r *Reader) Read() (Message, error) {
 	r.told = false
 	for blank := 0; ; {
 		for len(r.buf) >= 2 && r.buf[0] == '\r' && r.buf[1] == '\n' {
 			if blank++; blank > blankMost {
-				return Message{}, fmt.Errorf("%w: nothing but empty lines", ErrMalformed)
+				return Message{}, fmt.Errorf("%w: too many empty lines before the start line", ErrMalformed)
 			}
 			r.buf = r.buf[2:]
 		}
@@ -192,14 +191,14 @@
 				m.Body = bytes.Clone(r.buf[end+4 : whole])
 			}
 			if r.buf = r.buf[whole:]; len(r.buf) == 0 {
-				r.buf = nil // a connection without traffic holds no buffer
+				r.buf = nil // idle connections keep no buffer
 			}
 			return m, nil
 		}
 		if len(r.buf) > Most {
-			return Message{}, fmt.Errorf("%w: no end of the header in %d octets", ErrTooLong, len(r.buf))
+			return Message{}, fmt.Errorf("%w: no end of header within %d octets", ErrTooLong, len(r.buf))
 		}
-		if i := bytes.IndexByte(r.buf, '\n'); i >= 0 && !starts(r.buf[:i]) { // noise is not waited out
+		if i := bytes.IndexByte(r.buf, '\n'); i >= 0 && !starts(r.buf[:i]) { // rejects noise before a whole header has arrived
 			return Message{}, fmt.Errorf("%w: start line %.40q", ErrMalformed, r.buf[:i])
 		}
 		if err := r.more(); err != nil {
@@ -208,12 +207,13 @@
 	}
 }
 
-// starts tells whether a line can be the first of a message.
+// starts reports whether a line can be a start line. Empty lines pass: they may precede a message.
 func starts(line []byte) bool {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	return len(line) == 0 || bytes.HasPrefix(line, []byte("SIP/2.0 ")) || bytes.HasSuffix(line, []byte(" SIP/2.0"))
 }
 
+// more reads more octets into the buffer.
 func (r *Reader) more() error {
 	if len(r.buf) > 0 && !r.told && r.Part != nil {
 		r.told = true
@@ -241,7 +241,7 @@
 	return err
 }
 
-// head reads the start line and the header, and the length of the body that follows.
+// head parses the start line and the header and returns the length of the body.
 func head(b []byte) (m Message, length int, err error) {
 	text := string(b)
 	line, rest, _ := strings.Cut(text, "\r\n")
@@ -272,7 +272,7 @@
 			}
 			if seen.length = true; v > Most {
 				if fault == nil {
-					fault = fmt.Errorf("%w: a body of %d octets is announced", ErrTooLong, v)
+					fault = fmt.Errorf("%w: Content-Length is %d", ErrTooLong, v)
 				}
 				continue
 			}
@@ -300,11 +300,12 @@
 		}
 	}
 	if !seen.length {
-		bad("no Content-Length")
+		bad("Content-Length is missing")
 	}
 	return m, length, fault
 }
 
+// startLine parses a request line or status line into m.
 func startLine(m *Message, line string) error {
 	if rest, ok := strings.CutPrefix(line, "SIP/2.0 "); ok {
 		code, reason, _ := strings.Cut(rest, " ")
@@ -323,7 +324,7 @@
 	return nil
 }
 
-// token tells whether a text is a token (RFC 3261, section 25.1).
+// token reports whether s is a token (RFC 3261, section 25.1).
 func token(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -334,7 +335,7 @@
 	return s != ""
 }
 
-// printable tells whether a value holds no control characters but tabs.
+// printable reports whether s is free of control characters other than tabs.
 func printable(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -39,7 +39,7 @@
 	for name, c := range map[string]struct {
 		text string
 		want error
-		id   string // what may be answered all the same
+		id   string // Call-ID parsed despite the error
 	}{
 		"noise":               {"\x00\x01\x02 noise\n", ErrMalformed, ""},
 		"line without end":    {strings.Repeat("a", 3*Most), ErrTooLong, ""},
@@ -66,7 +66,7 @@
 	}
 }
 
-// A body announced too long is refused before any of it is read, and a stream of zeros costs no memory.
+// Guards against unbounded memory use: a body that is too long is rejected before any of it is read.
 func TestLengthIsCheckedBeforeTheBody(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader(strings.Replace(setUp, ": 5", ": 16385", 1)), iotest.ErrReader(errors.New("read on")))
 	r := NewReader(endless)
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	if cap(r.buf) > Most {
-		t.Fatalf("%d octets held", cap(r.buf))
+		t.Fatalf("%d octets buffered", cap(r.buf))
 	}
 }
 
@@ -84,7 +84,7 @@
 	r.Part = func() { told++ }
 	for _, want := range []int{1, 1} {
 		if _, err := r.Read(); err != nil || told != want {
-			t.Fatalf("told %d times, want %d: %v", told, want, err)
+			t.Fatalf("called %d times, want %d: %v", told, want, err)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	for {
 		m, err := r.Read()
 		if len(r.buf) > Most+readStep {
-			t.Fatalf("%d octets held", len(r.buf))
+			t.Fatalf("%d octets buffered", len(r.buf))
 		}
 		if err != nil {
 			return
--- a/internal/sip/siptest/peer.go
+++ b/internal/sip/siptest/peer.go
@@ -1,5 +1,4 @@
-// Package siptest has a far end that speaks SIP over one connection and is played by a test: a caller or a switch. Tests
-// alone import it.
+// Package siptest provides a scripted SIP peer on one connection, a caller or a switch, for tests.
 package siptest
 
 import (
@@ -12,17 +11,17 @@
 	"indigodrift/internal/sip"
 )
 
-// heardMost messages wait for the test; then the connection is read no further.
+// heardMost bounds the received messages that wait for the test; beyond it the connection is not read.
 const heardMost = 1000
 
-// Peer is one end of a connection.
+// Peer is a SIP peer at one end of a connection.
 type Peer struct {
 	t   *testing.T
 	c   net.Conn
 	got chan sip.Message // closed with the connection
 }
 
-// New plays the end c.
+// New returns a peer at the end c of a connection and starts reading it.
 func New(t *testing.T, c net.Conn) *Peer {
 	p := &Peer{t: t, c: c, got: make(chan sip.Message, heardMost)}
 	go func() {
@@ -39,21 +38,24 @@
 	return p
 }
 
-// Say writes a message, Raw what may be none.
+// Say sends a message.
 func (p *Peer) Say(m sip.Message) { p.Raw(string(sip.Append(nil, &m))) }
+
+// Raw sends a text that need not be a valid message.
 func (p *Peer) Raw(text string)   { p.c.Write([]byte(text)) }
 
-// Close ends the connection.
+// Close closes the connection.
 func (p *Peer) Close() { p.c.Close() }
 
-// Stand answers a set-up with a description: the call stands.
+// Stand accepts the set-up m with a 200 response and a session description.
 func (p *Peer) Stand(m sip.Message, description string) {
 	answer := m.Answer(sip.OK)
 	answer.Body = []byte(description)
 	p.Say(answer)
 }
 
-// Next is the next message that is no sign of life; false when the connection has ended or nothing came in time.
+// Next returns the next message and answers the keepalives before it. It returns false if the connection has ended or nothing
+// arrived in time.
 func (p *Peer) Next(within time.Duration) (sip.Message, bool) {
 	until := time.After(within)
 	for {
@@ -70,17 +72,17 @@
 	}
 }
 
-// Want is the next message, which must be of that method or status.
+// Want returns the next message, which must have the given method or status.
 func (p *Peer) Want(what string) sip.Message {
 	p.t.Helper()
 	m, ok := p.Next(3 * time.Second)
 	if got := m.Method; !ok || got != what && fmt.Sprint(m.Status) != what {
-		p.t.Fatalf("came %v %+v, want %s", ok, m, what)
+		p.t.Fatalf("received %v %+v, want %s", ok, m, what)
 	}
 	return m
 }
 
-// WantRelease wants the release of a call next, and answers it.
+// WantRelease expects the release of a call as the next message and answers it.
 func (p *Peer) WantRelease(id string) {
 	p.t.Helper()
 	m := p.Want(sip.Bye)
@@ -90,7 +92,7 @@
 	p.Say(m.Answer(sip.OK))
 }
 
-// ClosedWithin tells whether the connection ends in that time, whatever comes before.
+// ClosedWithin reports whether the connection ends within a time. Messages before the end are discarded.
 func (p *Peer) ClosedWithin(span time.Duration) bool {
 	until := time.After(span)
 	for {
@@ -105,19 +107,19 @@
 	}
 }
 
-// SetUp is a caller's set-up: a bearer type, the caller's wait in milliseconds, the figures of the call as P-Trunk-Info.
+// SetUp returns a caller's set-up with the given bearer type, abandon time in milliseconds, P-Trunk-Info and session description.
 func SetUp(id, bearer string, expiresMS int, info, description string) sip.Message {
 	return sip.Message{Method: sip.Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte(description),
 		Fields: []sip.Field{{Name: "Priority-Class", Value: bearer}, {Name: "Expires-Ms", Value: strconv.Itoa(expiresMS)}, {Name: "P-Trunk-Info", Value: info}}}
 }
 
-// Release releases a call with a Q.850 cause.
+// Release returns the release of a call with a Q.850 cause.
 func Release(id string, cause int) sip.Message {
 	return sip.Message{Method: sip.Bye, URI: "sip:x@net", CallID: id, CSeq: 2, CSeqMethod: sip.Bye,
 		Fields: []sip.Field{{Name: "Reason", Value: fmt.Sprintf("Q.850;cause=%d", cause)}}}
 }
 
-// Group tells the state of a group: its free circuits and its size.
+// Group returns a load report of a switch: the free circuits and the size of its trunk group.
 func Group(free, size int) sip.Message {
 	return sip.Message{Method: sip.Notify, URI: "sip:x@net", CallID: "0", CSeq: 1, CSeqMethod: sip.Notify,
 		Fields: []sip.Field{{Name: "P-Load", Value: fmt.Sprintf("x0:%d;x1:%d", free, size)}}}
