--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -29,9 +29,9 @@
 	// quarter of a core a message takes up to 0.5 ms, and a caller's departure must be noticed within 100 ms.
 	inboxMost = 128
 
-	octetsPart   = 8        // callers' descriptions may take 1/8 of the memory limit
-	octetsACall  = 16 << 10 // highest memory use of one call; bounds the number of open calls
-	memoryOf     = 0.75     // share of the memory limit from which the garbage collector works harder
+	octetsPart   = 8                      // callers' descriptions may take 1/8 of the memory limit
+	octetsACall  = 16 << 10               // highest memory use of one call; bounds the number of open calls
+	memoryOf     = 0.75                   // share of the memory limit from which the garbage collector works harder
 	dialMost     = 500 * time.Millisecond // where the settings have none
 	summaryEvery = 10 * time.Second
 	notesMost    = 40 // log lines between two summaries; further ones are counted
--- a/internal/sip/siptest/peer.go
+++ b/internal/sip/siptest/peer.go
@@ -42,7 +42,7 @@
 func (p *Peer) Say(m sip.Message) { p.Raw(string(sip.Append(nil, &m))) }
 
 // Raw sends a text that need not be a valid message.
-func (p *Peer) Raw(text string)   { p.c.Write([]byte(text)) }
+func (p *Peer) Raw(text string) { p.c.Write([]byte(text)) }
 
 // Close closes the connection.
 func (p *Peer) Close() { p.c.Close() }
