--- a/cmd/indigodrift/serve.go
+++ b/cmd/indigodrift/serve.go
@@ -34,7 +34,7 @@
 	return c
 }
 
-func module(d policy.Deployment, out policy.Exchange, now policy.Tenths) exchange.Decider {
+func module(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
 	return policy.New(d, out, now)
 }
 
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	log := slog.New(handler).With("exchange", s.Deployment.Own)
+	log := slog.New(handler).With("exchange", s.Deployment.OwnExchange)
 	build := control.Build(module)
 	switch routing {
 	case "module":
--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -119,10 +119,10 @@
 	handle uint32
 	try    int
 	sw     uint32
-	end    policy.Ending
+	end    policy.Outcome
 	why    policy.Reason
 	wait   policy.Tenths
-	rep    policy.Report
+	rep    policy.LoadReport
 	left   bool // the caller has abandoned the call: there is nothing left to decide
 }
 
@@ -168,7 +168,7 @@
 
 // New creates an agent; build creates the policy, given the interface through which it acts on the agent.
 func New(set deployment.Settled, b Bounds, out Carrier, now policy.Tenths,
-	build func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider) *Agent {
+	build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) *Agent {
 	a := &Agent{set: set, out: out, now: now, calls: map[uint64]*call{}, byHandle: map[uint32]*call{},
 		openMost: b.Calls, heldMost: b.Octets, linkMost: b.Links, far: map[uint32]*farEnd{}, linkOf: map[Conn]uint32{}, closing: map[Conn]uint32{}, dialTo: map[uint32]string{},
 		callers: newCallerConns(b.Callers), silence: silenceClock{tickAt: now}, pending: releaseQueue{byCall: map[uint64]*pendingRelease{}}, houseAt: now + houseWork, fresh: set.Module.Seed}
@@ -200,7 +200,7 @@
 		k := a.byHandle[uint32(d.Token)]
 		switch d.Kind {
 		case dueWake:
-			a.decide.Woken(now, d.Token)
+			a.decide.TimerExpired(now, d.Token)
 		case dueRelease:
 			a.releaseDue(d)
 		case dueTry:
@@ -245,7 +245,7 @@
 			a.tally.Left++
 			continue
 		}
-		a.decide.Ended(a.now, r.handle, r.try, r.sw, r.end, false, r.why, r.wait, r.rep)
+		a.decide.TryEnded(a.now, r.handle, r.try, r.sw, r.end, false, r.why, r.wait, r.rep)
 	}
 }
 
@@ -330,31 +330,31 @@
 
 // left ends a call whose caller needs no further answer.
 func (a *Agent) left(k *call) {
-	a.decide.CallerLeft(a.now, k.handle)
+	a.decide.Abandoned(a.now, k.handle)
 	if k.state == Trying {
 		a.tries.Cancelled++
 		t := k.last()
 		a.abandon(t, "the caller abandoned the call, or the call failed")
 		a.become(k, Over)
-		a.decide.Ended(a.now, k.handle, t.number, t.sw, policy.Cancelled, true, policy.NoReason, 0, untold)
+		a.decide.TryEnded(a.now, k.handle, t.number, t.sw, policy.Cancelled, true, policy.NoReason, 0, untold)
 		return
 	}
 	a.become(k, Over)
 }
 
-var untold = policy.Report{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
+var untold = policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 
 // ended reports the end of an established call to the policy.
-func (a *Agent) ended(k *call, end policy.Ending, rep policy.Report) {
+func (a *Agent) ended(k *call, end policy.Outcome, rep policy.LoadReport) {
 	t := k.last()
 	a.advance(t, eventRelease, "the call is over")
 	a.become(k, Over)
 	if k.handle != 0 {
-		a.decide.Ended(a.now, k.handle, t.number, t.sw, end, true, policy.NoReason, 0, rep)
+		a.decide.TryEnded(a.now, k.handle, t.number, t.sw, end, true, policy.NoReason, 0, rep)
 	} else if rep.Size >= 0 && a.far[t.sw] != nil {
-		a.decide.Circuits(a.now, t.sw, rep)
+		a.decide.LoadReported(a.now, t.sw, rep)
 	}
-	if end == policy.Cut {
+	if end == policy.Disconnected {
 		a.tally.Cut++
 	} else {
 		a.tally.Released++
@@ -388,7 +388,7 @@
 	case m.Method == sip.Notify:
 		if rep := readLoad(m); rep.Size >= 0 {
 			f.told = rep
-			a.decide.Circuits(now, sw, rep)
+			a.decide.LoadReported(now, sw, rep)
 		}
 	case m.Method == sip.Bye:
 		heard := m.Answer(sip.OK)
--- a/internal/b2bua/desk.go
+++ b/internal/b2bua/desk.go
@@ -68,11 +68,11 @@
 	}
 }
 
-// Wake sets a timer of the policy.
-func (d *desk) Wake(at policy.Tenths, token uint64) { (*Agent)(d).timers.Set(at, dueWake, token) }
+// SetTimer sets a timer of the policy.
+func (d *desk) SetTimer(at policy.Tenths, token uint64) { (*Agent)(d).timers.Set(at, dueWake, token) }
 
-// Follow requests the list of switches. It does nothing, as the notice board is followed all the time.
-func (d *desk) Follow() {}
+// Subscribe requests the list of switches. It does nothing, as the notice board is followed all the time.
+func (d *desk) Subscribe() {}
 
-// Note logs a message for the operator.
-func (d *desk) Note(text string) { d.out.Note(text) }
+// Log logs a message for the operator.
+func (d *desk) Log(text string) { d.out.Note(text) }
--- a/internal/b2bua/far.go
+++ b/internal/b2bua/far.go
@@ -124,11 +124,11 @@
 	resumes    bool          // no message came from the switch since a connection was lost
 	lostRepeat lostRepeat
 	pace       *reconnect.Pace
-	dialAt     policy.Tenths // next dial that no call requested
-	heardAt    policy.Tenths // last message on any connection
-	short      int           // consecutive connections that lasted less than heldLeast
-	told       policy.Report // last reported circuits, for the log
-	trip       policy.Tenths // round-trip time, as keepalives measured it
+	dialAt     policy.Tenths     // next dial that no call requested
+	heardAt    policy.Tenths     // last message on any connection
+	short      int               // consecutive connections that lasted less than heldLeast
+	told       policy.LoadReport // last reported circuits, for the log
+	trip       policy.Tenths     // round-trip time, as keepalives measured it
 	measured   bool
 }
 
@@ -207,7 +207,7 @@
 
 // wanted reports whether connections to a switch are to be kept open.
 func (a *Agent) wanted(f *farEnd) bool {
-	return f.entry.Cell != a.set.Module.Own && f.entry.State != board.Gone
+	return f.entry.Cell != a.set.Module.OwnExchange && f.entry.State != board.Gone
 }
 
 // Dialled handles the result of a dial: a connection, a refusal (no process listens at the address), or a timeout.
@@ -290,7 +290,7 @@
 	f.waiting = nil
 	for _, t := range waiting {
 		a.drop(t, "switch not reached")
-		a.endTry(t, policy.Unreached)
+		a.endTry(t, policy.Unreachable)
 	}
 }
 
@@ -342,7 +342,7 @@
 	for _, k := range cut {
 		a.tries.Lost++
 		a.advance(k.last(), eventAbandon, "connection ended")
-		a.endTry(k.last(), policy.Cut)
+		a.endTry(k.last(), policy.Disconnected)
 	}
 	a.settle()
 }
@@ -376,7 +376,7 @@
 	}
 	for _, k := range cut {
 		a.releaseCaller(k, causeTempFail)
-		a.ended(k, policy.Cut, untold)
+		a.ended(k, policy.Disconnected, untold)
 	}
 }
 
@@ -451,7 +451,7 @@
 		list = append(list, policy.Switch{ID: s.ID, Number: s.Cell, Ready: s.State == board.Ready,
 			Draining: s.State == board.Draining, BootAt: bootAt(s)})
 	}
-	a.decide.Listed(now, e.Whole, list)
+	a.decide.ListReceived(now, e.Whole, list)
 	if e.Whole {
 		for _, id := range slices.Clone(a.farOrder) {
 			if !named[id] {
--- a/internal/b2bua/fleet_test.go
+++ b/internal/b2bua/fleet_test.go
@@ -157,12 +157,12 @@
 		last := all[len(all)-1]
 		n := 0
 		for _, at := range all {
-			if last-at < d.FallWindow {
+			if last-at < d.OverloadWindow {
 				n++
 			}
 		}
-		strength := d.ColdFrom + (1-d.ColdFrom)*float64(max(0, last-d.FallWindow-f.boots[id]))/float64(d.RampTime)
-		if bears := d.FallMultiple * strength * 2 * carried * float64(d.FallWindow) / 10000; float64(n) > bears+2*math.Sqrt(bears)+2 {
+		strength := d.InitialCapacity + (1-d.InitialCapacity)*float64(max(0, last-d.OverloadWindow-f.boots[id]))/float64(d.RampTime)
+		if bears := d.OverloadMultiple * strength * 2 * carried * float64(d.OverloadWindow) / 10000; float64(n) > bears+2*math.Sqrt(bears)+2 {
 			f.t.Fatalf("%d set-ups in a fall window to switch %d in slow start, which can carry %.1f", n, id, bears)
 		}
 	}
--- a/internal/b2bua/lost_repeat.go
+++ b/internal/b2bua/lost_repeat.go
@@ -66,6 +66,6 @@
 	for _, k := range ended {
 		a.releaseSwitch(f.entry.ID, 0, a.bye(k.callID, k.uri, causeTempFail))
 		a.releaseCaller(k, causeTempFail)
-		a.ended(k, policy.Cut, untold)
+		a.ended(k, policy.Disconnected, untold)
 	}
 }
--- a/internal/b2bua/read.go
+++ b/internal/b2bua/read.go
@@ -63,7 +63,7 @@
 	if o.ask.Number, err = readID(m.User()); err != nil {
 		return o, fmt.Errorf("called number: %w", err)
 	}
-	o.ask.Dest, o.ask.Width, o.ask.Advice, o.ask.Bearer = -1, 1, -1, -1
+	o.ask.Dest, o.ask.Width, o.ask.AdvisedTandem, o.ask.Bearer = -1, 1, -1, -1
 	class := m.Get(fieldClass)
 	for i, name := range set.Bearers {
 		if name == class {
@@ -95,11 +95,11 @@
 		case "width":
 			o.ask.Width = int(v)
 		case "via":
-			o.ask.Advice = int(v)
+			o.ask.AdvisedTandem = int(v)
 		case "transit":
 			o.ask.Transit = v == 1
 		case "again":
-			o.ask.Cut = v == 1
+			o.ask.Disconnected = v == 1
 		}
 	}
 	if o.adopted {
@@ -124,7 +124,7 @@
 var dialect = map[string]string{"x0": "free", "x1": "size", "eps": "hold_back", "latency_ms": "avg_ms"}
 
 // readLoad parses the load report that a message carries, as in "x0:12;x1:40;queue:3".
-func readLoad(m *sip.Message) policy.Report {
+func readLoad(m *sip.Message) policy.LoadReport {
 	var names []string
 	var values []float64
 	for _, part := range strings.Split(m.Get(fieldLoad), ";") {
@@ -141,11 +141,11 @@
 	return deployment.Report(names, values)
 }
 
-var words = map[string]policy.Reason{"atb": policy.NoCircuit, "rtb": policy.TurnedBack, "racc": policy.DestFull,
-	"acc": policy.ProcessorFull, "sub": policy.NumberBusy}
+var words = map[string]policy.Reason{"atb": policy.NoCircuit, "rtb": policy.TurnedBack, "racc": policy.DestOverloaded,
+	"acc": policy.ProcessorOverloaded, "sub": policy.NumberBusy}
 
 // readRefusal returns how a refused route try ended, the reason, and the wait that the switch asks for.
-func readRefusal(m *sip.Message) (end policy.Ending, why policy.Reason, wait policy.Tenths) {
+func readRefusal(m *sip.Message) (end policy.Outcome, why policy.Reason, wait policy.Tenths) {
 	why = words[m.Get(fieldWarning)]
 	if ms, err := strconv.ParseFloat(m.Get(fieldWait), 64); err == nil && ms >= 0 && ms <= expiresMost {
 		wait = deployment.Tenths(ms)
@@ -156,7 +156,7 @@
 	case sip.Unavailable:
 		end = policy.Unsent
 	case sip.ServerTimeout:
-		end = policy.Cut
+		end = policy.Disconnected
 	default:
 		end = policy.Faulted
 	}
--- a/internal/b2bua/release_switch.go
+++ b/internal/b2bua/release_switch.go
@@ -56,7 +56,7 @@
 // releasedStanding ends an established call. The release may refer to an earlier try, there or at another switch.
 // The platform knows calls by their ids alone, so the call is over in any case, and its present switch is released
 // too.
-func (a *Agent) releasedStanding(k *call, f *farEnd, why int, rep policy.Report) {
+func (a *Agent) releasedStanding(k *call, f *farEnd, why int, rep policy.LoadReport) {
 	rep = a.reportOf(f, k, rep)
 	a.releaseCaller(k, why)
 	if k.far() != f.entry.ID || k.earlierMayBeReleased(f.entry.ID) {
@@ -65,14 +65,14 @@
 	if why == causeNormal {
 		a.ended(k, policy.Released, rep)
 	} else {
-		a.ended(k, policy.Cut, rep)
+		a.ended(k, policy.Disconnected, rep)
 	}
 }
 
 // releasedUnanswered fails a call that was established and is over although its caller has no answer, as the
 // switch's answer was lost. A try that is out is cancelled. A further try could be answered to the caller after
 // the release, and the caller would never be released.
-func (a *Agent) releasedUnanswered(k *call, c Conn, f *farEnd, why int, rep policy.Report) {
+func (a *Agent) releasedUnanswered(k *call, c Conn, f *farEnd, why int, rep policy.LoadReport) {
 	t := k.last()
 	rep = a.reportOf(f, k, rep)
 	a.tries.Reset++
@@ -84,17 +84,17 @@
 	a.refuse(k, sip.ServerError, 0)
 	a.become(k, Over)
 	a.tally.Aborted++
-	a.decide.Ended(a.now, k.handle, t.number, t.sw, policy.Cut, true, policy.NoReason, 0, rep)
+	a.decide.TryEnded(a.now, k.handle, t.number, t.sw, policy.Disconnected, true, policy.NoReason, 0, rep)
 }
 
 // reportOf returns the load report for the end of a call's last try: the one that came, if it is of the same
 // switch. The report of another switch is passed on separately.
-func (a *Agent) reportOf(f *farEnd, k *call, rep policy.Report) policy.Report {
+func (a *Agent) reportOf(f *farEnd, k *call, rep policy.LoadReport) policy.LoadReport {
 	if k.far() == f.entry.ID {
 		return rep
 	}
 	if rep.Size >= 0 {
-		a.decide.Circuits(a.now, f.entry.ID, rep)
+		a.decide.LoadReported(a.now, f.entry.ID, rep)
 	}
 	return untold
 }
@@ -106,7 +106,7 @@
 	a.out.Record(Record{Kind: TryReset, CallID: t.call.callID, Conn: c, Switch: t.sw, Try: t.number + 1, Cause: why, Waited: a.now - t.sentAt,
 		Why: fmt.Sprintf("set-up was sent on connection %d", t.conn)})
 	a.abandon(t, "released by the switch before an answer")
-	a.endTry(t, policy.Cut)
+	a.endTry(t, policy.Disconnected)
 }
 
 // releaseSwitch releases a call towards its switch on any connection, or on the next one that opens.
--- a/internal/b2bua/rig_test.go
+++ b/internal/b2bua/rig_test.go
@@ -111,10 +111,10 @@
 
 func settled() deployment.Settled {
 	return deployment.Settled{Bearers: []string{"voice", "fax"}, OpenMost: 100, StreamsMost: 1000, DialTime: 5000,
-		Module: policy.Deployment{Seed: 7, Own: 0, MaxTries: 4, ReleaseTime: releaseTime, ComeBackMost: 20000, CancelsAllowed: true,
-			DrainGrace: 2500, ColdFrom: 0.3, RampTime: 140000, FallMultiple: 3, FallWindow: 15000,
-			Bearers: []policy.Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 3000, Abandon: 30000},
-				{Revenue: 5, LateShare: 0.25, GoSTarget: 3000, Abandon: 20000}}}}
+		Module: policy.Deployment{Seed: 7, OwnExchange: 0, MaxTries: 4, ReleaseTime: releaseTime, MaxRetryAfter: 20000, CancelsAllowed: true,
+			DrainGrace: 2500, InitialCapacity: 0.3, RampTime: 140000, OverloadMultiple: 3, OverloadWindow: 15000,
+			Bearers: []policy.Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 3000, AbandonTime: 30000},
+				{Revenue: 5, LateShare: 0.25, GoSTarget: 3000, AbandonTime: 20000}}}}
 }
 
 func newRig(t fatalist) *rig {
@@ -124,7 +124,7 @@
 func newRigWithin(t fatalist, b Bounds) *rig {
 	r := &rig{t: t, now: 17e12, calls: map[string]*heardOf{}, links: map[Conn]uint32{}, drained: map[uint32]bool{}, closed: map[Conn]string{}, silent: map[Conn]bool{}, deaf: map[Conn]bool{}, gone: map[string]bool{}, openedAt: map[Conn]policy.Tenths{}, offeredOn: map[Conn]bool{}, acked: map[Conn]bool{}}
 	r.a = New(settled(), b, r, r.now,
-		func(d policy.Deployment, x policy.Exchange, now policy.Tenths) exchange.Decider {
+		func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		})
 	r.list(true, board.Switch{ID: 0, Cell: 0, Address: "10.0.0.1:1"}, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1"},
--- a/internal/b2bua/route_try_test.go
+++ b/internal/b2bua/route_try_test.go
@@ -293,16 +293,16 @@
 	of []uint32
 }
 
-func (d *reported) Circuits(now policy.Tenths, sw uint32, rep policy.Report) {
+func (d *reported) LoadReported(now policy.Tenths, sw uint32, rep policy.LoadReport) {
 	if rep.Size == 33 {
 		d.of = append(d.of, sw)
 	}
-	d.Decider.Circuits(now, sw, rep)
+	d.Decider.LoadReported(now, sw, rep)
 }
 
-func (d *reported) Ended(now policy.Tenths, id uint32, try int, sw uint32, end policy.Ending, final bool, why policy.Reason, wait policy.Tenths, rep policy.Report) {
+func (d *reported) TryEnded(now policy.Tenths, id uint32, try int, sw uint32, end policy.Outcome, final bool, why policy.Reason, wait policy.Tenths, rep policy.LoadReport) {
 	if rep.Size == 33 {
 		d.of = append(d.of, sw)
 	}
-	d.Decider.Ended(now, id, try, sw, end, final, why, wait, rep)
+	d.Decider.TryEnded(now, id, try, sw, end, final, why, wait, rep)
 }
--- a/internal/b2bua/try.go
+++ b/internal/b2bua/try.go
@@ -13,9 +13,9 @@
 // leftAsItStood ends a call that its switch answered after the caller had abandoned it.
 func (a *Agent) leftAsItStood(k *call) {
 	t := k.last()
-	a.decide.CallerLeft(a.now, k.handle)
+	a.decide.Abandoned(a.now, k.handle)
 	a.become(k, Over)
-	a.decide.Ended(a.now, k.handle, t.number, t.sw, policy.Cancelled, true, policy.NoReason, 0, untold)
+	a.decide.TryEnded(a.now, k.handle, t.number, t.sw, policy.Cancelled, true, policy.NoReason, 0, untold)
 	a.tally.Left++
 }
 
@@ -38,7 +38,7 @@
 	}
 	if a.dial(f); a.full() && !f.dialing { // no connection is coming up
 		a.drop(t, "no descriptor available")
-		a.endTry(t, policy.Unreached)
+		a.endTry(t, policy.Unreachable)
 	}
 }
 
@@ -72,7 +72,7 @@
 		a.tally.Left++
 	case f == nil || f.entry.State != board.Ready:
 		a.drop(t, "its switch is draining or gone")
-		a.endTry(t, policy.Unreached)
+		a.endTry(t, policy.Unreachable)
 	default:
 		a.place(t, f)
 	}
@@ -110,7 +110,7 @@
 }
 
 // endTry returns a call whose try is over to the policy, by a deferred result.
-func (a *Agent) endTry(t *routeTry, end policy.Ending) {
+func (a *Agent) endTry(t *routeTry, end policy.Outcome) {
 	a.become(t.call, Offered)
 	a.later = append(a.later, report{handle: t.call.handle, try: t.number, sw: t.sw, end: end, rep: untold})
 }
@@ -161,9 +161,9 @@
 	a.become(k, Standing)
 	a.tally.Stood++
 	a.tries.Stood++
-	a.decide.Stands(a.now, k.handle, t.number)
+	a.decide.Answered(a.now, k.handle, t.number)
 	if rep.Size >= 0 {
-		a.decide.Circuits(a.now, t.sw, rep)
+		a.decide.LoadReported(a.now, t.sw, rep)
 	}
 }
 
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -24,7 +24,7 @@
 // Plain routes a call direct; with a tandem it tries one drawn at random when the direct group is full or turned it back.
 type Plain struct {
 	d      policy.Deployment
-	out    policy.Exchange
+	out    policy.Executor
 	tandem bool
 	chance *rand.Rand
 	far    map[uint32]*far
@@ -33,8 +33,8 @@
 }
 
 // Build makes a builder for internal/exchange.
-func Build(tandem bool) func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider {
-	return func(d policy.Deployment, out policy.Exchange, _ policy.Tenths) exchange.Decider {
+func Build(tandem bool) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
+	return func(d policy.Deployment, out policy.Executor, _ policy.Tenths) exchange.Decider {
 		return &Plain{d: d, out: out, tandem: tandem, chance: rand.New(rand.NewPCG(d.Seed, 5)), far: map[uint32]*far{},
 			calls: map[uint32]*call{}}
 	}
@@ -52,7 +52,7 @@
 	var fit []uint32
 	for _, id := range p.order {
 		f := p.far[id]
-		if !f.ready || f.number == p.d.Own || f.free < k.ask.Width {
+		if !f.ready || f.number == p.d.OwnExchange || f.free < k.ask.Width {
 			continue
 		}
 		if f.number == k.ask.Dest && direct {
@@ -77,17 +77,17 @@
 	p.out.Send(k.ask.ID, to, k.until-now)
 }
 
-// Stands forgets the call; its end needs no choice.
-func (p *Plain) Stands(_ policy.Tenths, id uint32, _ int) { delete(p.calls, id) }
+// Answered forgets the call; its end needs no choice.
+func (p *Plain) Answered(_ policy.Tenths, id uint32, _ int) { delete(p.calls, id) }
 
-// Ended tries a tandem after a try that never ran, and otherwise gives the call up.
-func (p *Plain) Ended(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Ending, final bool, _ policy.Reason, _ policy.Tenths, _ policy.Report) {
+// TryEnded tries a tandem after a try that never ran, and otherwise gives the call up.
+func (p *Plain) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
 	k := p.calls[id]
 	switch {
 	case k == nil:
 	case final:
 		delete(p.calls, id)
-	case end == policy.Blocked || end == policy.Unsent || end == policy.Unreached:
+	case end == policy.Blocked || end == policy.Unsent || end == policy.Unreachable:
 		p.route(now, k, false)
 	default:
 		delete(p.calls, id)
@@ -95,22 +95,22 @@
 	}
 }
 
-// Circuits takes the free circuits towards a switch.
-func (p *Plain) Circuits(_ policy.Tenths, sw uint32, rep policy.Report) {
+// LoadReported takes the free circuits towards a switch.
+func (p *Plain) LoadReported(_ policy.Tenths, sw uint32, rep policy.LoadReport) {
 	if f := p.far[sw]; f != nil && rep.Free >= 0 {
 		f.free = rep.Free
 	}
 }
 
-// CallerLeft forgets the call.
-func (p *Plain) CallerLeft(_ policy.Tenths, id uint32) { delete(p.calls, id) }
+// Abandoned forgets the call.
+func (p *Plain) Abandoned(_ policy.Tenths, id uint32) { delete(p.calls, id) }
 
-// Woken and ListLost need no choice here.
-func (p *Plain) Woken(policy.Tenths, uint64) {}
-func (p *Plain) ListLost(policy.Tenths)      {}
+// TimerExpired and ListLost need no choice here.
+func (p *Plain) TimerExpired(policy.Tenths, uint64) {}
+func (p *Plain) ListLost(policy.Tenths)             {}
 
-// Listed takes the list of switches.
-func (p *Plain) Listed(_ policy.Tenths, whole bool, list []policy.Switch) {
+// ListReceived takes the list of switches.
+func (p *Plain) ListReceived(_ policy.Tenths, whole bool, list []policy.Switch) {
 	if whole {
 		for _, f := range p.far {
 			f.ready = false
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -157,8 +157,8 @@
 	var d net.Dialer
 	var stations []*Station
 	for i := range n {
-		s := Site{Deployment: policy.Deployment{Own: i, Seed: uint64(i), MaxTries: 4, ReleaseTime: 3000, ColdFrom: 1, FallMultiple: 3, FallWindow: 15000, RampTime: 1,
-			Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}}, Exchanges: n, OwnSwitch: at[i], Register: rl.Addr().String(),
+		s := Site{Deployment: policy.Deployment{OwnExchange: i, Seed: uint64(i), MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
+			Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, Exchanges: n, OwnSwitch: at[i], Register: rl.Addr().String(),
 			Inbox: 16384, LinkMost: 1 << 24}
 		for j := range n {
 			if j != i {
@@ -168,7 +168,7 @@
 		if change != nil {
 			change(i, &s)
 		}
-		st, err := New(s, func(d policy.Deployment, x policy.Exchange, now policy.Tenths) exchange.Decider {
+		st, err := New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
 			func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) }, slog.New(slog.DiscardHandler))
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -49,7 +49,7 @@
 }
 
 // Build creates the decision module of an exchange.
-type Build func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider
+type Build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider
 
 // clock is the time of this process. It starts well above zero, so that the start time of a switch is never negative.
 type clock struct {
@@ -135,7 +135,7 @@
 		lags: make([]lag.Lag, len(site.Neighbours)+1), Ready: func() {},
 		ListenPacket: func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }}
 	var near []exchange.Neighbour
-	own := uint32(exchange.Point(site.Deployment.Own))
+	own := uint32(exchange.Point(site.Deployment.OwnExchange))
 	line := trunk.Line{Own: own, Most: site.LinkMost, Links: len(site.Neighbours) + 1}
 	for i, n := range site.Neighbours {
 		near = append(near, n.Neighbour)
@@ -147,7 +147,7 @@
 	line.Link, line.Peer, line.Address, line.Links = len(near), own, site.OwnSwitch, 1
 	line.Seed++
 	s.links = append(s.links, trunk.NewLink(line, dial, s.clock, (*reader)(s)))
-	s.reg = register.NewClient(site.Deployment.Own, site.Register, line.Seed+1, 1, dial, s.clock, (*reader)(s))
+	s.reg = register.NewClient(site.Deployment.OwnExchange, site.Register, line.Seed+1, 1, dial, s.clock, (*reader)(s))
 	s.x = exchange.New(site.Deployment, near, (*hands)(s), s.clock.Now(), build)
 	if site.Numbers != nil {
 		if err := s.openTables(site.Numbers, line.Seed+2); err != nil {
@@ -259,7 +259,7 @@
 			s.x.Drain()
 			s.links[len(s.links)-1].Send(m3ua.Frame{Kind: m3ua.Down})
 			for _, b := range s.site.Deployment.Bearers {
-				drainBy = max(drainBy, now+b.Abandon)
+				drainBy = max(drainBy, now+b.AbandonTime)
 			}
 		case ev := <-s.inbox:
 			s.stood(s.stall.Woke(s.clock.Now(), next))
@@ -475,7 +475,7 @@
 		return buf
 	}
 	own := len(s.links) - 1
-	f := m3ua.Frame{Kind: m3ua.Data, From: uint32(exchange.Point(s.site.Deployment.Own)), User: buf, SLS: uint8(m.CIC)}
+	f := m3ua.Frame{Kind: m3ua.Data, From: uint32(exchange.Point(s.site.Deployment.OwnExchange)), User: buf, SLS: uint8(m.CIC)}
 	link := own
 	switch to.Side {
 	case exchange.Line:
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -47,10 +47,10 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, ended: make(chan error, 1)}
-	s := Site{Deployment: policy.Deployment{Own: 0, Seed: 1, MaxTries: 4, ReleaseTime: 3000,
-		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}}, Exchanges: 3, OwnSwitch: "own", Register: "none",
+	s := Site{Deployment: policy.Deployment{OwnExchange: 0, Seed: 1, MaxTries: 4, ReleaseTime: 3000,
+		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, Exchanges: 3, OwnSwitch: "own", Register: "none",
 		Neighbours: []Neighbour{{exchange.Neighbour{Number: 1, Circuits: 4}, "away"}}, Inbox: inbox, LinkMost: 1 << 16}
-	b.station, err = New(s, func(d policy.Deployment, x policy.Exchange, now policy.Tenths) exchange.Decider {
+	b.station, err = New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
 	},
 		func(_ context.Context, address string) (net.Conn, error) { return m.Dial(address) }, slog.New(slog.NewTextHandler(b, nil)))
@@ -217,9 +217,9 @@
 		m := memnet.New()
 		ln, _ := m.Listen("own")
 		b := &bench{t: t, ended: make(chan error, 1)}
-		s := Site{Deployment: policy.Deployment{Own: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}},
+		s := Site{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
 			Exchanges: 3, OwnSwitch: "own", Register: "none", Inbox: 64, LinkMost: 1 << 16}
-		b.station, _ = New(s, func(d policy.Deployment, x policy.Exchange, now policy.Tenths) exchange.Decider {
+		b.station, _ = New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
 			func(_ context.Context, address string) (net.Conn, error) { return m.Dial(address) }, slog.New(slog.DiscardHandler))
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -127,9 +127,9 @@
 // newJoined connects an agent and an exchange with two neighbours and brings the gateways into service.
 func newJoined(gateways, endpoints int) *joined {
 	j := &joined{now: 1 << 32}
-	j.x = exchange.New(policy.Deployment{Own: 0, MaxTries: 4, ReleaseTime: 3000, ColdFrom: 1, FallMultiple: 3, FallWindow: 15000, RampTime: 1,
-		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}}, []exchange.Neighbour{{Number: 1, Circuits: 248}, {Number: 2, Circuits: 248}}, j, j.now,
-		func(d policy.Deployment, e policy.Exchange, now policy.Tenths) exchange.Decider {
+	j.x = exchange.New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
+		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []exchange.Neighbour{{Number: 1, Circuits: 248}, {Number: 2, Circuits: 248}}, j, j.now,
+		func(d policy.Deployment, e policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, e, now)
 		})
 	j.x.OwnUp(j.now, "1")
--- a/internal/control/keep.go
+++ b/internal/control/keep.go
@@ -38,7 +38,7 @@
 	if disk == nil {
 		disk = ledger.OnDisk{}
 	}
-	digest := xxhash.Sum64String(fmt.Sprintf("indigodrift exchange %d of %d", s.site.Deployment.Own, s.site.Exchanges))
+	digest := xxhash.Sum64String(fmt.Sprintf("indigodrift exchange %d of %d", s.site.Deployment.OwnExchange, s.site.Exchanges))
 	l, c, err := ledger.Open(name, digest, disk, func(text string) { s.log.Warn(text) })
 	if err != nil {
 		return err
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -22,10 +22,10 @@
 // withTables runs a server whose table store is in dir, until stop is called.
 func withTables(t *testing.T, dir string) (s *Station, stop func()) {
 	m := memnet.New()
-	s, err := New(Site{Deployment: policy.Deployment{Own: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}},
+	s, err := New(Site{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
 		Exchanges: 3, OwnSwitch: "own", Register: "none", Inbox: 64, LinkMost: 1 << 16,
 		Numbers: &Numbers{Store: filepath.Join(dir, "store"), Table: tableAt(t, dir, 1, 1), Callers: 10, Trial: numbers.Trial{Window: 600000, Bound: 0.2, Least: 5}}},
-		func(d policy.Deployment, x policy.Exchange, now policy.Tenths) exchange.Decider {
+		func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
 		func(_ context.Context, address string) (net.Conn, error) { return m.Dial(address) }, slog.New(slog.DiscardHandler))
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -89,7 +89,7 @@
 	default:
 		err = fmt.Errorf("unknown command %q; there are load, rollback, versions", o.Do)
 	}
-	r := Reply{Exchange: s.site.Deployment.Own}
+	r := Reply{Exchange: s.site.Deployment.OwnExchange}
 	if asked := s.change(func(n *exchange.Numbering, _ policy.Tenths) error {
 		r.Version, r.Name, r.Held = n.Versions.Current().Version, n.Versions.Current().Name, n.Versions.Held()
 		if t, at := n.Versions.Waiting(); t != nil {
--- a/internal/day/draw.go
+++ b/internal/day/draw.go
@@ -125,7 +125,7 @@
 		}
 		t := s.Bearers[kind]
 		all = append(all, &standin.Caller{At: at, From: from, Dest: pair % len(share), Bearer: kind, Width: t.Width,
-			Holding: time.Duration(chance.ExpFloat64() * float64(t.Holding)), Abandon: span(s.Deployment.Bearers[kind].Abandon)})
+			Holding: time.Duration(chance.ExpFloat64() * float64(t.Holding)), Abandon: span(s.Deployment.Bearers[kind].AbandonTime)})
 	}
 }
 
--- a/internal/day/file.go
+++ b/internal/day/file.go
@@ -97,8 +97,8 @@
 	p := b.Only("processor", false)
 	s.Work = standin.Work{RefuseAfter: span(p.Span("refuse_after", time.Millisecond, time.Minute, 2*time.Second)),
 		ReportEvery: span(p.Span("report_every", time.Millisecond, time.Minute, 300*time.Millisecond)),
-		Noise:       p.Number("noise", 0, 1, 0.08), ColdFrom: s.Deployment.ColdFrom, Ramp: span(s.Deployment.RampTime),
-		FallMultiple: s.Deployment.FallMultiple, FallWindow: span(s.Deployment.FallWindow), Reuse: true}
+		Noise:       p.Number("noise", 0, 1, 0.08), ColdFrom: s.Deployment.InitialCapacity, Ramp: span(s.Deployment.RampTime),
+		FallMultiple: s.Deployment.OverloadMultiple, FallWindow: span(s.Deployment.OverloadWindow), Reuse: true}
 	p.Done()
 	c := b.Only("callers", false)
 	s.Habits = standin.Habits{Redials: c.Whole("redials", 0, 100, 2), Backoff: span(c.Span("backoff", 0, time.Hour, time.Second)),
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -79,7 +79,7 @@
 	for e := range calls {
 		calls[e] = make([][]*standin.PhoneCall, g.Each)
 	}
-	patience := span(r.script.Deployment.Bearers[g.Bearer].Abandon)
+	patience := span(r.script.Deployment.Bearers[g.Bearer].AbandonTime)
 	for at := time.Duration(0); ; {
 		at += time.Duration(chance.ExpFloat64() / g.Rate * float64(time.Second))
 		if at > min(r.script.Length, g.Until) {
--- a/internal/day/plant.go
+++ b/internal/day/plant.go
@@ -30,8 +30,8 @@
 }
 
 // Deciding wraps the way a decider is built, so that it forgets a rule.
-func (w *Wrong) Deciding(build func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider {
-	return func(d policy.Deployment, out policy.Exchange, now policy.Tenths) exchange.Decider {
+func (w *Wrong) Deciding(build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
+	return func(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
 		if w.kind == "release" {
 			d.ReleaseTime = 0
 		}
@@ -45,8 +45,8 @@
 	w *Wrong
 }
 
-// Listed passes the list on as the planted break wants it.
-func (d *deaf) Listed(now policy.Tenths, whole bool, list []policy.Switch) {
+// ListReceived passes the list on as the planted break wants it.
+func (d *deaf) ListReceived(now policy.Tenths, whole bool, list []policy.Switch) {
 	told := append([]policy.Switch{}, list...)
 	for i := range told {
 		if d.w.kind == "drain" {
@@ -60,7 +60,7 @@
 			}
 		}
 	}
-	d.Decider.Listed(now, whole, told)
+	d.Decider.ListReceived(now, whole, told)
 }
 
 // Sent is what becomes of a message that the controller sends.
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -129,8 +129,8 @@
 func (r *run) play() error {
 	d := r.script.Deployment
 	for rule, v := range map[int]int64{audit.RuleGrace: span(d.DrainGrace).Microseconds(), audit.RuleRelease: span(d.ReleaseTime).Microseconds(),
-		audit.RuleRamp: span(d.RampTime).Microseconds(), audit.RuleWindow: span(d.FallWindow).Microseconds(),
-		audit.RuleMultiple: int64(d.FallMultiple * 1000), audit.RuleColdFrom: int64(d.ColdFrom * 1000)} {
+		audit.RuleRamp: span(d.RampTime).Microseconds(), audit.RuleWindow: span(d.OverloadWindow).Microseconds(),
+		audit.RuleMultiple: int64(d.OverloadMultiple * 1000), audit.RuleColdFrom: int64(d.InitialCapacity * 1000)} {
 		r.log.Add(audit.Event{Kind: audit.Rule, Site: rule, Value: v})
 	}
 	ctx, end := context.WithCancel(r.ctx)
@@ -220,7 +220,7 @@
 	}()
 	tail := 5 * time.Second
 	for _, b := range r.script.Deployment.Bearers {
-		tail = max(tail, span(b.Abandon))
+		tail = max(tail, span(b.AbandonTime))
 	}
 	early := done
 	if r.script.Gateways.Each > 0 { // the subscribers may be done before the phones are
--- a/internal/day/sitefile.go
+++ b/internal/day/sitefile.go
@@ -26,7 +26,7 @@
 	text(b, "register", r.registerAt)
 	whole(b, "tries", d.MaxTries)
 	during(b, "release_time", d.ReleaseTime)
-	during(b, "come_back_most", d.ComeBackMost)
+	during(b, "come_back_most", d.MaxRetryAfter)
 	during(b, "drain_grace", d.DrainGrace)
 	b.SetAttributeValue("cancels", cty.BoolVal(d.CancelsAllowed))
 	if r.script.Ledger {
@@ -45,16 +45,16 @@
 	}
 	r.gatewaysOf(e, b)
 	cold := b.AppendNewBlock("cold", nil).Body()
-	number(cold, "from", d.ColdFrom)
+	number(cold, "from", d.InitialCapacity)
 	during(cold, "ramp", d.RampTime)
-	number(cold, "fall_multiple", d.FallMultiple)
-	during(cold, "fall_window", d.FallWindow)
+	number(cold, "fall_multiple", d.OverloadMultiple)
+	during(cold, "fall_window", d.OverloadWindow)
 	for i, t := range d.Bearers {
 		n := b.AppendNewBlock("bearer", []string{r.script.Bearers[i].Name}).Body()
 		number(n, "revenue", t.Revenue)
 		number(n, "late_share", t.LateShare)
 		during(n, "gos_target", t.GoSTarget)
-		during(n, "abandon", t.Abandon)
+		during(n, "abandon", t.AbandonTime)
 	}
 	for j, address := range r.addresses {
 		if j != e {
--- a/internal/day/virtual_test.go
+++ b/internal/day/virtual_test.go
@@ -50,7 +50,7 @@
 	s.Disk = v.disk
 	s.Control = "" // orders come by call here
 	p := &inside{ready: make(chan struct{}), done: make(chan struct{}), gate: &memnet.Gate{}}
-	build := control.Build(func(d policy.Deployment, x policy.Exchange, now policy.Tenths) exchange.Decider {
+	build := control.Build(func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
 	})
 	if routing == "random" {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -136,36 +136,36 @@
 		return Settled{}, err
 	}
 	d := policy.Deployment{
-		Own: -1, Pools: o.FamilyInfo.Shape == "pools", Controllers: int(o.Replicas),
+		OwnExchange: -1, Pools: o.FamilyInfo.Shape == "pools", Controllers: int(o.Replicas),
 		MaxTries: int(o.Limits.MaxAttempts), ReleaseTime: spanUp(o.FamilyInfo.ReleaseGuard),
-		Resend: spanUp(o.FamilyInfo.Retransmit), DrainGrace: spanUp(o.Rules.StopSendingWithin),
-		ColdFrom: o.Rules.ColdFrom, RampTime: spanUp(o.Rules.RampTime), FallMultiple: o.Rules.TipMultiple,
-		FallWindow: spanUp(o.Rules.TipAfter), ListAsked: o.Discovery == "subscribe",
-		AskWithin: spanUp(o.Rules.AskWithin), CancelsAllowed: o.Limits.Cancel,
+		ResendInterval: spanUp(o.FamilyInfo.Retransmit), DrainGrace: spanUp(o.Rules.StopSendingWithin),
+		InitialCapacity: o.Rules.ColdFrom, RampTime: spanUp(o.Rules.RampTime), OverloadMultiple: o.Rules.TipMultiple,
+		OverloadWindow: spanUp(o.Rules.TipAfter), MustSubscribe: o.Discovery == "subscribe",
+		MaxSubscribeInterval: spanUp(o.Rules.AskWithin), CancelsAllowed: o.Limits.Cancel,
 	}
 	if d.MaxTries == 0 {
 		d.MaxTries = countMost
 	}
-	if d.FallMultiple == 0 || d.FallWindow == 0 {
+	if d.OverloadMultiple == 0 || d.OverloadWindow == 0 {
 		d.RampTime = 0
 	}
 	if o.FamilyInfo.SelfNo != nil {
-		d.Own = int(*o.FamilyInfo.SelfNo)
+		d.OwnExchange = int(*o.FamilyInfo.SelfNo)
 	}
 	if o.Limits.RetryAfter {
-		d.ComeBackMost = spanUp(o.Limits.MaxRetryAfter)
+		d.MaxRetryAfter = spanUp(o.Limits.MaxRetryAfter)
 	}
 	s := Settled{Reported: o.LoadReport.Names, DialTime: spanUp(o.Limits.DialTimeout),
 		OpenMost: int(o.Limits.MaxOpen), StreamsMost: int(o.Limits.StreamsPerConn)}
 	for i, g := range o.Grades {
-		b := policy.Bearer{Revenue: g.Worth, LateShare: g.LateWorth, GoSTarget: spanUp(g.Aim), Abandon: spanUp(g.Deadline)}
+		b := policy.Bearer{Revenue: g.Worth, LateShare: g.LateWorth, GoSTarget: spanUp(g.Aim), AbandonTime: spanUp(g.Deadline)}
 		if i < len(o.FamilyInfo.ClassCells) {
 			for _, c := range o.FamilyInfo.ClassCells[i] {
 				b.Pools = append(b.Pools, int(c))
 			}
 		}
 		if i < len(o.FamilyInfo.Holding) {
-			b.Holding = spanUp(o.FamilyInfo.Holding[i])
+			b.HoldingTime = spanUp(o.FamilyInfo.Holding[i])
 		}
 		d.Bearers = append(d.Bearers, b)
 		s.Bearers = append(s.Bearers, g.Name)
@@ -179,8 +179,8 @@
 
 // Report converts the values of a load report, in the order of the names in the settings. An absent, negative or non-numeric
 // value counts as not reported.
-func Report(names []string, values []float64) policy.Report {
-	r := policy.Report{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
+func Report(names []string, values []float64) policy.LoadReport {
+	r := policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 	for i, name := range names[:min(len(names), len(values))] {
 		v := values[i]
 		if !(v >= 0) || v > 1e9 {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -41,29 +41,29 @@
 
 func TestSoundSettingsAreServed(t *testing.T) {
 	s, err := Read([]byte(least))
-	if err != nil || s.Module.MaxTries < 100 || s.Module.Own != -1 || s.Module.RampTime != 0 {
+	if err != nil || s.Module.MaxTries < 100 || s.Module.OwnExchange != -1 || s.Module.RampTime != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	s, err = Read([]byte(`{"unknown":{"deep":[1]},"grades":[{"name":"voice","aim":10.04,"deadline":100,"worth":0,"later":7}],"replicas_of_me":4.8e1,
 		"policy_limits":{"max_attempts":3.0,"max_open":2e4,"streams_per_conn":null,"retry_after":true,"max_retry_after":2000},
 		"rules":{"cold_from":0.3,"ramp_time":14000,"tip_multiple":3},"family_info":{"self_no":2.0,"class_cells":[[1.0,2]],"holding":[0]}}`))
 	d := s.Module
-	if err != nil || d.MaxTries != 3 || s.OpenMost != 20000 || s.StreamsMost != 0 || d.Own != 2 || d.Controllers != 48 || len(d.Bearers[0].Pools) != 2 ||
-		d.Bearers[0].GoSTarget != 101 || d.ComeBackMost != 20000 || d.RampTime != 0 {
+	if err != nil || d.MaxTries != 3 || s.OpenMost != 20000 || s.StreamsMost != 0 || d.OwnExchange != 2 || d.Controllers != 48 || len(d.Bearers[0].Pools) != 2 ||
+		d.Bearers[0].GoSTarget != 101 || d.MaxRetryAfter != 20000 || d.RampTime != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
 
-// nobody is a policy.Exchange that counts the calls sent or answered and does nothing else.
+// nobody is a policy.Executor that counts the calls sent or answered and does nothing else.
 type nobody struct{ answered int }
 
 func (n *nobody) Send(uint32, uint32, policy.Tenths) { n.answered++ }
 func (n *nobody) Block(uint32, policy.Tenths)        { n.answered++ }
 func (n *nobody) Abort(uint32)                       { n.answered++ }
 func (n *nobody) Cancel(uint32, int)                 {}
-func (n *nobody) Wake(policy.Tenths, uint64)         {}
-func (n *nobody) Follow()                            {}
-func (n *nobody) Note(string)                        {}
+func (n *nobody) SetTimer(policy.Tenths, uint64)     {}
+func (n *nobody) Subscribe()                         {}
+func (n *nobody) Log(string)                         {}
 
 // The policy must work with the extreme values of the settings, and without the optional ones.
 func TestModuleWorksAtTheExtremesOfSettings(t *testing.T) {
@@ -77,13 +77,13 @@
 		}
 		n, now := &nobody{}, policy.Tenths(17e12)
 		c := policy.New(s.Module, n, now)
-		c.Listed(now, true, []policy.Switch{{ID: 1, Number: 1, Ready: true, BootAt: now - 1}, {ID: 2, Number: 2, Ready: true}})
+		c.ListReceived(now, true, []policy.Switch{{ID: 1, Number: 1, Ready: true, BootAt: now - 1}, {ID: 2, Number: 2, Ready: true}})
 		for _, sw := range []uint32{1, 2} {
-			c.Circuits(now, sw, policy.Report{Free: 5, Size: 5, Wait: -1, HoldBack: -1})
+			c.LoadReported(now, sw, policy.LoadReport{Free: 5, Size: 5, Wait: -1, HoldBack: -1})
 		}
 		for id := range uint32(20) {
 			now += 100
-			c.Offer(now, policy.Call{ID: id + 1, Dest: 1 + int(id%2), Width: 1, Advice: -1, TTL: s.Module.Bearers[0].Abandon})
+			c.Offer(now, policy.Call{ID: id + 1, Dest: 1 + int(id%2), Width: 1, AdvisedTandem: -1, TTL: s.Module.Bearers[0].AbandonTime})
 		}
 		if n.answered < 20 {
 			t.Errorf("%s: %d of 20 calls sent or answered", text, n.answered)
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -25,9 +25,9 @@
 
 func lone(circuits int) (*Exchange, *mute, policy.Tenths) {
 	out, now := &mute{}, policy.Tenths(1<<32)
-	x := New(policy.Deployment{Own: 0, MaxTries: 4, ReleaseTime: 3000, ColdFrom: 1, FallMultiple: 3, FallWindow: 15000, RampTime: 1,
-		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}}, []Neighbour{{1, circuits}}, out, now,
-		func(d policy.Deployment, e policy.Exchange, now policy.Tenths) Decider { return policy.New(d, e, now) })
+	x := New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
+		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []Neighbour{{1, circuits}}, out, now,
+		func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider { return policy.New(d, e, now) })
 	x.OwnUp(now, "1")
 	x.LinkUp(now, 0, "1")
 	for first := 0; first < circuits; first += isup.PerMultiplex {
--- a/internal/exchange/desk.go
+++ b/internal/exchange/desk.go
@@ -19,12 +19,12 @@
 	}
 	k.tries++
 	k.sw = to
-	unsent := func(end policy.Ending, why policy.Reason) {
+	unsent := func(end policy.Outcome, why policy.Reason) {
 		x.later = append(x.later, report{id: id, try: k.tries - 1, sw: to, end: end, why: why})
 	}
 	i, ok := x.bySwitch[to]
 	if !ok || !x.groups[i].up {
-		unsent(policy.Unreached, policy.NoReason)
+		unsent(policy.Unreachable, policy.NoReason)
 		return
 	}
 	g := &x.groups[i]
@@ -82,11 +82,11 @@
 	}
 }
 
-// Wake has the module woken.
-func (d *desk) Wake(at policy.Tenths, token uint64) { (*Exchange)(d).at(at, dueWake, token) }
+// SetTimer has the module woken.
+func (d *desk) SetTimer(at policy.Tenths, token uint64) { (*Exchange)(d).at(at, dueWake, token) }
 
-// Follow asks for the list of switches.
-func (d *desk) Follow() { d.out.Follow() }
+// Subscribe asks for the list of switches.
+func (d *desk) Subscribe() { d.out.Follow() }
 
-// Note writes a line for staff.
-func (d *desk) Note(text string) { d.out.Note(text) }
+// Log writes a line for staff.
+func (d *desk) Log(text string) { d.out.Note(text) }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -21,13 +21,13 @@
 // those of package policy.
 type Decider interface {
 	Offer(now policy.Tenths, ask policy.Call) bool
-	Stands(now policy.Tenths, id uint32, try int)
-	Ended(now policy.Tenths, id uint32, try int, sw uint32, end policy.Ending, final bool, why policy.Reason,
-		wait policy.Tenths, rep policy.Report)
-	Circuits(now policy.Tenths, sw uint32, rep policy.Report)
-	CallerLeft(now policy.Tenths, id uint32)
-	Woken(now policy.Tenths, token uint64)
-	Listed(now policy.Tenths, whole bool, list []policy.Switch)
+	Answered(now policy.Tenths, id uint32, try int)
+	TryEnded(now policy.Tenths, id uint32, try int, sw uint32, end policy.Outcome, final bool, why policy.Reason,
+		wait policy.Tenths, rep policy.LoadReport)
+	LoadReported(now policy.Tenths, sw uint32, rep policy.LoadReport)
+	Abandoned(now policy.Tenths, id uint32)
+	TimerExpired(now policy.Tenths, token uint64)
+	ListReceived(now policy.Tenths, whole bool, list []policy.Switch)
 	ListLost(now policy.Tenths)
 }
 
@@ -190,7 +190,7 @@
 	id    uint32
 	try   int
 	sw    uint32
-	end   policy.Ending
+	end   policy.Outcome
 	why   policy.Reason
 	wait  policy.Tenths
 	final bool
@@ -244,11 +244,11 @@
 
 // New makes the exchange; build makes its decider round the interface that the exchange offers to it.
 func New(d policy.Deployment, neighbours []Neighbour, out Carrier, now policy.Tenths,
-	build func(policy.Deployment, policy.Exchange, policy.Tenths) Decider) *Exchange {
-	x := &Exchange{own: d.Own, d: d, out: out, now: now, byNumber: map[int]int{}, bySwitch: map[uint32]int{},
+	build func(policy.Deployment, policy.Executor, policy.Tenths) Decider) *Exchange {
+	x := &Exchange{own: d.OwnExchange, d: d, out: out, now: now, byNumber: map[int]int{}, bySwitch: map[uint32]int{},
 		calls: map[uint32]*call{}, lines: map[lineKey]uint32{}, advice: map[int]int{}, keeper: noKeeper{}, wall: func(policy.Tenths) int64 { return 0 }}
 	for i, n := range neighbours {
-		x.groups = append(x.groups, group{number: n.Number, g: circuit.New(Point(d.Own), Point(n.Number), n.Circuits)})
+		x.groups = append(x.groups, group{number: n.Number, g: circuit.New(Point(d.OwnExchange), Point(n.Number), n.Circuits)})
 		x.byNumber[n.Number] = i
 	}
 	x.decide = build(d, (*desk)(x), now)
@@ -287,7 +287,7 @@
 	for d, ok := x.timers.Pop(now); ok; d, ok = x.timers.Pop(now) {
 		switch d.Kind {
 		case dueWake:
-			x.decide.Woken(now, d.Token)
+			x.decide.TimerExpired(now, d.Token)
 		case dueLimit:
 			if k := x.calls[uint32(d.Token)]; k != nil && k.state == Trying && k.limitAt == d.At {
 				x.dropTry(k, isup.TimerExpiry)
@@ -321,7 +321,7 @@
 	}
 	if k.decided {
 		x.out.Note("a call found no answer before its caller's time was up")
-		x.decide.CallerLeft(x.now, id)
+		x.decide.Abandoned(x.now, id)
 	}
 	x.dropTry(k, isup.TimerExpiry)
 	x.finish(k, Failed, isup.TimerExpiry, 0)
@@ -361,16 +361,16 @@
 	if !r.final && (k == nil || k.state != Offered || k.tries-1 != r.try) {
 		return
 	}
-	rep := policy.Report{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
+	rep := policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 	if i, ok := x.bySwitch[r.sw]; ok {
 		rep = x.groupReport(i, r.says)
 	}
-	x.decide.Ended(x.now, r.id, r.try, r.sw, r.end, r.final, r.why, r.wait, rep)
+	x.decide.TryEnded(x.now, r.id, r.try, r.sw, r.end, r.final, r.why, r.wait, rep)
 }
 
-func (x *Exchange) groupReport(i int, says isup.Says) policy.Report {
+func (x *Exchange) groupReport(i int, says isup.Says) policy.LoadReport {
 	g := &x.groups[i]
-	rep := policy.Report{Free: g.g.Free(), Size: g.g.Size(), Wait: -1, HoldBack: -1}
+	rep := policy.LoadReport{Free: g.g.Free(), Size: g.g.Size(), Wait: -1, HoldBack: -1}
 	if !g.up {
 		rep.Free = 0
 	}
@@ -382,7 +382,7 @@
 
 func (x *Exchange) circuits(i int, says isup.Says) {
 	if x.groups[i].listed {
-		x.decide.Circuits(x.now, x.groups[i].sw, x.groupReport(i, says))
+		x.decide.LoadReported(x.now, x.groups[i].sw, x.groupReport(i, says))
 	}
 }
 
@@ -469,7 +469,7 @@
 }
 
 // tryEnded puts a call whose try is out back to the module.
-func (x *Exchange) tryEnded(k *call, end policy.Ending, why policy.Reason, wait policy.Tenths, says isup.Says) {
+func (x *Exchange) tryEnded(k *call, end policy.Outcome, why policy.Reason, wait policy.Tenths, says isup.Says) {
 	x.become(k, Offered)
 	x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: end, why: why, wait: wait, says: says})
 }
@@ -524,7 +524,7 @@
 			seen[i] = true
 		}
 	}
-	x.decide.Listed(now, whole, list)
+	x.decide.ListReceived(now, whole, list)
 	x.settle()
 }
 
@@ -568,7 +568,7 @@
 	for _, k := range x.sorted() {
 		if k.state == Trying && k.out.hop.Peer == peer {
 			x.dropTry(k, isup.NetworkOutOfOrder)
-			x.tryEnded(k, policy.Cut, policy.NoReason, 0, isup.Says{})
+			x.tryEnded(k, policy.Disconnected, policy.NoReason, 0, isup.Says{})
 		}
 	}
 	x.settle()
@@ -606,13 +606,13 @@
 // vanish ends a call whose caller's side is gone.
 func (x *Exchange) vanish(k *call, cause isup.Cause) {
 	if k.decided && k.state != Standing {
-		x.decide.CallerLeft(x.now, k.id)
+		x.decide.Abandoned(x.now, k.id)
 		if k.in.hop.atGateway() {
 			x.answered(k, Failed, 0)
 		}
 		x.answered(k, Left, 0)
 	} else if k.decided {
-		x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: policy.Cut, final: true})
+		x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: policy.Disconnected, final: true})
 	}
 	x.dropTry(k, cause)
 	if k.in.hop.Side == Behind || k.in.hop.atGateway() { // a gateway's phone can still be told, whatever became of the switch
@@ -629,7 +629,7 @@
 			continue
 		}
 		if out := k.out.hop; out.Side == Ahead && out.Peer == peer && (k.state == Trying || k.state == Standing) {
-			x.backward(k, policy.Cut, policy.NoReason, isup.Message{Cause: isup.NetworkOutOfOrder})
+			x.backward(k, policy.Disconnected, policy.NoReason, isup.Message{Cause: isup.NetworkOutOfOrder})
 			continue
 		}
 		x.forwardGone(k, isup.NetworkOutOfOrder)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -181,11 +181,11 @@
 			near = append(near, Neighbour{j, size})
 		}
 	}
-	d := policy.Deployment{Seed: uint64(s.no + 7*s.ups), Own: s.no, MaxTries: 4, ReleaseTime: 3000, CancelsAllowed: true, ColdFrom: 1,
-		FallMultiple: 3, FallWindow: 15000, RampTime: 1,
-		Bearers: []policy.Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 12000, Abandon: 90000},
-			{Revenue: 5, LateShare: 0.1, GoSTarget: 12000, Abandon: 90000}}}
-	s.x = New(d, near, s, p.now, func(d policy.Deployment, e policy.Exchange, now policy.Tenths) Decider {
+	d := policy.Deployment{Seed: uint64(s.no + 7*s.ups), OwnExchange: s.no, MaxTries: 4, ReleaseTime: 3000, CancelsAllowed: true, InitialCapacity: 1,
+		OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
+		Bearers: []policy.Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 12000, AbandonTime: 90000},
+			{Revenue: 5, LateShare: 0.1, GoSTarget: 12000, AbandonTime: 90000}}}
+	s.x = New(d, near, s, p.now, func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider {
 		return policy.New(d, e, now)
 	})
 	s.x.Listed(p.now, true, list)
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -112,7 +112,7 @@
 		case from.Side == Behind && ours && k != nil && k.state == Trying:
 			// They release a call of theirs that never reached us; our set-up crossed it and they have passed over it.
 			x.dropTry(k, isup.NormalUnspecified)
-			x.tryEnded(k, policy.Cut, policy.NoReason, 0, m.Says)
+			x.tryEnded(k, policy.Disconnected, policy.NoReason, 0, m.Says)
 		}
 	case isup.RLC:
 		// On a circuit that holds their call it answers a release of ours sent twice, before their call began: to clear
@@ -202,8 +202,8 @@
 	transit := in.hop.Side == Behind
 	refuse := func(c isup.Cause) {
 		says := isup.Says{}
-		if x.draining && x.d.ComeBackMost > 0 {
-			says = isup.Says{Has: isup.PartComeBack, ComeBack: uint32(x.d.ComeBackMost)}
+		if x.draining && x.d.MaxRetryAfter > 0 {
+			says = isup.Says{Has: isup.PartComeBack, ComeBack: uint32(x.d.MaxRetryAfter)}
 		}
 		x.release(in, isup.Message{Type: isup.REL, Cause: c, Location: isup.LocalNetwork, Says: says})
 	}
@@ -220,7 +220,7 @@
 		refuse(isup.Congestion)
 		return
 	}
-	left := x.d.Bearers[bearer].Abandon
+	left := x.d.Bearers[bearer].AbandonTime
 	if m.Says.Has&isup.PartLeft != 0 {
 		left = policy.Tenths(m.Says.Left) - age
 	}
@@ -240,8 +240,8 @@
 	if transit {
 		k.hops = m.Hops - 1
 	}
-	k.ask = policy.Call{ID: k.id, Number: number(m.Digits), Bearer: bearer, Dest: -1, Width: m.Width, Advice: -1, TTL: left,
-		Redial: m.Says.Marks&isup.Redial != 0, Cut: m.Says.Marks&isup.CutBefore != 0, Transit: transit}
+	k.ask = policy.Call{ID: k.id, Number: number(m.Digits), Bearer: bearer, Dest: -1, Width: m.Width, AdvisedTandem: -1, TTL: left,
+		Redial: m.Says.Marks&isup.Redial != 0, Disconnected: m.Says.Marks&isup.CutBefore != 0, Transit: transit}
 	x.calls[k.id] = k
 	if in.hop.Side == Line {
 		x.lines[lineKey{in.hop.Point, in.bundle.CIC}] = k.id
@@ -270,7 +270,7 @@
 		return
 	}
 	if tandem, ok := x.advice[dest]; ok && !k.ask.Transit {
-		k.ask.Advice = tandem
+		k.ask.AdvisedTandem = tandem
 	}
 	x.count(k)
 	k.decided = true
@@ -315,7 +315,7 @@
 	if k.ask.Redial {
 		marks |= isup.Redial
 	}
-	if k.ask.Cut {
+	if k.ask.Disconnected {
 		marks |= isup.CutBefore
 	}
 	if k.donor {
@@ -347,7 +347,7 @@
 	x.out.Transmit(k.in.hop, isup.Message{CIC: k.in.bundle.CIC, Type: isup.ANM,
 		Says: isup.Says{Has: says.Has & isup.PartSession, Session: says.Session}})
 	if k.decided {
-		x.decide.Stands(x.now, k.id, k.tries-1)
+		x.decide.Answered(x.now, k.id, k.tries-1)
 	}
 }
 
@@ -358,7 +358,7 @@
 	case k.decided && k.state == Standing:
 		x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: policy.Released, final: true})
 	case k.decided:
-		x.decide.CallerLeft(x.now, k.id)
+		x.decide.Abandoned(x.now, k.id)
 		x.answered(k, Left, 0)
 	default:
 		x.answered(k, Left, 0)
@@ -367,7 +367,7 @@
 }
 
 // backward takes a release from the called side, the circuits of that side being dealt with already.
-func (x *Exchange) backward(k *call, end policy.Ending, why policy.Reason, m isup.Message) {
+func (x *Exchange) backward(k *call, end policy.Outcome, why policy.Reason, m isup.Message) {
 	switch {
 	case k.state == Trying:
 		k.cause = m.Cause
@@ -378,7 +378,7 @@
 		x.tryEnded(k, end, why, wait, m.Says)
 	case k.state == Standing:
 		if m.Cause != isup.NormalClearing {
-			end = policy.Cut
+			end = policy.Disconnected
 		}
 		if k.decided {
 			x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: end, final: true, says: m.Says})
@@ -392,7 +392,7 @@
 }
 
 // ending reads what a release tells about a try.
-func ending(m isup.Message) (policy.Ending, policy.Reason) {
+func ending(m isup.Message) (policy.Outcome, policy.Reason) {
 	switch m.Cause {
 	case isup.NormalClearing:
 		return policy.Released, policy.NoReason
@@ -405,11 +405,11 @@
 		return policy.Blocked, policy.NoCircuit
 	case isup.Congestion:
 		if m.Location == isup.Transit {
-			return policy.Blocked, policy.DestFull
+			return policy.Blocked, policy.DestOverloaded
 		}
-		return policy.Blocked, policy.ProcessorFull
+		return policy.Blocked, policy.ProcessorOverloaded
 	case isup.OutOfOrder, isup.NetworkOutOfOrder:
-		return policy.Unreached, policy.NoReason
+		return policy.Unreachable, policy.NoReason
 	case isup.TimerExpiry:
 		return policy.Blocked, policy.TurnedBack // its own try timed out beyond, and is called off there
 	}
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -45,9 +45,9 @@
 func again(t *testing.T, now policy.Tenths, kept *notebook, own, far string) (*Exchange, *sentBy, *notebook) {
 	t.Helper()
 	out := &sentBy{}
-	x := New(policy.Deployment{Own: 0, MaxTries: 4, ReleaseTime: 3000, ColdFrom: 1, FallMultiple: 3, FallWindow: 15000, RampTime: 1,
-		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, Abandon: 90000}}}, []Neighbour{{1, 62}}, out, now,
-		func(d policy.Deployment, e policy.Exchange, now policy.Tenths) Decider { return policy.New(d, e, now) })
+	x := New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
+		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []Neighbour{{1, 62}}, out, now,
+		func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider { return policy.New(d, e, now) })
 	next := &notebook{calls: map[uint32]recovery.Kept{}, far: map[int]string{}}
 	x.Keep(next, wallOf)
 	var all []recovery.Kept
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -99,7 +99,7 @@
 	return ln
 }
 
-func module(d policy.Deployment, x policy.Exchange, now policy.Tenths) exchange.Decider {
+func module(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 	return policy.New(d, x, now)
 }
 
--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -115,7 +115,7 @@
 }
 
 // New returns a call controller; build creates its policy module.
-func New(m Machine, build func(policy.Deployment, policy.Exchange, policy.Tenths) exchange.Decider, dial Dialer,
+func New(m Machine, build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider, dial Dialer,
 	log *slog.Logger) *Station {
 	callers, links := b2bua.Descriptors(m.Limits.Sockets)
 	s := &Station{m: m, dial: dial, log: log, began: time.Now(), inbox: make(chan event, inboxMost),
@@ -261,7 +261,7 @@
 			done = nil
 			longest := time.Duration(0)
 			for _, b := range s.m.Settled.Module.Bearers {
-				longest = max(longest, trunk.Span(b.Abandon))
+				longest = max(longest, trunk.Span(b.AbandonTime))
 			}
 			kill := min(longest, abandonTop) + killAfter
 			stopListening = time.After(kill - stopBefore)
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -217,7 +217,7 @@
 // ColdUntil returns the time before which a controller that has just started sends nothing to a cold switch. The previous process
 // may have used the whole slow-start budget of the window, and that is not stored.
 func ColdUntil(started policy.Tenths, d policy.Deployment) policy.Tenths {
-	return started + d.FallWindow
+	return started + d.OverloadWindow
 }
 
 // AuditAt returns when a controller that has just started queries a neighbour about its circuits. Each controller spreads its
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -40,9 +40,9 @@
 	var s control.Site
 	d := &s.Deployment
 	s.Exchanges = b.Whole("exchanges", 2, exchangesMost, 1)
-	d.Own = b.Whole("exchange", 0, exchangesMost-1, -1)
-	if d.Own >= s.Exchanges {
-		b.FaultAt("exchange", "exchange %d, but exchanges are numbered below %d", d.Own, s.Exchanges)
+	d.OwnExchange = b.Whole("exchange", 0, exchangesMost-1, -1)
+	if d.OwnExchange >= s.Exchanges {
+		b.FaultAt("exchange", "exchange %d, but exchanges are numbered below %d", d.OwnExchange, s.Exchanges)
 	}
 	d.Seed = uint64(b.Whole("seed", 0, math.MaxInt32, 1))
 	s.OwnSwitch = b.Address("own_switch", false)
@@ -71,7 +71,7 @@
 		switch {
 		case near.Number >= s.Exchanges:
 			n.FaultAt("exchange", "the group %q has no far end: exchanges are numbered below %d", n.Label, s.Exchanges)
-		case near.Number == d.Own:
+		case near.Number == d.OwnExchange:
 			n.FaultAt("exchange", "the group %q leads to this exchange itself", n.Label)
 		case seen[near.Number]:
 			n.FaultAt("exchange", "exchange %d has a group already", near.Number)
@@ -88,14 +88,14 @@
 func Rules(b *hclread.Block, d *policy.Deployment) {
 	d.MaxTries = b.Whole("tries", 1, 16, 4)
 	d.ReleaseTime = b.Span("release_time", 0, time.Minute, 300*time.Millisecond)
-	d.ComeBackMost = b.Span("come_back_most", 0, time.Hour, 0)
+	d.MaxRetryAfter = b.Span("come_back_most", 0, time.Hour, 0)
 	d.DrainGrace = b.Span("drain_grace", 0, time.Minute, 250*time.Millisecond)
 	d.CancelsAllowed = b.Flag("cancels", true)
 	cold := b.Only("cold", false)
-	d.ColdFrom = cold.Number("from", 0.01, 1, 0.3)
+	d.InitialCapacity = cold.Number("from", 0.01, 1, 0.3)
 	d.RampTime = cold.Span("ramp", 0, time.Hour, 14*time.Second)
-	d.FallMultiple = cold.Number("fall_multiple", 1, 100, 3)
-	d.FallWindow = cold.Span("fall_window", time.Millisecond, time.Minute, 1500*time.Millisecond)
+	d.OverloadMultiple = cold.Number("fall_multiple", 1, 100, 3)
+	d.OverloadWindow = cold.Span("fall_window", time.Millisecond, time.Minute, 1500*time.Millisecond)
 	cold.Done()
 }
 
@@ -109,8 +109,8 @@
 		}
 		seen[n.Label] = true
 		t := policy.Bearer{Revenue: n.Number("revenue", 0, 1e6, math.NaN()), LateShare: n.Number("late_share", 0, 1, 0),
-			GoSTarget: n.Span("gos_target", time.Millisecond, forever, -1), Abandon: n.Span("abandon", time.Millisecond, forever, -1)}
-		if t.GoSTarget > t.Abandon {
+			GoSTarget: n.Span("gos_target", time.Millisecond, forever, -1), AbandonTime: n.Span("abandon", time.Millisecond, forever, -1)}
+		if t.GoSTarget > t.AbandonTime {
 			n.FaultAt("gos_target", "gos_target is longer than abandon")
 		}
 		all = append(all, t)
@@ -128,7 +128,7 @@
 // gateways reads what a site says of its MGCP gateways.
 func gateways(b *hclread.Block, d *policy.Deployment, bearers map[string]int) *control.Gateways {
 	g := &control.Gateways{Listen: b.Address("listen", false)}
-	g.Own, g.Point, g.Seed = d.Own, exchange.Point(d.Own), d.Seed
+	g.Own, g.Point, g.Seed = d.OwnExchange, exchange.Point(d.OwnExchange), d.Seed
 	g.DialMost = b.Span("dial_most", time.Second, time.Hour, 20*time.Second)
 	g.RingMost = b.Span("ring_most", time.Second, time.Hour, time.Minute)
 	g.Rate = b.Number("restarts_per_second", 0.1, 1e6, 200)
@@ -144,7 +144,7 @@
 	g.Notified = b.Texts("notified")
 	g.Self = b.Whole("notified_self", 0, max(0, len(g.Notified)-1), 0)
 	for _, t := range d.Bearers {
-		g.Abandon = append(g.Abandon, t.Abandon)
+		g.Abandon = append(g.Abandon, t.AbandonTime)
 		if g.GoS == 0 || t.GoSTarget < g.GoS {
 			g.GoS = t.GoSTarget
 		}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -67,9 +67,9 @@
 )
 
 // endings maps the outcome codes of the protocol to outcomes.
-var endings = map[uint16]policy.Ending{
+var endings = map[uint16]policy.Outcome{
 	100: policy.Released, 301: policy.Faulted, 302: policy.Blocked, 303: policy.TimedOut,
-	304: policy.Unreached, 305: policy.Cut, 306: policy.Cancelled, 307: policy.Unsent,
+	304: policy.Unreachable, 305: policy.Disconnected, 306: policy.Cancelled, 307: policy.Unsent,
 }
 
 // Host runs the instances of one process. They share the pipe and the defined lists of switches.
@@ -253,16 +253,16 @@
 		if page >= pagesMost || !in.host.pageSet[page] {
 			return fmt.Errorf("list number %d was never defined", page)
 		}
-		m.Listed(now, rec[1] == listFull || rec[1] == listCached, in.host.pages[page])
+		m.ListReceived(now, rec[1] == listFull || rec[1] == listCached, in.host.pages[page])
 	case evSubmit:
 		c := policy.Call{ID: call, Number: binary.LittleEndian.Uint64(rec[8:]), Bearer: int(rec[5]),
-			TTL: deployment.Tenths(f64(rec[16:])), Dest: whole(rec[32:]), Width: max(1, whole(rec[36:])), Advice: whole(rec[40:]),
-			Redial: rec[44]&bitRedial != 0, Transit: rec[44]&bitTransit != 0, Cut: rec[44]&bitCut != 0}
+			TTL: deployment.Tenths(f64(rec[16:])), Dest: whole(rec[32:]), Width: max(1, whole(rec[36:])), AdvisedTandem: whole(rec[40:]),
+			Redial: rec[44]&bitRedial != 0, Transit: rec[44]&bitTransit != 0, Disconnected: rec[44]&bitCut != 0}
 		if !m.Offer(now, c) {
 			return fmt.Errorf("call %d: unknown bearer type %d", call, c.Bearer)
 		}
 	case evStarted:
-		m.Stands(now, call, int(rec[17]))
+		m.Answered(now, call, int(rec[17]))
 	case evReport:
 		end, ok := endings[binary.LittleEndian.Uint16(rec[10:])]
 		if !ok {
@@ -273,17 +273,17 @@
 			return err
 		}
 		why, wait := cause(u32(rec[21:]))
-		m.Ended(now, call, int(rec[5]), u32(rec[6:]), end, rec[20] != 0, why, wait, rep)
+		m.TryEnded(now, call, int(rec[5]), u32(rec[6:]), end, rec[20] != 0, why, wait, rep)
 	case evEcho:
 		rep, err := in.report(rec[15:])
 		if err != nil {
 			return err
 		}
-		m.Circuits(now, call, rep)
+		m.LoadReported(now, call, rep)
 	case evClientOff:
-		m.CallerLeft(now, call)
+		m.Abandoned(now, call)
 	case evRing:
-		m.Woken(now, binary.LittleEndian.Uint64(rec[1:]))
+		m.TimerExpired(now, binary.LittleEndian.Uint64(rec[1:]))
 	case evDatagram:
 		if _, err := span(rec[5:], tail); err != nil { // controllers send each other no messages yet
 			return err
@@ -298,12 +298,12 @@
 
 // cause splits a reason code into the reason and the wait that it hints at, in milliseconds.
 func cause(v uint32) (policy.Reason, policy.Tenths) {
-	reasons := [...]policy.Reason{policy.NoReason, policy.NoCircuit, policy.TurnedBack, policy.ProcessorFull,
+	reasons := [...]policy.Reason{policy.NoReason, policy.NoCircuit, policy.TurnedBack, policy.ProcessorOverloaded,
 		policy.NumberBusy}
 	low, high := v%16, v/16
 	switch {
 	case low == 2 && high > 0:
-		return policy.DestFull, 0
+		return policy.DestOverloaded, 0
 	case int(low) < len(reasons):
 		return reasons[low], policy.Tenths(high) * 10
 	}
@@ -311,10 +311,10 @@
 }
 
 // report reads the values of a load report, in the order in which the settings name them.
-func (in *instance) report(b []byte) (policy.Report, error) {
+func (in *instance) report(b []byte) (policy.LoadReport, error) {
 	n := int(b[0])
 	if n > 4 {
-		return policy.Report{}, fmt.Errorf("load report of %d values, at most 4 are allowed", n)
+		return policy.LoadReport{}, fmt.Errorf("load report of %d values, at most 4 are allowed", n)
 	}
 	var values [4]float64
 	for i := range n {
@@ -368,18 +368,18 @@
 	b[4] = byte(try)
 }
 
-// Wake appends the action that sets a timer.
-func (in *instance) Wake(at policy.Tenths, token uint64) {
+// SetTimer appends the action that sets a timer.
+func (in *instance) SetTimer(at policy.Tenths, token uint64) {
 	b := in.put(acArm)
 	putMS(b, at)
 	binary.LittleEndian.PutUint64(b[8:], token)
 }
 
-// Follow appends the action that subscribes to the list of switches.
-func (in *instance) Follow() { in.put(acWatch)[0] = 1 }
+// Subscribe appends the action that subscribes to the list of switches.
+func (in *instance) Subscribe() { in.put(acWatch)[0] = 1 }
 
-// Note appends the action that writes a log line.
-func (in *instance) Note(text string) {
+// Log appends the action that writes a log line.
+func (in *instance) Log(text string) {
 	b := in.put(acLog)
 	binary.LittleEndian.PutUint32(b, uint32(len(in.host.tail)))
 	binary.LittleEndian.PutUint32(b[4:], uint32(len(text)))
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -50,9 +50,9 @@
 func (f *fleet) start(n, i int) *rig {
 	r := town(2, 50)
 	f.d = r.d
-	f.d.Seed, f.d.Own, f.d.Controllers = f.chance.Uint64(), n+1, n
+	f.d.Seed, f.d.OwnExchange, f.d.Controllers = f.chance.Uint64(), n+1, n
 	for b := range f.d.Bearers {
-		f.d.Bearers[b].Holding = 100000
+		f.d.Bearers[b].HoldingTime = 100000
 	}
 	r = newRig(f.d)
 	r.now = f.now
@@ -74,7 +74,7 @@
 
 // circuits is the size of each group of controller i: a third more than its calls to an exchange take.
 func (f *fleet) circuits(i int) int {
-	return int(math.Ceil(f.share[i] * f.perSec * spare * float64(f.d.Bearers[0].Holding) / 10000))
+	return int(math.Ceil(f.share[i] * f.perSec * spare * float64(f.d.Bearers[0].HoldingTime) / 10000))
 }
 
 // offer offers controller i a call to an exchange and records the arrival if it goes to the cold switch. The call is answered at
@@ -83,7 +83,7 @@
 	r := f.rigs[i]
 	f.ids++
 	k := ask(f.ids, 1, dest)
-	k.Cut = again
+	k.Disconnected = again
 	was := len(r.sent)
 	r.offer(k)
 	if len(r.sent) > was && r.calls[f.ids].out != nil {
@@ -158,12 +158,12 @@
 	for i, last := range f.arrived {
 		n := 0
 		for _, at := range f.arrived[:i+1] {
-			if last-at < f.d.FallWindow {
+			if last-at < f.d.OverloadWindow {
 				n++
 			}
 		}
-		strength := f.d.ColdFrom + (1-f.d.ColdFrom)*float64(last-f.d.FallWindow-f.boot)/float64(f.d.RampTime)
-		bears := f.d.FallMultiple * max(f.d.ColdFrom, strength) * 2 * f.perSec / usedOf * float64(f.d.FallWindow) / 10000
+		strength := f.d.InitialCapacity + (1-f.d.InitialCapacity)*float64(last-f.d.OverloadWindow-f.boot)/float64(f.d.RampTime)
+		bears := f.d.OverloadMultiple * max(f.d.InitialCapacity, strength) * 2 * f.perSec / usedOf * float64(f.d.OverloadWindow) / 10000
 		most = max(most, float64(n)/bears)
 		if by := float64(n) - bears - 2*math.Sqrt(bears) - 2; by > over {
 			over, told = by, fmt.Sprintf("%d in an overload window %.1f s after the start, N is %.1f", n, float64(last-f.boot)/10000, bears)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -152,7 +152,7 @@
 // Controller decides about the calls of one exchange.
 type Controller struct {
 	d        Deployment
-	out      Exchange
+	out      Executor
 	rows     []bearerRow
 	chance   uint64
 	began    Tenths
@@ -186,13 +186,13 @@
 )
 
 // New returns a controller whose process starts now.
-func New(d Deployment, out Exchange, now Tenths) *Controller {
+func New(d Deployment, out Executor, now Tenths) *Controller {
 	c := &Controller{d: d, out: out, chance: d.Seed%0xfffffffe + 1, began: now, byID: map[uint32]int{},
 		serving: map[int]int{}, tandems: map[int]int{}, asked: map[int]*decaying{},
 		calls: map[uint32]*call{}, turned: map[uint64]Tenths{}, noted: map[string]Tenths{}}
 	c.rankBearers()
-	if d.ListAsked {
-		c.out.Follow()
+	if d.MustSubscribe {
+		c.out.Subscribe()
 	}
 	c.beat(now)
 	return c
@@ -207,7 +207,7 @@
 	for _, b := range c.d.Bearers {
 		values = append(values, b.Revenue, b.Revenue*b.LateShare)
 		dearest = max(dearest, b.Revenue)
-		c.patience, c.rest = max(c.patience, b.Abandon), max(c.rest, b.Holding)
+		c.patience, c.rest = max(c.patience, b.AbandonTime), max(c.rest, b.HoldingTime)
 		if c.tightest == 0 || b.GoSTarget < c.tightest {
 			c.tightest = b.GoSTarget
 		}
@@ -258,8 +258,8 @@
 // a number that was recently rejected here counts as a redial. This keeps redials from crowding out first
 // calls. Its cost: where many callers dial one number, all but the first of them rank behind first calls.
 func (c *Controller) recognise(now Tenths, k *call) {
-	k.again = k.ask.Redial || k.ask.Cut
-	if k.ask.Transit || k.ask.Cut {
+	k.again = k.ask.Redial || k.ask.Disconnected
+	if k.ask.Transit || k.ask.Disconnected {
 		return
 	}
 	if k.late = now >= k.gosAt; k.late {
@@ -318,7 +318,7 @@
 		if !ok || !c.tandemFits(now, k, t, dest) {
 			if k.drawn = c.draw()*drawWorth < c.served(now); k.drawn {
 				t, ok = c.drawTandem(now, k, dest)
-			} else if t, ok = c.serving[k.ask.Advice]; ok {
+			} else if t, ok = c.serving[k.ask.AdvisedTandem]; ok {
 				ok = c.tandemFits(now, k, t, dest)
 			}
 		}
@@ -449,8 +449,8 @@
 // gentle slope that is so near the GoS target that most tries through the queue are lost.
 func (c *Controller) held(now Tenths, f *farEnd, k *call) float64 {
 	scale := float64(c.rows[k.ask.Bearer].gosTarget)
-	if c.d.Resend > 0 { // a longer wait causes resends, which are further work
-		scale = min(scale, resends*float64(c.d.Resend))
+	if c.d.ResendInterval > 0 { // a longer wait causes resends, which are further work
+		scale = min(scale, resends*float64(c.d.ResendInterval))
 	}
 	late := (float64(c.expects(now, f))/scale - shedFrom) / (shedAll - shedFrom)
 	shared := (float64(c.common(now))/scale - shedFrom) / (shedShared - shedFrom)
@@ -566,10 +566,10 @@
 	if a := c.asked[f.number]; a != nil {
 		asked = max(asked, a.read(now, offerHalf))
 	}
-	asked *= math.Ln2 / (1 - fade(max(c.d.FallWindow, now-c.began), offerHalf)) / float64(offerHalf) * 10000
+	asked *= math.Ln2 / (1 - fade(max(c.d.OverloadWindow, now-c.began), offerHalf)) / float64(offerHalf) * 10000
 	rate := max(asked, min(carriedLeast*carries, coldFloor/all))
-	rate *= c.d.FallMultiple * (c.d.ColdFrom + (1-c.d.ColdFrom)*float64(now-f.bootAt)/float64(c.d.RampTime))
-	most, came := rate*coldDepth*float64(c.d.FallWindow)/10000, rate*float64(now-f.budgetAt)/10000
+	rate *= c.d.OverloadMultiple * (c.d.InitialCapacity + (1-c.d.InitialCapacity)*float64(now-f.bootAt)/float64(c.d.RampTime))
+	most, came := rate*coldDepth*float64(c.d.OverloadWindow)/10000, rate*float64(now-f.budgetAt)/10000
 	f.budgetAt = now
 	f.budget = min(max(1, most), f.budget+came)
 	f.chance = min(most, f.chance+came)
@@ -593,7 +593,7 @@
 	switch {
 	case k.state != offered && k.state != resting: // rules 1 and 2: it is answered or a try is out
 		return false
-	case !f.ready || f.number == c.d.Own || c.serving[f.number] != to: // rule 3: the list says that it drains or is gone
+	case !f.ready || f.number == c.d.OwnExchange || c.serving[f.number] != to: // rule 3: the list says that it drains or is gone
 		return false
 	case k.ask.Transit && f.number != k.ask.Dest:
 		return false
@@ -626,7 +626,7 @@
 	}
 	comeBack := Tenths(0)
 	if dest, ok := c.serving[k.ask.Dest]; ok && pressed {
-		comeBack = min(c.d.ComeBackMost, comeBackLater*c.expects(now, &c.far[dest]))
+		comeBack = min(c.d.MaxRetryAfter, comeBackLater*c.expects(now, &c.far[dest]))
 	}
 	c.out.Block(k.ask.ID, comeBack)
 }
@@ -646,7 +646,7 @@
 // beat schedules the next tick, by which detectStall notices that this controller itself has stalled.
 func (c *Controller) beat(now Tenths) {
 	c.beatDue = now + beatEvery
-	c.out.Wake(c.beatDue, beatToken)
+	c.out.SetTimer(c.beatDue, beatToken)
 }
 
 // notice detects a stall of this controller: the tick is overdue. Answers that came meanwhile were not late and
@@ -663,12 +663,12 @@
 func (c *Controller) note(now Tenths, line string) {
 	if at, again := c.noted[line]; !again || now > at+noteEvery {
 		c.noted[line] = now
-		c.out.Note(line)
+		c.out.Log(line)
 	}
 }
 
-// Stands reports that a route try was answered and the call is established.
-func (c *Controller) Stands(now Tenths, id uint32, try int) {
+// Answered reports that a route try was answered and the call is established.
+func (c *Controller) Answered(now Tenths, id uint32, try int) {
 	c.notice(now)
 	k := c.calls[id]
 	if k == nil || k.state != trying || try != k.tries-1 {
@@ -705,10 +705,10 @@
 	}
 }
 
-// Ended reports the outcome of a route try, with its reason, the wait that the switch hinted at and its load
+// TryEnded reports the outcome of a route try, with its reason, the wait that the switch hinted at and its load
 // report. final means that the call is over as well.
-func (c *Controller) Ended(now Tenths, id uint32, try int, sw uint32, end Ending, final bool,
-	why Reason, wait Tenths, rep Report) {
+func (c *Controller) TryEnded(now Tenths, id uint32, try int, sw uint32, end Outcome, final bool,
+	why Reason, wait Tenths, rep LoadReport) {
 	c.notice(now)
 	i, ok := c.byID[sw]
 	if !ok {
@@ -723,7 +723,7 @@
 	if k.state == trying && !k.lost && end != Unsent && end != Released {
 		c.judge(now, k, f, end, why, wait)
 	}
-	if k.state == standing && end == Cut {
+	if k.state == standing && end == Disconnected {
 		c.cuts.add(now, answerHalf, 1)
 		if c.cuts.n > manyCuts {
 			c.note(now, "many established calls disconnected")
@@ -738,7 +738,7 @@
 	}
 	c.become(k, offered)
 	switch end {
-	case TimedOut, Cut, Cancelled:
+	case TimedOut, Disconnected, Cancelled:
 		k.readyAt = now + c.d.ReleaseTime + 1 // times are rounded down to whole tenths: one more makes the full wait
 		if k.tandem {
 			delete(c.tandems, k.ask.Dest)
@@ -748,11 +748,11 @@
 			return
 		}
 		c.become(k, resting)
-		c.out.Wake(k.readyAt, uint64(id))
+		c.out.SetTimer(k.readyAt, uint64(id))
 	case Faulted:
 		c.giveUp(now, k, false)
 	default: // it was blocked, or never reached the switch
-		if why == ProcessorFull || why == DestFull {
+		if why == ProcessorOverloaded || why == DestOverloaded {
 			c.giveUp(now, k, true)
 			return
 		}
@@ -770,16 +770,16 @@
 }
 
 // judge records what a failed try shows about the load of the processors on its way.
-func (c *Controller) judge(now Tenths, k *call, f *farEnd, end Ending, why Reason, wait Tenths) {
+func (c *Controller) judge(now Tenths, k *call, f *farEnd, end Outcome, why Reason, wait Tenths) {
 	full := max(wait, c.rows[k.ask.Bearer].gosTarget)
 	switch {
-	case why == ProcessorFull:
+	case why == ProcessorOverloaded:
 		f.wait, f.reportedAt = full, now
-	case why == DestFull:
+	case why == DestOverloaded:
 		if d, ok := c.serving[k.ask.Dest]; ok {
 			c.far[d].wait, c.far[d].reportedAt = full, now
 		}
-	case end == Unreached:
+	case end == Unreachable:
 		f.answers.add(now, answerHalf, float64(full))
 	default:
 		c.answered(now, k, now-k.sentAt)
@@ -800,7 +800,7 @@
 }
 
 // heard records a load report.
-func (c *Controller) heard(now Tenths, f *farEnd, rep Report) {
+func (c *Controller) heard(now Tenths, f *farEnd, rep LoadReport) {
 	if rep.Size >= 0 {
 		f.free, f.size = max(0, rep.Free), rep.Size
 	}
@@ -809,16 +809,16 @@
 	}
 }
 
-// Circuits reports the free circuits and the size of the group towards a switch.
-func (c *Controller) Circuits(now Tenths, sw uint32, rep Report) {
+// LoadReported reports the free circuits and the size of the group towards a switch.
+func (c *Controller) LoadReported(now Tenths, sw uint32, rep LoadReport) {
 	c.heard(now, &c.far[c.index(sw)], rep)
 }
 
-// CallerLeft reports that the caller has abandoned the call, which needs no answer any more. A try that is older
+// Abandoned reports that the caller has abandoned the call, which needs no answer any more. A try that is older
 // than the usual answer time, or late enough for shedding, then counts as answered after the GoS target.
 // Otherwise the latest answers would never count where callers abandon early, and the remote switches would
 // look fast and be overloaded. A younger try shows nothing: its caller left for another reason.
-func (c *Controller) CallerLeft(now Tenths, id uint32) {
+func (c *Controller) Abandoned(now Tenths, id uint32) {
 	if k := c.calls[id]; k != nil {
 		goal := c.rows[k.ask.Bearer].gosTarget
 		usual := min(overdue*c.far[k.far].answers.quantile(now), shedFrom*float64(goal))
@@ -829,12 +829,12 @@
 	}
 }
 
-// Woken reports that a timer that was set with Executor.SetTimer has expired.
-func (c *Controller) Woken(now Tenths, token uint64) {
+// TimerExpired reports that a timer that was set with Executor.SetTimer has expired.
+func (c *Controller) TimerExpired(now Tenths, token uint64) {
 	c.notice(now)
 	switch token {
 	case followToken:
-		c.out.Follow()
+		c.out.Subscribe()
 		return
 	case beatToken:
 		c.beat(now)
@@ -848,12 +848,12 @@
 // ListLost reports that the list of switches could not be fetched or that its subscription broke. It is requested
 // again after an exponential delay with jitter.
 func (c *Controller) ListLost(now Tenths) {
-	c.followIn = min(max(2*c.followIn, followFirst), max(followFirst, c.d.AskWithin/4))
-	c.out.Wake(now+c.followIn+Tenths(c.draw()*float64(c.followIn)), followToken)
+	c.followIn = min(max(2*c.followIn, followFirst), max(followFirst, c.d.MaxSubscribeInterval/4))
+	c.out.SetTimer(now+c.followIn+Tenths(c.draw()*float64(c.followIn)), followToken)
 }
 
-// Listed reports the list of switches: all of them if whole is set, else those that changed.
-func (c *Controller) Listed(now Tenths, whole bool, list []Switch) {
+// ListReceived reports the list of switches: all of them if whole is set, else those that changed.
+func (c *Controller) ListReceived(now Tenths, whole bool, list []Switch) {
 	c.followIn = 0
 	if whole {
 		for i := range c.far {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -8,10 +8,10 @@
 
 // town is a full mesh of n exchanges with groups of equal size, seen from exchange 0.
 func town(n, size int) *rig {
-	r := newRig(Deployment{Seed: 7, Own: 0, Controllers: n, MaxTries: 4, ReleaseTime: 3000, DrainGrace: 2500,
-		ColdFrom: 0.3, RampTime: 140000, FallMultiple: 3, FallWindow: 15000, ComeBackMost: 20000,
-		Bearers: []Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 12000, Abandon: 90000},
-			{Revenue: 5, LateShare: 0.1, GoSTarget: 12000, Abandon: 90000}}})
+	r := newRig(Deployment{Seed: 7, OwnExchange: 0, Controllers: n, MaxTries: 4, ReleaseTime: 3000, DrainGrace: 2500,
+		InitialCapacity: 0.3, RampTime: 140000, OverloadMultiple: 3, OverloadWindow: 15000, MaxRetryAfter: 20000,
+		Bearers: []Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 12000, AbandonTime: 90000},
+			{Revenue: 5, LateShare: 0.1, GoSTarget: 12000, AbandonTime: 90000}}})
 	var list []Switch
 	for i := range n {
 		list = append(list, Switch{ID: uint32(100 + i), Number: i, Ready: true})
@@ -24,7 +24,7 @@
 }
 
 func ask(id uint32, bearer, dest int) Call {
-	return Call{ID: id, Bearer: bearer, Dest: dest, Width: 1, Advice: -1, TTL: 30000}
+	return Call{ID: id, Bearer: bearer, Dest: dest, Width: 1, AdvisedTandem: -1, TTL: 30000}
 }
 
 func expect(t *testing.T, r *rig, got, want string) {
@@ -118,7 +118,7 @@
 	r.group(101, 0, 20)
 	advised := func(id uint32) string {
 		k := ask(id, 0, 1)
-		k.Advice = 59
+		k.AdvisedTandem = 59
 		return r.offer(k)
 	}
 	first := advised(0)
@@ -166,7 +166,7 @@
 	r := town(4, 50)
 	r.group(101, 0, 20)
 	r.offer(ask(1, 0, 1))
-	expect(t, r, r.end(1, Cut, NoReason), "nothing")
+	expect(t, r, r.end(1, Disconnected, NoReason), "nothing")
 	r.pass(2900)
 	expect(t, r, r.last, "nothing")
 	r.pass(200)
@@ -237,7 +237,7 @@
 		r.offer(ask(id, 0, 1))
 		if id%10 == 9 { // abandons while its try is young
 			r.calls[id].done = true
-			r.c.CallerLeft(r.now, id)
+			r.c.Abandoned(r.now, id)
 		}
 		if id >= 4 {
 			other := id - 4 + 1 - 2*(id%2) // answered in pairs in reverse order, four calls after they were sent
@@ -260,7 +260,7 @@
 		r.pass(3000)
 		if h := r.calls[id]; !h.done {
 			h.done = true
-			r.c.CallerLeft(r.now, id)
+			r.c.Abandoned(r.now, id)
 		}
 	}
 	if n := len(r.sent); n > 20 || len(r.broken) > 0 {
@@ -319,7 +319,7 @@
 		r.stand(id)
 	}
 	for id := uint32(0); id < 60; id++ {
-		r.end(id, Cut, NoReason)
+		r.end(id, Disconnected, NoReason)
 	}
 	expect(t, r, r.offer(ask(100, 0, 2)), "block") // the type of low revenue is shed until the releases are worked off
 	r.pass(60000)
@@ -328,7 +328,7 @@
 
 func TestPoolOfSecondChoiceServesWhereTheFirstIsGone(t *testing.T) {
 	r := town(3, 50)
-	r.c.d.Pools, r.c.d.Own = true, -1
+	r.c.d.Pools, r.c.d.OwnExchange = true, -1
 	r.list(false, Switch{ID: 101, Number: 1}, Switch{ID: 100, Number: 0})
 	expect(t, r, r.offer(ask(1, 0, 1)), "send 102")
 }
@@ -337,7 +337,7 @@
 	r := town(3, 200)
 	sent := [2]int{}
 	for id := uint32(0); id < 300; id++ {
-		r.c.heard(r.now, &r.c.far[r.c.byID[101]], Report{Free: 200, Size: 200, Wait: 7000, HoldBack: -1})
+		r.c.heard(r.now, &r.c.far[r.c.byID[101]], LoadReport{Free: 200, Size: 200, Wait: 7000, HoldBack: -1})
 		b := 0
 		if id%5 == 0 {
 			b = 1
@@ -375,12 +375,12 @@
 	for i, last := range cold {
 		n := 0
 		for _, s := range cold[:i+1] {
-			if last.sentAt-s.sentAt < r.d.FallWindow {
+			if last.sentAt-s.sentAt < r.d.OverloadWindow {
 				n++
 			}
 		}
-		strength := r.d.ColdFrom + (1-r.d.ColdFrom)*float64(last.sentAt-boot)/float64(r.d.RampTime)
-		if most := 1 + 4.2*r.d.FallMultiple*strength*1.5*(1+coldDepth); float64(n) > most {
+		strength := r.d.InitialCapacity + (1-r.d.InitialCapacity)*float64(last.sentAt-boot)/float64(r.d.RampTime)
+		if most := 1 + 4.2*r.d.OverloadMultiple*strength*1.5*(1+coldDepth); float64(n) > most {
 			t.Fatalf("%d set-ups in an overload window, %.1f allowed", n, most)
 		}
 	}
@@ -410,7 +410,7 @@
 
 func TestListIsAskedAnewAfterAFailure(t *testing.T) {
 	d := town(2, 9).d
-	d.ListAsked, d.AskWithin = true, 100000
+	d.MustSubscribe, d.MaxSubscribeInterval = true, 100000
 	r := newRig(d)
 	r.c.ListLost(r.now)
 	r.pass(20000)
@@ -420,20 +420,20 @@
 }
 
 func drawDeployment(t *rapid.T) Deployment {
-	d := Deployment{Seed: rapid.Uint64().Draw(t, "seed"), Own: 0,
+	d := Deployment{Seed: rapid.Uint64().Draw(t, "seed"), OwnExchange: 0,
 		Pools: rapid.Bool().Draw(t, "pools"), CancelsAllowed: rapid.Bool().Draw(t, "cancels"), MaxTries: rapid.IntRange(1, 6).Draw(t, "tries"),
-		ReleaseTime:  Tenths(rapid.IntRange(0, 6000).Draw(t, "release")),
-		Resend:       Tenths(rapid.SampledFrom([]int{0, 4000}).Draw(t, "resend")),
-		ComeBackMost: Tenths(rapid.SampledFrom([]int{0, 20000}).Draw(t, "retry after")),
-		DrainGrace:   Tenths(rapid.SampledFrom([]int{0, 2500, 20000}).Draw(t, "grace")),
-		ColdFrom:     rapid.Float64Range(0, 1).Draw(t, "cold"), RampTime: Tenths(rapid.IntRange(0, 140000).Draw(t, "ramp")),
-		FallMultiple: 3, FallWindow: 15000, ListAsked: rapid.Bool().Draw(t, "asked")}
+		ReleaseTime:     Tenths(rapid.IntRange(0, 6000).Draw(t, "release")),
+		ResendInterval:  Tenths(rapid.SampledFrom([]int{0, 4000}).Draw(t, "resend")),
+		MaxRetryAfter:   Tenths(rapid.SampledFrom([]int{0, 20000}).Draw(t, "retry after")),
+		DrainGrace:      Tenths(rapid.SampledFrom([]int{0, 2500, 20000}).Draw(t, "grace")),
+		InitialCapacity: rapid.Float64Range(0, 1).Draw(t, "cold"), RampTime: Tenths(rapid.IntRange(0, 140000).Draw(t, "ramp")),
+		OverloadMultiple: 3, OverloadWindow: 15000, MustSubscribe: rapid.Bool().Draw(t, "asked")}
 	if d.Pools {
-		d.Own = -1
+		d.OwnExchange = -1
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "bearers") {
 		b := Bearer{Revenue: float64(rapid.IntRange(0, 5).Draw(t, "revenue")), LateShare: 0.2,
-			GoSTarget: Tenths(rapid.IntRange(1, 20000).Draw(t, "gos")), Abandon: 90000}
+			GoSTarget: Tenths(rapid.IntRange(1, 20000).Draw(t, "gos")), AbandonTime: 90000}
 		if d.Pools {
 			b.Pools = rapid.SliceOfN(rapid.IntRange(0, 5), 0, 3).Draw(t, "skills")
 		}
@@ -468,9 +468,9 @@
 			"offer": func(t *rapid.T) {
 				next++
 				c := Call{ID: next, Bearer: rapid.IntRange(0, len(d.Bearers)-1).Draw(t, "bearer"),
-					Dest: rapid.IntRange(0, 6).Draw(t, "dest"), Advice: rapid.IntRange(-1, 6).Draw(t, "advice"),
+					Dest: rapid.IntRange(0, 6).Draw(t, "dest"), AdvisedTandem: rapid.IntRange(-1, 6).Draw(t, "advice"),
 					TTL: Tenths(rapid.IntRange(0, 36000).Draw(t, "ttl")), Redial: rapid.Bool().Draw(t, "redial"),
-					Transit: !d.Pools && rapid.Bool().Draw(t, "transit"), Cut: rapid.Bool().Draw(t, "cut")}
+					Transit: !d.Pools && rapid.Bool().Draw(t, "transit"), Disconnected: rapid.Bool().Draw(t, "cut")}
 				c.Width = 1 + c.Bearer
 				r.offer(c)
 			},
@@ -501,21 +501,21 @@
 					return
 				}
 				if r.calls[id].stands {
-					r.end(id, rapid.SampledFrom([]Ending{Released, Cut}).Draw(t, "ending"), NoReason)
+					r.end(id, rapid.SampledFrom([]Outcome{Released, Disconnected}).Draw(t, "ending"), NoReason)
 					return
 				}
-				e := rapid.SampledFrom([]Ending{Faulted, Blocked, Unreached, Cut, Cancelled, Unsent}).Draw(t, "ending")
+				e := rapid.SampledFrom([]Outcome{Faulted, Blocked, Unreachable, Disconnected, Cancelled, Unsent}).Draw(t, "ending")
 				r.end(id, e, Reason(rapid.IntRange(0, 5).Draw(t, "reason")))
 			},
 			"caller abandons": func(*rapid.T) {
 				if id, ok := pick(); ok && !r.calls[id].stands {
 					r.calls[id].done = true
-					r.c.CallerLeft(r.now, id)
+					r.c.Abandoned(r.now, id)
 				}
 			},
 			"stray timer": func(t *rapid.T) {
 				if id, ok := pick(); ok {
-					r.c.Woken(r.now, uint64(id))
+					r.c.TimerExpired(r.now, uint64(id))
 				}
 			},
 			"time": func(t *rapid.T) { r.pass(Tenths(rapid.IntRange(1, 15000).Draw(t, "by"))) },
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -87,7 +87,7 @@
 	if at, off := r.off[to]; off && r.now > at+r.d.DrainGrace {
 		r.fault("route try to switch %d, which drains or is gone", to)
 	}
-	if n, ok := r.named[to]; !ok || n == r.d.Own || h.ask.Transit && n != h.ask.Dest {
+	if n, ok := r.named[to]; !ok || n == r.d.OwnExchange || h.ask.Transit && n != h.ask.Dest {
 		r.fault("call %d routed to forbidden switch %d", id, to)
 	}
 	until := h.leaves
@@ -114,7 +114,7 @@
 }
 
 func (r *rig) Block(id uint32, comeBack Tenths) {
-	if comeBack > r.d.ComeBackMost {
+	if comeBack > r.d.MaxRetryAfter {
 		r.fault("retry-after time of %d", comeBack)
 	}
 	r.answer(id, "block")
@@ -127,9 +127,9 @@
 		r.fault("cancel of try %d of call %d", no, id)
 	}
 }
-func (r *rig) Follow()          { r.follows++ }
-func (r *rig) Note(line string) { r.notes = append(r.notes, line) }
-func (r *rig) Wake(at Tenths, token uint64) {
+func (r *rig) Subscribe()      { r.follows++ }
+func (r *rig) Log(line string) { r.notes = append(r.notes, line) }
+func (r *rig) SetTimer(at Tenths, token uint64) {
 	r.wakes = append(r.wakes, wake{at, token})
 }
 
@@ -143,18 +143,18 @@
 }
 
 // end reports the outcome of the open route try or of the established call and returns the last action.
-func (r *rig) end(id uint32, e Ending, why Reason) string {
+func (r *rig) end(id uint32, e Outcome, why Reason) string {
 	h := r.calls[id]
 	t := h.out
 	h.out = nil
-	if e == TimedOut || e == Cut || e == Cancelled {
+	if e == TimedOut || e == Disconnected || e == Cancelled {
 		h.releaseAt = r.now + r.d.ReleaseTime
 	}
 	if h.stands {
 		h.done = true
 	}
 	r.last = "nothing"
-	r.c.Ended(r.now, id, t.no, t.to, e, h.done, why, 0, Report{Free: -1, Size: -1, Wait: -1, HoldBack: -1})
+	r.c.TryEnded(r.now, id, t.no, t.to, e, h.done, why, 0, LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1})
 	return r.last
 }
 
@@ -162,7 +162,7 @@
 func (r *rig) stand(id uint32) {
 	h := r.calls[id]
 	h.stands = true
-	r.c.Stands(r.now, id, h.out.no)
+	r.c.Answered(r.now, id, h.out.no)
 }
 
 // list delivers a list of switches and records which of them drain or are gone.
@@ -182,12 +182,12 @@
 			r.off[s.ID] = r.now
 		}
 	}
-	r.c.Listed(r.now, whole, sw)
+	r.c.ListReceived(r.now, whole, sw)
 }
 
 // group reports the circuits towards a switch.
 func (r *rig) group(sw uint32, free, size int) {
-	r.c.Circuits(r.now, sw, Report{Free: free, Size: size, Wait: -1, HoldBack: -1})
+	r.c.LoadReported(r.now, sw, LoadReport{Free: free, Size: size, Wait: -1, HoldBack: -1})
 }
 
 // pass advances the time. Route tries and timers expire, and callers whose time to live is over must have been
@@ -216,7 +216,7 @@
 			}
 		}
 		for _, token := range due {
-			r.c.Woken(r.now, token)
+			r.c.TimerExpired(r.now, token)
 		}
 	}
 }
