--- a/cmd/indigodrift/platform.go
+++ b/cmd/indigodrift/platform.go
@@ -46,7 +46,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	file := os.Getenv(envConfig)
-	m, err := platform.ReadMachine(file)
+	m, err := platform.ReadConfig(file)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 			return fmt.Errorf("%s is %q, the configuration says %q", told.env, v, told.here)
 		}
 	}
-	if err := m.Plant(plant); err != nil {
+	if err := m.InjectFault(plant); err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
@@ -65,10 +65,10 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	station := platform.New(m, module, dialTCP, log)
-	again := make(chan platform.Machine)
+	again := make(chan platform.Config)
 	go func() {
 		for range hup {
-			next, err := platform.ReadMachine(file)
+			next, err := platform.ReadConfig(file)
 			if err != nil {
 				log.Error("configuration is not taken, nothing changes", "why", err)
 				continue
--- a/cmd/indigodrift/platform_test.go
+++ b/cmd/indigodrift/platform_test.go
@@ -158,7 +158,7 @@
 	}
 	n.t.Cleanup(func() { c.Close() })
 	p := siptest.New(n.t, c)
-	p.Say(siptest.Group(50, 50))
+	p.Send(siptest.LoadReport(50, 50))
 	return p
 }
 
@@ -198,14 +198,14 @@
 	time.Sleep(50 * time.Millisecond) // the state of the group is read
 	stands := func(c, far *siptest.Peer, id string, dest int) {
 		t.Helper()
-		c.Say(platformSetUp(id, dest, ""))
-		m := far.Want(sip.Invite)
+		c.Send(platformSetUp(id, dest, ""))
+		m := far.Expect(sip.Invite)
 		if m.CallID != id || string(m.Body) != "offer of "+id {
 			t.Fatalf("the switch heard %+v", m)
 		}
-		far.Stand(m, "answer to "+id)
-		far.Want(sip.Ack)
-		if got := c.Want("200"); got.CallID != id || string(got.Body) != "answer to "+id {
+		far.Answer(m, "answer to "+id)
+		far.Expect(sip.Ack)
+		if got := c.Expect("200"); got.CallID != id || string(got.Body) != "answer to "+id {
 			t.Fatalf("the caller heard %+v", got)
 		}
 	}
@@ -228,28 +228,28 @@
 	}
 	board2 := <-n.boards
 	c := n.caller()
-	c.Say(platformSetUp(ids[0], 1, ";at:s-000000a1"))
-	c.Say(platformSetUp(ids[1], 1, ";at:s-000000a1"))
+	c.Send(platformSetUp(ids[0], 1, ";at:s-000000a1"))
+	c.Send(platformSetUp(ids[1], 1, ";at:s-000000a1"))
 	time.Sleep(50 * time.Millisecond)
-	sw.Say(siptest.Release(ids[0], 16)) // from the switch's side
-	sw.Want("200")
-	c.WantRelease(ids[0])              // and no answer to the set-ups with at
-	c.Say(siptest.Release(ids[1], 16)) // from the caller's
-	c.Want("200")
-	if m := sw.Want(sip.Bye); m.CallID != ids[1] {
+	sw.Send(siptest.Release(ids[0], 16)) // from the switch's side
+	sw.Expect("200")
+	c.ExpectRelease(ids[0])             // and no answer to the set-ups with at
+	c.Send(siptest.Release(ids[1], 16)) // from the caller's
+	c.Expect("200")
+	if m := sw.Expect(sip.Bye); m.CallID != ids[1] {
 		t.Errorf("the switch heard %+v", m)
 	}
-	sw.Say(siptest.Release(ids[2], 16)) // not announced by anybody
-	sw.Want("200")
-	c.WantRelease(ids[2])
+	sw.Send(siptest.Release(ids[2], 16)) // not announced by anybody
+	sw.Expect("200")
+	c.ExpectRelease(ids[2])
 	stands(c, sw, "00000000000000c1", 1)
 
 	other.State = board.Draining
 	n.tell(board2, 3, other)
 	time.Sleep(100 * time.Millisecond)
-	c.Say(platformSetUp("00000000000000c2", 2, ""))
-	c.Want("503")
-	if m, ok := sw2.Next(100 * time.Millisecond); ok {
+	c.Send(platformSetUp("00000000000000c2", 2, ""))
+	c.Expect("503")
+	if m, ok := sw2.Receive(100 * time.Millisecond); ok {
 		t.Errorf("the draining switch heard %+v", m)
 	}
 
@@ -321,14 +321,14 @@
 	defer asked.Close()
 	n.log.wait(t, "draining")
 	for _, id := range []string{"00000000000000a1", "00000000000000a2"} {
-		c.Say(platformSetUp(id, 1, ""))
-		m := sw.Want(sip.Invite)
-		sw.Stand(m, "answer")
-		sw.Want(sip.Ack)
-		c.Want("200")
-	}
-	c.Say(platformSetUp("00000000000000a3", 1, "")) // never answered by the switch
-	if m, ok := c.Next(4 * time.Second); !ok || m.Status < 400 || m.CallID != "00000000000000a3" {
+		c.Send(platformSetUp(id, 1, ""))
+		m := sw.Expect(sip.Invite)
+		sw.Answer(m, "answer")
+		sw.Expect(sip.Ack)
+		c.Expect("200")
+	}
+	c.Send(platformSetUp("00000000000000a3", 1, "")) // never answered by the switch
+	if m, ok := c.Receive(4 * time.Second); !ok || m.Status < 400 || m.CallID != "00000000000000a3" {
 		t.Errorf("the caller heard %v %+v", ok, m)
 	}
 	if err := process.Wait(); err != nil || strings.Count(n.log.String(), "draining") != 1 {
--- a/cmd/indigodrift/release_test.go
+++ b/cmd/indigodrift/release_test.go
@@ -39,11 +39,11 @@
 }
 
 func setUpOnPlatform(caller, sw *siptest.Peer, id string) {
-	caller.Say(platformSetUp(id, 1, ""))
-	m := sw.Want(sip.Invite)
-	sw.Stand(m, "answer to "+id)
-	sw.Want(sip.Ack)
-	caller.Say(sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: caller.Want("200").CallID, CSeq: 1})
+	caller.Send(platformSetUp(id, 1, ""))
+	m := sw.Expect(sip.Invite)
+	sw.Answer(m, "answer to "+id)
+	sw.Expect(sip.Ack)
+	caller.Send(sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: caller.Expect("200").CallID, CSeq: 1})
 }
 
 // told keeps when callers were first told of each call's end.
@@ -55,7 +55,7 @@
 // listen reads a caller's connection to its end; answer is called for each release.
 func (x *told) listen(c *siptest.Peer, answer func(sip.Message)) {
 	for {
-		m, ok := c.Next(20 * time.Second)
+		m, ok := c.Receive(20 * time.Second)
 		if !ok {
 			return
 		}
@@ -81,8 +81,8 @@
 	written := map[string]time.Time{}
 	for _, id := range ids {
 		written[id] = time.Now()
-		sw.Say(siptest.Release(id, 16))
-		sw.Want("200")
+		sw.Send(siptest.Release(id, 16))
+		sw.Expect("200")
 		time.Sleep(50 * time.Millisecond)
 	}
 	time.Sleep(toldWithin)
@@ -110,7 +110,7 @@
 	const late = 900 * time.Millisecond
 	sw, callers, ids := standingCalls(t, 2, 24)
 	releaseEach(t, sw, callers, ids, func(c *siptest.Peer, m sip.Message) {
-		time.AfterFunc(late, func() { c.Say(m.Answer(sip.OK)) })
+		time.AfterFunc(late, func() { c.Send(m.Response(sip.OK)) })
 	})
 }
 
@@ -118,8 +118,8 @@
 func TestReleasesOfUnknownCallsDoNotKeepLaterReleasesBack(t *testing.T) {
 	sw, callers, ids := standingCalls(t, 1, 6)
 	for i := range 3 { // of an earlier life of the controller, whose callers have forgotten them
-		sw.Say(siptest.Release(fmt.Sprintf("%016x", 0x900+i), 16))
-		sw.Want("200")
+		sw.Send(siptest.Release(fmt.Sprintf("%016x", 0x900+i), 16))
+		sw.Expect("200")
 	}
 	time.Sleep(toldWithin)
 	known := map[string]bool{}
@@ -128,7 +128,7 @@
 	}
 	releaseEach(t, sw, callers, ids, func(c *siptest.Peer, m sip.Message) {
 		if known[m.CallID] {
-			c.Say(m.Answer(sip.OK))
+			c.Send(m.Response(sip.OK))
 		}
 	})
 }
@@ -149,15 +149,15 @@
 	setUpOnPlatform(caller, first, id)
 	go func() { // signs of life are answered as long as they come
 		for {
-			if _, ok := first.Next(20 * time.Second); !ok {
+			if _, ok := first.Receive(20 * time.Second); !ok {
 				return
 			}
 		}
 	}()
 	proxy.SilenceOne()
 	second := n.up(0) // opened since the first is silent
-	go second.Next(20 * time.Second)
-	first.Say(siptest.Release(id, 16)) // where the set-up was: it does not arrive
+	go second.Receive(20 * time.Second)
+	first.Send(siptest.Release(id, 16)) // where the set-up was: it does not arrive
 	go func() {
 		for { // the switch repeats it on the next connection that opens
 			c, err := n.switches[0].Accept()
@@ -166,12 +166,12 @@
 			}
 			defer c.Close()
 			next := siptest.New(t, c)
-			next.Say(siptest.Release(id, 16))
-			go next.Next(20 * time.Second)
+			next.Send(siptest.Release(id, 16))
+			go next.Receive(20 * time.Second)
 		}
 	}()
 	n.switches[0].(*net.TCPListener).SetDeadline(time.Time{})
-	if m, ok := caller.Next(toldAfterLoss); !ok || m.Method != sip.Bye {
+	if m, ok := caller.Receive(toldAfterLoss); !ok || m.Method != sip.Bye {
 		t.Errorf("the caller was not told within %v: %v %+v", toldAfterLoss, ok, m)
 	}
 }
@@ -190,9 +190,9 @@
 	caller := n.caller()
 	const id = "0000000000000100"
 	setUpOnPlatform(caller, first, id)
-	go first.Next(20 * time.Second)
+	go first.Receive(20 * time.Second)
 	proxy.Silence()
-	first.Say(siptest.Release(id, 16)) // on the connection of the set-up, which is silent
+	first.Send(siptest.Release(id, 16)) // on the connection of the set-up, which is silent
 	n.switches[0].(*net.TCPListener).SetDeadline(time.Now().Add(toldAfterLoss))
 	c, err := n.switches[0].Accept()
 	if err != nil {
@@ -201,8 +201,8 @@
 	defer c.Close()
 	proxy.Silence() // the switch vanishes as it repeats the release on the next connection
 	next := siptest.New(t, c)
-	next.Say(siptest.Release(id, 16))
-	go next.Next(20 * time.Second)
+	next.Send(siptest.Release(id, 16))
+	go next.Receive(20 * time.Second)
 	go func() { // later ones work, and the release comes on none of them
 		for {
 			later, err := n.switches[0].Accept()
@@ -210,11 +210,11 @@
 				return
 			}
 			p := siptest.New(t, later)
-			p.Say(siptest.Group(50, 50))
-			go p.Next(20 * time.Second)
+			p.Send(siptest.LoadReport(50, 50))
+			go p.Receive(20 * time.Second)
 		}
 	}()
-	if m, ok := caller.Next(toldAfterLoss); !ok || m.Method != sip.Bye {
+	if m, ok := caller.Receive(toldAfterLoss); !ok || m.Method != sip.Bye {
 		t.Errorf("the caller was not told within %v: %v %+v", toldAfterLoss, ok, m)
 	}
 }
--- a/cmd/indigodrift/route_try_test.go
+++ b/cmd/indigodrift/route_try_test.go
@@ -30,17 +30,17 @@
 	first := n.up(0)
 	time.Sleep(50 * time.Millisecond) // the state of the group is read
 	caller := n.caller()
-	caller.Say(platformSetUp(tryCallID, 1, ""))
-	m := first.Want(sip.Invite)
-	answer := m.Answer(sip.OK)
+	caller.Send(platformSetUp(tryCallID, 1, ""))
+	m := first.Expect(sip.Invite)
+	answer := m.Response(sip.OK)
 	answer.Body = []byte("answer to the first try")
 	octets := sip.Append(nil, &answer)
-	first.Raw(string(octets[:len(octets)/2]))
+	first.SendRaw(string(octets[:len(octets)/2]))
 	first.Close()
 	next := n.up(0)
-	second, ok := next.Next(2 * time.Second)
+	second, ok := next.Receive(2 * time.Second)
 	if ok && second.Method == sip.Bye { // of what the first try may have left there; it has crossed the switch's own
-		second = next.Want(sip.Invite)
+		second = next.Expect(sip.Invite)
 	}
 	if second.Method != sip.Invite || second.CallID != tryCallID || second.CSeq != 2 {
 		t.Fatalf("the switch read %+v", second)
@@ -51,17 +51,17 @@
 // answers has the switch set the second try up, as it works on it for a while.
 func (b *brokenTry) answers() {
 	time.Sleep(75 * time.Millisecond)
-	b.sw.Stand(b.second, "answer to the second try")
+	b.sw.Answer(b.second, "answer to the second try")
 }
 
 // wantsTheCallToStand wants the second answer to reach the caller, and no further try.
 func (b *brokenTry) wantsTheCallToStand() {
 	b.t.Helper()
-	if m, ok := b.caller.Next(2 * netReleaseTime); !ok || m.Status != sip.OK || string(m.Body) != "answer to the second try" {
+	if m, ok := b.caller.Receive(2 * netReleaseTime); !ok || m.Status != sip.OK || string(m.Body) != "answer to the second try" {
 		b.t.Errorf("the caller read %v %+v", ok, m)
 	}
 	for until := time.Now().Add(2 * netReleaseTime); time.Now().Before(until); {
-		if m, ok := b.sw.Next(time.Until(until)); ok && (m.Method == sip.Invite || m.Method == sip.Bye || m.Method == sip.Cancel) {
+		if m, ok := b.sw.Receive(time.Until(until)); ok && (m.Method == sip.Invite || m.Method == sip.Bye || m.Method == sip.Cancel) {
 			b.t.Errorf("the switch read %s, CSeq %d", m.Method, m.CSeq)
 		}
 	}
@@ -71,7 +71,7 @@
 func TestResetOfABrokenTryDoesNotEndTheNextOne(t *testing.T) {
 	b := breakFirstAnswer(t)
 	time.Sleep(10 * time.Millisecond)
-	b.sw.Say(siptest.Release(tryCallID, 31))
+	b.sw.Send(siptest.Release(tryCallID, 31))
 	b.answers()
 	b.wantsTheCallToStand()
 }
@@ -83,14 +83,14 @@
 		t.Run(fmt.Sprint(cause), func(t *testing.T) {
 			b := breakFirstAnswer(t)
 			time.Sleep(10 * time.Millisecond)
-			b.sw.Say(siptest.Release(tryCallID, cause))
-			if m, ok := b.caller.Next(netReleaseTime); !ok || m.Status != sip.ServerError {
+			b.sw.Send(siptest.Release(tryCallID, cause))
+			if m, ok := b.caller.Receive(netReleaseTime); !ok || m.Status != sip.ServerInternalError {
 				t.Errorf("the caller read %v %+v", ok, m)
 			}
 			b.answers() // it crosses the CANCEL
 			var read []string
 			for until := time.Now().Add(3 * netReleaseTime); time.Now().Before(until); {
-				if m, ok := b.sw.Next(time.Until(until)); ok && m.Method != "" && m.Method != sip.Ack {
+				if m, ok := b.sw.Receive(time.Until(until)); ok && m.Method != "" && m.Method != sip.Ack {
 					read = append(read, m.Method)
 				}
 			}
@@ -106,10 +106,10 @@
 	b := breakFirstAnswer(t)
 	b.answers()
 	b.wantsTheCallToStand()
-	b.sw.Say(siptest.Release(tryCallID, 16)) // of either try: nothing on the wire tells which
-	b.caller.WantRelease(tryCallID)
+	b.sw.Send(siptest.Release(tryCallID, 16)) // of either try: nothing on the wire tells which
+	b.caller.ExpectRelease(tryCallID)
 	for until := time.Now().Add(toldWithin); ; {
-		m, ok := b.sw.Next(time.Until(until))
+		m, ok := b.sw.Receive(time.Until(until))
 		if !ok {
 			t.Fatal("the caller was told that its call is over, the switch was not")
 		}
--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -131,7 +131,7 @@
 
 // Agent is the back-to-back user agent.
 type Agent struct {
-	set      deployment.Settled
+	set      deployment.Settings
 	decide   exchange.Decider
 	out      Carrier
 	now      policy.Tenths
@@ -167,12 +167,12 @@
 }
 
 // New creates an agent; build creates the policy, given the interface through which it acts on the agent.
-func New(set deployment.Settled, b Bounds, out Carrier, now policy.Tenths,
+func New(set deployment.Settings, b Bounds, out Carrier, now policy.Tenths,
 	build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) *Agent {
 	a := &Agent{set: set, out: out, now: now, calls: map[uint64]*call{}, byHandle: map[uint32]*call{},
 		openMost: b.Calls, heldMost: b.Octets, linkMost: b.Links, far: map[uint32]*farEnd{}, linkOf: map[Conn]uint32{}, closing: map[Conn]uint32{}, dialTo: map[uint32]string{},
-		callers: newCallerConns(b.Callers), silence: silenceClock{tickAt: now}, pending: releaseQueue{byCall: map[uint64]*pendingRelease{}}, houseAt: now + houseWork, fresh: set.Module.Seed}
-	a.decide = build(set.Module, (*desk)(a), now)
+		callers: newCallerConns(b.Callers), silence: silenceClock{tickAt: now}, pending: releaseQueue{byCall: map[uint64]*pendingRelease{}}, houseAt: now + houseWork, fresh: set.Policy.Seed}
+	a.decide = build(set.Policy, (*desk)(a), now)
 	return a
 }
 
@@ -391,11 +391,11 @@
 			a.decide.LoadReported(now, sw, rep)
 		}
 	case m.Method == sip.Bye:
-		heard := m.Answer(sip.OK)
+		heard := m.Response(sip.OK)
 		a.out.Write(c, &heard)
 		a.released(f, c, m)
 	case m.Method == sip.Options:
-		passed := m.Answer(sip.OK)
+		passed := m.Response(sip.OK)
 		a.out.Write(c, &passed)
 	}
 	if len(f.waiting) > 0 {
@@ -433,7 +433,7 @@
 	var all []Far
 	for _, id := range a.farOrder {
 		f := a.far[id]
-		all = append(all, Far{board.Text(id), f.entry.State, f.told.Free, f.told.Size, len(f.links)})
+		all = append(all, Far{board.FormatID(id), f.entry.State, f.told.Free, f.told.Size, len(f.links)})
 	}
 	return all
 }
--- a/internal/b2bua/b2bua_test.go
+++ b/internal/b2bua/b2bua_test.go
@@ -420,7 +420,7 @@
 	if len(tests) != 2 {
 		t.Fatalf("%d keepalives", len(tests))
 	}
-	first, last := tests[0].Answer(sip.OK), tests[1].Answer(sip.OK)
+	first, last := tests[0].Response(sip.OK), tests[1].Response(sip.OK)
 	if r.a.FromSwitch(r.now, link, &first); r.a.far[1].measured {
 		t.Errorf("measured %d by the first keepalive", r.a.far[1].trip)
 	}
@@ -449,7 +449,7 @@
 		test := r.wrote[slices.IndexFunc(r.wrote, func(w written) bool { return w.to == link })].m
 		if c.trip > 0 {
 			r.pass(c.trip)
-			m := test.Answer(sip.OK)
+			m := test.Response(sip.OK)
 			r.a.FromSwitch(r.now, link, &m)
 		}
 		r.notify(link, 10, 10)
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -67,10 +67,10 @@
 	a.tally.Refused++
 	status := sip.BadRequest
 	if tooLong {
-		status = sip.TooLarge
+		status = sip.RequestEntityTooLarge
 	}
 	a.failOpen(func(k *call) bool { return k.caller == c })
-	refusal := m.Answer(status)
+	refusal := m.Response(status)
 	if _, err := readID(m.CallID); err != nil {
 		refusal.CallID = ""
 	}
@@ -94,7 +94,7 @@
 
 // fail gives an open call a final answer that it failed.
 func (a *Agent) fail(k *call) {
-	a.refuse(k, sip.ServerError, 0)
+	a.refuse(k, sip.ServerInternalError, 0)
 	a.left(k)
 	a.tally.Aborted++
 }
@@ -136,7 +136,7 @@
 	case m.Method == sip.Ack:
 		a.acknowledged(o, m)
 	case m.Method == sip.Options:
-		passed := m.Answer(sip.OK)
+		passed := m.Response(sip.OK)
 		a.out.Write(c, &passed)
 	default:
 		a.refuseMessage(c, m, sip.BadRequest, "method "+m.Method)
@@ -161,7 +161,7 @@
 func (a *Agent) refuseMessage(c Conn, m *sip.Message, status int, why string) {
 	a.tally.Refused++
 	a.out.Record(Record{Kind: SetUpRefused, CallID: m.CallID, Conn: c, Why: why})
-	refusal := m.Answer(status)
+	refusal := m.Response(status)
 	a.out.Write(c, &refusal)
 }
 
@@ -190,7 +190,7 @@
 		return
 	}
 	if a.open >= a.openMost || a.held+len(k.body) > a.heldMost { // limit reached
-		refusal := m.Answer(sip.ServiceUnavail)
+		refusal := m.Response(sip.ServiceUnavailable)
 		a.out.Write(o.conn, &refusal)
 		a.tally.Blocked++
 		return
@@ -248,7 +248,7 @@
 	id, err := readID(m.CallID)
 	k := a.calls[id]
 	if err != nil || k == nil || k.caller != c {
-		a.refuseMessage(c, m, sip.NoSuchCall, "CANCEL for an unknown call")
+		a.refuseMessage(c, m, sip.CallDoesNotExist, "CANCEL for an unknown call")
 		return
 	}
 	switch k.state {
@@ -267,10 +267,10 @@
 	id, err := readID(m.CallID)
 	k := a.calls[id]
 	if err != nil || k == nil {
-		a.refuseMessage(c, m, sip.NoSuchCall, "release of an unknown call")
+		a.refuseMessage(c, m, sip.CallDoesNotExist, "release of an unknown call")
 		return
 	}
-	heard := m.Answer(sip.OK)
+	heard := m.Response(sip.OK)
 	a.out.Write(c, &heard)
 	k.ended = true
 	a.confirmed(k)
--- a/internal/b2bua/desk.go
+++ b/internal/b2bua/desk.go
@@ -24,7 +24,7 @@
 		return
 	}
 	f := a.far[to]
-	if f == nil || !a.wanted(f) || len(k.tries) > a.set.Module.MaxTries || a.now >= k.leavesAt {
+	if f == nil || !a.wanted(f) || len(k.tries) > a.set.Policy.MaxTries || a.now >= k.leavesAt {
 		a.advance(t, eventDrop, "unknown switch, too many tries, or too late")
 		a.later = append(a.later, report{handle: id, try: t.number, sw: to, end: policy.Unsent, rep: untold})
 		return
@@ -42,7 +42,7 @@
 func (d *desk) Block(id uint32, comeBack policy.Tenths) {
 	a := (*Agent)(d)
 	if k := a.byHandle[id]; k != nil && k.state == Offered {
-		a.refuse(k, sip.ServiceUnavail, comeBack)
+		a.refuse(k, sip.ServiceUnavailable, comeBack)
 		a.become(k, Over)
 		a.tally.Blocked++
 	}
@@ -52,7 +52,7 @@
 func (d *desk) Abort(id uint32) {
 	a := (*Agent)(d)
 	if k := a.byHandle[id]; k != nil && k.state == Offered {
-		a.refuse(k, sip.ServerError, 0)
+		a.refuse(k, sip.ServerInternalError, 0)
 		a.become(k, Over)
 		a.tally.Aborted++
 	}
--- a/internal/b2bua/far.go
+++ b/internal/b2bua/far.go
@@ -207,7 +207,7 @@
 
 // wanted reports whether connections to a switch are to be kept open.
 func (a *Agent) wanted(f *farEnd) bool {
-	return f.entry.Cell != a.set.Module.OwnExchange && f.entry.State != board.Gone
+	return f.entry.Cell != a.set.Policy.OwnExchange && f.entry.State != board.Gone
 }
 
 // Dialled handles the result of a dial: a connection, a refusal (no process listens at the address), or a timeout.
@@ -372,7 +372,7 @@
 func (a *Agent) cutStanding(f *farEnd, before policy.Tenths, why string) {
 	cut := a.inOrder(func(k *call) bool { return k.standsAt(f.entry.ID) && k.stoodAt < before })
 	if len(cut) > 0 {
-		a.out.Note(fmt.Sprintf("%d calls established at %s count as disconnected: %s", len(cut), board.Text(f.entry.ID), why))
+		a.out.Note(fmt.Sprintf("%d calls established at %s count as disconnected: %s", len(cut), board.FormatID(f.entry.ID), why))
 	}
 	for _, k := range cut {
 		a.releaseCaller(k, causeTempFail)
@@ -451,8 +451,8 @@
 		list = append(list, policy.Switch{ID: s.ID, Number: s.Cell, Ready: s.State == board.Ready,
 			Draining: s.State == board.Draining, BootAt: bootAt(s)})
 	}
-	a.decide.ListReceived(now, e.Whole, list)
-	if e.Whole {
+	a.decide.ListReceived(now, e.Complete, list)
+	if e.Complete {
 		for _, id := range slices.Clone(a.farOrder) {
 			if !named[id] {
 				a.leave(a.far[id])
@@ -470,7 +470,7 @@
 		}
 		if f == nil {
 			f = &farEnd{entry: s, heardAt: now, dialAt: now}
-			f.pace = reconnect.NewPaceBetween(a.set.Module.Seed^uint64(s.ID), redialFirst, redialMost)
+			f.pace = reconnect.NewPaceBetween(a.set.Policy.Seed^uint64(s.ID), redialFirst, redialMost)
 			a.far[s.ID] = f
 			a.farOrder = append(a.farOrder, s.ID)
 		}
--- a/internal/b2bua/fetch.go
+++ b/internal/b2bua/fetch.go
@@ -97,7 +97,7 @@
 	if l.silent && a.unheard(l) <= silentKeep {
 		return
 	}
-	a.out.Note("connection to " + board.Text(f.entry.ID) + " timed out without an answer to a keepalive")
+	a.out.Note("connection to " + board.FormatID(f.entry.ID) + " timed out without an answer to a keepalive")
 	if !l.heard { // the waiting set-ups were never sent
 		a.unreached(f)
 	}
--- a/internal/b2bua/fetch_test.go
+++ b/internal/b2bua/fetch_test.go
@@ -276,7 +276,7 @@
 	old := board.Switch{ID: 7, Cell: 2, Address: "10.0.0.7:1"}
 	gone, next := old, board.Switch{ID: 8, Cell: 2, Address: "10.0.0.7:1", StartedMS: int64(r.now) / 10}
 	gone.State = board.Gone
-	r.a.Known(r.now, []board.Event{{Number: 2, Whole: true, Switches: []board.Switch{old}}, {Number: 3, Switches: []board.Switch{gone, next}}})
+	r.a.Known(r.now, []board.Event{{Number: 2, Complete: true, Switches: []board.Switch{old}}, {Number: 3, Switches: []board.Switch{gone, next}}})
 	if len(r.dials) != 1 || r.dials[0].sw != 8 {
 		t.Fatalf("dials %v", r.dials)
 	}
--- a/internal/b2bua/fleet_test.go
+++ b/internal/b2bua/fleet_test.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, e := range f.told {
-		r.list(e.Whole, e.Switches...)
+		r.list(e.Complete, e.Switches...)
 	}
 	return r
 }
@@ -82,7 +82,7 @@
 		}
 		r.calls[id] = &heardOf{id: id, on: c, answers: 1, stood: true, standsAt: k.standsAt, standsOn: r.linkSeq[on]}
 		r.order = append(r.order, id)
-		r.a.FromCaller(r.now, r.now, c, invite(id, "voice", 0, fmt.Sprintf("at:%s", board.Text(k.standsAt)), ""))
+		r.a.FromCaller(r.now, r.now, c, invite(id, "voice", 0, fmt.Sprintf("at:%s", board.FormatID(k.standsAt)), ""))
 	}
 }
 
@@ -114,7 +114,7 @@
 		e.Switches = append(e.Switches, s)
 		delete(f.now, cell)
 	default:
-		e.Whole = true
+		e.Complete = true
 		for cell := 1; cell <= 3; cell++ {
 			if s, ok := f.now[cell]; ok {
 				e.Switches = append(e.Switches, s)
@@ -151,7 +151,7 @@
 			f.t.Fatalf("controller %d holds %d callers, %d connections to switches and %d dials, %d open calls", i, len(r.callers), len(r.links), len(r.dials), open)
 		}
 	}
-	d := settled().Module
+	d := settled().Policy
 	carried := float64(len(f.rigs)) * rigGroup / 12 // per second at most; half of a processor's work is for calls of its own exchange
 	for id, all := range f.sent {
 		last := all[len(all)-1]
@@ -205,7 +205,7 @@
 			case what == stepsMost+3:
 				f.rigs[i].a.FailOpen(f.rigs[i].now)
 			case len(f.late[i]) > 0:
-				f.rigs[i].list(f.late[i][0].Whole, f.late[i][0].Switches...)
+				f.rigs[i].list(f.late[i][0].Complete, f.late[i][0].Switches...)
 				f.late[i] = f.late[i][1:]
 			}
 			f.check()
--- a/internal/b2bua/lost_repeat.go
+++ b/internal/b2bua/lost_repeat.go
@@ -61,7 +61,7 @@
 		return own == nil || own.silent
 	})
 	if len(ended) > 0 {
-		a.out.Note(fmt.Sprintf("%d calls established at %s are released: messages on connection %d may be lost", len(ended), board.Text(f.entry.ID), r.conn))
+		a.out.Note(fmt.Sprintf("%d calls established at %s are released: messages on connection %d may be lost", len(ended), board.FormatID(f.entry.ID), r.conn))
 	}
 	for _, k := range ended {
 		a.releaseSwitch(f.entry.ID, 0, a.bye(k.callID, k.uri, causeTempFail))
--- a/internal/b2bua/read.go
+++ b/internal/b2bua/read.go
@@ -56,7 +56,7 @@
 
 // readOffer parses a set-up. The numbers of exchanges and circuits are only checked for plausible values; the
 // policy decides whether the call can be carried.
-func readOffer(m *sip.Message, set *deployment.Settled) (o offer, err error) {
+func readOffer(m *sip.Message, set *deployment.Settings) (o offer, err error) {
 	if o.id, err = readID(m.CallID); err != nil {
 		return o, err
 	}
@@ -65,7 +65,7 @@
 	}
 	o.ask.Dest, o.ask.Width, o.ask.AdvisedTandem, o.ask.Bearer = -1, 1, -1, -1
 	class := m.Get(fieldClass)
-	for i, name := range set.Bearers {
+	for i, name := range set.BearerNames {
 		if name == class {
 			o.ask.Bearer = i
 		}
@@ -79,7 +79,7 @@
 			return o, bad("%s %.40q", fieldInfo, part)
 		}
 		if name == "at" {
-			if o.at, err = board.ID(value); err != nil {
+			if o.at, err = board.ParseID(value); err != nil {
 				return o, fmt.Errorf("%w: %w", errOffer, err)
 			}
 			o.adopted = true
@@ -116,7 +116,7 @@
 	if err != nil || !(ms > 0 && ms <= expiresMost) {
 		return o, bad("%s %.40q", fieldExpires, m.Get(fieldExpires))
 	}
-	o.ask.TTL = deployment.Tenths(ms)
+	o.ask.TTL = deployment.TenthsFromMillis(ms)
 	return o, nil
 }
 
@@ -138,7 +138,7 @@
 		}
 		names, values = append(names, name), append(values, v)
 	}
-	return deployment.Report(names, values)
+	return deployment.LoadReport(names, values)
 }
 
 var words = map[string]policy.Reason{"atb": policy.NoCircuit, "rtb": policy.TurnedBack, "racc": policy.DestOverloaded,
@@ -148,12 +148,12 @@
 func readRefusal(m *sip.Message) (end policy.Outcome, why policy.Reason, wait policy.Tenths) {
 	why = words[m.Get(fieldWarning)]
 	if ms, err := strconv.ParseFloat(m.Get(fieldWait), 64); err == nil && ms >= 0 && ms <= expiresMost {
-		wait = deployment.Tenths(ms)
+		wait = deployment.TenthsFromMillis(ms)
 	}
 	switch m.Status {
-	case sip.ServiceUnavail:
+	case sip.ServiceUnavailable:
 		end = policy.Blocked
-	case sip.Unavailable:
+	case sip.TemporarilyUnavailable:
 		end = policy.Unsent
 	case sip.ServerTimeout:
 		end = policy.Disconnected
--- a/internal/b2bua/release.go
+++ b/internal/b2bua/release.go
@@ -270,7 +270,7 @@
 	if i := slices.IndexFunc(o.copies, func(written releaseCopy) bool { return written.release == r }); i >= 0 {
 		a.hasRead(o, o.copies[i].place)
 	}
-	if !m.Refusal() { // a caller that refuses it does not know the call
+	if !m.Rejected() { // a caller that refuses it does not know the call
 		a.confirmed(r.call)
 	}
 }
--- a/internal/b2bua/release_switch.go
+++ b/internal/b2bua/release_switch.go
@@ -81,7 +81,7 @@
 	if k.state == Trying {
 		a.abandon(t, "call is over")
 	}
-	a.refuse(k, sip.ServerError, 0)
+	a.refuse(k, sip.ServerInternalError, 0)
 	a.become(k, Over)
 	a.tally.Aborted++
 	a.decide.TryEnded(a.now, k.handle, t.number, t.sw, policy.Disconnected, true, policy.NoReason, 0, rep)
--- a/internal/b2bua/release_test.go
+++ b/internal/b2bua/release_test.go
@@ -106,7 +106,7 @@
 	r.switchReleases(k)
 	r.pass(copyEvery + 10)
 	r.wantReleases(k, 2, second)
-	late := r.bye(k.id, 16).Answer(sip.OK)
+	late := r.bye(k.id, 16).Response(sip.OK)
 	r.a.FromCaller(r.now, r.now, first, &late)
 	r.callerDown(second)
 	r.offer(r.callerUp(), 1, 1000)
@@ -210,7 +210,7 @@
 	r.deaf[second] = true
 	r.switchReleases(k)
 	r.wantReleases(k, 1, second)
-	refusal := r.bye(k.id, 16).Answer(sip.NoSuchCall)
+	refusal := r.bye(k.id, 16).Response(sip.CallDoesNotExist)
 	r.a.FromCaller(r.now, r.now, second, &refusal)
 	third := r.callerUp()
 	r.offer(third, 1, 1000)
--- a/internal/b2bua/rig_test.go
+++ b/internal/b2bua/rig_test.go
@@ -109,9 +109,9 @@
 	m  sip.Message
 }
 
-func settled() deployment.Settled {
-	return deployment.Settled{Bearers: []string{"voice", "fax"}, OpenMost: 100, StreamsMost: 1000, DialTime: 5000,
-		Module: policy.Deployment{Seed: 7, OwnExchange: 0, MaxTries: 4, ReleaseTime: releaseTime, MaxRetryAfter: 20000, CancelsAllowed: true,
+func settled() deployment.Settings {
+	return deployment.Settings{BearerNames: []string{"voice", "fax"}, MaxOpenCalls: 100, MaxTriesPerConn: 1000, DialTimeout: 5000,
+		Policy: policy.Deployment{Seed: 7, OwnExchange: 0, MaxTries: 4, ReleaseTime: releaseTime, MaxRetryAfter: 20000, CancelsAllowed: true,
 			DrainGrace: 2500, InitialCapacity: 0.3, RampTime: 140000, OverloadMultiple: 3, OverloadWindow: 15000,
 			Bearers: []policy.Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 3000, AbandonTime: 30000},
 				{Revenue: 5, LateShare: 0.25, GoSTarget: 3000, AbandonTime: 20000}}}}
@@ -142,7 +142,7 @@
 	for _, e := range s {
 		r.drained[e.ID] = e.State != board.Ready
 	}
-	r.a.Listed(r.now, board.Event{Number: r.version, Whole: whole, Switches: s})
+	r.a.Listed(r.now, board.Event{Number: r.version, Complete: whole, Switches: s})
 }
 
 // pass lets time pass and runs the agent's timers.
@@ -156,7 +156,7 @@
 		r.asked = nil
 		for _, w := range asked {
 			if _, open := r.links[w.to]; open && !r.silent[w.to] {
-				m := w.m.Answer(sip.OK)
+				m := w.m.Response(sip.OK)
 				r.a.FromSwitch(r.now, w.to, &m)
 			}
 		}
@@ -181,7 +181,7 @@
 		r.byes = r.byes[1:]
 		if slices.Contains(r.callers, w.to) && !r.deaf[w.to] {
 			r.calls[w.m.CallID].heardRelease = true
-			m := w.m.Answer(sip.OK)
+			m := w.m.Response(sip.OK)
 			r.a.FromCaller(r.now, r.now, w.to, &m)
 		}
 	}
@@ -245,7 +245,7 @@
 }
 
 func (r *rig) notify(c Conn, free, size int) {
-	m := siptest.Group(free, size)
+	m := siptest.LoadReport(free, size)
 	r.a.FromSwitch(r.now, c, &m)
 }
 
--- a/internal/b2bua/table_test.go
+++ b/internal/b2bua/table_test.go
@@ -65,7 +65,7 @@
 	} else if k != nil && m.Method == sip.Bye && k.standsAt != 0 {
 		k.standsAt = 0
 	} else if k != nil && k.tryOn != 0 {
-		if k.tryOn = 0; m.Status != sip.ServiceUnavail { // such a set-up was never carried out
+		if k.tryOn = 0; m.Status != sip.ServiceUnavailable { // such a set-up was never carried out
 			k.notBefore = x.now + releaseTime
 		}
 	}
@@ -111,7 +111,7 @@
 	{"BYE of the caller", func(x *cell) { x.fromCaller(x.bye(cellID, 16)) }},
 	{"end of the caller's connection", func(x *cell) { x.callerDown(x.c) }},
 	{"200", func(x *cell) { x.fromSwitch(answerOf(sip.OK)) }},
-	{"503", func(x *cell) { x.fromSwitch(answerOf(sip.ServiceUnavail)) }},
+	{"503", func(x *cell) { x.fromSwitch(answerOf(sip.ServiceUnavailable)) }},
 	{"504", func(x *cell) { x.fromSwitch(answerOf(sip.ServerTimeout)) }},
 	{"BYE of the switch", func(x *cell) { x.fromSwitch(x.bye(cellID, 16)) }},
 	{"end of the switch's connection", func(x *cell) {
--- a/internal/b2bua/try.go
+++ b/internal/b2bua/try.go
@@ -26,7 +26,7 @@
 		a.timers.Set(t.call.heldUntil, dueHold, t.token())
 		return
 	}
-	if l := a.room(f, a.set.StreamsMost, t.answersMeet); l != nil {
+	if l := a.room(f, a.set.MaxTriesPerConn, t.answersMeet); l != nil {
 		a.clearSwitch(t, l)
 		a.writeSetUp(t, l)
 		return
@@ -131,7 +131,7 @@
 	switch {
 	case t.state != tryOut || t.conn != c:
 		a.lateAnswer(t, f, c, m)
-	case m.Refusal():
+	case m.Rejected():
 		a.refused(t, m)
 	default:
 		a.stands(t, m)
@@ -173,7 +173,7 @@
 	k := t.call
 	a.tries.AnsweredLate++
 	a.ignoreAnswer(k, f, c, m)
-	if m.Refusal() {
+	if m.Rejected() {
 		if t.state == tryAbandoned {
 			a.advance(t, eventRefuse, strconv.Itoa(m.Status))
 		}
@@ -182,7 +182,7 @@
 	if t.state == tryOut || t.state == tryStanding || !a.advance(t, eventAnswer, "after it was abandoned") {
 		return
 	}
-	k.heldUntil = max(k.heldUntil, a.now+a.set.Module.ReleaseTime)
+	k.heldUntil = max(k.heldUntil, a.now+a.set.Policy.ReleaseTime)
 	a.releaseTryLeft(k)
 }
 
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -36,32 +36,32 @@
 // Event is one numbered update of the list.
 type Event struct {
 	Number   uint64
-	Whole    bool // the complete list rather than changes
+	Complete bool // the complete list rather than changes
 	Switches []Switch
 }
 
 // Frame kinds and sizes.
 const (
-	kindNothing = 0
-	kindWhole   = 1
-	kindChanges = 2
+	kindKeepalive = 0
+	kindComplete  = 1
+	kindChanges   = 2
 
 	numberSize = 8
-	headSize   = numberSize + 1 // counted by the length field, as the records are
+	headerSize = numberSize + 1 // counted by the length field, as the records are
 	recordSize = 27
 
-	// recordsMost bounds the records of a frame, far above any real list, so that a wrong length can't exhaust memory.
-	recordsMost = 1 << 14
+	// maxRecords bounds the records of a frame, far above any real list, so that a wrong length can't exhaust memory.
+	maxRecords = 1 << 14
 )
 
 // ErrMalformed reports a frame or an initial list that cannot be parsed.
 var ErrMalformed = errors.New("malformed notice")
 
-// Text formats a switch id.
-func Text(id uint32) string { return fmt.Sprintf("s-%08x", id) }
+// FormatID formats a switch id.
+func FormatID(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
-// ID parses a switch id in text form.
-func ID(text string) (uint32, error) {
+// ParseID parses a switch id in text form.
+func ParseID(text string) (uint32, error) {
 	digits, ok := strings.CutPrefix(text, "s-")
 	v, err := strconv.ParseUint(digits, 16, 32)
 	if !ok || err != nil || len(digits) != 8 {
@@ -72,35 +72,35 @@
 
 // ReadFrame reads one frame; something is false for the keepalive frame that the board sends each second. The length is
 // checked before memory is allocated for it.
-func ReadFrame(r io.Reader) (e Event, something bool, err error) {
-	var head [4 + headSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+func ReadFrame(r io.Reader) (e Event, isEvent bool, err error) {
+	var header [4 + headerSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return e, false, fmt.Errorf("read frame header: %w", err)
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n < headSize || (n-headSize)%recordSize != 0 || n > headSize+recordsMost*recordSize {
-		return e, false, fmt.Errorf("%w: invalid frame length %d", ErrMalformed, n)
+	length := binary.BigEndian.Uint32(header[:])
+	if length < headerSize || (length-headerSize)%recordSize != 0 || length > headerSize+maxRecords*recordSize {
+		return e, false, fmt.Errorf("%w: invalid frame length %d", ErrMalformed, length)
 	}
-	e.Number = binary.BigEndian.Uint64(head[4:])
-	records := int(n-headSize) / recordSize
-	switch kind := head[4+numberSize]; {
-	case kind == kindNothing && records == 0:
+	e.Number = binary.BigEndian.Uint64(header[4:])
+	records := int(length-headerSize) / recordSize
+	switch kind := header[4+numberSize]; {
+	case kind == kindKeepalive && records == 0:
 		return e, false, nil
-	case kind == kindWhole:
-		e.Whole = true
+	case kind == kindComplete:
+		e.Complete = true
 	case kind != kindChanges:
 		return e, false, fmt.Errorf("%w: frame of kind %d with %d records", ErrMalformed, kind, records)
 	}
 	for range records {
-		var b [recordSize]byte
-		if _, err := io.ReadFull(r, b[:]); err != nil {
+		var record [recordSize]byte
+		if _, err := io.ReadFull(r, record[:]); err != nil {
 			return e, false, fmt.Errorf("read record: %w", err)
 		}
-		s := Switch{ID: binary.BigEndian.Uint32(b[:]), State: State(b[10]), Cell: int(binary.BigEndian.Uint16(b[13:])),
-			Address:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(b[4:8])), binary.BigEndian.Uint16(b[8:])).String(),
-			StartedMS: int64(binary.BigEndian.Uint64(b[19:]))}
+		s := Switch{ID: binary.BigEndian.Uint32(record[:]), State: State(record[10]), Cell: int(binary.BigEndian.Uint16(record[13:])),
+			Address:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(record[4:8])), binary.BigEndian.Uint16(record[8:])).String(),
+			StartedMS: int64(binary.BigEndian.Uint64(record[19:]))}
 		if s.State > Gone || s.StartedMS < 0 {
-			return e, false, fmt.Errorf("%w: invalid state or start time of switch %s", ErrMalformed, Text(s.ID))
+			return e, false, fmt.Errorf("%w: invalid state or start time of switch %s", ErrMalformed, FormatID(s.ID))
 		}
 		e.Switches = append(e.Switches, s)
 	}
@@ -109,21 +109,21 @@
 
 // AppendFrame appends the frame of an event to b. Each address must be an IPv4 address and port.
 func AppendFrame(b []byte, e Event) ([]byte, error) {
-	b = binary.BigEndian.AppendUint32(b, uint32(headSize+len(e.Switches)*recordSize))
+	b = binary.BigEndian.AppendUint32(b, uint32(headerSize+len(e.Switches)*recordSize))
 	b = binary.BigEndian.AppendUint64(b, e.Number)
 	kind := byte(kindChanges)
-	if e.Whole {
-		kind = kindWhole
+	if e.Complete {
+		kind = kindComplete
 	}
 	b = append(b, kind)
 	for _, s := range e.Switches {
-		at, err := netip.ParseAddrPort(s.Address)
-		if err != nil || !at.Addr().Is4() {
+		addrPort, err := netip.ParseAddrPort(s.Address)
+		if err != nil || !addrPort.Addr().Is4() {
 			return b, fmt.Errorf("%w: address %q is no IPv4 address and port", ErrMalformed, s.Address)
 		}
 		b = binary.BigEndian.AppendUint32(b, s.ID)
-		b = append(b, at.Addr().AsSlice()...)
-		b = binary.BigEndian.AppendUint16(b, at.Port())
+		b = append(b, addrPort.Addr().AsSlice()...)
+		b = binary.BigEndian.AppendUint16(b, addrPort.Port())
 		b = append(b, byte(s.State), 0, 0)
 		b = binary.BigEndian.AppendUint16(b, uint16(s.Cell))
 		b = binary.BigEndian.AppendUint32(b, 1000) // weight of a full-sized switch, in thousandths
@@ -132,21 +132,21 @@
 	return b, nil
 }
 
-// AppendNothing appends a keepalive frame to b.
-func AppendNothing(b []byte, number uint64) []byte {
-	b = binary.BigEndian.AppendUint32(b, headSize)
+// AppendKeepalive appends a keepalive frame to b.
+func AppendKeepalive(b []byte, number uint64) []byte {
+	b = binary.BigEndian.AppendUint32(b, headerSize)
 	b = binary.BigEndian.AppendUint64(b, number)
-	return append(b, kindNothing)
+	return append(b, kindKeepalive)
 }
 
-// AppendAsk appends a controller's request for the events after last to b.
-func AppendAsk(b []byte, last uint64) []byte { return binary.BigEndian.AppendUint64(b, last) }
+// AppendRequest appends a controller's request for the events after last to b.
+func AppendRequest(b []byte, last uint64) []byte { return binary.BigEndian.AppendUint64(b, last) }
 
-var states = map[string]State{"in_service": Ready, "terminating": Draining, "terminated": Gone}
+var lifecycleStates = map[string]State{"in_service": Ready, "terminating": Draining, "terminated": Gone}
 
-// Known parses the events in the start configuration. They must be in order.
-func Known(text []byte) ([]Event, error) {
-	var k struct {
+// ParseKnown parses the events in the start configuration. They must be in order.
+func ParseKnown(text []byte) ([]Event, error) {
+	var known struct {
 		Rev     uint64
 		Notices []struct {
 			Rev  uint64
@@ -162,24 +162,24 @@
 			}
 		}
 	}
-	if err := json.Unmarshal(text, &k); err != nil {
+	if err := json.Unmarshal(text, &known); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	var events []Event
-	for _, n := range k.Notices {
-		e := Event{Number: n.Rev, Whole: n.Pool.Reset || n.Rev == 1}
-		for _, i := range n.Pool.Instances {
-			id, err := ID(i.InstanceID)
+	for _, notice := range known.Notices {
+		e := Event{Number: notice.Rev, Complete: notice.Pool.Reset || notice.Rev == 1}
+		for _, instance := range notice.Pool.Instances {
+			id, err := ParseID(instance.InstanceID)
 			if err != nil {
-				return nil, fmt.Errorf("event %d: %w", n.Rev, err)
+				return nil, fmt.Errorf("event %d: %w", notice.Rev, err)
 			}
-			state, ok := states[i.Lifecycle]
-			if _, err := netip.ParseAddrPort(i.HostPort); !ok || err != nil {
-				return nil, fmt.Errorf("%w: event %d: switch %s: state %q, address %q", ErrMalformed, n.Rev, i.InstanceID,
-					i.Lifecycle, i.HostPort)
+			state, ok := lifecycleStates[instance.Lifecycle]
+			if _, err := netip.ParseAddrPort(instance.HostPort); !ok || err != nil {
+				return nil, fmt.Errorf("%w: event %d: switch %s: state %q, address %q", ErrMalformed, notice.Rev, instance.InstanceID,
+					instance.Lifecycle, instance.HostPort)
 			}
-			e.Switches = append(e.Switches, Switch{ID: id, Address: i.HostPort, State: state, Cell: i.Cell,
-				StartedMS: int64(i.StartedAtMS)})
+			e.Switches = append(e.Switches, Switch{ID: id, Address: instance.HostPort, State: state, Cell: instance.Cell,
+				StartedMS: int64(instance.StartedAtMS)})
 		}
 		events = append(events, e)
 	}
--- a/internal/board/client.go
+++ b/internal/board/client.go
@@ -11,151 +11,151 @@
 )
 
 const (
-	// silentMost closes a connection on which nothing arrived for this long. The board sends a keepalive frame each second, and
+	// silenceTimeout closes a connection on which nothing arrived for this long. The board sends a keepalive frame each second, and
 	// controllers are expected to know its events 4 s after it fell silent, so a dead connection is closed at about half of that.
-	silentMost = 2200 * time.Millisecond
+	silenceTimeout = 2200 * time.Millisecond
 
-	dialMost   = time.Second
-	retryAfter = 150 * time.Millisecond // events count as known 2 s after a disconnect, so the first retry comes well before
-	retryMost  = time.Second
+	dialTimeout       = time.Second
+	initialRetryDelay = 150 * time.Millisecond // events count as known 2 s after a disconnect, so the first retry comes well before
+	maxRetryDelay     = time.Second
 )
 
-// ErrMissing reports a gap in the event numbers.
-var ErrMissing = errors.New("events are missing")
+// ErrGap reports a gap in the event numbers.
+var ErrGap = errors.New("events are missing")
 
 // Client receives events from a notice board and reconnects until its context ends.
 type Client struct {
-	Dial    func(ctx context.Context, address string) (net.Conn, error)
-	Took    func(Event)              // called for each event once, in order
-	Change  func(up bool, why error) // called when the connection is established or lost
-	Address <-chan string            // new addresses of the board
-	Seed    uint64                   // of the random retry delays, which spread the clients of a failed board
-	last    uint64
+	Dial       func(ctx context.Context, address string) (net.Conn, error)
+	OnEvent    func(Event)              // called for each event once, in order
+	OnStatus   func(up bool, why error) // called when the connection is established or lost
+	Addresses  <-chan string            // new addresses of the board
+	Seed       uint64                   // of the random retry delays, which spread the clients of a failed board
+	lastNumber uint64
 }
 
-// Keep follows the board at an address, from the event after last, until ctx ends.
-func (c *Client) Keep(ctx context.Context, address string, last uint64) {
-	c.last = last
-	chance := rand.New(rand.NewPCG(c.Seed, 0x12))
-	spread := func(span time.Duration) time.Duration { return span/2 + time.Duration(chance.Int64N(int64(span/2))) }
-	wait := retryAfter
+// Run follows the board at an address, from the event after last, until ctx ends.
+func (c *Client) Run(ctx context.Context, address string, last uint64) {
+	c.lastNumber = last
+	random := rand.New(rand.NewPCG(c.Seed, 0x12))
+	jitter := func(span time.Duration) time.Duration { return span/2 + time.Duration(random.Int64N(int64(span/2))) }
+	delay := initialRetryDelay
 	for ctx.Err() == nil {
-		began := time.Now()
-		conn, moved, err := c.open(ctx, address)
+		start := time.Now()
+		conn, next, err := c.connect(ctx, address)
 		if conn != nil {
-			c.Change(true, nil)
-			moved, err = c.follow(ctx, conn, address)
+			c.OnStatus(true, nil)
+			next, err = c.receive(ctx, conn, address)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if moved != address {
-			address, wait = moved, retryAfter
+		if next != address {
+			address, delay = next, initialRetryDelay
 			continue
 		}
-		c.Change(false, err)
-		pause := spread(wait)
-		if conn != nil && time.Since(began) > retryMost { // reconnect fast, but spread the load: all clients of the board may have lost it
-			wait, pause = retryAfter, spread(retryAfter/2)
+		c.OnStatus(false, err)
+		pause := jitter(delay)
+		if conn != nil && time.Since(start) > maxRetryDelay { // reconnect fast, but spread the load: all clients of the board may have lost it
+			delay, pause = initialRetryDelay, jitter(initialRetryDelay/2)
 		} else {
-			wait = min(2*wait, retryMost)
+			delay = min(2*delay, maxRetryDelay)
 		}
 		select {
 		case <-ctx.Done():
-		case address = <-c.Address:
-			wait = retryAfter
+		case address = <-c.Addresses:
+			delay = initialRetryDelay
 		case <-time.After(pause):
 		}
 	}
 }
 
-// open connects to the board and requests its events. A new address cancels the attempt: the old board may no longer accept
+// connect connects to the board and requests its events. A new address cancels the attempt: the old board may no longer accept
 // connections, and the events of the new one must not wait for that.
-func (c *Client) open(ctx context.Context, address string) (conn net.Conn, next string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, dialMost)
+func (c *Client) connect(ctx context.Context, address string) (conn net.Conn, next string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	type dialled struct {
+	type dialResult struct {
 		conn net.Conn
 		err  error
 	}
-	up := make(chan dialled, 1)
+	results := make(chan dialResult, 1)
 	go func() {
 		conn, err := c.Dial(ctx, address)
-		up <- dialled{conn, err}
+		results <- dialResult{conn, err}
 	}()
 	for {
 		select {
-		case next := <-c.Address:
+		case next := <-c.Addresses:
 			if next == address {
 				continue
 			}
 			go func() {
-				if d := <-up; d.conn != nil {
-					d.conn.Close()
+				if result := <-results; result.conn != nil {
+					result.conn.Close()
 				}
 			}()
 			return nil, next, nil
-		case d := <-up:
-			if d.err != nil {
-				return nil, address, fmt.Errorf("dial %s: %w", address, d.err)
+		case result := <-results:
+			if result.err != nil {
+				return nil, address, fmt.Errorf("dial %s: %w", address, result.err)
 			}
-			if _, err := d.conn.Write(AppendAsk(nil, c.last)); err != nil {
-				d.conn.Close()
+			if _, err := result.conn.Write(AppendRequest(nil, c.lastNumber)); err != nil {
+				result.conn.Close()
 				return nil, address, fmt.Errorf("send request to %s: %w", address, err)
 			}
-			return d.conn, address, nil
+			return result.conn, address, nil
 		}
 	}
 }
 
-// arrival is the result of reading one frame.
-type arrival struct {
-	e         Event
-	something bool
-	err       error
+// frameResult is the result of reading one frame.
+type frameResult struct {
+	event   Event
+	isEvent bool
+	err     error
 }
 
-// follow receives events from a connection until it fails or the address changes, and returns the address to connect to next.
+// receive receives events from a connection until it fails or the address changes, and returns the address to connect to next.
 // Events that the old board had yet to send come from the new one: the numbering is continuous.
-func (c *Client) follow(ctx context.Context, conn net.Conn, address string) (string, error) {
+func (c *Client) receive(ctx context.Context, conn net.Conn, address string) (string, error) {
 	stop := make(chan struct{})
 	defer close(stop)
 	defer conn.Close()
-	in := make(chan arrival)
+	frames := make(chan frameResult)
 	go func() {
 		r := bufio.NewReaderSize(conn, 4<<10)
 		for {
-			var a arrival
-			a.e, a.something, a.err = ReadFrame(r)
+			var result frameResult
+			result.event, result.isEvent, result.err = ReadFrame(r)
 			select {
-			case in <- a:
+			case frames <- result:
 			case <-stop:
 				return
 			}
-			if a.err != nil {
+			if result.err != nil {
 				return
 			}
 		}
 	}()
-	silent := time.NewTimer(silentMost)
-	defer silent.Stop()
+	silence := time.NewTimer(silenceTimeout)
+	defer silence.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return address, nil
-		case next := <-c.Address:
+		case next := <-c.Addresses:
 			if next != address {
 				return next, nil
 			}
-		case <-silent.C:
-			return address, fmt.Errorf("board %s: nothing received for %v", address, silentMost)
-		case a := <-in:
-			if a.err != nil {
-				return address, fmt.Errorf("board %s: %w", address, a.err)
+		case <-silence.C:
+			return address, fmt.Errorf("board %s: nothing received for %v", address, silenceTimeout)
+		case result := <-frames:
+			if result.err != nil {
+				return address, fmt.Errorf("board %s: %w", address, result.err)
 			}
-			silent.Reset(silentMost)
-			if a.something {
-				if err := c.take(a.e); err != nil {
+			silence.Reset(silenceTimeout)
+			if result.isEvent {
+				if err := c.deliver(result.event); err != nil {
 					return address, fmt.Errorf("board %s: %w", address, err)
 				}
 			}
@@ -163,15 +163,15 @@
 	}
 }
 
-// take passes on each event once. It ignores repeated events. Only an event with the complete list may skip numbers.
-func (c *Client) take(e Event) error {
+// deliver passes on each event once. It ignores repeated events. Only an event with the complete list may skip numbers.
+func (c *Client) deliver(e Event) error {
 	switch {
-	case e.Number <= c.last:
+	case e.Number <= c.lastNumber:
 		return nil
-	case e.Number != c.last+1 && !e.Whole:
-		return fmt.Errorf("%w: received %d after %d", ErrMissing, e.Number, c.last)
+	case e.Number != c.lastNumber+1 && !e.Complete:
+		return fmt.Errorf("%w: received %d after %d", ErrGap, e.Number, c.lastNumber)
 	}
-	c.last = e.Number
-	c.Took(e)
+	c.lastNumber = e.Number
+	c.OnEvent(e)
 	return nil
 }
--- a/internal/due/due_test.go
+++ b/internal/due/due_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 1000) }
 
-func TestItemsComeByInstantAndThenAsSet(t *testing.T) {
+func TestItemsAreOrderedByDueTimeThenInsertion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
 		var want []Item
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	dialWithin = time.Second
-	readMost   = 16 << 10 // octets per read
+	dialTimeout = time.Second
+	readSize    = 16 << 10 // octets per read
 )
 
 // Shape sets how a proxy forwards connections and data without a fault. The zero value forwards at once and unchanged.
 type Shape struct {
-	ConnectMost time.Duration // maximum random delay of a new connection
-	Way         time.Duration // one-way delay of data; the order is kept
-	Jitter      time.Duration // maximum random addition to the one-way delay
-	PieceMost   int           // data is written in chunks of at most this many octets, 0 for no splitting
-	PieceWait   time.Duration // maximum random delay between two chunks
-	PieceAll    time.Duration // maximum sum of these delays per read; 0 while more data waits, so that a flood is not held up
+	MaxConnectDelay    time.Duration // maximum random delay of a new connection
+	Latency            time.Duration // one-way delay of data; the order is kept
+	Jitter             time.Duration // maximum random addition to the one-way delay
+	MaxChunk           int           // data is written in chunks of at most this many octets, 0 for no splitting
+	MaxChunkDelay      time.Duration // maximum random delay between two chunks
+	MaxTotalChunkDelay time.Duration // maximum sum of these delays per read; 0 while more data waits, so that a flood is not held up
 }
 
 // Proxy forwards connections from its address to a target.
@@ -36,29 +36,29 @@
 	address string
 	shape   Shape
 
-	// Ended is called when the client has closed a connection, with the proxy's local address of the connection to the target. It
+	// OnClientClosed is called when the client has closed a connection, with the proxy's local address of the connection to the target. It
 	// must be set before the first connection.
-	Ended func(from string)
-
-	mu     sync.Mutex
-	random *rand.Rand
-	target string
-	ln     net.Listener
-	links  map[*Link]struct{}
-	hung   bool
-	closed bool
-	all    sync.WaitGroup
+	OnClientClosed func(from string)
+
+	mu          sync.Mutex
+	random      *rand.Rand
+	target      string
+	ln          net.Listener
+	connections map[*Connection]struct{}
+	hanging     bool
+	closed      bool
+	goroutines  sync.WaitGroup
 }
 
-// Link is one connection through a proxy.
-type Link struct {
-	near, far net.Conn
-	silent    atomic.Bool
+// Connection is one connection through a proxy.
+type Connection struct {
+	client, server net.Conn
+	silent         atomic.Bool
 }
 
 // Listen starts a proxy at an address that forwards connections to target. seed is of the random delays and chunk sizes.
 func Listen(address, target string, shape Shape, seed uint64) (*Proxy, error) {
-	p := &Proxy{shape: shape, random: rand.New(rand.NewPCG(seed, 0x50)), target: target, links: map[*Link]struct{}{}}
+	p := &Proxy{shape: shape, random: rand.New(rand.NewPCG(seed, 0x50)), target: target, connections: map[*Connection]struct{}{}}
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("proxy at %s: %w", address, err)
@@ -71,15 +71,15 @@
 // Address returns the address at which the proxy listens.
 func (p *Proxy) Address() string { return p.address }
 
-// Retarget sets the target of later connections.
-func (p *Proxy) Retarget(target string) {
+// SetTarget sets the target of later connections.
+func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// Refuse closes the listener, so that new connections are refused until Accept is called. Open connections stay.
-func (p *Proxy) Refuse() {
+// CloseListener closes the listener, so that new connections are refused until Accept is called. Open connections stay.
+func (p *Proxy) CloseListener() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ln != nil {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Accept reopens the listener after Refuse.
-func (p *Proxy) Accept() error {
+// ReopenListener reopens the listener after Refuse.
+func (p *Proxy) ReopenListener() error {
 	p.mu.Lock()
 	open := p.ln != nil || p.closed
 	p.mu.Unlock()
@@ -104,77 +104,79 @@
 	return nil
 }
 
-// Hang sets whether later connections are accepted but never forwarded.
-func (p *Proxy) Hang(hung bool) {
+// SetHanging sets whether later connections are accepted but never forwarded.
+func (p *Proxy) SetHanging(hanging bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.hung = hung
+	p.hanging = hanging
 }
 
 // Silence stops all data, in both directions and for good, on the connections that are open now. They stay open.
-func (p *Proxy) Silence() { p.each(func(l *Link) { l.silent.Store(true) }) }
+func (p *Proxy) Silence() { p.applyToAll(func(l *Connection) { l.silent.Store(true) }) }
 
 // Reset resets the connections that are open now towards client and target.
-func (p *Proxy) Reset() { p.each((*Link).reset) }
+func (p *Proxy) Reset() { p.applyToAll((*Connection).reset) }
 
 // ResetOne resets one of the connections that are open now. It returns the proxy's local address of the connection to the target,
 // "" if none is open.
-func (p *Proxy) ResetOne() string { return p.one((*Link).reset) }
+func (p *Proxy) ResetOne() string { return p.applyToOne((*Connection).reset) }
 
-// EndOne closes the direction to the client on one of the connections that are open now. The other direction stays open until the
+// HalfCloseOne closes the direction to the client on one of the connections that are open now. The other direction stays open until the
 // client closes it.
-func (p *Proxy) EndOne() {
-	p.one(func(l *Link) {
-		if half, ok := l.near.(*net.TCPConn); ok {
-			_ = half.CloseWrite() // fails only if the connection is closed already
+func (p *Proxy) HalfCloseOne() {
+	p.applyToOne(func(l *Connection) {
+		if conn, ok := l.client.(*net.TCPConn); ok {
+			_ = conn.CloseWrite() // fails only if the connection is closed already
 		}
 	})
 }
 
 // SilenceOne stops all data on one of the connections that are open now. It returns the proxy's local address of the connection
 // to the target, "" if none is open.
-func (p *Proxy) SilenceOne() string { return p.one(func(l *Link) { l.silent.Store(true) }) }
+func (p *Proxy) SilenceOne() string {
+	return p.applyToOne(func(l *Connection) { l.silent.Store(true) })
+}
 
-// one applies an action to one connection that is open to the target and not silent.
-func (p *Proxy) one(do func(*Link)) string {
+// applyToOne applies an action to one connection that is open to the target and not silent.
+func (p *Proxy) applyToOne(do func(*Connection)) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
-		if l.far != nil && !l.silent.Load() {
+	for l := range p.connections {
+		if l.server != nil && !l.silent.Load() {
 			do(l)
-			return l.far.LocalAddr().String()
+			return l.server.LocalAddr().String()
 		}
 	}
 	return ""
 }
 
-func (p *Proxy) each(do func(*Link)) {
+func (p *Proxy) applyToAll(do func(*Connection)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.links {
+	for l := range p.connections {
 		do(l)
 	}
 }
 
 // Close closes the proxy and its connections and waits for its goroutines.
 func (p *Proxy) Close() {
-	p.Refuse()
+	p.CloseListener()
 	p.mu.Lock()
 	p.closed = true
 	p.mu.Unlock()
-	p.each((*Link).close)
-	p.all.Wait()
+	p.applyToAll((*Connection).close)
+	p.goroutines.Wait()
 }
 
-func (l *Link) close() {
-	l.near.Close()
-	if l.far != nil {
-		l.far.Close()
+func (l *Connection) close() {
+	l.client.Close()
+	if l.server != nil {
+		l.server.Close()
 	}
 }
 
-func (l *Link) reset() {
-	for _, c := range []net.Conn{l.near, l.far} {
+func (l *Connection) reset() {
+	for _, c := range []net.Conn{l.client, l.server} {
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetLinger(0) // fails only if the connection is closed already
 		}
@@ -186,7 +188,7 @@
 	p.mu.Lock()
 	p.ln = ln
 	p.mu.Unlock()
-	p.all.Go(func() {
+	p.goroutines.Go(func() {
 		for {
 			c, err := ln.Accept()
 			switch {
@@ -195,76 +197,76 @@
 			case err != nil:
 				time.Sleep(time.Millisecond)
 			default:
-				p.all.Go(func() { p.pass(c) })
+				p.goroutines.Go(func() { p.forward(c) })
 			}
 		}
 	})
 }
 
-// drawn returns a random duration up to most.
-func (p *Proxy) drawn(most time.Duration) time.Duration {
-	if most <= 0 {
+// randomDelay returns a random duration up to most.
+func (p *Proxy) randomDelay(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(p.random.Int64N(int64(most) + 1))
+	return time.Duration(p.random.Int64N(int64(limit) + 1))
 }
 
-// pass forwards one connection until both directions have ended.
-func (p *Proxy) pass(near net.Conn) {
-	l := &Link{near: near}
+// forward forwards one connection until both directions have ended.
+func (p *Proxy) forward(client net.Conn) {
+	l := &Connection{client: client}
 	p.mu.Lock()
-	target, hung, closed := p.target, p.hung, p.closed
+	target, hanging, closed := p.target, p.hanging, p.closed
 	if !closed {
-		p.links[l] = struct{}{}
+		p.connections[l] = struct{}{}
 	}
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.links, l)
+		delete(p.connections, l)
 		p.mu.Unlock()
 	}()
 	if closed {
-		near.Close()
+		client.Close()
 		return
 	}
-	if hung {
+	if hanging {
 		l.silent.Store(true)
 	} else {
-		time.Sleep(p.drawn(p.shape.ConnectMost))
+		time.Sleep(p.randomDelay(p.shape.MaxConnectDelay))
 	}
 	if l.silent.Load() { // also if it became silent during the delay: it is never connected to the target
-		p.copy(l, near, nil)
-		near.Close()
+		p.copyOneWay(l, client, nil)
+		client.Close()
 		return
 	}
-	if PeerClosed(near) { // the client has given up during the delay
-		near.Close()
+	if PeerClosed(client) { // the client has given up during the delay
+		client.Close()
 		return
 	}
-	far, err := net.DialTimeout("tcp", target, dialWithin)
+	server, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		l.reset()
 		return
 	}
 	p.mu.Lock()
-	l.far = far
+	l.server = server
 	closed = p.closed
 	p.mu.Unlock()
 	if closed {
 		l.close()
 	}
-	var both sync.WaitGroup
-	both.Go(func() {
-		p.copy(l, p.delayed(near, func() {
-			if p.Ended != nil {
-				p.Ended(far.LocalAddr().String())
+	var directions sync.WaitGroup
+	directions.Go(func() {
+		p.copyOneWay(l, p.newDelayLine(client, func() {
+			if p.OnClientClosed != nil {
+				p.OnClientClosed(server.LocalAddr().String())
 			}
-		}), far)
+		}), server)
 	})
-	both.Go(func() { p.copy(l, p.delayed(far, func() {}), near) })
-	both.Wait()
+	directions.Go(func() { p.copyOneWay(l, p.newDelayLine(server, func() {}), client) })
+	directions.Wait()
 	l.close()
 }
 
@@ -287,11 +289,11 @@
 	return closed || err != nil
 }
 
-// waysMost bounds the reads that are queued in one direction of a connection; beyond it the sender is held back.
-const waysMost = 256
+// maxQueuedReads bounds the reads that are queued in one direction of a connection; beyond it the sender is held back.
+const maxQueuedReads = 256
 
-// parcel is the result of one read, with the time at which it is forwarded.
-type parcel struct {
+// delayedRead is the result of one read, with the time at which it is forwarded.
+type delayedRead struct {
 	due    time.Time
 	octets []byte
 	err    error
@@ -299,29 +301,29 @@
 
 // delayLine is a reader that returns data and the end of a stream after a delay.
 type delayLine struct {
-	parcels chan parcel
-	rest    []byte
+	reads     chan delayedRead
+	remaining []byte
 }
 
-// delayed returns a reader of a connection with the delay of the proxy's shape. It calls ended at the end of the stream, before
+// newDelayLine returns a reader of a connection with the delay of the proxy's shape. It calls ended at the end of the stream, before
 // the delay.
-func (p *Proxy) delayed(from io.Reader, ended func()) io.Reader {
-	line := &delayLine{parcels: make(chan parcel, waysMost)}
-	p.all.Go(func() {
-		defer close(line.parcels)
+func (p *Proxy) newDelayLine(from io.Reader, onEnd func()) io.Reader {
+	line := &delayLine{reads: make(chan delayedRead, maxQueuedReads)}
+	p.goroutines.Go(func() {
+		defer close(line.reads)
 		var last time.Time
 		for {
-			buf := make([]byte, readMost)
+			buf := make([]byte, readSize)
 			n, err := from.Read(buf)
 			if err != nil {
-				ended()
+				onEnd()
 			}
-			due := time.Now().Add(p.shape.Way + p.drawn(p.shape.Jitter))
+			due := time.Now().Add(p.shape.Latency + p.randomDelay(p.shape.Jitter))
 			if due.Before(last) {
 				due = last
 			}
 			last = due
-			line.parcels <- parcel{due, buf[:n], err}
+			line.reads <- delayedRead{due, buf[:n], err}
 			if err != nil {
 				return
 			}
@@ -332,44 +334,44 @@
 
 // Read returns the next data once its delay has passed.
 func (d *delayLine) Read(b []byte) (int, error) {
-	if len(d.rest) == 0 {
-		next, ok := <-d.parcels
+	if len(d.remaining) == 0 {
+		next, ok := <-d.reads
 		if !ok {
 			return 0, io.EOF
 		}
 		time.Sleep(time.Until(next.due))
-		if d.rest = next.octets; next.err != nil {
+		if d.remaining = next.octets; next.err != nil {
 			return copy(b, next.octets), next.err
 		}
 	}
-	n := copy(b, d.rest)
-	d.rest = d.rest[n:]
+	n := copy(b, d.remaining)
+	d.remaining = d.remaining[n:]
 	return n, nil
 }
 
-// behind reports whether more data is queued after the last read.
-func behind(from io.Reader) bool {
+// hasMore reports whether more data is queued after the last read.
+func hasMore(from io.Reader) bool {
 	d, ok := from.(*delayLine)
-	return ok && len(d.parcels) > 0
+	return ok && len(d.reads) > 0
 }
 
 // drain empties a delay line, so that the goroutine that fills it can end.
 func drain(from io.Reader) {
 	if d, ok := from.(*delayLine); ok {
-		for range d.parcels { //nolint:revive // only the end matters
+		for range d.reads { //nolint:revive // only the end matters
 		}
 	}
 }
 
-// copy forwards one direction of a connection. It forwards the end of the stream as a half-close and an error as a reset. A silent
+// copyOneWay forwards one direction of a connection. It forwards the end of the stream as a half-close and an error as a reset. A silent
 // connection forwards neither, and stays open for the side that has not closed it.
-func (p *Proxy) copy(l *Link, from io.Reader, to net.Conn) {
+func (p *Proxy) copyOneWay(l *Connection, from io.Reader, to net.Conn) {
 	defer drain(from)
-	buf := make([]byte, readMost)
+	buf := make([]byte, readSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 && !l.silent.Load() && to != nil {
-			p.write(l, to, buf[:n], behind(from))
+			p.write(l, to, buf[:n], hasMore(from))
 		}
 		if err == nil {
 			continue
@@ -377,8 +379,8 @@
 		if l.silent.Load() {
 			return
 		}
-		if half, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
-			_ = half.CloseWrite() // fails only if the connection is closed already
+		if conn, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
+			_ = conn.CloseWrite() // fails only if the connection is closed already
 			return
 		}
 		l.reset()
@@ -387,22 +389,22 @@
 }
 
 // write writes b in chunks with random delays between them.
-func (p *Proxy) write(l *Link, to net.Conn, b []byte, behind bool) {
-	left := p.shape.PieceAll
-	if behind {
-		left = 0
+func (p *Proxy) write(l *Connection, to net.Conn, b []byte, moreQueued bool) {
+	remaining := p.shape.MaxTotalChunkDelay
+	if moreQueued {
+		remaining = 0
 	}
 	for len(b) > 0 && !l.silent.Load() {
 		n := len(b)
-		if p.shape.PieceMost > 0 {
-			n = min(n, 1+int(p.drawn(time.Duration(p.shape.PieceMost-1))))
+		if p.shape.MaxChunk > 0 {
+			n = min(n, 1+int(p.randomDelay(time.Duration(p.shape.MaxChunk-1))))
 		}
 		if _, err := to.Write(b[:n]); err != nil {
 			return
 		}
-		if b = b[n:]; len(b) > 0 && p.shape.PieceMost > 0 {
-			wait := min(left, p.drawn(p.shape.PieceWait))
-			left -= wait
+		if b = b[n:]; len(b) > 0 && p.shape.MaxChunk > 0 {
+			wait := min(remaining, p.randomDelay(p.shape.MaxChunkDelay))
+			remaining -= wait
 			time.Sleep(wait)
 		}
 	}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -25,8 +25,8 @@
 // let through one at a time.
 type gatedLog struct {
 	memnet.Gate
-	lines chan struct{} // receives a token when a line is blocked
-	let   chan struct{} // a token lets one blocked line through
+	blocked    chan struct{} // receives a token when a line is blocked
+	letThrough chan struct{} // a token lets one blocked line through
 }
 
 func (g *gatedLog) Write(p []byte) (int, error) {
@@ -34,20 +34,20 @@
 	go func() { g.Pass(); close(passed) }()
 	select {
 	case <-passed:
-	case g.lines <- struct{}{}:
+	case g.blocked <- struct{}{}:
 		select {
 		case <-passed:
-		case <-g.let:
+		case <-g.letThrough:
 		}
 	}
 	return len(p), nil
 }
 
-// waits waits until a line is blocked.
-func (g *gatedLog) waits(t *testing.T) {
+// waitBlocked waits until a line is blocked.
+func (g *gatedLog) waitBlocked(t *testing.T) {
 	t.Helper()
 	select {
-	case <-g.lines:
+	case <-g.blocked:
 	case <-time.After(3 * time.Second):
 		t.Fatal("the event loop logged nothing")
 	}
@@ -62,7 +62,7 @@
 	conns  chan *gatedConn
 }
 
-func gatedOnLoopback(t *testing.T) *gatedListener {
+func listenGated(t *testing.T) *gatedListener {
 	return &gatedListener{Listener: listenOnLoopback(t), closed: make(chan struct{}), conns: make(chan *gatedConn, 100)}
 }
 
@@ -92,135 +92,135 @@
 // gatedConn is the controller's end of a connection. It records the input.
 type gatedConn struct {
 	*net.TCPConn
-	in, out memnet.Gate // delay reads and writes while shut
-	mu      sync.Mutex
-	text    []byte
-	ended   bool
+	readGate, writeGate memnet.Gate // delay reads and writes while shut
+	mu                  sync.Mutex
+	input               []byte
+	inputEnded          bool
 }
 
 func (c *gatedConn) Read(b []byte) (int, error) {
-	c.in.Pass()
+	c.readGate.Pass()
 	n, err := c.TCPConn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.text, c.ended = append(c.text, b[:n]...), c.ended || err != nil
+	c.input, c.inputEnded = append(c.input, b[:n]...), c.inputEnded || err != nil
 	return n, err
 }
 
-func (c *gatedConn) Write(b []byte) (int, error) { c.out.Pass(); return c.TCPConn.Write(b) }
-func (c *gatedConn) CloseWrite() error           { defer c.in.Open(); return c.TCPConn.CloseWrite() }
-func (c *gatedConn) Close() error                { defer c.in.Open(); return c.TCPConn.Close() }
+func (c *gatedConn) Write(b []byte) (int, error) { c.writeGate.Pass(); return c.TCPConn.Write(b) }
+func (c *gatedConn) CloseWrite() error           { defer c.readGate.Open(); return c.TCPConn.CloseWrite() }
+func (c *gatedConn) Close() error                { defer c.readGate.Open(); return c.TCPConn.Close() }
 
-// until waits until a condition on the recorded input holds.
-func (c *gatedConn) until(t *testing.T, ok func() bool) {
+// waitUntil waits until a condition on the recorded input holds.
+func (c *gatedConn) waitUntil(t *testing.T, holds func() bool) {
 	t.Helper()
-	for late := time.Now().Add(3 * time.Second); time.Now().Before(late); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(3 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		done := ok()
+		done := holds()
 		c.mu.Unlock()
 		if done {
 			return
 		}
 	}
-	t.Fatalf("timeout; input so far: %q", c.text)
+	t.Fatalf("timeout; input so far: %q", c.input)
 }
 
-// hasRead waits until the input contains some octets, however the reads divide it.
-func (c *gatedConn) hasRead(t *testing.T, text []byte) {
+// waitRead waits until the input contains some octets, however the reads divide it.
+func (c *gatedConn) waitRead(t *testing.T, text []byte) {
 	t.Helper()
-	c.until(t, func() bool { return bytes.Contains(c.text, text) })
+	c.waitUntil(t, func() bool { return bytes.Contains(c.input, text) })
 }
 
-// hasEnded waits until the end of the stream or an error was read.
-func (c *gatedConn) hasEnded(t *testing.T) {
+// waitEnded waits until the end of the stream or an error was read.
+func (c *gatedConn) waitEnded(t *testing.T) {
 	t.Helper()
-	c.until(t, func() bool { return c.ended })
-}
-
-// crossing is a test harness: a controller with one switch, whose event loop can be stopped.
-type crossing struct {
-	t     *testing.T
-	here  *gatedListener
-	far   net.Listener
-	board net.Listener
-	log   gatedLog
-	sw    *siptest.Peer
-	link  *gatedConn // the controller's end of its connection to the switch
-	dials memnet.Gate
-	term  func()
-	ended func()
-	bad   int
-}
-
-func newCrossing(t *testing.T, deadline string) *crossing {
-	x := &crossing{t: t, here: gatedOnLoopback(t), far: listenOnLoopback(t), board: listenOnLoopback(t)}
-	x.log.lines, x.log.let = make(chan struct{}), make(chan struct{})
+	c.waitUntil(t, func() bool { return c.inputEnded })
+}
+
+// gatedHarness is a test harness: a controller with one switch, whose event loop can be stopped.
+type gatedHarness struct {
+	t              *testing.T
+	listener       *gatedListener
+	switchListener net.Listener
+	boardListener  net.Listener
+	log            gatedLog
+	sw             *siptest.Peer
+	switchConn     *gatedConn // the controller's end of its connection to the switch
+	dialGate       memnet.Gate
+	terminate      func()
+	waitEnded      func()
+	bad            int
+}
+
+func newGatedHarness(t *testing.T, deadline string) *gatedHarness {
+	h := &gatedHarness{t: t, listener: listenGated(t), switchListener: listenOnLoopback(t), boardListener: listenOnLoopback(t)}
+	h.log.blocked, h.log.letThrough = make(chan struct{}), make(chan struct{})
 	links := make(chan *gatedConn, 10)
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := dialLoopback(ctx, address)
-		if err != nil || address != x.far.Addr().String() {
+		if err != nil || address != h.switchListener.Addr().String() {
 			return c, err
 		}
-		g := &gatedConn{TCPConn: c.(*net.TCPConn)}
-		links <- g
-		x.dials.Pass()
-		return g, nil
+		gated := &gatedConn{TCPConn: c.(*net.TCPConn)}
+		links <- gated
+		h.dialGate.Pass()
+		return gated, nil
 	}
-	s := onLoopback(t, x.far.Addr().String(), x.board.Addr().String(), deadline, dial, &x.log)
-	x.term, x.ended = run(t, s, x.here)
-	x.link, x.sw = <-links, x.accept()
+	s := newOnLoopback(t, h.switchListener.Addr().String(), h.boardListener.Addr().String(), deadline, dial, &h.log)
+	h.terminate, h.waitEnded = runServer(t, s, h.listener)
+	h.switchConn, h.sw = <-links, h.acceptSwitch()
 	time.Sleep(20 * time.Millisecond)
-	return x
+	return h
 }
 
-func (x *crossing) accept() *siptest.Peer {
-	c, err := x.far.Accept()
+func (h *gatedHarness) acceptSwitch() *siptest.Peer {
+	c, err := h.switchListener.Accept()
 	if err != nil {
-		x.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	p := siptest.New(x.t, c)
-	p.Say(siptest.Group(20, 20))
+	p := siptest.New(h.t, c)
+	p.Send(siptest.LoadReport(20, 20))
 	return p
 }
 
-func (x *crossing) end() {
-	x.log.Open()
-	x.term()
-	x.ended()
-	x.far.Close()
-	x.board.Close()
+func (h *gatedHarness) shutDown() {
+	h.log.Open()
+	h.terminate()
+	h.waitEnded()
+	h.switchListener.Close()
+	h.boardListener.Close()
 }
 
-// caller connects to the controller and returns both ends of the connection.
-func (x *crossing) caller() (net.Conn, *gatedConn) {
-	c, err := net.Dial("tcp", x.here.Addr().String())
+// connectCaller connects to the controller and returns both ends of the connection.
+func (h *gatedHarness) connectCaller() (net.Conn, *gatedConn) {
+	c, err := net.Dial("tcp", h.listener.Addr().String())
 	if err != nil {
-		x.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return c, <-x.here.conns
+	return c, <-h.listener.conns
 }
 
-// noise sends a malformed message on a new connection: the event loop logs two lines when it handles that.
-func (x *crossing) noise() {
-	c, near := x.caller()
+// sendMalformed sends a malformed message on a new connection: the event loop logs two lines when it handles that.
+func (h *gatedHarness) sendMalformed() {
+	c, serverConn := h.connectCaller()
 	text := []byte("noise\r\n")
 	c.Write(text)
-	near.hasRead(x.t, text)
-	x.t.Cleanup(func() { c.Close() })
+	serverConn.waitRead(h.t, text)
+	h.t.Cleanup(func() { c.Close() })
 }
 
-// holdOwner stops the event loop.
-func (x *crossing) holdOwner() {
-	x.log.Shut()
-	x.noise()
-	x.log.waits(x.t)
+// stopEventLoop stops the event loop.
+func (h *gatedHarness) stopEventLoop() {
+	h.log.Shut()
+	h.sendMalformed()
+	h.log.waitBlocked(h.t)
 }
 
-// nothingMore checks that a switch receives no set-up.
-func nothingMore(t *testing.T, sw *siptest.Peer) {
+// expectNoSetUp checks that a switch receives no set-up.
+func expectNoSetUp(t *testing.T, sw *siptest.Peer) {
 	t.Helper()
 	for {
-		m, ok := sw.Next(300 * time.Millisecond)
+		m, ok := sw.Receive(300 * time.Millisecond)
 		if !ok {
 			return
 		}
@@ -230,7 +230,7 @@
 	}
 }
 
-func octets(m ...sip.Message) []byte {
+func encode(m ...sip.Message) []byte {
 	var b []byte
 	for i := range m {
 		b = sip.Append(b, &m[i])
@@ -238,12 +238,12 @@
 	return b
 }
 
-func cancel(id string) sip.Message {
+func cancelRequest(id string) sip.Message {
 	return sip.Message{Method: sip.Cancel, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1}
 }
 
-// waysToGo are the ways in which a caller can leave: what it writes after its set-up and how it ends its connection.
-var waysToGo = []struct {
+// departures are the ways in which a caller can leave: what it writes after its set-up and how it ends its connection.
+var departures = []struct {
 	name  string
 	after []byte
 	end   func(*net.TCPConn) error
@@ -251,204 +251,204 @@
 	{"full close", nil, (*net.TCPConn).Close},
 	{"half close", nil, (*net.TCPConn).CloseWrite},
 	{"reset", nil, func(c *net.TCPConn) error { return errors.Join(c.SetLinger(0), c.Close()) }},
-	{"CANCEL", octets(cancel(id1)), nil},
-	{"CANCEL after 100 messages", octets(append(make100(), cancel(id1))...), nil},
+	{"CANCEL", encode(cancelRequest(callID1)), nil},
+	{"CANCEL after 100 messages", encode(append(hundredAcks(), cancelRequest(callID1))...), nil},
 	{"close within a message", []byte("INVITE sip:x@net SIP/2.0\r\nContent-Le"), (*net.TCPConn).Close},
 }
 
-func make100() []sip.Message {
+func hundredAcks() []sip.Message {
 	var all []sip.Message
 	for range 100 {
-		all = append(all, sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: id2, CSeq: 1})
+		all = append(all, sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: callID2, CSeq: 1})
 	}
 	return all
 }
 
-// leaves makes a caller leave: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
+// depart makes a caller leave: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
 // all of that.
-func (x *crossing) leaves(c net.Conn, near *gatedConn, after []byte, end func(*net.TCPConn) error) {
-	x.t.Helper()
+func (h *gatedHarness) depart(c net.Conn, serverConn *gatedConn, after []byte, end func(*net.TCPConn) error) {
+	h.t.Helper()
 	for len(after) > 0 {
 		n := (len(after) + 1) / 2
-		near.mu.Lock()
-		all := len(near.text) + n
-		near.mu.Unlock()
+		serverConn.mu.Lock()
+		total := len(serverConn.input) + n
+		serverConn.mu.Unlock()
 		c.Write(after[:n])
-		near.until(x.t, func() bool { return len(near.text) >= all })
+		serverConn.waitUntil(h.t, func() bool { return len(serverConn.input) >= total })
 		after = after[n:]
 	}
 	if end != nil {
 		if err := end(c.(*net.TCPConn)); err != nil {
-			x.t.Fatal(err)
+			h.t.Fatal(err)
 		}
-		near.hasEnded(x.t)
+		serverConn.waitEnded(h.t)
 	}
 	time.Sleep(20 * time.Millisecond)
 }
 
-// leavesWhileHeld makes a caller leave while the event loop is stopped. A malformed message is queued between the event that would
+// departWhileStopped makes a caller leave while the event loop is stopped. A malformed message is queued between the event that would
 // begin a try and the one that reports the departure, and the event loop is stopped there again, so that writers have enough
 // time to send a set-up by mistake.
-func (x *crossing) leavesWhileHeld(leave func(), sw *siptest.Peer) {
-	x.t.Helper()
+func (h *gatedHarness) departWhileStopped(leave func(), sw *siptest.Peer) {
+	h.t.Helper()
 	time.Sleep(20 * time.Millisecond)
-	x.noise()
+	h.sendMalformed()
 	time.Sleep(20 * time.Millisecond)
 	leave()
-	x.log.let <- struct{}{}
-	x.log.waits(x.t)
-	x.log.let <- struct{}{}
-	x.log.waits(x.t)
-	nothingMore(x.t, sw)
-	x.log.Open()
-	nothingMore(x.t, sw)
-}
-
-// forEachWayToGo runs a subtest for each way to leave; leave makes the caller leave.
-func forEachWayToGo(t *testing.T, play func(x *crossing, c net.Conn, near *gatedConn, leave func())) {
-	for _, way := range waysToGo {
-		t.Run(way.name, func(t *testing.T) {
+	h.log.letThrough <- struct{}{}
+	h.log.waitBlocked(h.t)
+	h.log.letThrough <- struct{}{}
+	h.log.waitBlocked(h.t)
+	expectNoSetUp(h.t, sw)
+	h.log.Open()
+	expectNoSetUp(h.t, sw)
+}
+
+// forEachDeparture runs a subtest for each way to leave; leave makes the caller leave.
+func forEachDeparture(t *testing.T, test func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func())) {
+	for _, departure := range departures {
+		t.Run(departure.name, func(t *testing.T) {
 			t.Parallel()
-			x := newCrossing(t, "300.0")
-			defer x.end()
-			c, near := x.caller()
+			h := newGatedHarness(t, "300.0")
+			defer h.shutDown()
+			c, serverConn := h.connectCaller()
 			defer c.Close()
-			play(x, c, near, func() { x.leaves(c, near, way.after, way.end) })
+			test(h, c, serverConn, func() { h.depart(c, serverConn, departure.after, departure.end) })
 		})
 	}
 }
 
-func TestNoTryBeginsForACallerWhoHasGoneBeforeTheOwnerLooks(t *testing.T) {
-	forEachWayToGo(t, func(x *crossing, c net.Conn, near *gatedConn, leave func()) {
-		x.holdOwner()
-		c.Write(octets(setUp(id1, 3000)))
-		near.hasRead(x.t, octets(setUp(id1, 3000)))
-		x.leavesWhileHeld(leave, x.sw)
+func TestNoTryForCallerThatLeftBeforeItsSetUpIsHandled(t *testing.T) {
+	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
+		h.stopEventLoop()
+		c.Write(encode(setUp(callID1, 3000)))
+		serverConn.waitRead(h.t, encode(setUp(callID1, 3000)))
+		h.departWhileStopped(leave, h.sw)
 	})
 }
 
 // Guards against a retry by timer while the caller's departure waits in the inbox: queued events are handled before timers.
-func TestNoFurtherTryBeginsForACallerWhoHasGone(t *testing.T) {
-	forEachWayToGo(t, func(x *crossing, c net.Conn, near *gatedConn, leave func()) {
-		c.Write(octets(setUp(id1, 3000)))
-		m := x.sw.Want(sip.Invite)
-		x.holdOwner()
-		cut := m.Answer(sip.ServerTimeout) // permits a retry after the release time
-		x.sw.Say(cut)
-		x.link.hasRead(x.t, octets(cut))
+func TestNoRetryForCallerThatLeft(t *testing.T) {
+	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
+		c.Write(encode(setUp(callID1, 3000)))
+		m := h.sw.Expect(sip.Invite)
+		h.stopEventLoop()
+		timeout := m.Response(sip.ServerTimeout) // permits a retry after the release time
+		h.sw.Send(timeout)
+		h.switchConn.waitRead(h.t, encode(timeout))
 		time.Sleep(20 * time.Millisecond)
 		leave()
-		x.log.Open()
-		nothingMore(x.t, x.sw)
+		h.log.Open()
+		expectNoSetUp(h.t, h.sw)
 	})
 }
 
-func TestNoTryBeginsOnAConnectionThatComesUpAfterItsCallerHasGone(t *testing.T) {
-	forEachWayToGo(t, func(x *crossing, c net.Conn, near *gatedConn, leave func()) {
-		x.dials.Shut()
-		x.sw.Close()
-		x.link.hasEnded(x.t)
-		c.Write(octets(setUp(id1, 3000))) // the try waits for the connection being dialled
-		near.hasRead(x.t, octets(setUp(id1, 3000)))
-		next := x.accept()
-		x.holdOwner()
-		x.dials.Open() // the connection is up, but the event loop has not handled that yet
-		x.leavesWhileHeld(leave, next)
+func TestNoTryOnConnectionEstablishedAfterCallerLeft(t *testing.T) {
+	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
+		h.dialGate.Shut()
+		h.sw.Close()
+		h.switchConn.waitEnded(h.t)
+		c.Write(encode(setUp(callID1, 3000))) // the try waits for the connection being dialled
+		serverConn.waitRead(h.t, encode(setUp(callID1, 3000)))
+		next := h.acceptSwitch()
+		h.stopEventLoop()
+		h.dialGate.Open() // the connection is up, but the event loop has not handled that yet
+		h.departWhileStopped(leave, next)
 	})
 }
 
-func TestSetUpThatWaitsToBeWrittenIsTakenBack(t *testing.T) {
-	x := newCrossing(t, "300.0")
-	defer x.end()
-	c, _ := x.caller()
+func TestCancelRemovesQueuedSetUp(t *testing.T) {
+	h := newGatedHarness(t, "300.0")
+	defer h.shutDown()
+	c, _ := h.connectCaller()
 	defer c.Close()
-	x.link.out.Shut()
-	first := setUp(id2, 3000)
-	c.Write(octets(first)) // blocks the writer
+	h.switchConn.writeGate.Shut()
+	first := setUp(callID2, 3000)
+	c.Write(encode(first)) // blocks the writer
 	time.Sleep(20 * time.Millisecond)
-	c.Write(octets(setUp(id1, 3000)))
+	c.Write(encode(setUp(callID1, 3000)))
 	time.Sleep(20 * time.Millisecond)
-	c.Write(octets(cancel(id1)))
+	c.Write(encode(cancelRequest(callID1)))
 	time.Sleep(20 * time.Millisecond)
-	x.link.out.Open()
-	if m := x.sw.Want(sip.Invite); m.CallID != id2 {
+	h.switchConn.writeGate.Open()
+	if m := h.sw.Expect(sip.Invite); m.CallID != callID2 {
 		t.Fatalf("the switch received %+v", m)
 	}
-	nothingMore(t, x.sw)
+	expectNoSetUp(t, h.sw)
 }
 
 // Guards against a lost set-up at shutdown: the kernel has queued a connection with a set-up when the listener is about to close.
-func TestSetUpOnAConnectionNotYetAcceptedIsAnsweredAtTheEnd(t *testing.T) {
-	x := newCrossing(t, "300.0")
-	x.here.gate.Shut()
-	first, near := x.caller() // for the Accept call that is already blocked
+func TestSetUpOnQueuedConnectionIsAnsweredAtShutdown(t *testing.T) {
+	h := newGatedHarness(t, "300.0")
+	h.listener.gate.Shut()
+	first, serverConn := h.connectCaller() // for the Accept call that is already blocked
 	defer first.Close()
-	_ = near
-	c, err := net.Dial("tcp", x.here.Addr().String())
+	_ = serverConn
+	c, err := net.Dial("tcp", h.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Write(octets(setUp(id1, 3000)))
-	x.term()
+	c.Write(encode(setUp(callID1, 3000)))
+	h.terminate()
 	p := siptest.New(t, c)
-	x.sw.Want(sip.Invite)
-	if m, ok := p.Next(3 * time.Second); !ok || m.CallID != id1 {
+	h.sw.Expect(sip.Invite)
+	if m, ok := p.Receive(3 * time.Second); !ok || m.CallID != callID1 {
 		t.Fatalf("the caller received %v %+v", ok, m)
 	}
-	x.end()
+	h.shutDown()
 }
 
 // A set-up arrives on an established connection after the listener has closed, while no call is open.
-func TestSetUpThatCrossesTheEndOfTheListenerIsAnswered(t *testing.T) {
-	x := newCrossing(t, "300.0")
-	c, _ := x.caller()
+func TestSetUpAfterListenerClosedIsAnswered(t *testing.T) {
+	h := newGatedHarness(t, "300.0")
+	c, _ := h.connectCaller()
 	defer c.Close()
-	x.term()
-	<-x.here.closed
-	c.Write(octets(setUp(id1, 3000)))
+	h.terminate()
+	<-h.listener.closed
+	c.Write(encode(setUp(callID1, 3000)))
 	p := siptest.New(t, c)
-	x.sw.Stand(x.sw.Want(sip.Invite), "answer")
-	p.Want("200")
-	x.end()
+	h.sw.Answer(h.sw.Expect(sip.Invite), "answer")
+	p.Expect("200")
+	h.shutDown()
 }
 
 // At shutdown an answer is written while input from the caller is unread. Closing the socket at once would reset the connection
 // and destroy the answer.
-func TestAnswerAtTheEndIsReadThoughOctetsOfTheCallerLieUnread(t *testing.T) {
-	x := newCrossing(t, "300.0")
-	c, near := x.caller()
+func TestAnswerAtShutdownArrivesDespiteUnreadInput(t *testing.T) {
+	h := newGatedHarness(t, "300.0")
+	c, serverConn := h.connectCaller()
 	defer c.Close()
-	c.Write(octets(setUp(id1, 3000)))
-	x.sw.Want(sip.Invite) // not answered before the shutdown
-	near.in.Shut()
-	c.Write(octets(cancel("00000000000000ff"))) // completes the blocked read; the next one blocks at the gate
-	near.hasRead(t, octets(cancel("00000000000000ff")))
+	c.Write(encode(setUp(callID1, 3000)))
+	h.sw.Expect(sip.Invite) // not answered before the shutdown
+	serverConn.readGate.Shut()
+	c.Write(encode(cancelRequest("00000000000000ff"))) // completes the blocked read; the next one blocks at the gate
+	serverConn.waitRead(t, encode(cancelRequest("00000000000000ff")))
 	c.Write(bytes.Repeat([]byte("x"), 5000))
-	x.term()
-	x.ended()
+	h.terminate()
+	h.waitEnded()
 	text, err := io.ReadAll(c)
 	if err != nil || !strings.Contains(string(text), "CSeq: 1 INVITE") {
 		t.Errorf("the caller received %q, %v", text, err)
 	}
-	x.far.Close()
-	x.board.Close()
+	h.switchListener.Close()
+	h.boardListener.Close()
 }
 
 // Guards against leaked goroutines: callers keep opening new connections.
-func TestCallersWhoComeAndGoLeaveNothingBehind(t *testing.T) {
-	x := newCrossing(t, "300.0")
-	defer x.end()
+func TestClosedCallerConnectionsLeakNoGoroutines(t *testing.T) {
+	h := newGatedHarness(t, "300.0")
+	defer h.shutDown()
 	before := runtime.NumGoroutine()
 	for range 200 {
-		c, near := x.caller()
-		ping := octets(sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
+		c, serverConn := h.connectCaller()
+		ping := encode(sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
 		c.Write(ping)
-		near.hasRead(t, ping)
+		serverConn.waitRead(t, ping)
 		c.Close()
 	}
-	until := time.Now().Add(3 * time.Second)
-	for runtime.NumGoroutine() > before+10 && time.Now().Before(until) {
+	deadline := time.Now().Add(3 * time.Second)
+	for runtime.NumGoroutine() > before+10 && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
 	}
 	if now := runtime.NumGoroutine(); now > before+10 {
@@ -458,39 +458,39 @@
 
 // The notice board is unreachable and idle callers hold all the connections they can get. The platform's test message, a caller
 // with a call, the switch and the board must still be served, within the limit of descriptors.
-func TestIdleCallersLeaveDescriptorsForAllOthersWhileTheBoardIsAway(t *testing.T) {
+func TestIdleCallersLeaveDescriptorsForOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 64
-		b := &bench{t: t, net: memnet.New(), reload: make(chan Machine), ended: make(chan error, 1), boards: make(chan net.Conn, 10), sw: make(chan *siptest.Peer, 10)}
-		b.serve(limit)
+		h := &harness{t: t, network: memnet.New(), reload: make(chan Config), ended: make(chan error, 1), boardConns: make(chan net.Conn, 10), switches: make(chan *siptest.Peer, 10)}
+		h.serve(limit)
 		var idle []*siptest.Peer
 		for range 3 * limit {
-			c := b.caller()
-			c.Say(sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
-			c.Want("200") // in service without the board and the switch
+			c := h.connectCaller()
+			c.Send(sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
+			c.Expect("200") // in service without the board and the switch
 			idle = append(idle, c)
 			time.Sleep(10 * time.Millisecond)
 		}
-		go accepts(b.listen("10.0.0.2:1"), func(c net.Conn) {
+		go acceptAll(h.listen("10.0.0.2:1"), func(c net.Conn) {
 			p := siptest.New(t, c)
-			p.Say(siptest.Group(20, 20))
-			b.sw <- p
+			p.Send(siptest.LoadReport(20, 20))
+			h.switches <- p
 		})
-		sw := <-b.sw
-		go accepts(b.listen("board"), func(c net.Conn) { b.boards <- c })
-		<-b.boards
-		c := b.caller()
-		c.Say(sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
-		c.Want("200")
-		c.Say(setUp(id1, 1500))
-		sw.Stand(sw.Want(sip.Invite), "answer")
-		c.Want("200")
-		b.end()
+		sw := <-h.switches
+		go acceptAll(h.listen("board"), func(c net.Conn) { h.boardConns <- c })
+		<-h.boardConns
+		c := h.connectCaller()
+		c.Send(sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
+		c.Expect("200")
+		c.Send(setUp(callID1, 1500))
+		sw.Answer(sw.Expect(sip.Invite), "answer")
+		c.Expect("200")
+		h.shutDown()
 		for _, p := range idle {
 			p.Close()
 		}
-		if most := b.most; most+1 > limit-3 { // one for the listener, three for the standard streams
-			t.Errorf("%d connections at once with %d descriptors", most, limit)
+		if maxOpen := h.maxOpenConns; maxOpen+1 > limit-3 { // one for the listener, three for the standard streams
+			t.Errorf("%d connections at once with %d descriptors", maxOpen, limit)
 		}
 	})
 }
--- a/internal/platform/crowd_test.go
+++ b/internal/platform/crowd_test.go
@@ -13,13 +13,13 @@
 	"indigodrift/internal/sip/siptest"
 )
 
-func id(n int) string { return fmt.Sprintf("%016x", n) }
+func testCallID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// pieces writes a text in chunks of random size, which hold parts of messages or several of them.
-func pieces(p *siptest.Peer, rng *rand.Rand, text string) {
+// writeInChunks writes a text in chunks of random size, which hold parts of messages or several of them.
+func writeInChunks(p *siptest.Peer, rng *rand.Rand, text string) {
 	for len(text) > 0 {
 		n := min(len(text), 1+rng.IntN(700))
-		p.Raw(text[:n])
+		p.SendRaw(text[:n])
 		text = text[n:]
 	}
 }
@@ -30,69 +30,69 @@
 	synctest.Test(t, func(t *testing.T) {
 		const calls = 300
 		rng := rand.New(rand.NewPCG(1, 2))
-		b, sw, c := serving(t)
-		sw.Say(siptest.Group(calls, calls))
+		h, sw, c := startServing(t)
+		sw.Send(siptest.LoadReport(calls, calls))
 		time.Sleep(10 * time.Millisecond)
 		var text []byte
 		for n := range calls {
-			m := setUp(id(n), 3000)
-			m.Body = []byte("offer " + id(n))
+			m := setUp(testCallID(n), 3000)
+			m.Body = []byte("offer " + testCallID(n))
 			text = sip.Append(text, &m)
 		}
-		pieces(c, rng, string(text))
-		var heard []sip.Message
+		writeInChunks(c, rng, string(text))
+		var received []sip.Message
 		for range calls {
-			m := sw.Want(sip.Invite)
-			if string(m.Body) != "offer "+m.CallID || slices.ContainsFunc(heard, func(o sip.Message) bool { return o.CallID == m.CallID }) {
+			m := sw.Expect(sip.Invite)
+			if string(m.Body) != "offer "+m.CallID || slices.ContainsFunc(received, func(o sip.Message) bool { return o.CallID == m.CallID }) {
 				t.Fatalf("the switch received %+v", m)
 			}
-			heard = append(heard, m)
+			received = append(received, m)
 		}
-		rng.Shuffle(calls, func(i, j int) { heard[i], heard[j] = heard[j], heard[i] })
+		rng.Shuffle(calls, func(i, j int) { received[i], received[j] = received[j], received[i] })
 		text = text[:0]
-		for _, m := range heard {
-			answer := m.Answer(sip.OK)
+		for _, m := range received {
+			answer := m.Response(sip.OK)
 			answer.Body = []byte("answer " + m.CallID)
 			text = sip.Append(text, &answer)
 		}
-		pieces(sw, rng, string(text))
-		stood, released := map[string]bool{}, map[string]bool{}
+		writeInChunks(sw, rng, string(text))
+		answered, released := map[string]bool{}, map[string]bool{}
 		for range calls {
-			if m := c.Want("200"); string(m.Body) != "answer "+m.CallID || stood[m.CallID] {
+			if m := c.Expect("200"); string(m.Body) != "answer "+m.CallID || answered[m.CallID] {
 				t.Fatalf("the caller received %+v", m)
 			} else {
-				stood[m.CallID] = true
+				answered[m.CallID] = true
 			}
-			sw.Want(sip.Ack)
+			sw.Expect(sip.Ack)
 		}
 		text = text[:0]
-		for _, m := range heard {
+		for _, m := range received {
 			bye := release(m.CallID)
 			text = sip.Append(text, &bye)
 		}
-		pieces(sw, rng, string(text))
+		writeInChunks(sw, rng, string(text))
 		for range calls {
-			m := c.Want(sip.Bye)
-			if !stood[m.CallID] || released[m.CallID] {
+			m := c.Expect(sip.Bye)
+			if !answered[m.CallID] || released[m.CallID] {
 				t.Fatalf("released %+v", m)
 			}
 			released[m.CallID] = true
 		}
-		if m, ok := c.Next(100 * time.Millisecond); ok {
+		if m, ok := c.Receive(100 * time.Millisecond); ok {
 			t.Errorf("the caller received more: %+v", m)
 		}
-		b.end()
+		h.shutDown()
 	})
 }
 
 // 40 connections flood the controller with invalid messages, each sending the next as soon as one is rejected. All must be
 // rejected, none may reach the switch, and the calls of another caller must be served without delay.
-func TestFloodsAreRefusedAndTouchNoOtherCall(t *testing.T) {
+func TestFloodsAreRejectedAndOtherCallsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, sw, c := serving(t)
-		sw.Say(siptest.Group(1000, 1000))
+		h, sw, c := startServing(t)
+		sw.Send(siptest.LoadReport(1000, 1000))
 		time.Sleep(10 * time.Millisecond)
-		spoilt := []func(m *sip.Message){
+		corruptions := []func(m *sip.Message){
 			func(m *sip.Message) { m.CallID = "none" },
 			func(m *sip.Message) { m.Fields[0].Value = "no such type" },
 			func(m *sip.Message) { m.Fields[1].Value = "NaN" },
@@ -104,48 +104,48 @@
 			func(m *sip.Message) { m.Method, m.Body = sip.Cancel, nil },
 			func(m *sip.Message) { m.Method = "PUBLISH" },
 		}
-		const flooders, each = 40, 50
+		const flooders, messagesEach = 40, 50
 		done := make(chan int, flooders)
 		for n := range flooders {
-			p := b.caller()
+			p := h.connectCaller()
 			go func() {
-				refused := 0
-				for i := range each {
-					m := setUp(id(1<<20+n*each+i), 1000)
-					spoilt[(n+i)%len(spoilt)](&m)
-					p.Say(m)
-					if got, ok := p.Next(time.Second); ok && got.Status >= 400 {
-						refused++
+				rejected := 0
+				for i := range messagesEach {
+					m := setUp(testCallID(1<<20+n*messagesEach+i), 1000)
+					corruptions[(n+i)%len(corruptions)](&m)
+					p.Send(m)
+					if got, ok := p.Receive(time.Second); ok && got.Status >= 400 {
+						rejected++
 					}
 				}
-				done <- refused
+				done <- rejected
 				p.Close()
 			}()
 		}
 		for n := range 60 {
-			began := time.Now()
-			c.Say(setUp(id(n), 1000))
-			m := sw.Want(sip.Invite)
-			if m.CallID != id(n) {
+			start := time.Now()
+			c.Send(setUp(testCallID(n), 1000))
+			m := sw.Expect(sip.Invite)
+			if m.CallID != testCallID(n) {
 				t.Fatalf("the switch received %+v", m)
 			}
-			sw.Stand(m, "answer")
-			sw.Want(sip.Ack)
-			c.Want("200")
-			if took := time.Since(began); took > 20*time.Millisecond {
+			sw.Answer(m, "answer")
+			sw.Expect(sip.Ack)
+			c.Expect("200")
+			if took := time.Since(start); took > 20*time.Millisecond {
 				t.Errorf("call %d took %v", n, took)
 			}
 		}
 		for range flooders {
-			if refused := <-done; refused != each {
-				t.Errorf("%d of %d rejected", refused, each)
+			if rejected := <-done; rejected != messagesEach {
+				t.Errorf("%d of %d rejected", rejected, messagesEach)
 			}
 		}
-		if m, ok := sw.Next(100 * time.Millisecond); ok {
+		if m, ok := sw.Receive(100 * time.Millisecond); ok {
 			t.Errorf("the switch received %+v", m)
 		}
-		b.end()
-		if lines := strings.Count(b.log.String(), "message is refused"); lines == 0 || lines > notesMost {
+		h.shutDown()
+		if lines := strings.Count(h.log.String(), "message is refused"); lines == 0 || lines > maxNotesPerSummary {
 			t.Errorf("%d log lines for one flood", lines)
 		}
 	})
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -19,40 +19,40 @@
 	Sockets  int // file descriptors
 }
 
-// Machine is the configuration of one call controller, as the platform provides it.
-type Machine struct {
+// Config is the configuration of one call controller, as the platform provides it.
+type Config struct {
 	Name, Listen, Board string
 	Limits              Limits
 	Known               []board.Event // the list of switches at the start
-	Settled             deployment.Settled
-	planted             string // fault to inject, "" for none
+	Settings            deployment.Settings
+	injectedFault       string // fault to inject, "" for none
 }
 
-// ErrMachine reports a configuration that cannot be used.
-var ErrMachine = errors.New("platform configuration")
+// ErrConfig reports a configuration that cannot be used.
+var ErrConfig = errors.New("platform configuration")
 
 const (
-	socketsLeast = 64
-	memoryLeast  = 16
-	limitMost    = 1 << 24
+	minSockets  = 64
+	minMemoryMB = 16
+	maxLimit    = 1 << 24
 )
 
-// ReadMachine reads the platform's configuration file.
-func ReadMachine(path string) (Machine, error) {
+// ReadConfig reads the platform's configuration file.
+func ReadConfig(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Machine{}, fmt.Errorf("%w: %w", ErrMachine, err)
+		return Config{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	m, err := ParseMachine(text)
+	config, err := ParseConfig(text)
 	if err != nil {
-		return m, fmt.Errorf("%s: %w", path, err)
+		return config, fmt.Errorf("%s: %w", path, err)
 	}
-	return m, nil
+	return config, nil
 }
 
-// ParseMachine parses the text of the platform's configuration.
-func ParseMachine(text []byte) (Machine, error) {
-	var f struct {
+// ParseConfig parses the text of the platform's configuration.
+func ParseConfig(text []byte) (Config, error) {
+	var file struct {
 		Name, Listen, Seed, Board string
 		Limits                    struct {
 			Cores, Sockets float64
@@ -61,31 +61,31 @@
 		Known    json.RawMessage
 		Settings json.RawMessage
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return Machine{}, fmt.Errorf("%w: %w", ErrMachine, err)
+	if err := json.Unmarshal(text, &file); err != nil {
+		return Config{}, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	m := Machine{Name: f.Name, Listen: f.Listen, Board: f.Board}
+	config := Config{Name: file.Name, Listen: file.Listen, Board: file.Board}
 	switch {
-	case f.Listen == "" || f.Board == "":
-		return m, fmt.Errorf("%w: neither listen nor board may be empty: %q, %q", ErrMachine, f.Listen, f.Board)
-	case !(f.Limits.Sockets >= socketsLeast && f.Limits.Sockets <= limitMost):
-		return m, fmt.Errorf("%w: limits.sockets: %g is not between %d and %d", ErrMachine, f.Limits.Sockets, socketsLeast, limitMost)
-	case !(f.Limits.MemoryMB >= memoryLeast && f.Limits.MemoryMB <= limitMost):
-		return m, fmt.Errorf("%w: limits.memory_mb: %g is not between %d and %d", ErrMachine, f.Limits.MemoryMB, memoryLeast, limitMost)
+	case file.Listen == "" || file.Board == "":
+		return config, fmt.Errorf("%w: neither listen nor board may be empty: %q, %q", ErrConfig, file.Listen, file.Board)
+	case !(file.Limits.Sockets >= minSockets && file.Limits.Sockets <= maxLimit):
+		return config, fmt.Errorf("%w: limits.sockets: %g is not between %d and %d", ErrConfig, file.Limits.Sockets, minSockets, maxLimit)
+	case !(file.Limits.MemoryMB >= minMemoryMB && file.Limits.MemoryMB <= maxLimit):
+		return config, fmt.Errorf("%w: limits.memory_mb: %g is not between %d and %d", ErrConfig, file.Limits.MemoryMB, minMemoryMB, maxLimit)
 	}
-	m.Limits = Limits{Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets)}
+	config.Limits = Limits{Cores: file.Limits.Cores, MemoryMB: int(file.Limits.MemoryMB), Sockets: int(file.Limits.Sockets)}
 	var err error
-	if m.Settled, err = deployment.Read(f.Settings); err != nil {
-		return m, fmt.Errorf("%w: %w", ErrMachine, err)
+	if config.Settings, err = deployment.Parse(file.Settings); err != nil {
+		return config, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	if i := slices.Index(m.Settled.Bearers, ""); i >= 0 { // set-ups name their bearer type
-		return m, fmt.Errorf("%w: settings: grades[%d].name is empty", ErrMachine, i)
+	if i := slices.Index(config.Settings.BearerNames, ""); i >= 0 { // set-ups name their bearer type
+		return config, fmt.Errorf("%w: settings: grades[%d].name is empty", ErrConfig, i)
 	}
-	if m.Settled.Module.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return m, fmt.Errorf("%w: seed: %w", ErrMachine, err)
+	if config.Settings.Policy.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return config, fmt.Errorf("%w: seed: %w", ErrConfig, err)
 	}
-	if m.Known, err = board.Known(f.Known); err != nil {
-		return m, fmt.Errorf("%w: known: %w", ErrMachine, err)
+	if config.Known, err = board.ParseKnown(file.Known); err != nil {
+		return config, fmt.Errorf("%w: known: %w", ErrConfig, err)
 	}
-	return m, nil
+	return config, nil
 }
--- a/internal/platform/plant.go
+++ b/internal/platform/plant.go
@@ -9,57 +9,57 @@
 
 // Faults that a controller can be made to have, to test that the checks of internal/soak detect them.
 const (
-	PlantRelease = "release" // no release is written to the callers of some calls
-	PlantAnswer  = "answer"  // the final answers to some calls are written twice
-	PlantEarly   = "early"   // calls are retried before the release time has passed
+	FaultMissingRelease  = "release" // no release is written to the callers of some calls
+	FaultDuplicateAnswer = "answer"  // the final answers to some calls are written twice
+	FaultEarlyRetry      = "early"   // calls are retried before the release time has passed
 
-	PlantStanding = "standing" // no release is written to switches
-	PlantCrossing = "crossing" // a release by a switch ends any pending try of its call on that connection
+	FaultMissingSwitchRelease = "standing" // no release is written to switches
+	FaultCrossedRelease       = "crossing" // a release by a switch ends any pending try of its call on that connection
 )
 
-// ErrPlant reports the name of a fault that does not exist.
-var ErrPlant = errors.New("unknown fault to inject")
+// ErrUnknownFault reports the name of a fault that does not exist.
+var ErrUnknownFault = errors.New("unknown fault to inject")
 
-// plantEvery sets the share of affected calls: one in plantEvery.
-const plantEvery = 5
+// faultInterval sets the share of affected calls: one in faultInterval.
+const faultInterval = 5
 
-// Plant sets the fault to inject, "" for none. PlantEarly changes the settings; the others act in the server made of this configuration.
-func (m *Machine) Plant(fault string) error {
+// InjectFault sets the fault to inject, "" for none. FaultEarlyRetry changes the settings; the others act in the server made of this configuration.
+func (c *Config) InjectFault(fault string) error {
 	switch fault {
-	case "", PlantRelease, PlantAnswer, PlantStanding, PlantCrossing:
-	case PlantEarly:
-		m.Settled.Module.ReleaseTime = 0
+	case "", FaultMissingRelease, FaultDuplicateAnswer, FaultMissingSwitchRelease, FaultCrossedRelease:
+	case FaultEarlyRetry:
+		c.Settings.Policy.ReleaseTime = 0
 	default:
-		return fmt.Errorf("%w: %q", ErrPlant, fault)
+		return fmt.Errorf("%w: %q", ErrUnknownFault, fault)
 	}
-	m.planted = fault
+	c.injectedFault = fault
 	return nil
 }
 
 // copies returns how often a message is written to a caller or a switch: once, unless a fault is injected.
-func (m *Machine) copies(toCaller bool, out *sip.Message) int {
+func (c *Config) copies(toCaller bool, out *sip.Message) int {
 	if !toCaller {
-		if m.planted == PlantStanding && out.Method == sip.Bye {
+		if c.injectedFault == FaultMissingSwitchRelease && out.Method == sip.Bye {
 			return 0
 		}
 		return 1
 	}
 	switch {
-	case m.planted == PlantRelease && out.Method == sip.Bye && chosen(out.CallID):
+	case c.injectedFault == FaultMissingRelease && out.Method == sip.Bye && affected(out.CallID):
 		return 0
-	case m.planted == PlantAnswer && out.Status != 0 && out.CSeqMethod == sip.Invite && chosen(out.CallID):
+	case c.injectedFault == FaultDuplicateAnswer && out.Status != 0 && out.CSeqMethod == sip.Invite && affected(out.CallID):
 		return 2
 	}
 	return 1
 }
 
-// crossing returns an answer that ends the try on whose connection a release arrived, nil unless that fault is injected.
-func (m *Machine) crossing(in *sip.Message) *sip.Message {
-	if m.planted != PlantCrossing || in.Method != sip.Bye {
+// crossedRelease returns an answer that ends the try on whose connection a release arrived, nil unless that fault is injected.
+func (c *Config) crossedRelease(in *sip.Message) *sip.Message {
+	if c.injectedFault != FaultCrossedRelease || in.Method != sip.Bye {
 		return nil
 	}
 	return &sip.Message{Status: sip.ServerTimeout, CallID: in.CallID, CSeq: 1, CSeqMethod: sip.Invite}
 }
 
-// chosen reports whether an injected fault affects a call.
-func chosen(id string) bool { return id != "" && id[len(id)-1]%plantEvery == 0 }
+// affected reports whether an injected fault affects a call.
+func affected(callID string) bool { return callID != "" && callID[len(callID)-1]%faultInterval == 0 }
--- a/internal/platform/record.go
+++ b/internal/platform/record.go
@@ -8,8 +8,8 @@
 	"indigodrift/internal/board"
 )
 
-// recordsMost bounds the lines of one kind between two summaries; further ones are counted. At level debug all are written.
-const recordsMost = 20
+// maxRecordsPerSummary bounds the lines of one kind between two summaries; further ones are counted. At level debug all are written.
+const maxRecordsPerSummary = 20
 
 // recordLevel returns the level at which a kind of record is logged: debug for what happens to every call.
 func recordLevel(kind b2bua.RecordKind) slog.Level {
@@ -29,24 +29,24 @@
 		return
 	}
 	if !h.log.Enabled(ctx, slog.LevelDebug) {
-		if h.recorded[r.Kind]++; h.recorded[r.Kind] > recordsMost {
-			h.unsaid++
+		if h.recordCounts[r.Kind]++; h.recordCounts[r.Kind] > maxRecordsPerSummary {
+			h.suppressed++
 			return
 		}
 	}
 	var attrs []slog.Attr
-	add := func(given bool, a slog.Attr) {
-		if given {
+	add := func(present bool, a slog.Attr) {
+		if present {
 			attrs = append(attrs, a)
 		}
 	}
 	add(r.CallID != "", slog.String("call", r.CallID))
 	add(r.Conn != 0, slog.Uint64("conn", uint64(r.Conn)))
-	if w := h.wire(r.Conn); w != nil {
-		add(true, slog.String("peer", w.c.RemoteAddr().String()))
+	if conn := h.conn(r.Conn); conn != nil {
+		add(true, slog.String("peer", conn.netConn.RemoteAddr().String()))
 	}
 	if r.Switch != 0 {
-		add(true, slog.String("switch", board.Text(r.Switch)))
+		add(true, slog.String("switch", board.FormatID(r.Switch)))
 	}
 	add(r.Try != 0, slog.Int("try", r.Try))
 	add(r.Kind == b2bua.CallState, slog.String("from", r.From.String()))
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -12,154 +12,154 @@
 )
 
 const (
-	callerMost  = 256 << 10 // octets queued for one caller connection
-	switchMost  = 512 << 10 // octets queued for one switch connection
-	writeWithin = 2 * time.Second
+	maxCallerQueue = 256 << 10 // octets queued for one caller connection
+	maxSwitchQueue = 512 << 10 // octets queued for one switch connection
+	writeTimeout   = 2 * time.Second
 
-	// lingerMost is how long input is still read and discarded after the write side is closed: closing a socket with unread
+	// lingerTimeout is how long input is still read and discarded after the write side is closed: closing a socket with unread
 	// input sends a reset, which destroys an answer that the peer has not read yet.
-	lingerMost = 100 * time.Millisecond
+	lingerTimeout = 100 * time.Millisecond
 
-	cancelsMost = 1024 // CANCELs read on one connection and not yet handled by the event loop
+	maxUnhandledCancels = 1024 // CANCELs read on one connection and not yet handled by the event loop
 )
 
-// wire is one connection with its write queue. Queueing never blocks: a peer that reads too slowly loses its
+// connection is one connection with its write queue. Queueing never blocks: a peer that reads too slowly loses its
 // connection.
-type wire struct {
-	id   b2bua.Conn
-	c    net.Conn
-	most int
-	wake chan struct{}
-	gone atomic.Bool // the reader has seen the end of the stream
-
-	mu        sync.Mutex
-	pending   []byte
-	setUps    []span // set-ups in pending
-	cancelled map[string]struct{}
-	closing   bool
-	wrote     bool
+type connection struct {
+	id         b2bua.Conn
+	netConn    net.Conn
+	maxQueued  int
+	wake       chan struct{}
+	inputEnded atomic.Bool // the reader has seen the end of the stream
+
+	mu               sync.Mutex
+	queue            []byte
+	queuedSetUps     []queuedSetUp // set-ups in pending
+	unhandledCancels map[string]struct{}
+	closing          bool
+	wrote            bool
 }
 
-// span is the position of a set-up in the queued octets.
-type span struct {
-	from, to int
-	id       string
-	seq      uint32
+// queuedSetUp is the position of a set-up in the queued octets.
+type queuedSetUp struct {
+	start, end int
+	callID     string
+	cseq       uint32
 }
 
-func newWire(id b2bua.Conn, c net.Conn, most int) *wire {
-	return &wire{id: id, c: c, most: most, wake: make(chan struct{}, 1)}
+func newConnection(id b2bua.Conn, netConn net.Conn, maxQueued int) *connection {
+	return &connection{id: id, netConn: netConn, maxQueued: maxQueued, wake: make(chan struct{}, 1)}
 }
 
-// put queues a message. A CANCEL removes its set-up from the queue if that is not written yet: the try would begin long after
+// enqueue queues a message. A CANCEL removes its set-up from the queue if that is not written yet: the try would begin long after
 // its caller has left. It returns false if the queue is full, and closes the connection.
-func (w *wire) put(m *sip.Message) bool {
-	w.mu.Lock()
-	if !w.closing && !(m.Method == sip.Cancel && w.takeBack(m)) {
-		from := len(w.pending)
-		w.pending = sip.Append(w.pending, m)
+func (c *connection) enqueue(m *sip.Message) bool {
+	c.mu.Lock()
+	if !c.closing && !(m.Method == sip.Cancel && c.removeSetUp(m)) {
+		start := len(c.queue)
+		c.queue = sip.Append(c.queue, m)
 		if m.Method == sip.Invite {
-			w.setUps = append(w.setUps, span{from, len(w.pending), m.CallID, m.CSeq})
+			c.queuedSetUps = append(c.queuedSetUps, queuedSetUp{start, len(c.queue), m.CallID, m.CSeq})
 		}
 	}
-	full := len(w.pending) > w.most
-	w.mu.Unlock()
+	full := len(c.queue) > c.maxQueued
+	c.mu.Unlock()
 	if full {
-		w.c.Close()
+		c.netConn.Close()
 		return false
 	}
-	w.tell()
+	c.wakeWriter()
 	return true
 }
 
-// takeBack removes the set-up that a CANCEL names from the queue.
-func (w *wire) takeBack(m *sip.Message) bool {
-	i := slices.IndexFunc(w.setUps, func(s span) bool { return s.id == m.CallID && s.seq == m.CSeq })
+// removeSetUp removes the set-up that a CANCEL names from the queue.
+func (c *connection) removeSetUp(m *sip.Message) bool {
+	i := slices.IndexFunc(c.queuedSetUps, func(s queuedSetUp) bool { return s.callID == m.CallID && s.cseq == m.CSeq })
 	if i < 0 {
 		return false
 	}
-	out := w.setUps[i]
-	w.pending = slices.Delete(w.pending, out.from, out.to)
-	w.setUps = slices.Delete(w.setUps, i, i+1)
-	for j := i; j < len(w.setUps); j++ {
-		w.setUps[j].from -= out.to - out.from
-		w.setUps[j].to -= out.to - out.from
+	removed := c.queuedSetUps[i]
+	c.queue = slices.Delete(c.queue, removed.start, removed.end)
+	c.queuedSetUps = slices.Delete(c.queuedSetUps, i, i+1)
+	for j := i; j < len(c.queuedSetUps); j++ {
+		c.queuedSetUps[j].start -= removed.end - removed.start
+		c.queuedSetUps[j].end -= removed.end - removed.start
 	}
 	return true
 }
 
-// finish closes the connection after writing what is queued.
-func (w *wire) finish() {
-	w.mu.Lock()
-	w.closing = true
-	w.mu.Unlock()
-	w.tell()
+// closeAfterWrite closes the connection after writing what is queued.
+func (c *connection) closeAfterWrite() {
+	c.mu.Lock()
+	c.closing = true
+	c.mu.Unlock()
+	c.wakeWriter()
 }
 
-func (w *wire) finishing() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.closing
+func (c *connection) isClosing() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.closing
 }
 
-// cancels records a CANCEL as soon as it is read: it may wait in the inbox, and no try may begin meanwhile.
-func (w *wire) cancels(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.cancelled == nil {
-		w.cancelled = map[string]struct{}{}
+// addCancel records a CANCEL as soon as it is read: it may wait in the inbox, and no try may begin meanwhile.
+func (c *connection) addCancel(callID string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.unhandledCancels == nil {
+		c.unhandledCancels = map[string]struct{}{}
 	}
-	if len(w.cancelled) < cancelsMost {
-		w.cancelled[id] = struct{}{}
+	if len(c.unhandledCancels) < maxUnhandledCancels {
+		c.unhandledCancels[callID] = struct{}{}
 	}
 }
 
-// seen removes the record of a CANCEL that the event loop has handled.
-func (w *wire) seen(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.cancelled, id)
+// removeCancel removes the record of a CANCEL that the event loop has handled.
+func (c *connection) removeCancel(callID string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.unhandledCancels, callID)
 }
 
-// left reports whether the peer has closed the connection or cancelled a call, even if the event loop has not seen that.
-func (w *wire) left(id string) bool {
-	if w.gone.Load() {
+// callerLeft reports whether the peer has closed the connection or cancelled a call, even if the event loop has not seen that.
+func (c *connection) callerLeft(callID string) bool {
+	if c.inputEnded.Load() {
 		return true
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	_, ok := w.cancelled[id]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, ok := c.unhandledCancels[callID]
 	return ok
 }
 
-// tell wakes the writer.
-func (w *wire) tell() {
+// wakeWriter wakes the writer.
+func (c *connection) wakeWriter() {
 	select {
-	case w.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// write is the writer: it writes until the connection fails or finish is called, and closes the connection or, after a half-close,
+// writeLoop is the writer: it writes until the connection fails or finish is called, and closes the connection or, after a half-close,
 // leaves that to the reader.
-func (w *wire) write() {
+func (c *connection) writeLoop() {
 	var buf []byte
-	for range w.wake {
-		w.mu.Lock()
-		buf, w.pending, w.setUps = w.pending, buf[:0], w.setUps[:0]
-		closing := w.closing
-		w.wrote = w.wrote || len(buf) > 0
-		w.mu.Unlock()
+	for range c.wake {
+		c.mu.Lock()
+		buf, c.queue, c.queuedSetUps = c.queue, buf[:0], c.queuedSetUps[:0]
+		closing := c.closing
+		c.wrote = c.wrote || len(buf) > 0
+		c.mu.Unlock()
 		if len(buf) > 0 {
-			if err := w.c.SetWriteDeadline(time.Now().Add(writeWithin)); err != nil {
+			if err := c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 				break
 			}
-			if _, err := w.c.Write(buf); err != nil {
+			if _, err := c.netConn.Write(buf); err != nil {
 				break
 			}
 		}
 		if closing {
-			if w.wrote && w.halfClose() {
+			if c.wrote && c.halfClose() {
 				return
 			}
 			break
@@ -168,11 +168,11 @@
 			buf = nil
 		}
 	}
-	w.c.Close()
+	c.netConn.Close()
 }
 
 // halfClose closes the write side of the connection and sets a deadline for its reader. It returns false if that fails.
-func (w *wire) halfClose() bool {
-	half, ok := w.c.(interface{ CloseWrite() error })
-	return ok && half.CloseWrite() == nil && w.c.SetReadDeadline(time.Now().Add(lingerMost)) == nil
+func (c *connection) halfClose() bool {
+	writer, ok := c.netConn.(interface{ CloseWrite() error })
+	return ok && writer.CloseWrite() == nil && c.netConn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil
 }
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -12,14 +12,14 @@
 	"strings"
 )
 
-// Most is the maximum length of a message in octets.
-const Most = 16 << 10
+// MaxMessageSize is the maximum length of a message in octets.
+const MaxMessageSize = 16 << 10
 
 const (
-	fieldsMost = 64
-	blankMost  = 8 // empty lines that are skipped before a message (RFC 3261, section 7.5)
-	readFirst  = 2 << 10
-	readStep   = 4 << 10
+	maxFields         = 64
+	maxEmptyLines     = 8 // empty lines that are skipped before a message (RFC 3261, section 7.5)
+	initialBufferSize = 2 << 10
+	bufferGrowth      = 4 << 10
 )
 
 // Request methods.
@@ -34,21 +34,21 @@
 
 // Status codes, their limits, and names of the Content-Length header field in lower case.
 const (
-	OK              = 200
-	BadRequest      = 400
-	NoSuchCall      = 481
-	BusyHere        = 486
-	Unavailable     = 480
-	TooLarge        = 413
-	ServerError     = 500
-	ServiceUnavail  = 503
-	ServerTimeout   = 504
-	finalFrom       = 200
-	statusLeast     = 100
-	statusMost      = 699
-	refusalFrom     = 300
-	contentLength   = "content-length"
-	contentLengthIn = "l" // compact form (RFC 3261, section 7.3.3)
+	OK                       = 200
+	BadRequest               = 400
+	CallDoesNotExist         = 481
+	BusyHere                 = 486
+	TemporarilyUnavailable   = 480
+	RequestEntityTooLarge    = 413
+	ServerInternalError      = 500
+	ServiceUnavailable       = 503
+	ServerTimeout            = 504
+	minFinalStatus           = 200
+	minStatus                = 100
+	maxStatus                = 699
+	minRejectionStatus       = 300
+	contentLengthName        = "content-length"
+	contentLengthCompactName = "l" // compact form (RFC 3261, section 7.3.3)
 )
 
 // Errors of Reader.Read.
@@ -73,10 +73,10 @@
 }
 
 // Provisional reports whether m is a provisional response.
-func (m *Message) Provisional() bool { return m.Status != 0 && m.Status < finalFrom }
+func (m *Message) Provisional() bool { return m.Status != 0 && m.Status < minFinalStatus }
 
-// Refusal reports whether m is a final response other than 2xx.
-func (m *Message) Refusal() bool { return m.Status >= refusalFrom }
+// Rejected reports whether m is a final response other than 2xx.
+func (m *Message) Rejected() bool { return m.Status >= minRejectionStatus }
 
 // Get returns the value of a header field, "" if it is absent. Names are case-insensitive.
 func (m *Message) Get(name string) string {
@@ -101,14 +101,14 @@
 	return user
 }
 
-// Answer returns a response to the request m.
-func (m *Message) Answer(status int) Message {
+// Response returns a response to the request m.
+func (m *Message) Response(status int) Message {
 	return Message{Status: status, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: m.Method}
 }
 
-var reasons = map[int]string{OK: "OK", BadRequest: "Bad Request", NoSuchCall: "Call/Transaction Does Not Exist",
-	BusyHere: "Busy Here", Unavailable: "Temporarily Unavailable", TooLarge: "Request Entity Too Large",
-	ServerError: "Server Internal Error", ServiceUnavail: "Service Unavailable", ServerTimeout: "Server Time-out"}
+var reasonPhrases = map[int]string{OK: "OK", BadRequest: "Bad Request", CallDoesNotExist: "Call/Transaction Does Not Exist",
+	BusyHere: "Busy Here", TemporarilyUnavailable: "Temporarily Unavailable", RequestEntityTooLarge: "Request Entity Too Large",
+	ServerInternalError: "Server Internal Error", ServiceUnavailable: "Service Unavailable", ServerTimeout: "Server Time-out"}
 
 // Append appends the encoding of a message to b.
 func Append(b []byte, m *Message) []byte {
@@ -117,7 +117,7 @@
 		b = append(b, "SIP/2.0 "...)
 		b = strconv.AppendInt(b, int64(m.Status), 10)
 		b = append(b, ' ')
-		b = append(b, reasons[m.Status]...)
+		b = append(b, reasonPhrases[m.Status]...)
 	} else {
 		method = m.Method
 		b = append(b, m.Method...)
@@ -150,85 +150,85 @@
 
 // Reader reads messages from a stream.
 type Reader struct {
-	// Part, if set, is called once for each message that is incomplete when the buffered octets are used up.
-	Part func()
+	// OnPartial, if set, is called once for each message that is incomplete when the buffered octets are used up.
+	OnPartial func()
 
-	told bool
-	r    io.Reader
-	buf  []byte // read but not yet parsed
+	partialReported bool
+	source          io.Reader
+	buf             []byte // read but not yet parsed
 }
 
 // NewReader returns a Reader of the messages in r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: r} }
+func NewReader(r io.Reader) *Reader { return &Reader{source: r} }
 
 // Read returns the next message. After an error the stream can't be used any further. With ErrMalformed and ErrTooLong the
 // message holds what could be parsed, so that a response can be sent. The error is io.EOF at the end of the stream between
 // messages and io.ErrUnexpectedEOF within one. The message shares no memory with the Reader.
 func (r *Reader) Read() (Message, error) {
-	r.told = false
-	for blank := 0; ; {
+	r.partialReported = false
+	for emptyLines := 0; ; {
 		for len(r.buf) >= 2 && r.buf[0] == '\r' && r.buf[1] == '\n' {
-			if blank++; blank > blankMost {
+			if emptyLines++; emptyLines > maxEmptyLines {
 				return Message{}, fmt.Errorf("%w: too many empty lines before the start line", ErrMalformed)
 			}
 			r.buf = r.buf[2:]
 		}
 		if end := bytes.Index(r.buf, []byte("\r\n\r\n")); end >= 0 {
-			m, length, err := head(r.buf[:end])
+			m, length, err := parseHeader(r.buf[:end])
 			if err != nil {
 				return m, err
 			}
-			whole := end + 4 + length
-			if whole > Most {
-				return m, fmt.Errorf("%w: %d octets", ErrTooLong, whole)
+			messageLength := end + 4 + length
+			if messageLength > MaxMessageSize {
+				return m, fmt.Errorf("%w: %d octets", ErrTooLong, messageLength)
 			}
-			for len(r.buf) < whole {
-				if err := r.more(); err != nil {
+			for len(r.buf) < messageLength {
+				if err := r.fill(); err != nil {
 					return m, err
 				}
 			}
 			if length > 0 {
-				m.Body = bytes.Clone(r.buf[end+4 : whole])
+				m.Body = bytes.Clone(r.buf[end+4 : messageLength])
 			}
-			if r.buf = r.buf[whole:]; len(r.buf) == 0 {
+			if r.buf = r.buf[messageLength:]; len(r.buf) == 0 {
 				r.buf = nil // idle connections keep no buffer
 			}
 			return m, nil
 		}
-		if len(r.buf) > Most {
+		if len(r.buf) > MaxMessageSize {
 			return Message{}, fmt.Errorf("%w: no end of header within %d octets", ErrTooLong, len(r.buf))
 		}
-		if i := bytes.IndexByte(r.buf, '\n'); i >= 0 && !starts(r.buf[:i]) { // rejects noise before a whole header has arrived
+		if i := bytes.IndexByte(r.buf, '\n'); i >= 0 && !isStartLine(r.buf[:i]) { // rejects noise before a whole header has arrived
 			return Message{}, fmt.Errorf("%w: start line %.40q", ErrMalformed, r.buf[:i])
 		}
-		if err := r.more(); err != nil {
+		if err := r.fill(); err != nil {
 			return Message{}, err
 		}
 	}
 }
 
-// starts reports whether a line can be a start line. Empty lines pass: they may precede a message.
-func starts(line []byte) bool {
+// isStartLine reports whether a line can be a start line. Empty lines pass: they may precede a message.
+func isStartLine(line []byte) bool {
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	return len(line) == 0 || bytes.HasPrefix(line, []byte("SIP/2.0 ")) || bytes.HasSuffix(line, []byte(" SIP/2.0"))
 }
 
-// more reads more octets into the buffer.
-func (r *Reader) more() error {
-	if len(r.buf) > 0 && !r.told && r.Part != nil {
-		r.told = true
-		r.Part()
+// fill reads more octets into the buffer.
+func (r *Reader) fill() error {
+	if len(r.buf) > 0 && !r.partialReported && r.OnPartial != nil {
+		r.partialReported = true
+		r.OnPartial()
 	}
-	grow := readStep
+	growth := bufferGrowth
 	if len(r.buf) == 0 {
-		grow = readFirst
+		growth = initialBufferSize
 	}
-	if cap(r.buf)-len(r.buf) < readFirst/4 {
-		next := make([]byte, len(r.buf), len(r.buf)+grow)
+	if cap(r.buf)-len(r.buf) < initialBufferSize/4 {
+		next := make([]byte, len(r.buf), len(r.buf)+growth)
 		copy(next, r.buf)
 		r.buf = next
 	}
-	n, err := r.r.Read(r.buf[len(r.buf):cap(r.buf)])
+	n, err := r.source.Read(r.buf[len(r.buf):cap(r.buf)])
 	r.buf = r.buf[:len(r.buf)+n]
 	switch {
 	case n > 0:
@@ -241,17 +241,17 @@
 	return err
 }
 
-// head parses the start line and the header and returns the length of the body.
-func head(b []byte) (m Message, length int, err error) {
+// parseHeader parses the start line and the header and returns the length of the body.
+func parseHeader(b []byte) (m Message, length int, err error) {
 	text := string(b)
 	line, rest, _ := strings.Cut(text, "\r\n")
-	if err := startLine(&m, line); err != nil {
+	if err := parseStartLine(&m, line); err != nil {
 		return m, 0, err
 	}
-	var fault error
-	bad := func(format string, a ...any) {
-		if fault == nil {
-			fault = fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, a...)...)
+	var firstErr error
+	fail := func(format string, a ...any) {
+		if firstErr == nil {
+			firstErr = fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, a...)...)
 		}
 	}
 	seen := struct{ length, id, seq bool }{}
@@ -259,73 +259,73 @@
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		name, value = strings.TrimRight(name, " \t"), strings.Trim(value, " \t")
-		if !ok || !token(name) || !printable(value) {
-			bad("header line %.40q", line)
+		if !ok || !isToken(name) || !isPrintable(value) {
+			fail("header line %.40q", line)
 			continue
 		}
 		switch strings.ToLower(name) {
-		case contentLength, contentLengthIn:
+		case contentLengthName, contentLengthCompactName:
 			v, err := strconv.ParseUint(value, 10, 32)
 			if seen.length || err != nil {
-				bad("Content-Length %.40q", value)
+				fail("Content-Length %.40q", value)
 				continue
 			}
-			if seen.length = true; v > Most {
-				if fault == nil {
-					fault = fmt.Errorf("%w: Content-Length is %d", ErrTooLong, v)
+			if seen.length = true; v > MaxMessageSize {
+				if firstErr == nil {
+					firstErr = fmt.Errorf("%w: Content-Length is %d", ErrTooLong, v)
 				}
 				continue
 			}
 			length = int(v)
 		case "call-id", "i":
 			if seen.id || value == "" {
-				bad("Call-ID %.40q", value)
+				fail("Call-ID %.40q", value)
 				continue
 			}
 			m.CallID, seen.id = value, true
 		case "cseq":
 			number, method, _ := strings.Cut(value, " ")
 			v, err := strconv.ParseUint(number, 10, 32)
-			if method = strings.Trim(method, " \t"); seen.seq || err != nil || !token(method) {
-				bad("CSeq %.40q", value)
+			if method = strings.Trim(method, " \t"); seen.seq || err != nil || !isToken(method) {
+				fail("CSeq %.40q", value)
 				continue
 			}
 			m.CSeq, m.CSeqMethod, seen.seq = uint32(v), method, true
 		default:
-			if n >= fieldsMost {
-				bad("more than %d header fields", fieldsMost)
-				return m, 0, fault
+			if n >= maxFields {
+				fail("more than %d header fields", maxFields)
+				return m, 0, firstErr
 			}
 			m.Fields = append(m.Fields, Field{name, value})
 		}
 	}
 	if !seen.length {
-		bad("Content-Length is missing")
+		fail("Content-Length is missing")
 	}
-	return m, length, fault
+	return m, length, firstErr
 }
 
-// startLine parses a request line or status line into m.
-func startLine(m *Message, line string) error {
+// parseStartLine parses a request line or status line into m.
+func parseStartLine(m *Message, line string) error {
 	if rest, ok := strings.CutPrefix(line, "SIP/2.0 "); ok {
 		code, reason, _ := strings.Cut(rest, " ")
 		v, err := strconv.ParseUint(code, 10, 16)
-		if err != nil || v < statusLeast || v > statusMost || !printable(reason) {
+		if err != nil || v < minStatus || v > maxStatus || !isPrintable(reason) {
 			return fmt.Errorf("%w: status line %.40q", ErrMalformed, line)
 		}
 		m.Status = int(v)
 		return nil
 	}
 	parts := strings.Split(line, " ")
-	if len(parts) != 3 || !token(parts[0]) || parts[1] == "" || !printable(parts[1]) || parts[2] != "SIP/2.0" {
+	if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" || !isPrintable(parts[1]) || parts[2] != "SIP/2.0" {
 		return fmt.Errorf("%w: start line %.40q", ErrMalformed, line)
 	}
 	m.Method, m.URI = parts[0], parts[1]
 	return nil
 }
 
-// token reports whether s is a token (RFC 3261, section 25.1).
-func token(s string) bool {
+// isToken reports whether s is a token (RFC 3261, section 25.1).
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || strings.IndexByte("-.!%*_+`'~", c) >= 0) {
@@ -335,8 +335,8 @@
 	return s != ""
 }
 
-// printable reports whether s is free of control characters other than tabs.
-func printable(s string) bool {
+// isPrintable reports whether s is free of control characters other than tabs.
+func isPrintable(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -19,30 +19,30 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 1000) }
 
-func TestSetUpIsReadInAnyPieces(t *testing.T) {
+func TestSetUpIsReadInAnyChunks(t *testing.T) {
 	for name, r := range map[string]io.Reader{"at once": strings.NewReader(setUp + setUp), "octet by octet": iotest.OneByteReader(strings.NewReader(setUp + setUp))} {
-		in := NewReader(r)
+		reader := NewReader(r)
 		for range 2 {
-			m, err := in.Read()
+			m, err := reader.Read()
 			if err != nil || m.Method != Invite || m.User() != "7f3a9c21e0b4d655" || m.CallID != "9b1f03aa5c7e2d41" || m.CSeq != 1 ||
 				m.CSeqMethod != Invite || m.Get("priority-class") != "voice" || string(m.Body) != "ab\r\nc" {
 				t.Fatalf("%s: %+v %v", name, m, err)
 			}
 		}
-		if _, err := in.Read(); !errors.Is(err, io.EOF) {
+		if _, err := reader.Read(); !errors.Is(err, io.EOF) {
 			t.Fatalf("%s: at the end: %v", name, err)
 		}
 	}
 }
 
-func TestWhatCannotBeReadIsRefused(t *testing.T) {
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
 		want error
 		id   string // Call-ID parsed despite the error
 	}{
 		"noise":               {"\x00\x01\x02 noise\n", ErrMalformed, ""},
-		"line without end":    {strings.Repeat("a", 3*Most), ErrTooLong, ""},
+		"line without end":    {strings.Repeat("a", 3*MaxMessageSize), ErrTooLong, ""},
 		"no start line":       {"\r\n\r\n\r\n\r\n\r\n\r\n\r\n\r\n\r\n\r\n", ErrMalformed, ""},
 		"two lengths":         {strings.Replace(setUp, "Content-Length: 5", "Content-Length: 5\r\nl: 2", 1), ErrMalformed, "9b1f03aa5c7e2d41"},
 		"negative length":     {strings.Replace(setUp, ": 5", ": -5", 1), ErrMalformed, "9b1f03aa5c7e2d41"},
@@ -57,7 +57,7 @@
 		"status out of range": {"SIP/2.0 999 No\r\nContent-Length: 0\r\n\r\n", ErrMalformed, ""},
 		"cut in the header":   {setUp[:60], io.ErrUnexpectedEOF, ""},
 		"cut in the body":     {setUp[:len(setUp)-1], io.ErrUnexpectedEOF, "9b1f03aa5c7e2d41"},
-		"many fields":         {strings.Replace(setUp, "Via", strings.Repeat("X: 1\r\n", 2*fieldsMost)+"Via", 1), ErrMalformed, ""},
+		"many fields":         {strings.Replace(setUp, "Via", strings.Repeat("X: 1\r\n", 2*maxFields)+"Via", 1), ErrMalformed, ""},
 	} {
 		m, err := NewReader(strings.NewReader(c.text)).Read()
 		if !errors.Is(err, c.want) || m.CallID != c.id {
@@ -73,23 +73,23 @@
 	if _, err := r.Read(); !errors.Is(err, ErrTooLong) {
 		t.Fatal(err)
 	}
-	if cap(r.buf) > Most {
+	if cap(r.buf) > MaxMessageSize {
 		t.Fatalf("%d octets buffered", cap(r.buf))
 	}
 }
 
-func TestPartIsToldOnceForEachMessageWaitedFor(t *testing.T) {
-	told := 0
+func TestOnPartialIsCalledOncePerIncompleteMessage(t *testing.T) {
+	calls := 0
 	r := NewReader(io.MultiReader(strings.NewReader(setUp[:30]), strings.NewReader(setUp[30:90]), strings.NewReader(setUp[90:]), strings.NewReader(setUp)))
-	r.Part = func() { told++ }
+	r.OnPartial = func() { calls++ }
 	for _, want := range []int{1, 1} {
-		if _, err := r.Read(); err != nil || told != want {
-			t.Fatalf("called %d times, want %d: %v", told, want, err)
+		if _, err := r.Read(); err != nil || calls != want {
+			t.Fatalf("called %d times, want %d: %v", calls, want, err)
 		}
 	}
 }
 
-func TestWhatIsWrittenIsReadBack(t *testing.T) {
+func TestEncodedMessagesAreReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[a-z0-9]{1,12}`)
 		m := Message{CallID: word.Draw(t, "id"), CSeq: rapid.Uint32().Draw(t, "cseq"), CSeqMethod: rapid.SampledFrom([]string{Invite, Bye, Options}).Draw(t, "method")}
@@ -105,43 +105,43 @@
 			m.Body = body
 		}
 		octets := Append(nil, &m)
-		back, err := NewReader(iotest.HalfReader(bytes.NewReader(octets))).Read()
-		if err != nil || back.Get("Via") == "" {
+		decoded, err := NewReader(iotest.HalfReader(bytes.NewReader(octets))).Read()
+		if err != nil || decoded.Get("Via") == "" {
 			t.Fatal(err)
 		}
-		back.Fields = back.Fields[1:] // Via
-		if len(back.Fields) == 0 {
-			back.Fields = nil
+		decoded.Fields = decoded.Fields[1:] // Via
+		if len(decoded.Fields) == 0 {
+			decoded.Fields = nil
 		}
-		if !reflect.DeepEqual(m, back) {
-			t.Fatalf("%+v became %+v", m, back)
+		if !reflect.DeepEqual(m, decoded) {
+			t.Fatalf("%+v became %+v", m, decoded)
 		}
 	})
 }
 
 var corpus = [][]byte{[]byte(setUp), []byte("SIP/2.0 200 OK\r\nCall-ID: 1\r\nCSeq: 1 BYE\r\nContent-Length: 0\r\n\r\n")}
 
-func readsOrRefuses(t *testing.T, in []byte) {
+func checkRead(t *testing.T, in []byte) {
 	r := NewReader(iotest.HalfReader(bytes.NewReader(in)))
 	for {
 		m, err := r.Read()
-		if len(r.buf) > Most+readStep {
+		if len(r.buf) > MaxMessageSize+bufferGrowth {
 			t.Fatalf("%d octets buffered", len(r.buf))
 		}
 		if err != nil {
 			return
 		}
-		if len(m.Body) > Most || (m.Status == 0) == (m.Method == "") {
+		if len(m.Body) > MaxMessageSize || (m.Status == 0) == (m.Method == "") {
 			t.Fatalf("read %+v", m)
 		}
 	}
 }
 
-func TestDamagedMessages(t *testing.T) { seeded.Damaged(t, corpus, 100000, readsOrRefuses) }
+func TestDamagedMessages(t *testing.T) { seeded.Damaged(t, corpus, 100000, checkRead) }
 
 func FuzzRead(f *testing.F) {
 	for _, b := range corpus {
 		f.Add(b)
 	}
-	f.Fuzz(readsOrRefuses)
+	f.Fuzz(checkRead)
 }
--- a/internal/sip/siptest/peer.go
+++ b/internal/sip/siptest/peer.go
@@ -11,97 +11,97 @@
 	"indigodrift/internal/sip"
 )
 
-// heardMost bounds the received messages that wait for the test; beyond it the connection is not read.
-const heardMost = 1000
+// maxQueuedMessages bounds the received messages that wait for the test; beyond it the connection is not read.
+const maxQueuedMessages = 1000
 
 // Peer is a SIP peer at one end of a connection.
 type Peer struct {
-	t   *testing.T
-	c   net.Conn
-	got chan sip.Message // closed with the connection
+	t        *testing.T
+	conn     net.Conn
+	received chan sip.Message // closed with the connection
 }
 
 // New returns a peer at the end c of a connection and starts reading it.
-func New(t *testing.T, c net.Conn) *Peer {
-	p := &Peer{t: t, c: c, got: make(chan sip.Message, heardMost)}
+func New(t *testing.T, conn net.Conn) *Peer {
+	p := &Peer{t: t, conn: conn, received: make(chan sip.Message, maxQueuedMessages)}
 	go func() {
-		defer close(p.got)
-		r := sip.NewReader(c)
+		defer close(p.received)
+		reader := sip.NewReader(conn)
 		for {
-			m, err := r.Read()
+			m, err := reader.Read()
 			if err != nil {
 				return
 			}
-			p.got <- m
+			p.received <- m
 		}
 	}()
 	return p
 }
 
-// Say sends a message.
-func (p *Peer) Say(m sip.Message) { p.Raw(string(sip.Append(nil, &m))) }
+// Send sends a message.
+func (p *Peer) Send(m sip.Message) { p.SendRaw(string(sip.Append(nil, &m))) }
 
-// Raw sends a text that need not be a valid message.
-func (p *Peer) Raw(text string) { p.c.Write([]byte(text)) }
+// SendRaw sends a text that need not be a valid message.
+func (p *Peer) SendRaw(text string) { p.conn.Write([]byte(text)) }
 
 // Close closes the connection.
-func (p *Peer) Close() { p.c.Close() }
+func (p *Peer) Close() { p.conn.Close() }
 
-// Stand accepts the set-up m with a 200 response and a session description.
-func (p *Peer) Stand(m sip.Message, description string) {
-	answer := m.Answer(sip.OK)
+// Answer accepts the set-up m with a 200 response and a session description.
+func (p *Peer) Answer(m sip.Message, description string) {
+	answer := m.Response(sip.OK)
 	answer.Body = []byte(description)
-	p.Say(answer)
+	p.Send(answer)
 }
 
-// Next returns the next message and answers the keepalives before it. It returns false if the connection has ended or nothing
+// Receive returns the next message and answers the keepalives before it. It returns false if the connection has ended or nothing
 // arrived in time.
-func (p *Peer) Next(within time.Duration) (sip.Message, bool) {
-	until := time.After(within)
+func (p *Peer) Receive(timeout time.Duration) (sip.Message, bool) {
+	expired := time.After(timeout)
 	for {
 		select {
-		case m, ok := <-p.got:
+		case m, ok := <-p.received:
 			if ok && m.Method == sip.Options {
-				p.Say(m.Answer(sip.OK))
+				p.Send(m.Response(sip.OK))
 				continue
 			}
 			return m, ok
-		case <-until:
+		case <-expired:
 			return sip.Message{}, false
 		}
 	}
 }
 
-// Want returns the next message, which must have the given method or status.
-func (p *Peer) Want(what string) sip.Message {
+// Expect returns the next message, which must have the given method or status.
+func (p *Peer) Expect(what string) sip.Message {
 	p.t.Helper()
-	m, ok := p.Next(3 * time.Second)
+	m, ok := p.Receive(3 * time.Second)
 	if got := m.Method; !ok || got != what && fmt.Sprint(m.Status) != what {
 		p.t.Fatalf("received %v %+v, want %s", ok, m, what)
 	}
 	return m
 }
 
-// WantRelease expects the release of a call as the next message and answers it.
-func (p *Peer) WantRelease(id string) {
+// ExpectRelease expects the release of a call as the next message and answers it.
+func (p *Peer) ExpectRelease(id string) {
 	p.t.Helper()
-	m := p.Want(sip.Bye)
+	m := p.Expect(sip.Bye)
 	if m.CallID != id {
 		p.t.Errorf("released %+v, want %s", m, id)
 	}
-	p.Say(m.Answer(sip.OK))
+	p.Send(m.Response(sip.OK))
 }
 
 // ClosedWithin reports whether the connection ends within a time. Messages before the end are discarded.
-func (p *Peer) ClosedWithin(span time.Duration) bool {
-	until := time.After(span)
+func (p *Peer) ClosedWithin(timeout time.Duration) bool {
+	expired := time.After(timeout)
 	for {
 		select {
-		case _, ok := <-p.got:
+		case _, ok := <-p.received:
 			if !ok {
 				return true
 			}
-		case <-until:
+		case <-expired:
 			return false
 		}
 	}
@@ -119,8 +119,8 @@
 		Fields: []sip.Field{{Name: "Reason", Value: fmt.Sprintf("Q.850;cause=%d", cause)}}}
 }
 
-// Group returns a load report of a switch: the free circuits and the size of its trunk group.
-func Group(free, size int) sip.Message {
+// LoadReport returns a load report of a switch: the free circuits and the size of its trunk group.
+func LoadReport(free, size int) sip.Message {
 	return sip.Message{Method: sip.Notify, URI: "sip:x@net", CallID: "0", CSeq: 1, CSeqMethod: sip.Notify,
 		Fields: []sip.Field{{Name: "P-Load", Value: fmt.Sprintf("x0:%d;x1:%d", free, size)}}}
 }
--- a/internal/soak/board.go
+++ b/internal/soak/board.go
@@ -94,7 +94,7 @@
 			return
 		case <-time.After(boardBeat):
 			b.push(c)
-			c.write(board.AppendNothing(nil, c.told))
+			c.write(board.AppendKeepalive(nil, c.told))
 		}
 	}
 }
@@ -176,7 +176,7 @@
 // breakOff ends the open connections within an event.
 func (b *Board) breakOff() {
 	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Span: toldAfterBreak, Text: "breaks off"})
-	half := board.AppendNothing(nil, 1)
+	half := board.AppendKeepalive(nil, 1)
 	b.mu.Lock()
 	conns := b.open()
 	b.mu.Unlock()
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -133,7 +133,7 @@
 	k.link = l
 	g.mu.Unlock()
 	m := k.message
-	m.Fields = []sip.Field{{Name: "Priority-Class", Value: className}, {Name: "Expires-Ms", Value: "1000"}, {Name: "P-Trunk-Info", Value: "at:" + board.Text(k.at)}}
+	m.Fields = []sip.Field{{Name: "Priority-Class", Value: className}, {Name: "Expires-Ms", Value: "1000"}, {Name: "P-Trunk-Info", Value: "at:" + board.FormatID(k.at)}}
 	if g.write(l, &m) {
 		g.log.Add(Event{Kind: CallAnnounced, Controller: g.controller, Call: k.id, Conn: l.conn, Switch: k.at})
 	}
@@ -287,7 +287,7 @@
 		case m.Method == sip.Bye:
 			g.toldOver(l, &m)
 		case m.Method == sip.Options:
-			passed := m.Answer(sip.OK)
+			passed := m.Response(sip.OK)
 			g.write(l, &passed)
 		}
 	}
@@ -305,7 +305,7 @@
 	}
 	release := k != nil && k.stands && g.random.Float64() < g.own.Release
 	after := upTo(g.random, 0, g.plan.Switches.HoldMax)
-	repeat := k != nil && m.Refusal() && !k.givenUp && !g.paused && g.random.Float64() < g.own.Repeat/2
+	repeat := k != nil && m.Rejected() && !k.givenUp && !g.paused && g.random.Float64() < g.own.Repeat/2
 	g.mu.Unlock()
 	if m.Status == sip.OK {
 		text = string(m.Body)
@@ -363,7 +363,7 @@
 	if comes {
 		g.all.Go(func() { g.place(false, ";again:1") })
 	}
-	heard := m.Answer(sip.OK)
+	heard := m.Response(sip.OK)
 	switch {
 	case l.answer == AnswerAtOnce && k != nil:
 		g.write(l, &heard)
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -123,9 +123,9 @@
 	t.Limits.Cores, t.Limits.MemoryMB, t.Limits.Sockets = 1, memoryMB, descriptors
 	for _, e := range events {
 		n := noticeText{Rev: e.Number}
-		n.Pool.Reset = e.Whole
+		n.Pool.Reset = e.Complete
 		for _, s := range e.Switches {
-			n.Pool.Instances = append(n.Pool.Instances, instanceText{board.Text(s.ID), s.Address, s.Cell, lifecycles[s.State], s.StartedMS})
+			n.Pool.Instances = append(n.Pool.Instances, instanceText{board.FormatID(s.ID), s.Address, s.Cell, lifecycles[s.State], s.StartedMS})
 		}
 		t.Known.Rev = e.Number
 		t.Known.Notices = append(t.Known.Notices, n)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -37,13 +37,13 @@
 	case ResetLink:
 		s.loseOne(f.Controller, proxy.ResetOne(), lostReset)
 	case RefuseLinks:
-		proxy.Refuse()
+		proxy.CloseListener()
 		w.pause(f.For)
-		w.problem(proxy.Accept())
+		w.problem(proxy.ReopenListener())
 	case HangLinks:
-		proxy.Hang(true)
+		proxy.SetHanging(true)
 		w.pause(f.For)
-		proxy.Hang(false)
+		proxy.SetHanging(false)
 	case VanishSwitch:
 		w.vanish(f.Cell, f.For)
 	case HangSwitch:
@@ -88,7 +88,7 @@
 			w.all.Go(func() { idle(w.controllers[f.Controller].listen, w.stop) })
 		}
 	case EndLink:
-		proxy.EndOne()
+		proxy.HalfCloseOne()
 	case Burst:
 		for range burstSize {
 			w.all.Go(w.callers[f.Controller].call)
@@ -120,13 +120,13 @@
 func (w *world) vanish(cell int, span time.Duration) {
 	s := w.cell(cell)
 	for i, p := range w.proxies[cell] {
-		p.Hang(true)
+		p.SetHanging(true)
 		s.lose(i, "", lostVanished)
 		p.Silence()
 	}
 	w.pause(span)
 	for _, p := range w.proxies[cell] {
-		p.Hang(false)
+		p.SetHanging(false)
 		p.Reset() // what came up meanwhile
 	}
 }
@@ -149,7 +149,7 @@
 	}
 	old.Die()
 	for _, p := range w.proxies[cell] {
-		p.Refuse()
+		p.CloseListener()
 		p.Reset()
 	}
 	w.pause(w.drawn(0, listLater))
@@ -160,7 +160,7 @@
 	fresh, err := w.newSwitch(cell, time.Now().UnixMilli())
 	if err == nil {
 		for i, p := range w.proxies[cell] {
-			p.Retarget(w.switchAddress(fresh, i))
+			p.SetTarget(w.switchAddress(fresh, i))
 		}
 		w.switches[cell] = fresh
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	for _, p := range w.proxies[cell] {
-		w.problem(p.Accept())
+		w.problem(p.ReopenListener())
 	}
 	w.pause(w.drawn(0, listLater))
 	w.list(board.Switch{ID: fresh.id, Cell: cell, State: board.Ready, StartedMS: fresh.bornMS})
--- a/internal/soak/judge_list.go
+++ b/internal/soak/judge_list.go
@@ -74,7 +74,7 @@
 				from += drainGrace + slack + passMost + e.Span
 				from += j.late(p.from, from)
 				if e.At > from && e.At < p.to {
-					j.breach(RuleDrain, j.calls[e.Call], controller, "a set-up at %s at %.3f, told at %.3f that it drains or is gone", board.Text(e.Switch), e.At.Seconds(), p.from.Seconds())
+					j.breach(RuleDrain, j.calls[e.Call], controller, "a set-up at %s at %.3f, told at %.3f that it drains or is gone", board.FormatID(e.Switch), e.At.Seconds(), p.from.Seconds())
 				}
 			}
 		}
@@ -110,7 +110,7 @@
 			strength := coldFrom + (1-coldFrom)*min(1, (at-born[id]).Seconds()/rampTime.Seconds())
 			bears := tipMultiple * strength * 2 * carried * tipAfter.Seconds()
 			if float64(n) > bears+3*math.Sqrt(bears)+3 {
-				j.breach(RuleCold, nil, -1, "%d set-ups in %v to %s, which bears %.1f", n, tipAfter, board.Text(id), bears)
+				j.breach(RuleCold, nil, -1, "%d set-ups in %v to %s, which bears %.1f", n, tipAfter, board.FormatID(id), bears)
 				break
 			}
 		}
--- a/internal/soak/judge_sides.go
+++ b/internal/soak/judge_sides.go
@@ -35,7 +35,7 @@
 	if over <= deadline || !j.aliveThrough(k.controller, stood.At, deadline) || j.end < deadline || j.unreachable(k.controller, stood.Switch, ended, deadline) {
 		return
 	}
-	j.breach(RuleBothSides, k, k.controller, "over for its caller at %.3f, run %d at %s %s", ended.Seconds(), stood.Number, board.Text(stood.Switch), whenOver(over))
+	j.breach(RuleBothSides, k, k.controller, "over for its caller at %.3f, run %d at %s %s", ended.Seconds(), stood.Number, board.FormatID(stood.Switch), whenOver(over))
 }
 
 func whenOver(at time.Duration) string {
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	return with(without(without(without(events, CallOver), ReleaseWritten), CallToldOver),
-		Event{At: 900 * ms, Kind: CallAnswered, Call: callID, Conn: 1, Status: sip.ServiceUnavail})
+		Event{At: 900 * ms, Kind: CallAnswered, Call: callID, Conn: 1, Status: sip.ServiceUnavailable})
 }
 
 func without(events []Event, kind Kind) []Event {
@@ -99,7 +99,7 @@
 			Event{At: 2006 * ms, Kind: ControllerEnded, Text: "signal: killed"}, Event{At: 2100 * ms, Kind: ControllerStarted}, Event{At: 2110 * ms, Kind: ControllerReady, Span: 10 * ms},
 			Event{At: 2120 * ms, Kind: CallAnnounced, Call: callID, Switch: swID, Conn: 1}), ""},
 		{"never told, and nobody was there", with(without(without(history(), CallToldOver), CallerClosed), Event{At: 1900 * ms, Kind: CallerClosed, Conn: 1}), ""},
-		{"tried again at once after a refusal", with(ended(sip.ServiceUnavail), at(again, 110*ms+passMost)), ""},
+		{"tried again at once after a refusal", with(ended(sip.ServiceUnavailable), at(again, 110*ms+passMost)), ""},
 		{"tried again at once after an answer", with(history(), at(again, 110*ms+passMost)), RuleReleaseTime},
 		{"tried again at once after a spoilt answer", with(ended(0), at(again, 110*ms+passMost)), RuleReleaseTime},
 		{"tried again at once after a reset", with(ended(sip.ServerTimeout), at(again, 110*ms+passMost)), RuleReleaseTime},
--- a/internal/soak/judge_tries.go
+++ b/internal/soak/judge_tries.go
@@ -47,10 +47,10 @@
 		}
 		own := int(t.arrived.Switch&0xffff) <= j.plan.Controllers && int(t.arrived.Switch&0xffff)-1 == k.controller
 		if !placed || sent.At > t.arrived.At || t.arrived.Text != "offer of "+k.id || own {
-			j.breach(RuleNoCaller, k, k.controller, "a set-up at %s that no caller sent, with %q", board.Text(t.arrived.Switch), t.arrived.Text)
+			j.breach(RuleNoCaller, k, k.controller, "a set-up at %s that no caller sent, with %q", board.FormatID(t.arrived.Switch), t.arrived.Text)
 		}
 		if sent.Cell > 0 && j.cellOf[t.arrived.Switch] != sent.Cell-1 {
-			j.breach(RuleNoCaller, k, k.controller, "a call in transit to cell %d at %s", sent.Cell-1, board.Text(t.arrived.Switch))
+			j.breach(RuleNoCaller, k, k.controller, "a call in transit to cell %d at %s", sent.Cell-1, board.FormatID(t.arrived.Switch))
 		}
 		if i > 0 && !t.delayed && !all[i-1].delayed {
 			j.follows(k, all[i-1], t)
@@ -62,8 +62,8 @@
 func (j *judge) follows(k *callView, before, t *try) {
 	room := slack + passMost + j.late(before.arrived.At, t.arrived.At)
 	if before.ended > t.arrived.At+room {
-		j.breach(RuleOneTry, k, k.controller, "a set-up at %s at %.3f while one is out at %s since %.3f", board.Text(t.arrived.Switch), t.arrived.At.Seconds(),
-			board.Text(before.arrived.Switch), before.arrived.At.Seconds())
+		j.breach(RuleOneTry, k, k.controller, "a set-up at %s at %.3f while one is out at %s since %.3f", board.FormatID(t.arrived.Switch), t.arrived.At.Seconds(),
+			board.FormatID(before.arrived.Switch), before.arrived.At.Seconds())
 		return
 	}
 	if room := j.releaseRoom(before, t); before.mustRest() && t.arrived.At-before.ended < releaseGuard-room {
@@ -75,7 +75,7 @@
 // counts as well, since who sends again after it has not taken it.
 func (t *try) mustRest() bool {
 	switch t.status {
-	case sip.ServiceUnavail, sip.Unavailable, sip.BusyHere, sip.ServerError:
+	case sip.ServiceUnavailable, sip.TemporarilyUnavailable, sip.BusyHere, sip.ServerInternalError:
 		return t.end != TryEnded
 	}
 	return !t.lost
--- a/internal/soak/switch_run.go
+++ b/internal/soak/switch_run.go
@@ -115,12 +115,12 @@
 		s.mu.Unlock()
 	case sip.Bye:
 		if s.plan.Switches.HearsReleases {
-			heard := m.Answer(sip.OK)
+			heard := m.Response(sip.OK)
 			s.write(l, &heard)
 		}
 		s.released(m.CallID)
 	case sip.Options:
-		passed := m.Answer(sip.OK)
+		passed := m.Response(sip.OK)
 		s.write(l, &passed)
 	}
 }
@@ -270,15 +270,15 @@
 	switch kind {
 	case EndFull:
 		word := []string{"atb", "rtb", "racc", "acc"}[s.random.IntN(4)]
-		m.Status = sip.ServiceUnavail
+		m.Status = sip.ServiceUnavailable
 		m.Fields = []sip.Field{{Name: "Warning-Word", Value: word}}
 		if word == "acc" {
 			m.Fields = append(m.Fields, sip.Field{Name: "P-Wait", Value: strconv.Itoa(s.random.IntN(60))})
 		}
 	case EndError:
-		m.Status = []int{sip.BusyHere, sip.ServerError}[s.random.IntN(2)]
+		m.Status = []int{sip.BusyHere, sip.ServerInternalError}[s.random.IntN(2)]
 	case EndMoot:
-		m.Status = sip.Unavailable
+		m.Status = sip.TemporarilyUnavailable
 	default:
 		m.Status = sip.ServerTimeout
 	}
@@ -303,7 +303,7 @@
 
 // AnswerBody is the description with which a switch answers a set-up.
 func AnswerBody(id uint32, call string, run uint64) string {
-	return fmt.Sprintf("answer of %s to %s, run %d", board.Text(id), call, run)
+	return fmt.Sprintf("answer of %s to %s, run %d", board.FormatID(id), call, run)
 }
 
 // accept writes the answer of a call that stands, in the way that was drawn.
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -62,7 +62,7 @@
 // build starts switches, boards, proxies and controllers.
 func (w *world) build() error {
 	n := w.plan.Controllers
-	shape := faultproxy.Shape{PieceMost: w.plan.PieceMost, PieceWait: pieceWait, PieceAll: pieceAll, ConnectMost: w.plan.ConnectMost}
+	shape := faultproxy.Shape{MaxChunk: w.plan.PieceMost, MaxChunkDelay: pieceWait, MaxTotalChunkDelay: pieceAll, MaxConnectDelay: w.plan.ConnectMost}
 	w.proxies = make([][]*faultproxy.Proxy, n)
 	w.restarting, w.replacing = make([]sync.Mutex, n), make([]sync.Mutex, n)
 	var entries []board.Switch
@@ -74,12 +74,12 @@
 		w.switches = append(w.switches, s)
 		for i := range n {
 			way := shape
-			way.Way, way.Jitter = w.plan.Ways[cell*n+i], w.plan.Jitter
+			way.Latency, way.Jitter = w.plan.Ways[cell*n+i], w.plan.Jitter
 			p, err := faultproxy.Listen(w.address(kindProxy+i, cell+1, port), w.switchAddress(s, i), way, w.plan.Seed+uint64(cell*n+i))
 			if err != nil {
 				return err
 			}
-			p.Ended = func(from string) { w.cell(cell).closedByController(i, from) }
+			p.OnClientClosed = func(from string) { w.cell(cell).closedByController(i, from) }
 			w.proxies[cell] = append(w.proxies[cell], p)
 		}
 		entries = append(entries, board.Switch{ID: s.id, Cell: cell})
@@ -95,7 +95,7 @@
 	for i := range n {
 		c := &Controller{log: w.log, number: i, plan: w.plan, program: w.program, plant: w.plant, folder: w.folder, listen: w.address(kindController, i+1, port), board: w.boards[i]}
 		w.controllers = append(w.controllers, c)
-		front, err := faultproxy.Listen(w.address(kindFront, i+1, port), c.listen, faultproxy.Shape{PieceMost: w.plan.PieceMost, PieceWait: pieceWait, PieceAll: pieceAll}, w.plan.Seed+uint64(i))
+		front, err := faultproxy.Listen(w.address(kindFront, i+1, port), c.listen, faultproxy.Shape{MaxChunk: w.plan.PieceMost, MaxChunkDelay: pieceWait, MaxTotalChunkDelay: pieceAll}, w.plan.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
@@ -141,7 +141,7 @@
 			Span: time.Duration(s.StartedMS) * time.Millisecond})
 	}
 	for i, b := range w.boards {
-		e := board.Event{Number: w.number, Whole: whole}
+		e := board.Event{Number: w.number, Complete: whole}
 		for _, s := range entries {
 			s.Address = w.proxies[s.Cell][i].Address()
 			e.Switches = append(e.Switches, s)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -168,7 +168,7 @@
 		return fmt.Errorf("invalid clock %v", clock)
 	}
 	tail := body[count*eventSize:]
-	now := deployment.Tenths(clock)
+	now := deployment.TenthsFromMillis(clock)
 	var who uint32
 	named := false
 	for i := range int(count) {
@@ -215,7 +215,7 @@
 		s := policy.Switch{ID: u32(e[14:]), Number: int(binary.LittleEndian.Uint16(e[20:])),
 			Ready: e[22] == statusReady, Draining: e[22] == statusDraining}
 		if boot := f64(e[4:]); boot > 0 && boot < 1e15 {
-			s.BootAt = deployment.Tenths(boot)
+			s.BootAt = deployment.TenthsFromMillis(boot)
 		}
 		list = append(list, s)
 	}
@@ -229,13 +229,13 @@
 	if err != nil {
 		return err
 	}
-	told, err := deployment.Read(info)
+	told, err := deployment.Parse(info)
 	if err != nil {
 		return err
 	}
-	told.Module.Seed = binary.LittleEndian.Uint64(rec[1:])
-	in := &instance{host: h, id: who, fields: told.Reported}
-	in.module = policy.New(told.Module, in, now)
+	told.Policy.Seed = binary.LittleEndian.Uint64(rec[1:])
+	in := &instance{host: h, id: who, fields: told.LoadReportNames}
+	in.module = policy.New(told.Policy, in, now)
 	h.instances[who] = in
 	return nil
 }
@@ -256,7 +256,7 @@
 		m.ListReceived(now, rec[1] == listFull || rec[1] == listCached, in.host.pages[page])
 	case evSubmit:
 		c := policy.Call{ID: call, Number: binary.LittleEndian.Uint64(rec[8:]), Bearer: int(rec[5]),
-			TTL: deployment.Tenths(f64(rec[16:])), Dest: whole(rec[32:]), Width: max(1, whole(rec[36:])), AdvisedTandem: whole(rec[40:]),
+			TTL: deployment.TenthsFromMillis(f64(rec[16:])), Dest: whole(rec[32:]), Width: max(1, whole(rec[36:])), AdvisedTandem: whole(rec[40:]),
 			Redial: rec[44]&bitRedial != 0, Transit: rec[44]&bitTransit != 0, Disconnected: rec[44]&bitCut != 0}
 		if !m.Offer(now, c) {
 			return fmt.Errorf("call %d: unknown bearer type %d", call, c.Bearer)
@@ -320,7 +320,7 @@
 	for i := range n {
 		values[i] = float64(math.Float32frombits(u32(b[1+4*i:])))
 	}
-	return deployment.Report(in.fields, values[:n]), nil
+	return deployment.LoadReport(in.fields, values[:n]), nil
 }
 
 // put appends an action record of this instance and returns its fields.
