--- a/internal/b2bua/bounds.go
+++ b/internal/b2bua/bounds.go
@@ -8,18 +8,18 @@
 	Links   int // connections to switches, dials included
 }
 
-// Closing is how many connections of each kind may be closing in addition to those that are held.
-const Closing = 8
+// MaxClosing is how many connections of each kind may be closing in addition to those that are held.
+const MaxClosing = 8
 
-// descriptorsKept is reserved for the standard streams, the listener, the system's poller, the configuration and
+// reservedDescriptors is reserved for the standard streams, the listener, the system's poller, the configuration and
 // the notice board, which uses two connections while its address changes.
-const descriptorsKept = 10
+const reservedDescriptors = 10
 
 // Descriptors divides the descriptors of the process between callers and switches, after its own needs. The
 // platform's callers hold a third at most and must have it; where the rest allows, as much again is for other
 // callers.
 func Descriptors(all int) (callers, links int) {
-	free := all - descriptorsKept - 2*Closing
+	free := all - reservedDescriptors - 2*MaxClosing
 	callers = max(all/3, free/2)
 	return callers, max(1, free-callers)
 }
--- a/internal/b2bua/caller_conn.go
+++ b/internal/b2bua/caller_conn.go
@@ -7,49 +7,49 @@
 )
 
 const (
-	// wordMost is how long a connection may be open before its first complete message, and how long a message may
+	// callerMessageTimeout is how long a connection may be open before its first complete message, and how long a message may
 	// take to become complete: the platform requires an answer or a close within 3 s.
-	wordMost = policy.Tenths(20000)
+	callerMessageTimeout = policy.Tenths(20000)
 
-	// idleMost is how long a connection may stay without a message while no set-up is open on it. Callers close
+	// callerIdleTimeout is how long a connection may stay without a message while no set-up is open on it. Callers close
 	// their connections after 4 s without a call, so one that stays longer is not in use.
-	idleMost = policy.Tenths(100000)
+	callerIdleTimeout = policy.Tenths(100000)
 
-	// readWithin is how long an expected acknowledgement may be missing before a connection is suspect.
-	readWithin = policy.Tenths(3000)
+	// readProofTimeout is how long an expected acknowledgement may be missing before a connection is suspect.
+	readProofTimeout = policy.Tenths(3000)
 )
 
 // callerConn is one connection of a caller.
 type callerConn struct {
-	conn    Conn
-	openAt  policy.Tenths
-	wholeAt policy.Tenths // last complete message, 0 before the first
-	partAt  policy.Tenths // when the message that is being received began, 0 if none
-	calls   int           // set-ups open on it
-	asked   bool          // a valid set-up came on it
+	conn          ConnID
+	openedAt      policy.Tenths
+	lastMessageAt policy.Tenths // last complete message, 0 before the first
+	partialSince  policy.Tenths // when the message that is being received began, 0 if none
+	openSetUps    int           // set-ups open on it
+	setUpSeen     bool          // a valid set-up came on it
 
 	// Sequence numbers of the writes on the connection, and how far the caller is known to have read. TCP keeps
 	// the order, so an acknowledgement of an answer proves that everything before it was read.
-	wrote      uint64        // of the last answer or release
-	readAt     policy.Tenths // of the last proof that the caller reads, 0 before the first
-	answerLast uint64        // of the last answer, which must be acknowledged
-	answerAt   policy.Tenths // since when an ACK is expected, 0 if none is
-	copies     []releaseCopy // not known to be read, in write order
+	lastSeq         uint64        // of the last answer or release
+	lastProofAt     policy.Tenths // of the last proof that the caller reads, 0 before the first
+	lastAnswerSeq   uint64        // of the last answer, which must be acknowledged
+	ackPendingSince policy.Tenths // since when an ACK is expected, 0 if none is
+	copies          []releaseCopy // not known to be read, in write order
 }
 
-// answered records that an answer was written, which the caller must acknowledge.
-func (o *callerConn) answered(place uint64, now policy.Tenths) {
-	o.answerLast = place
-	if o.answerAt == 0 {
-		o.answerAt = now
+// answerWritten records that an answer was written, which the caller must acknowledge.
+func (o *callerConn) answerWritten(place uint64, now policy.Tenths) {
+	o.lastAnswerSeq = place
+	if o.ackPendingSince == 0 {
+		o.ackPendingSince = now
 	}
 }
 
-// read records a proof that everything up to a sequence number was read.
-func (o *callerConn) read(place uint64, now policy.Tenths) {
-	o.readAt = now
-	if o.answerAt = now; place >= o.answerLast {
-		o.answerAt = 0
+// proveRead records a proof that everything up to a sequence number was read.
+func (o *callerConn) proveRead(place uint64, now policy.Tenths) {
+	o.lastProofAt = now
+	if o.ackPendingSince = now; place >= o.lastAnswerSeq {
+		o.ackPendingSince = 0
 	}
 }
 
@@ -57,66 +57,66 @@
 // overdue. It is derived, not stored: it ends with the next proof or when the release is dropped, and it only
 // ranks connections.
 func (o *callerConn) suspect(now policy.Tenths) bool {
-	if o.answerAt != 0 && now-o.answerAt > readWithin {
+	if o.ackPendingSince != 0 && now-o.ackPendingSince > readProofTimeout {
 		return true
 	}
-	return len(o.copies) > 0 && now-o.copies[0].at > readWithin
+	return len(o.copies) > 0 && now-o.copies[0].writtenAt > readProofTimeout
 }
 
 // callerConns holds the callers' connections and selects those to close.
 type callerConns struct {
-	most  int
-	conns map[Conn]*callerConn
-	order []Conn // in the order in which they opened
+	max   int
+	conns map[ConnID]*callerConn
+	order []ConnID // in the order in which they opened
 }
 
 func newCallerConns(most int) callerConns {
-	return callerConns{most: most, conns: map[Conn]*callerConn{}}
+	return callerConns{max: most, conns: map[ConnID]*callerConn{}}
 }
 
 // setUpEnded records that a set-up on a connection is no longer open.
-func (d *callerConns) setUpEnded(c Conn) {
+func (d *callerConns) setUpEnded(c ConnID) {
 	if o := d.conns[c]; o != nil {
-		o.calls--
+		o.openSetUps--
 	}
 }
 
-// asked reports whether a set-up came on a connection.
-func (d *callerConns) asked(c Conn) bool {
+// setUpSeen reports whether a set-up came on a connection.
+func (d *callerConns) setUpSeen(c ConnID) bool {
 	o := d.conns[c]
-	return o != nil && o.asked
+	return o != nil && o.setUpSeen
 }
 
-// proved reports whether a caller is known to have read anything written on its connection.
-func (d *callerConns) proved(c Conn) bool {
+// readProved reports whether a caller is known to have read anything written on its connection.
+func (d *callerConns) readProved(c ConnID) bool {
 	o := d.conns[c]
-	return o != nil && o.readAt != 0
+	return o != nil && o.lastProofAt != 0
 }
 
 // forgetCopies removes a finished release from the connections on which it was written.
 func (d *callerConns) forgetCopies(r *pendingRelease) {
-	for _, c := range r.on {
+	for _, c := range r.conns {
 		if o := d.conns[c]; o != nil {
 			o.copies = slices.DeleteFunc(o.copies, func(written releaseCopy) bool { return written.release == r })
 		}
 	}
 }
 
-// leastNeeded selects the connection to close when one more would exceed the limit: the oldest one without any
+// evictionCandidate selects the connection to close when one more would exceed the limit: the oldest one without any
 // complete message, else the one without an open set-up that has been quiet longest, preferring those whose caller
 // never proved to read. It returns 0 if there is none.
-func (d *callerConns) leastNeeded() Conn {
+func (d *callerConns) evictionCandidate() ConnID {
 	var idle *callerConn
 	for _, c := range d.order {
 		o := d.conns[c]
-		if o.wholeAt == 0 {
+		if o.lastMessageAt == 0 {
 			return c
 		}
-		if o.calls > 0 {
+		if o.openSetUps > 0 {
 			continue
 		}
-		proved, idleProved := o.readAt != 0, idle != nil && idle.readAt != 0
-		if idle == nil || idleProved && !proved || idleProved == proved && o.wholeAt < idle.wholeAt {
+		proved, idleProved := o.lastProofAt != 0, idle != nil && idle.lastProofAt != 0
+		if idle == nil || idleProved && !proved || idleProved == proved && o.lastMessageAt < idle.lastMessageAt {
 			idle = o
 		}
 	}
@@ -126,14 +126,14 @@
 	return idle.conn
 }
 
-// overdue returns why a connection must be closed, "" if it may stay.
-func (o *callerConn) overdue(silentFor func(policy.Tenths) policy.Tenths) string {
+// closeReason returns why a connection must be closed, "" if it may stay.
+func (o *callerConn) closeReason(silentFor func(policy.Tenths) policy.Tenths) string {
 	switch {
-	case o.partAt != 0 && silentFor(o.partAt) > wordMost:
+	case o.partialSince != 0 && silentFor(o.partialSince) > callerMessageTimeout:
 		return "incomplete message"
-	case o.wholeAt == 0 && silentFor(o.openAt) > wordMost:
+	case o.lastMessageAt == 0 && silentFor(o.openedAt) > callerMessageTimeout:
 		return "no message received"
-	case o.calls == 0 && o.wholeAt != 0 && silentFor(o.wholeAt) > idleMost:
+	case o.openSetUps == 0 && o.lastMessageAt != 0 && silentFor(o.lastMessageAt) > callerIdleTimeout:
 		return "idle"
 	}
 	return ""
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -8,26 +8,26 @@
 	"indigodrift/policy"
 )
 
-// CallerUp adds a new connection of a caller. It returns false when there is no room for it and it has to be
+// CallerConnected adds a new connection of a caller. It returns false when there is no room for it and it has to be
 // closed.
-func (a *Agent) CallerUp(now policy.Tenths, c Conn) bool {
+func (a *Agent) CallerConnected(now policy.Tenths, c ConnID) bool {
 	a.now = now
-	if len(a.callers.conns) >= a.callers.most {
-		worst := a.callers.leastNeeded()
+	if len(a.callers.conns) >= a.callers.max {
+		worst := a.callers.evictionCandidate()
 		if worst == 0 {
-			a.out.Note("limit of caller connections reached")
+			a.transport.Note("limit of caller connections reached")
 			return false
 		}
-		a.out.Close(worst, "connection limit reached")
-		a.CallerDown(now, worst)
+		a.transport.Close(worst, "connection limit reached")
+		a.CallerDisconnected(now, worst)
 	}
-	a.callers.conns[c] = &callerConn{conn: c, openAt: now}
+	a.callers.conns[c] = &callerConn{conn: c, openedAt: now}
 	a.callers.order = append(a.callers.order, c)
 	return true
 }
 
-// CallerDown removes a caller's connection and abandons the set-ups open on it.
-func (a *Agent) CallerDown(now policy.Tenths, c Conn) {
+// CallerDisconnected removes a caller's connection and abandons the set-ups open on it.
+func (a *Agent) CallerDisconnected(now policy.Tenths, c ConnID) {
 	a.now = now
 	o := a.callers.conns[c]
 	if o == nil {
@@ -37,249 +37,249 @@
 	if i := slices.Index(a.callers.order, c); i >= 0 {
 		a.callers.order = slices.Delete(a.callers.order, i, i+1)
 	}
-	if o.calls > 0 || len(o.copies) > 0 {
-		a.out.Record(Record{Kind: CallerDown, Conn: c, Why: fmt.Sprintf("%d set-ups and %d releases pending", o.calls, len(o.copies))})
+	if o.openSetUps > 0 || len(o.copies) > 0 {
+		a.transport.Record(Record{Kind: CallerConnEnded, Conn: c, Reason: fmt.Sprintf("%d set-ups and %d releases pending", o.openSetUps, len(o.copies))})
 	}
-	if o.calls > 0 {
-		for _, k := range a.inOrder(func(k *call) bool { return k.caller == c && (k.state == Offered || k.state == Trying) }) {
-			a.left(k)
-			a.tally.Left++
+	if o.openSetUps > 0 {
+		for _, k := range a.matchingCalls(func(k *trackedCall) bool { return k.caller == c && (k.state == Offered || k.state == Trying) }) {
+			a.abandonCall(k)
+			a.callCounts.Abandoned++
 		}
 	}
-	a.releasesCross(o)
-	a.settle()
+	a.rewriteReleases(o)
+	a.flushDeferred()
 }
 
-// CallerPart records since when a message on a connection is incomplete, 0 when none is.
-func (a *Agent) CallerPart(c Conn, since policy.Tenths) {
+// CallerMessagePartial records since when a message on a connection is incomplete, 0 when none is.
+func (a *Agent) CallerMessagePartial(c ConnID, since policy.Tenths) {
 	if o := a.callers.conns[c]; o != nil {
-		o.partAt = since
+		o.partialSince = since
 	}
 }
 
-// CallerBad handles an unreadable message: it is answered where it has an id, and the connection is closed. Calls
+// CallerMessageInvalid handles an unreadable message: it is answered where it has an id, and the connection is closed. Calls
 // that are open on it fail at once, as their caller would not receive a later answer.
-func (a *Agent) CallerBad(now policy.Tenths, c Conn, m *sip.Message, tooLong bool, why string) {
+func (a *Agent) CallerMessageInvalid(now policy.Tenths, c ConnID, m *sip.Message, tooLong bool, why string) {
 	a.now = now
 	if a.callers.conns[c] == nil {
 		return
 	}
-	a.tally.Refused++
+	a.callCounts.Refused++
 	status := sip.BadRequest
 	if tooLong {
 		status = sip.RequestEntityTooLarge
 	}
-	a.failOpen(func(k *call) bool { return k.caller == c })
+	a.failOpenCalls(func(k *trackedCall) bool { return k.caller == c })
 	refusal := m.Response(status)
-	if _, err := readID(m.CallID); err != nil {
+	if _, err := parseID(m.CallID); err != nil {
 		refusal.CallID = ""
 	}
-	a.out.Write(c, &refusal)
-	a.out.Close(c, why)
-	a.CallerDown(now, c)
+	a.transport.Write(c, &refusal)
+	a.transport.Close(c, why)
+	a.CallerDisconnected(now, c)
 }
 
-// FailOpen fails every open call, because the process ends before more can be done for it.
-func (a *Agent) FailOpen(now policy.Tenths) {
+// FailOpenCalls fails every open call, because the process ends before more can be done for it.
+func (a *Agent) FailOpenCalls(now policy.Tenths) {
 	a.now = now
-	a.failOpen(func(*call) bool { return true })
-	a.settle()
+	a.failOpenCalls(func(*trackedCall) bool { return true })
+	a.flushDeferred()
 }
 
-func (a *Agent) failOpen(which func(*call) bool) {
-	for _, k := range a.inOrder(func(k *call) bool { return (k.state == Offered || k.state == Trying) && which(k) }) {
-		a.fail(k)
+func (a *Agent) failOpenCalls(which func(*trackedCall) bool) {
+	for _, k := range a.matchingCalls(func(k *trackedCall) bool { return (k.state == Offered || k.state == Trying) && which(k) }) {
+		a.failCall(k)
 	}
 }
 
-// fail gives an open call a final answer that it failed.
-func (a *Agent) fail(k *call) {
+// failCall gives an open call a final answer that it failed.
+func (a *Agent) failCall(k *trackedCall) {
 	a.refuse(k, sip.ServerInternalError, 0)
-	a.left(k)
-	a.tally.Aborted++
+	a.abandonCall(k)
+	a.callCounts.Aborted++
 }
 
-// sweep closes callers' connections that are overdue.
-func (a *Agent) sweep() {
+// closeOverdueCallers closes callers' connections that are overdue.
+func (a *Agent) closeOverdueCallers() {
 	for _, c := range slices.Clone(a.callers.order) {
 		o := a.callers.conns[c]
-		if why := o.overdue(a.silentFor); why != "" {
-			if o.partAt != 0 {
-				a.CallerBad(a.now, c, &sip.Message{}, false, why)
+		if why := o.closeReason(a.silentFor); why != "" {
+			if o.partialSince != 0 {
+				a.CallerMessageInvalid(a.now, c, &sip.Message{}, false, why)
 				continue
 			}
-			a.out.Close(c, why)
-			a.CallerDown(a.now, c)
+			a.transport.Close(c, why)
+			a.CallerDisconnected(a.now, c)
 		}
 	}
 }
 
-// FromCaller handles a message of a caller. readAt is when it was completely read, which may be earlier than now.
-func (a *Agent) FromCaller(now, readAt policy.Tenths, c Conn, m *sip.Message) {
+// FromCaller handles a message of a caller. lastProofAt is when it was completely read, which may be earlier than now.
+func (a *Agent) FromCaller(now, readAt policy.Tenths, c ConnID, m *sip.Message) {
 	a.now = now
 	o := a.callers.conns[c]
 	if o == nil {
-		a.crossesClose(c, m)
+		a.callerMessageAfterClose(c, m)
 		return
 	}
-	o.wholeAt, o.partAt = now, 0
+	o.lastMessageAt, o.partialSince = now, 0
 	switch {
 	case m.Status != 0 && m.CSeqMethod == sip.Bye:
-		a.answeredRelease(o, m)
+		a.handleReleaseAnswer(o, m)
 	case m.Status != 0:
 	case m.Method == sip.Invite:
-		a.offer(o, readAt, m)
+		a.handleSetUp(o, readAt, m)
 	case m.Method == sip.Cancel:
-		a.cancelled(c, m)
+		a.handleCancel(c, m)
 	case m.Method == sip.Bye:
-		a.callerReleases(c, m)
+		a.handleCallerRelease(c, m)
 	case m.Method == sip.Ack:
-		a.acknowledged(o, m)
+		a.handleAck(o, m)
 	case m.Method == sip.Options:
 		passed := m.Response(sip.OK)
-		a.out.Write(c, &passed)
+		a.transport.Write(c, &passed)
 	default:
-		a.refuseMessage(c, m, sip.BadRequest, "method "+m.Method)
+		a.rejectMessage(c, m, sip.BadRequest, "method "+m.Method)
 	}
-	a.settle()
+	a.flushDeferred()
 }
 
-// crossesClose handles a message that arrived while its connection was being closed locally: releases and answers
+// callerMessageAfterClose handles a message that arrived while its connection was being closed locally: releases and answers
 // to releases still count.
-func (a *Agent) crossesClose(c Conn, m *sip.Message) {
+func (a *Agent) callerMessageAfterClose(c ConnID, m *sip.Message) {
 	switch {
 	case m.Method == sip.Bye:
-		a.callerReleases(c, m)
+		a.handleCallerRelease(c, m)
 	case m.Status == sip.OK && m.CSeqMethod == sip.Bye:
-		if id, err := readID(m.CallID); err == nil && a.calls[id] != nil {
-			a.confirmed(a.calls[id])
+		if id, err := parseID(m.CallID); err == nil && a.calls[id] != nil {
+			a.confirmRelease(a.calls[id])
 		}
 	}
-	a.settle()
+	a.flushDeferred()
 }
 
-func (a *Agent) refuseMessage(c Conn, m *sip.Message, status int, why string) {
-	a.tally.Refused++
-	a.out.Record(Record{Kind: SetUpRefused, CallID: m.CallID, Conn: c, Why: why})
+func (a *Agent) rejectMessage(c ConnID, m *sip.Message, status int, why string) {
+	a.callCounts.Refused++
+	a.transport.Record(Record{Kind: SetUpRefused, CallID: m.CallID, Conn: c, Reason: why})
 	refusal := m.Response(status)
-	a.out.Write(c, &refusal)
+	a.transport.Write(c, &refusal)
 }
 
-// offer handles a set-up.
-func (a *Agent) offer(o *callerConn, readAt policy.Tenths, m *sip.Message) {
-	in, err := readOffer(m, &a.set)
+// handleSetUp handles a set-up.
+func (a *Agent) handleSetUp(o *callerConn, readAt policy.Tenths, m *sip.Message) {
+	in, err := parseSetUp(m, &a.settings)
 	if err != nil {
-		a.refuseMessage(o.conn, m, sip.BadRequest, err.Error())
+		a.rejectMessage(o.conn, m, sip.BadRequest, err.Error())
 		return
 	}
 	if in.adopted {
-		a.adopt(o, in, m)
+		a.adoptCall(o, in, m)
 		return
 	}
 	if a.calls[in.id] != nil {
-		a.refuseMessage(o.conn, m, sip.BadRequest, "duplicate call id")
+		a.rejectMessage(o.conn, m, sip.BadRequest, "duplicate call id")
 		return
 	}
-	a.asks(o)
-	k := &call{id: in.id, caller: o.conn, callID: m.CallID, uri: m.URI, class: m.Get(fieldClass), cseq: m.CSeq, body: m.Body,
-		leavesAt: readAt + in.ask.TTL - handBack}
-	if a.out.Left(k.caller, k.callID) { // the CANCEL or the end of the connection follows
-		k.body, k.state = nil, Over
-		a.remember(k)
-		a.tally.Left++
+	a.markSetUpSeen(o)
+	k := &trackedCall{id: in.id, caller: o.conn, callID: m.CallID, uri: m.URI, class: m.Get(fieldClass), cseq: m.CSeq, body: m.Body,
+		deadline: readAt + in.request.TTL - answerMargin}
+	if a.transport.Abandoned(k.caller, k.callID) { // the CANCEL or the end of the connection follows
+		k.body, k.state = nil, Ended
+		a.retain(k)
+		a.callCounts.Abandoned++
 		return
 	}
-	if a.open >= a.openMost || a.held+len(k.body) > a.heldMost { // limit reached
+	if a.openCalls >= a.maxOpenCalls || a.bodyOctets+len(k.body) > a.maxBodyOctets { // limit reached
 		refusal := m.Response(sip.ServiceUnavailable)
-		a.out.Write(o.conn, &refusal)
-		a.tally.Blocked++
+		a.transport.Write(o.conn, &refusal)
+		a.callCounts.Blocked++
 		return
 	}
-	a.handles++
-	if a.handles == 0 {
-		a.handles = 1
+	a.lastHandle++
+	if a.lastHandle == 0 {
+		a.lastHandle = 1
 	}
-	k.handle = a.handles
-	in.ask.ID, in.ask.TTL = k.handle, k.leavesAt-a.now
+	k.handle = a.lastHandle
+	in.request.ID, in.request.TTL = k.handle, k.deadline-a.now
 	a.calls[k.id], a.byHandle[k.handle] = k, k
-	a.open++
-	a.held += len(k.body)
-	o.calls++
-	a.tally.Taken++
-	a.timers.Set(k.leavesAt+handBack/3, dueLeave, uint64(k.handle))
-	a.decide.Offer(a.now, in.ask)
+	a.openCalls++
+	a.bodyOctets += len(k.body)
+	o.openSetUps++
+	a.callCounts.Accepted++
+	a.timers.Set(k.deadline+answerMargin/3, timerCallDeadline, uint64(k.handle))
+	a.decider.Offer(a.now, in.request)
 }
 
-// asks marks a connection on which a set-up came, and writes the releases that wait for such a connection.
-func (a *Agent) asks(o *callerConn) {
-	if o.asked {
+// markSetUpSeen marks a connection on which a set-up came, and writes the releases that wait for such a connection.
+func (a *Agent) markSetUpSeen(o *callerConn) {
+	if o.setUpSeen {
 		return
 	}
-	o.asked = true
+	o.setUpSeen = true
 	a.offerReleases(o)
 }
 
-// adopt handles a set-up of a call that is established at a switch already. The call is tracked from now on, and
+// adoptCall handles a set-up of a call that is established at a switch already. The call is tracked from now on, and
 // no answer is sent.
-func (a *Agent) adopt(o *callerConn, in offer, m *sip.Message) {
-	a.asks(o)
+func (a *Agent) adoptCall(o *callerConn, in setUp, m *sip.Message) {
+	a.markSetUpSeen(o)
 	if k := a.calls[in.id]; k != nil {
-		if k.state == Over { // the caller may not have received the release
-			k.ended = false
-			a.releaseCaller(k, causeTempFail)
+		if k.state == Ended { // the caller may not have received the release
+			k.callerNotified = false
+			a.releaseCaller(k, causeTemporaryFailure)
 		}
 		return
 	}
-	k := &call{id: in.id, state: Standing, caller: o.conn, callID: m.CallID, uri: m.URI, adopted: true, stoodAt: a.now}
-	k.tries = []*routeTry{{call: k, sw: in.at, state: tryStanding}}
+	k := &trackedCall{id: in.id, state: Established, caller: o.conn, callID: m.CallID, uri: m.URI, adopted: true, establishedAt: a.now}
+	k.tries = []*routeTry{{call: k, switchID: in.adoptedAt, state: tryEstablished}}
 	a.calls[k.id] = k
-	a.standing++
-	if f := a.far[in.at]; f != nil && f.refetchAt == 0 {
-		f.refetchAt = a.now + refetchEvery
+	a.establishedCalls++
+	if f := a.switches[in.adoptedAt]; f != nil && f.nextRecoveryAt == 0 {
+		f.nextRecoveryAt = a.now + recoveryInterval
 	}
-	if a.far[in.at] == nil || a.standing > overMost {
-		a.releaseCaller(k, causeTempFail)
-		a.become(k, Over)
+	if a.switches[in.adoptedAt] == nil || a.establishedCalls > maxRetainedCalls {
+		a.releaseCaller(k, causeTemporaryFailure)
+		a.setState(k, Ended)
 	}
 }
 
-// cancelled handles a caller's CANCEL.
-func (a *Agent) cancelled(c Conn, m *sip.Message) {
-	id, err := readID(m.CallID)
+// handleCancel handles a caller's CANCEL.
+func (a *Agent) handleCancel(c ConnID, m *sip.Message) {
+	id, err := parseID(m.CallID)
 	k := a.calls[id]
 	if err != nil || k == nil || k.caller != c {
-		a.refuseMessage(c, m, sip.CallDoesNotExist, "CANCEL for an unknown call")
+		a.rejectMessage(c, m, sip.CallDoesNotExist, "CANCEL for an unknown call")
 		return
 	}
 	switch k.state {
 	case Offered, Trying:
-		a.left(k)
-		a.tally.Left++
-	case Standing: // the CANCEL crossed the answer
-		a.tally.Crossed++
-		a.releaseSwitch(k.far(), k.last().conn, a.bye(k.callID, k.uri, causeNormal))
-		a.ended(k, policy.Cancelled, untold)
+		a.abandonCall(k)
+		a.callCounts.Abandoned++
+	case Established: // the CANCEL crossed the answer
+		a.callCounts.CancelCrossed++
+		a.releaseSwitch(k.lastSwitch(), k.lastTry().conn, a.newRelease(k.callID, k.uri, causeNormal))
+		a.reportEnded(k, policy.Cancelled, noReport)
 	}
 }
 
-// callerReleases handles a caller's release, which may come on any connection.
-func (a *Agent) callerReleases(c Conn, m *sip.Message) {
-	id, err := readID(m.CallID)
+// handleCallerRelease handles a caller's release, which may come on any connection.
+func (a *Agent) handleCallerRelease(c ConnID, m *sip.Message) {
+	id, err := parseID(m.CallID)
 	k := a.calls[id]
 	if err != nil || k == nil {
-		a.refuseMessage(c, m, sip.CallDoesNotExist, "release of an unknown call")
+		a.rejectMessage(c, m, sip.CallDoesNotExist, "release of an unknown call")
 		return
 	}
 	heard := m.Response(sip.OK)
-	a.out.Write(c, &heard)
-	k.ended = true
-	a.confirmed(k)
+	a.transport.Write(c, &heard)
+	k.callerNotified = true
+	a.confirmRelease(k)
 	switch k.state {
-	case Standing:
-		a.releaseSwitch(k.far(), k.last().conn, a.bye(k.callID, k.uri, max(cause(m), causeNormal)))
-		a.ended(k, policy.Cancelled, untold)
+	case Established:
+		a.releaseSwitch(k.lastSwitch(), k.lastTry().conn, a.newRelease(k.callID, k.uri, max(parseCause(m), causeNormal)))
+		a.reportEnded(k, policy.Cancelled, noReport)
 	case Offered, Trying:
-		a.left(k)
-		a.tally.Left++
+		a.abandonCall(k)
+		a.callCounts.Abandoned++
 	}
 }
--- a/internal/b2bua/desk.go
+++ b/internal/b2bua/desk.go
@@ -5,74 +5,76 @@
 	"indigodrift/policy"
 )
 
-// desk implements the interface through which the policy acts on the agent.
-type desk Agent
+// policyOutput implements the interface through which the policy acts on the agent.
+type policyOutput Agent
 
 // Send starts a route try.
-func (d *desk) Send(id, to uint32, limit policy.Tenths) {
+func (d *policyOutput) Send(id, to uint32, limit policy.Tenths) {
 	a := (*Agent)(d)
 	k := a.byHandle[id]
 	if k == nil || k.state != Offered {
-		a.out.Note("fault: the policy routed a call that is over or has a try out")
+		a.transport.Note("fault: the policy routed a call that is over or has a try out")
 		return
 	}
-	t := &routeTry{call: k, number: len(k.tries), sw: to, state: tryHeld}
+	t := &routeTry{call: k, number: len(k.tries), switchID: to, state: tryHeld}
 	k.tries = append(k.tries, t)
-	if a.out.Left(k.caller, k.callID) { // no try may start for a caller who has abandoned the call
+	if a.transport.Abandoned(k.caller, k.callID) { // no try may start for a caller who has abandoned the call
 		a.advance(t, eventDrop, "the caller has abandoned the call")
-		a.later = append(a.later, report{handle: id, try: t.number, left: true})
+		a.deferred = append(a.deferred, deferredResult{handle: id, try: t.number, abandoned: true})
 		return
 	}
-	f := a.far[to]
-	if f == nil || !a.wanted(f) || len(k.tries) > a.set.Policy.MaxTries || a.now >= k.leavesAt {
+	f := a.switches[to]
+	if f == nil || !a.shouldConnect(f) || len(k.tries) > a.settings.Policy.MaxTries || a.now >= k.deadline {
 		a.advance(t, eventDrop, "unknown switch, too many tries, or too late")
-		a.later = append(a.later, report{handle: id, try: t.number, sw: to, end: policy.Unsent, rep: untold})
+		a.deferred = append(a.deferred, deferredResult{handle: id, try: t.number, switchID: to, ending: policy.Unsent, report: noReport})
 		return
 	}
-	t.limitAt = k.leavesAt
+	t.deadline = k.deadline
 	if limit > 0 {
-		t.limitAt = min(t.limitAt, a.now+limit)
+		t.deadline = min(t.deadline, a.now+limit)
 	}
-	a.become(k, Trying)
-	a.timers.Set(t.limitAt, dueTry, t.token())
-	a.place(t, f)
+	a.setState(k, Trying)
+	a.timers.Set(t.deadline, timerTryTimeout, t.token())
+	a.placeTry(t, f)
 }
 
 // Block gives the final answer "refused", after which the caller may try again.
-func (d *desk) Block(id uint32, comeBack policy.Tenths) {
+func (d *policyOutput) Block(id uint32, comeBack policy.Tenths) {
 	a := (*Agent)(d)
 	if k := a.byHandle[id]; k != nil && k.state == Offered {
 		a.refuse(k, sip.ServiceUnavailable, comeBack)
-		a.become(k, Over)
-		a.tally.Blocked++
+		a.setState(k, Ended)
+		a.callCounts.Blocked++
 	}
 }
 
 // Abort gives the final answer "failed".
-func (d *desk) Abort(id uint32) {
+func (d *policyOutput) Abort(id uint32) {
 	a := (*Agent)(d)
 	if k := a.byHandle[id]; k != nil && k.state == Offered {
 		a.refuse(k, sip.ServerInternalError, 0)
-		a.become(k, Over)
-		a.tally.Aborted++
+		a.setState(k, Ended)
+		a.callCounts.Aborted++
 	}
 }
 
 // Cancel cancels a try.
-func (d *desk) Cancel(id uint32, try int) {
+func (d *policyOutput) Cancel(id uint32, try int) {
 	a := (*Agent)(d)
-	if k := a.byHandle[id]; k != nil && k.state == Trying && try == k.last().number {
-		a.tries.Cancelled++
-		a.abandon(k.last(), "cancelled by the policy")
-		a.endTry(k.last(), policy.Cancelled)
+	if k := a.byHandle[id]; k != nil && k.state == Trying && try == k.lastTry().number {
+		a.tryCounts.Cancelled++
+		a.abandonTry(k.lastTry(), "cancelled by the policy")
+		a.endTry(k.lastTry(), policy.Cancelled)
 	}
 }
 
 // SetTimer sets a timer of the policy.
-func (d *desk) SetTimer(at policy.Tenths, token uint64) { (*Agent)(d).timers.Set(at, dueWake, token) }
+func (d *policyOutput) SetTimer(at policy.Tenths, token uint64) {
+	(*Agent)(d).timers.Set(at, timerPolicyWake, token)
+}
 
 // Subscribe requests the list of switches. It does nothing, as the notice board is followed all the time.
-func (d *desk) Subscribe() {}
+func (d *policyOutput) Subscribe() {}
 
 // Log logs a message for the operator.
-func (d *desk) Log(text string) { d.out.Note(text) }
+func (d *policyOutput) Log(text string) { d.transport.Note(text) }
--- a/internal/b2bua/lost_repeat_test.go
+++ b/internal/b2bua/lost_repeat_test.go
@@ -2,28 +2,28 @@
 
 import "testing"
 
-// wordless creates an agent with an established call whose connection is silent, and with a next connection on
+// callWithSilentLinks creates an agent with an established call whose connection is silent, and with a next connection on
 // which no message has come.
-func wordless(t *testing.T) (r *rig, old, next Conn, k *heardOf) {
-	r, old, next, k = twoLinks(t)
+func callWithSilentLinks(t *testing.T) (r *harness, old, next ConnID, k *observedCall) {
+	r, old, next, k = callWithTwoLinks(t)
 	r.silent[next] = true
 	for range 60 {
-		if r.pass(houseWork); r.a.far[1].lostRepeat.conn == next {
+		if r.advanceTime(maintenanceInterval); r.agent.switches[1].lostRepeat.conn == next {
 			return r, old, next, k
 		}
 	}
-	t.Fatalf("connection %d is not suspected: %+v", next, r.a.far[1].lostRepeat)
+	t.Fatalf("connection %d is not suspected: %+v", next, r.agent.switches[1].lostRepeat)
 	return r, old, next, k
 }
 
-// later opens a further connection, on which the switch sends a message.
-func (r *rig) later() {
+// openSpeakingLink opens a further connection, on which the switch sends a message.
+func (r *harness) openSpeakingLink() {
 	for range 60 {
 		for len(r.dials) > 0 {
-			r.notify(r.dial(false, true), 9, 9)
+			r.reportCircuits(r.completeDial(false, true), 9, 9)
 			return
 		}
-		r.pass(houseWork)
+		r.advanceTime(maintenanceInterval)
 	}
 	r.t.Fatalf("no further connection")
 }
@@ -31,45 +31,45 @@
 // Guards against calls that stay established for ever because their release was lost and its repetition too, on
 // the connection that never delivered a message.
 func TestCallWhoseRepeatedReleaseMayBeLostIsReleasedOnBothSides(t *testing.T) {
-	r, _, _, k := wordless(t)
-	r.later()
-	k.eitherReleased = true
-	if r.pass(repeatWait - 2*houseWork); k.callerReleased != 0 {
+	r, _, _, k := callWithSilentLinks(t)
+	r.openSpeakingLink()
+	k.earlierTryReleased = true
+	if r.advanceTime(lostRepeatDelay - 2*maintenanceInterval); k.callerReleases != 0 {
 		t.Fatal("released too soon")
 	}
-	if r.pass(4 * houseWork); k.callerReleased != 1 || k.switchReleased != 1 {
-		t.Errorf("the caller was released %d times, the switch %d times", k.callerReleased, k.switchReleased)
+	if r.advanceTime(4 * maintenanceInterval); k.callerReleases != 1 || k.switchReleases != 1 {
+		t.Errorf("the caller was released %d times, the switch %d times", k.callerReleases, k.switchReleases)
 	}
 }
 
 // Guards against disconnecting calls because their switch hung for a moment: it sends on the earlier connections
 // too when it recovers.
 func TestCallsOfASwitchThatHungGoOnStanding(t *testing.T) {
-	for name, speaks := range map[string]func(r *rig, old, next Conn){
-		"the connection of the set-up": func(r *rig, old, _ Conn) { r.notify(old, 9, 9) },
-		"the silent one":               func(r *rig, _, next Conn) { r.notify(next, 9, 9) },
+	for name, speaks := range map[string]func(r *harness, old, next ConnID){
+		"the connection of the set-up": func(r *harness, old, _ ConnID) { r.reportCircuits(old, 9, 9) },
+		"the silent one":               func(r *harness, _, next ConnID) { r.reportCircuits(next, 9, 9) },
 	} {
-		r, old, next, k := wordless(t)
-		r.later()
-		r.silent = map[Conn]bool{}
+		r, old, next, k := callWithSilentLinks(t)
+		r.openSpeakingLink()
+		r.silent = map[ConnID]bool{}
 		speaks(r, old, next)
-		if r.pass(3 * repeatWait); k.callerReleased != 0 || r.a.standing != 1 {
-			t.Errorf("%s: the caller was released %d times", name, k.callerReleased)
+		if r.advanceTime(3 * lostRepeatDelay); k.callerReleases != 0 || r.agent.establishedCalls != 1 {
+			t.Errorf("%s: the caller was released %d times", name, k.callerReleases)
 		}
 	}
 }
 
 // Guards against disconnecting calls whose own connection is open, as their release would come there.
 func TestCallsOnOpenConnectionsGoOnStandingWhenARepetitionIsLost(t *testing.T) {
-	r, _, _, k := wordless(t)
-	r.later()
-	id, _ := readID(k.id)
-	for _, l := range r.a.far[1].links {
-		if l.heard && !l.silent {
-			r.a.calls[id].last().conn = l.conn
+	r, _, _, k := callWithSilentLinks(t)
+	r.openSpeakingLink()
+	id, _ := parseID(k.id)
+	for _, l := range r.agent.switches[1].links {
+		if l.messageSeen && !l.silent {
+			r.agent.calls[id].lastTry().conn = l.conn
 		}
 	}
-	if r.pass(2 * repeatWait); k.callerReleased != 0 || r.a.standing != 1 {
-		t.Errorf("the caller was released %d times", k.callerReleased)
+	if r.advanceTime(2 * lostRepeatDelay); k.callerReleases != 0 || r.agent.establishedCalls != 1 {
+		t.Errorf("the caller was released %d times", k.callerReleases)
 	}
 }
--- a/internal/b2bua/record.go
+++ b/internal/b2bua/record.go
@@ -11,15 +11,15 @@
 	SetUpRefused                        // a caller's message was refused
 	ReleaseWritten                      // a release was written to a caller
 	ReleaseRepeated                     // a further copy was written, on another connection
-	ReleaseWaits                        // no connection can take a release at present
+	ReleasePending                      // no connection can take a release at present
 	ReleaseUnanswered                   // no answer to a release came in time
 	ReleaseLate                         // a release was confirmed later than the platform allows
 	ReleaseDropped                      // a release was abandoned unconfirmed
 	ReleaseUnknown                      // a switch released an unknown call
 	ReleaseIgnored                      // a switch released a call that is not established there
-	SwitchSuspect                       // a connection to a switch is probed with a keepalive
-	SwitchDown                          // a connection to a switch ended
-	CallerDown                          // a caller's connection ended with set-ups or releases open on it
+	SwitchConnProbed                    // a connection to a switch is probed with a keepalive
+	SwitchConnEnded                     // a connection to a switch ended
+	CallerConnEnded                     // a caller's connection ended with set-ups or releases open on it
 	TryState                            // a route try changed its state
 	TryReset                            // a switch released a call before its answer
 	TryEventIgnored                     // an event that does not apply to the state of its route try
@@ -37,7 +37,7 @@
 type Record struct {
 	Kind   RecordKind
 	CallID string
-	Conn   Conn
+	Conn   ConnID
 	Switch uint32
 	Try    int   // number of the route try, which is also its CSeq, from 1
 	From   State // of CallState, like To
@@ -45,15 +45,15 @@
 	Cause  int           // Q.850
 	Copies int           // copies of the release written so far
 	Waited policy.Tenths // since the release or the last message on the connection
-	Why    string
+	Reason string
 }
 
-var stateNames = [...]string{Offered: "offered", Trying: "trying", Standing: "standing", Over: "over"}
+var stateNames = [...]string{Offered: "offered", Trying: "trying", Established: "standing", Ended: "over"}
 
 func (s State) String() string { return stateNames[s] }
 
-// Releases counts the outcomes of releases towards callers since the start.
-type Releases struct {
+// ReleaseCounts counts the outcomes of releases towards callers since the start.
+type ReleaseCounts struct {
 	Written    uint64 // first copies
 	Repeated   uint64 // further copies
 	Unanswered uint64 // copies not answered in time
@@ -61,15 +61,15 @@
 	Late       uint64 // confirmed later than the platform allows
 	Dropped    uint64
 	Unknown    uint64        // releases of unknown calls
-	Waiting    int           // not confirmed at present
-	Oldest     policy.Tenths // how long the oldest of these has been waiting
+	Pending    int           // not confirmed at present
+	OldestAge  policy.Tenths // how long the oldest of these has been waiting
 }
 
-// Tries counts the outcomes of route tries since the start.
-type Tries struct {
+// TryCounts counts the outcomes of route tries since the start.
+type TryCounts struct {
 	Written      uint64 // set-ups written to switches
-	Again        uint64 // of these, for a call that was tried before
-	Stood        uint64
+	Retries      uint64 // of these, for a call that was tried before
+	Answered     uint64
 	Refused      uint64
 	TimedOut     uint64
 	Cancelled    uint64 // by the policy, or because the caller abandoned the call
--- a/internal/b2bua/silence_test.go
+++ b/internal/b2bua/silence_test.go
@@ -7,10 +7,10 @@
 )
 
 // passWithStalls lets time pass while this process stalls repeatedly.
-func (r *rig) passWithStalls(span, every policy.Tenths) {
+func (r *harness) passWithStalls(span, every policy.Tenths) {
 	for until := r.now + span; r.now < until; {
 		r.now += every
-		r.a.Tick(r.now, r.now)
+		r.agent.Tick(r.now, r.now)
 	}
 }
 
@@ -18,25 +18,25 @@
 // restarted the silence timeout.
 func TestStallsInARowDoNotHideThatASwitchIsGone(t *testing.T) {
 	const toldAfterLoss = 80000 // the platform's limit where no release could be sent
-	r, _, k := served(t)
-	r.silent[r.linkTo(1)] = true
+	r, _, k := establishedCall(t)
+	r.silent[r.mustLinkTo(1)] = true
 	for range toldAfterLoss / 10000 {
 		r.passWithStalls(10000, 700)
 		for len(r.dials) > 0 {
-			r.dial(false, false)
+			r.completeDial(false, false)
 		}
 	}
-	if k.callerReleased == 0 {
+	if k.callerReleases == 0 {
 		t.Error("the caller was not released")
 	}
 }
 
 // Guards against a silence timeout after a long stop of this process, when received messages are still unread.
 func TestLongStopIsNoSilenceOfASwitch(t *testing.T) {
-	r, _, k := served(t)
+	r, _, k := establishedCall(t)
 	r.now += 200000
-	r.a.Tick(r.now, r.now)
-	if k.callerReleased != 0 || r.closed[r.linkTo(1)] != "" {
-		t.Errorf("caller released %d times, closed %v", k.callerReleased, r.closed)
+	r.agent.Tick(r.now, r.now)
+	if k.callerReleases != 0 || r.closed[r.mustLinkTo(1)] != "" {
+		t.Errorf("caller released %d times, closed %v", k.callerReleases, r.closed)
 	}
 }
--- a/internal/b2bua/table_test.go
+++ b/internal/b2bua/table_test.go
@@ -10,148 +10,155 @@
 	"indigodrift/internal/sip"
 )
 
-// cell is one combination of a call's state and an event, with one switch to which the call can be routed.
-type cell struct {
-	*rig
-	c, other Conn // the caller's connection and another caller's
-	k        *heardOf
+// stateCase is one combination of a call's state and an event, with one switch to which the call can be routed.
+type stateCase struct {
+	*harness
+	callerConn, otherConn ConnID // the caller's connection and another caller's
+	call                  *observedCall
 }
 
-const cellID = "00000000000003e8"
+const stateCaseID = "00000000000003e8"
 
-func newCell(t *testing.T) *cell {
-	x := &cell{rig: newRig(t)}
-	x.dialAll(9, 9)
-	x.c, x.other = x.callerUp(), x.callerUp()
-	x.a.FromCaller(x.now, x.now, x.other, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", "")) // marks it as a connection with set-ups
+func newStateCase(t *testing.T) *stateCase {
+	x := &stateCase{harness: newHarness(t)}
+	x.completeDials(9, 9)
+	x.callerConn, x.otherConn = x.connectCaller(), x.connectCaller()
+	x.agent.FromCaller(x.now, x.now, x.otherConn, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", "")) // marks it as a connection with set-ups
 	return x
 }
 
-func (x *cell) offer() { x.k = x.rig.offer(x.c, 1, 2000) }
+func (x *stateCase) sendSetUp() { x.call = x.harness.sendSetUp(x.callerConn, 1, 2000) }
 
 // The states of a call, by their names in the state table, and how they are reached.
-var cellStates = []struct {
+var callStates = []struct {
 	name string
-	come func(*cell)
+	come func(*stateCase)
 }{
-	{"unknown", func(x *cell) {}},
-	{"offered", func(x *cell) { x.offer(); x.answer(x.k, sip.ServerTimeout) }}, // waits for the release time
-	{"trying, to be dialled", func(x *cell) { x.linkDown(x.linkTo(1)); x.offer() }},
-	{"trying", func(x *cell) { x.offer() }},
-	{"standing", func(x *cell) { x.offer(); x.answer(x.k, sip.OK) }},
-	{"over, was standing", func(x *cell) { x.offer(); x.answer(x.k, sip.OK); x.switchReleases(x.k); x.pass(10) }},
-	{"over, given up", func(x *cell) {
-		x.offer()
-		x.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: cellID, CSeq: 1})
+	{"unknown", func(x *stateCase) {}},
+	{"offered", func(x *stateCase) { x.sendSetUp(); x.answer(x.call, sip.ServerTimeout) }}, // waits for the release time
+	{"trying, to be dialled", func(x *stateCase) { x.disconnectLink(x.mustLinkTo(1)); x.sendSetUp() }},
+	{"trying", func(x *stateCase) { x.sendSetUp() }},
+	{"standing", func(x *stateCase) { x.sendSetUp(); x.answer(x.call, sip.OK) }},
+	{"over, was standing", func(x *stateCase) {
+		x.sendSetUp()
+		x.answer(x.call, sip.OK)
+		x.releaseFromSwitch(x.call)
+		x.advanceTime(10)
+	}},
+	{"over, given up", func(x *stateCase) {
+		x.sendSetUp()
+		x.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
 	}},
 }
 
-func (x *cell) fromCaller(m *sip.Message) {
-	if x.k != nil && m.Method == sip.Cancel {
-		x.k.left, x.k.callerEnded = x.k.answers == 0, x.k.answers > 0
+func (x *stateCase) fromCaller(m *sip.Message) {
+	if x.call != nil && m.Method == sip.Cancel {
+		x.call.abandoned, x.call.callerEnded = x.call.answers == 0, x.call.answers > 0
 	}
-	if x.k != nil && m.Method == sip.Bye {
-		x.k.callerEnded, x.k.left = true, x.k.answers == 0
+	if x.call != nil && m.Method == sip.Bye {
+		x.call.callerEnded, x.call.abandoned = true, x.call.answers == 0
 	}
-	x.a.FromCaller(x.now, x.now, x.c, m)
+	x.agent.FromCaller(x.now, x.now, x.callerConn, m)
 }
 
-func (x *cell) fromSwitch(m *sip.Message) {
-	if len(x.linkSeq) == 0 || x.linkOf(1) == 0 {
+func (x *stateCase) fromSwitch(m *sip.Message) {
+	if len(x.linkOrder) == 0 || x.linkOf(1) == 0 {
 		return
 	}
-	if k := x.k; k != nil && m.Status == sip.OK && k.tryOn != 0 {
-		k.tryOn, k.standsAt, k.standsOn, k.switchSDP = 0, 1, k.tryOn, string(m.Body)
-	} else if k != nil && m.Method == sip.Bye && k.standsAt != 0 {
-		k.standsAt = 0
-	} else if k != nil && k.tryOn != 0 {
-		if k.tryOn = 0; m.Status != sip.ServiceUnavailable { // such a set-up was never carried out
+	if k := x.call; k != nil && m.Status == sip.OK && k.tryConn != 0 {
+		k.tryConn, k.establishedAt, k.establishedConn, k.answerBody = 0, 1, k.tryConn, string(m.Body)
+	} else if k != nil && m.Method == sip.Bye && k.establishedAt != 0 {
+		k.establishedAt = 0
+	} else if k != nil && k.tryConn != 0 {
+		if k.tryConn = 0; m.Status != sip.ServiceUnavailable { // such a set-up was never carried out
 			k.notBefore = x.now + releaseTime
 		}
 	}
-	x.a.FromSwitch(x.now, x.linkOf(1), m)
+	x.agent.FromSwitch(x.now, x.linkOf(1), m)
 }
 
-// linkOf returns the connection to a switch, 0 if there is none.
-func (x *cell) linkOf(sw uint32) Conn {
-	i := slices.IndexFunc(x.linkSeq, func(c Conn) bool { return x.links[c] == sw })
+// switchOfLink returns the connection to a switch, 0 if there is none.
+func (x *stateCase) linkOf(sw uint32) ConnID {
+	i := slices.IndexFunc(x.linkOrder, func(c ConnID) bool { return x.links[c] == sw })
 	if i < 0 {
 		return 0
 	}
-	return x.linkSeq[i]
+	return x.linkOrder[i]
 }
 
 func answerOf(status int) *sip.Message {
-	m := &sip.Message{Status: status, CallID: cellID, CSeq: 1, CSeqMethod: sip.Invite}
+	m := &sip.Message{Status: status, CallID: stateCaseID, CSeq: 1, CSeqMethod: sip.Invite}
 	if status == sip.OK {
 		m.Body = []byte("answer")
 	}
 	return m
 }
 
-var cellEvents = []struct {
+var callEvents = []struct {
 	name string
-	come func(*cell)
+	come func(*stateCase)
 }{
-	{"set-up under its id", func(x *cell) {
-		x.a.FromCaller(x.now, x.now, x.other, invite(cellID, "voice", 1000, "dest:9;width:1;via:-1", ""))
+	{"set-up under its id", func(x *stateCase) {
+		x.agent.FromCaller(x.now, x.now, x.otherConn, invite(stateCaseID, "voice", 1000, "dest:9;width:1;via:-1", ""))
 	}},
-	{"set-up with at", func(x *cell) {
-		if x.k != nil { // the caller has not received the release
-			x.k.stood, x.k.heardRelease, x.k.releasedOn, x.k.callerReleased, x.k.bears = true, false, 0, 0, nil
+	{"set-up with at", func(x *stateCase) {
+		if x.call != nil { // the caller has not received the release
+			x.call.answered, x.call.releaseAnswered, x.call.releasedOn, x.call.callerReleases, x.call.releaseConns = true, false, 0, 0, nil
 		}
-		x.a.FromCaller(x.now, x.now, x.other, invite(cellID, "voice", 1000, "dest:1;width:1;at:s-00000001", ""))
+		x.agent.FromCaller(x.now, x.now, x.otherConn, invite(stateCaseID, "voice", 1000, "dest:1;width:1;at:s-00000001", ""))
 	}},
-	{"CANCEL", func(x *cell) {
-		x.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: cellID, CSeq: 1})
+	{"CANCEL", func(x *stateCase) {
+		x.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
 	}},
-	{"CANCEL by another caller", func(x *cell) {
-		x.a.FromCaller(x.now, x.now, x.other, &sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: cellID, CSeq: 1})
+	{"CANCEL by another caller", func(x *stateCase) {
+		x.agent.FromCaller(x.now, x.now, x.otherConn, &sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
 	}},
-	{"BYE of the caller", func(x *cell) { x.fromCaller(x.bye(cellID, 16)) }},
-	{"end of the caller's connection", func(x *cell) { x.callerDown(x.c) }},
-	{"200", func(x *cell) { x.fromSwitch(answerOf(sip.OK)) }},
-	{"503", func(x *cell) { x.fromSwitch(answerOf(sip.ServiceUnavailable)) }},
-	{"504", func(x *cell) { x.fromSwitch(answerOf(sip.ServerTimeout)) }},
-	{"BYE of the switch", func(x *cell) { x.fromSwitch(x.bye(cellID, 16)) }},
-	{"end of the switch's connection", func(x *cell) {
+	{"BYE of the caller", func(x *stateCase) { x.fromCaller(x.newRelease(stateCaseID, 16)) }},
+	{"end of the caller's connection", func(x *stateCase) { x.disconnectCaller(x.callerConn) }},
+	{"200", func(x *stateCase) { x.fromSwitch(answerOf(sip.OK)) }},
+	{"503", func(x *stateCase) { x.fromSwitch(answerOf(sip.ServiceUnavailable)) }},
+	{"504", func(x *stateCase) { x.fromSwitch(answerOf(sip.ServerTimeout)) }},
+	{"BYE of the switch", func(x *stateCase) { x.fromSwitch(x.newRelease(stateCaseID, 16)) }},
+	{"end of the switch's connection", func(x *stateCase) {
 		if c := x.linkOf(1); c != 0 {
-			x.linkDown(c)
+			x.disconnectLink(c)
 		}
 	}},
-	{"connection comes up", func(x *cell) { x.dialAll(9, 9) }},
-	{"connection is refused", func(x *cell) {
+	{"connection comes up", func(x *stateCase) { x.completeDials(9, 9) }},
+	{"connection is refused", func(x *stateCase) {
 		for len(x.dials) > 0 {
-			x.dial(true, false)
+			x.completeDial(true, false)
 		}
 	}},
-	{"switch drains", func(x *cell) {
-		x.list(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining})
+	{"switch drains", func(x *stateCase) {
+		x.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining})
+	}},
+	{"switch is gone", func(x *stateCase) {
+		x.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone})
 	}},
-	{"switch is gone", func(x *cell) { x.list(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone}) }},
-	{"time of the caller is up", func(x *cell) { x.pass(20000) }},
-	{"the process ends", func(x *cell) { x.a.FailOpen(x.now) }},
+	{"time of the caller is up", func(x *stateCase) { x.advanceTime(20000) }},
+	{"the process ends", func(x *stateCase) { x.agent.FailOpenCalls(x.now) }},
 }
 
-// outcome returns the state of the call after an event and the messages that were written for it.
-func (x *cell) outcome(from int) string {
+// result returns the state of the call after an event and the messages that were written for it.
+func (x *stateCase) result(from int) string {
 	state := "unknown"
-	if k := x.a.calls[0x3e8]; k != nil {
+	if k := x.agent.calls[0x3e8]; k != nil {
 		state = [...]string{"offered", "trying", "standing", "over"}[k.state]
 	}
 	var wrote []string
-	for _, w := range x.wrote[from:] {
-		if w.m.CallID != cellID {
+	for _, w := range x.sentMessages[from:] {
+		if w.message.CallID != stateCaseID {
 			continue
 		}
-		who, what := "caller", w.m.Method
-		if _, link := x.links[w.to]; link || w.to < x.c {
+		who, what := "caller", w.message.Method
+		if _, link := x.links[w.to]; link || w.to < x.callerConn {
 			who = "switch"
-		} else if w.to != x.c {
+		} else if w.to != x.callerConn {
 			who = "another caller"
 		}
-		if w.m.Status != 0 {
-			what = fmt.Sprint(w.m.Status)
+		if w.message.Status != 0 {
+			what = fmt.Sprint(w.message.Status)
 		}
 		wrote = append(wrote, what+" to "+who)
 	}
@@ -162,13 +169,13 @@
 // that are written. A row with a state alone means that nothing is written.
 func TestEveryEventInEveryState(t *testing.T) {
 	var lines []string
-	for _, s := range cellStates {
-		for _, e := range cellEvents {
-			x := newCell(t)
+	for _, s := range callStates {
+		for _, e := range callEvents {
+			x := newStateCase(t)
 			s.come(x)
-			from := len(x.wrote)
+			from := len(x.sentMessages)
 			e.come(x)
-			lines = append(lines, fmt.Sprintf("%s | %s | %s", s.name, e.name, strings.TrimSuffix(x.outcome(from), ";")))
+			lines = append(lines, fmt.Sprintf("%s | %s | %s", s.name, e.name, strings.TrimSuffix(x.result(from), ";")))
 		}
 	}
 	want := strings.Split(strings.TrimSpace(stateTable), "\n")
--- a/internal/platform/record.go
+++ b/internal/platform/record.go
@@ -14,7 +14,7 @@
 // recordLevel returns the level at which a kind of record is logged: debug for what happens to every call.
 func recordLevel(kind b2bua.RecordKind) slog.Level {
 	switch kind {
-	case b2bua.CallState, b2bua.TryState, b2bua.CallRefused, b2bua.ReleaseWritten, b2bua.SwitchSuspect:
+	case b2bua.CallState, b2bua.TryState, b2bua.CallRefused, b2bua.ReleaseWritten, b2bua.SwitchConnProbed:
 		return slog.LevelDebug
 	case b2bua.ReleaseDropped, b2bua.ReleaseLate, b2bua.SetUpRefused:
 		return slog.LevelWarn
@@ -54,6 +54,6 @@
 	add(r.Cause != 0, slog.Int("cause", r.Cause))
 	add(r.Copies != 0, slog.Int("copies", r.Copies))
 	add(r.Waited != 0, slog.Float64("waited_ms", float64(r.Waited)/10))
-	add(r.Why != "", slog.String("why", r.Why))
+	add(r.Reason != "", slog.String("why", r.Reason))
 	h.log.LogAttrs(ctx, level, r.Kind.String(), attrs...)
 }
--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -71,7 +71,7 @@
 // event is one input of the event loop. Which fields are set depends on its kind.
 type event struct {
 	kind       eventKind
-	connID     b2bua.Conn
+	connID     b2bua.ConnID
 	conn       *connection
 	message    sip.Message
 	readAt     policy.Tenths // when the message was read
@@ -97,10 +97,10 @@
 	goroutines     sync.WaitGroup
 	callerSlots    chan struct{} // holds one token per caller connection
 	switchSlots    chan struct{} // holds one token per switch connection, from its dial on
-	callerConns    map[b2bua.Conn]*connection
-	switchConns    map[b2bua.Conn]*connection
-	mu             sync.Mutex // guards names and open
-	lastConnID     b2bua.Conn // last identifier given to a connection
+	callerConns    map[b2bua.ConnID]*connection
+	switchConns    map[b2bua.ConnID]*connection
+	mu             sync.Mutex   // guards names and open
+	lastConnID     b2bua.ConnID // last identifier given to a connection
 	openConns      map[*connection]struct{}
 	boardAddresses chan string   // new addresses of the notice board
 	listenerClosed chan struct{} // closed once no more connections are accepted
@@ -119,8 +119,8 @@
 	log *slog.Logger) *Server {
 	maxCallers, maxLinks := b2bua.Descriptors(config.Limits.Sockets)
 	s := &Server{config: config, dial: dial, log: log, startTime: time.Now(), inbox: make(chan event, inboxSize),
-		stopped: make(chan struct{}), callerSlots: make(chan struct{}, maxCallers+b2bua.Closing), switchSlots: make(chan struct{}, maxLinks+b2bua.Closing), callerConns: map[b2bua.Conn]*connection{},
-		switchConns: map[b2bua.Conn]*connection{}, openConns: map[*connection]struct{}{}, boardAddresses: make(chan string, 1), listenerClosed: make(chan struct{}), recordCounts: map[b2bua.RecordKind]int{}}
+		stopped: make(chan struct{}), callerSlots: make(chan struct{}, maxCallers+b2bua.MaxClosing), switchSlots: make(chan struct{}, maxLinks+b2bua.MaxClosing), callerConns: map[b2bua.ConnID]*connection{},
+		switchConns: map[b2bua.ConnID]*connection{}, openConns: map[*connection]struct{}{}, boardAddresses: make(chan string, 1), listenerClosed: make(chan struct{}), recordCounts: map[b2bua.RecordKind]int{}}
 	s.runCtx, s.cancelRun = context.WithCancel(context.Background())
 	memory := config.Limits.MemoryMB << 20
 	bounds := b2bua.Bounds{Calls: memory / maxOctetsPerCall, Octets: memory / descriptionMemoryDivisor, Callers: maxCallers, Links: maxLinks}
@@ -128,7 +128,7 @@
 		bounds.Calls = min(bounds.Calls, maxOpen)
 	}
 	s.agent = b2bua.New(config.Settings, bounds, (*hands)(s), s.now(), build)
-	s.agent.Known(s.now(), config.Known)
+	s.agent.Bootstrap(s.now(), config.Known)
 	if n := len(config.Known); n > 0 {
 		s.lastBoardEvent = config.Known[n-1].Number
 	}
@@ -208,7 +208,7 @@
 			conn.closeAfterWrite()
 		}
 	}
-	for _, conns := range []map[b2bua.Conn]*connection{s.callerConns, s.switchConns} {
+	for _, conns := range []map[b2bua.ConnID]*connection{s.callerConns, s.switchConns} {
 		for _, conn := range conns {
 			finish(conn)
 		}
@@ -249,7 +249,7 @@
 	takenBefore := uint64(0) // accepted calls when the last quiet period began
 	for {
 		now := s.now()
-		due := s.agent.Next()
+		due := s.agent.NextTick()
 		if readUntil, reading := s.stall.Reading(now); reading {
 			due = max(due, readUntil)
 		}
@@ -280,14 +280,14 @@
 			listenerClosed, quietPeriodOver = nil, time.After(quietPeriod)
 		case <-quietPeriodOver:
 			s.noteWake(due)
-			if taken := s.agent.Taken(); taken != takenBefore || s.agent.Unanswered() > 0 {
+			if taken := s.agent.Accepted(); taken != takenBefore || s.agent.Unanswered() > 0 {
 				takenBefore, quietPeriodOver = taken, time.After(quietPeriod)
 				break
 			}
 			return
 		case <-failOpenCalls:
 			s.handleQueued()
-			s.agent.FailOpen(s.now())
+			s.agent.FailOpenCalls(s.now())
 			return
 		case config := <-reload:
 			s.noteWake(due)
@@ -301,7 +301,7 @@
 		if s.stall.Works(now) {
 			s.stalls++
 		}
-		if _, reading := s.stall.Reading(now); !reading && now >= s.agent.Next() {
+		if _, reading := s.stall.Reading(now); !reading && now >= s.agent.NextTick() {
 			s.agent.Tick(now, s.stall.Ended())
 		}
 	}
@@ -335,14 +335,14 @@
 	case callerConnected:
 		s.callerConns[e.connID] = e.conn
 		s.log.Debug("caller connected", "conn", e.connID, "peer", e.conn.netConn.RemoteAddr())
-		if !s.agent.CallerUp(now, e.connID) {
+		if !s.agent.CallerConnected(now, e.connID) {
 			e.conn.closeAfterWrite()
 		}
 	case callerDisconnected:
 		if s.callerConns[e.connID] != nil {
 			s.log.Debug("caller connection: end of stream", "conn", e.connID, "err", e.err)
 			delete(s.callerConns, e.connID)
-			s.agent.CallerDown(now, e.connID)
+			s.agent.CallerDisconnected(now, e.connID)
 		}
 	case callerMessage:
 		s.agent.FromCaller(now, e.readAt, e.connID, &e.message)
@@ -350,33 +350,33 @@
 			e.conn.removeCancel(e.message.CallID)
 		}
 	case callerPartialMessage:
-		s.agent.CallerPart(e.connID, e.readAt)
+		s.agent.CallerMessagePartial(e.connID, e.readAt)
 	case callerMalformed:
 		s.warn(e.err.Error())
-		s.agent.CallerBad(now, e.connID, &e.message, errors.Is(e.err, sip.ErrTooLong), "unreadable")
+		s.agent.CallerMessageInvalid(now, e.connID, &e.message, errors.Is(e.err, sip.ErrTooLong), "unreadable")
 	case dialFinished:
 		if e.conn != nil {
 			s.switchConns[e.connID] = e.conn
 			s.log.Debug("switch connected", "conn", e.connID, "switch", board.FormatID(e.switchID))
 			s.serveConn(e.conn, s.readSwitch, s.switchSlots)
 		}
-		s.agent.Dialled(now, e.switchID, e.ticket, e.connID, e.refused)
+		s.agent.DialDone(now, e.switchID, e.ticket, e.connID, e.refused)
 	case switchDisconnected:
 		if s.switchConns[e.connID] != nil {
 			s.log.Debug("switch connection: end of stream", "conn", e.connID, "err", e.err)
 			delete(s.switchConns, e.connID)
 		}
-		s.agent.LinkDown(now, e.connID, e.err == io.EOF) //nolint:errorlint // within a message the error is io.ErrUnexpectedEOF
+		s.agent.SwitchDisconnected(now, e.connID, e.err == io.EOF) //nolint:errorlint // within a message the error is io.ErrUnexpectedEOF
 	case switchMessage:
 		if extraAnswer := s.config.crossedRelease(&e.message); extraAnswer != nil {
 			s.agent.FromSwitch(now, e.connID, extraAnswer)
 		}
 		s.agent.FromSwitch(now, e.connID, &e.message)
 	case switchPartialMessage:
-		s.agent.LinkPart(e.connID, e.readAt)
+		s.agent.SwitchMessagePartial(e.connID, e.readAt)
 	case boardEvent:
 		s.lastBoardEvent = e.boardEvent.Number
-		s.agent.Listed(now, e.boardEvent)
+		s.agent.UpdateSwitches(now, e.boardEvent)
 	case boardStatus:
 		if s.boardConnected = e.connected; e.connected {
 			s.log.Info("notice board connected", "list", s.lastBoardEvent)
@@ -503,17 +503,17 @@
 // logSummary logs the controller's counters and its view of the switches, to be compared with the traffic on the sockets.
 func (s *Server) logSummary() {
 	tally, open, standing, over, callers, late := s.agent.Counts()
-	releases, tries := s.agent.Releases(), s.agent.Tries()
+	releases, tries := s.agent.ReleaseCounts(), s.agent.TryCounts()
 	memory := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(memory)
-	s.log.Info("summary", "taken", tally.Taken, "stood", tally.Stood, "blocked", tally.Blocked, "aborted", tally.Aborted, "left", tally.Left,
-		"refused", tally.Refused, "released", tally.Released, "cut", tally.Cut, "crossed", tally.Crossed, "open", open, "standing", standing, "over", over,
-		"callers", callers, "descriptors", len(s.callerConns)+len(s.switchConns), "far", s.agent.Believes(), "list", s.lastBoardEvent,
+	s.log.Info("summary", "taken", tally.Accepted, "stood", tally.Established, "blocked", tally.Blocked, "aborted", tally.Aborted, "left", tally.Abandoned,
+		"refused", tally.Refused, "released", tally.Released, "cut", tally.Disconnected, "crossed", tally.CancelCrossed, "open", open, "standing", standing, "over", over,
+		"callers", callers, "descriptors", len(s.callerConns)+len(s.switchConns), "far", s.agent.SwitchStatuses(), "list", s.lastBoardEvent,
 		"board", s.boardConnected, "late_ms", float64(late)/10, "stood_still", s.stalls,
 		"memory_kb", (memory[0].Value.Uint64()-memory[1].Value.Uint64())>>10, "unsaid", s.suppressed,
 		slog.Group("releases", "written", releases.Written, "repeated", releases.Repeated, "unanswered", releases.Unanswered, "confirmed", releases.Confirmed,
-			"late", releases.Late, "dropped", releases.Dropped, "unknown", releases.Unknown, "waiting", releases.Waiting, "oldest_ms", float64(releases.Oldest)/10),
-		slog.Group("tries", "written", tries.Written, "again", tries.Again, "stood", tries.Stood, "refused", tries.Refused, "timed_out", tries.TimedOut,
+			"late", releases.Late, "dropped", releases.Dropped, "unknown", releases.Unknown, "waiting", releases.Pending, "oldest_ms", float64(releases.OldestAge)/10),
+		slog.Group("tries", "written", tries.Written, "again", tries.Retries, "stood", tries.Answered, "refused", tries.Refused, "timed_out", tries.TimedOut,
 			"cancelled", tries.Cancelled, "lost", tries.Lost, "reset", tries.Reset, "answered_late", tries.AnsweredLate))
 	s.noteCount, s.suppressed, s.stalls = 0, 0, 0
 	clear(s.recordCounts)
@@ -523,7 +523,7 @@
 type hands Server
 
 // conn returns a connection of a caller or to a switch, nil when it is gone.
-func (h *hands) conn(id b2bua.Conn) *connection {
+func (h *hands) conn(id b2bua.ConnID) *connection {
 	if conn := h.callerConns[id]; conn != nil {
 		return conn
 	}
@@ -531,7 +531,7 @@
 }
 
 // Write queues a message on a connection.
-func (h *hands) Write(to b2bua.Conn, m *sip.Message) {
+func (h *hands) Write(to b2bua.ConnID, m *sip.Message) {
 	conn, copies := h.conn(to), 1
 	if h.config.injectedFault != "" {
 		copies = h.config.copies(h.callerConns[to] != nil, m)
@@ -544,7 +544,7 @@
 }
 
 // Close closes a connection after writing what is queued for it.
-func (h *hands) Close(id b2bua.Conn, why string) {
+func (h *hands) Close(id b2bua.ConnID, why string) {
 	if conn := h.conn(id); conn != nil {
 		conn.closeAfterWrite()
 		delete(h.callerConns, id)
@@ -587,8 +587,8 @@
 	})
 }
 
-// Left reports whether a caller has closed its connection or cancelled its call, even if that event is still in the inbox.
-func (h *hands) Left(caller b2bua.Conn, callID string) bool {
+// Abandoned reports whether a caller has closed its connection or cancelled its call, even if that event is still in the inbox.
+func (h *hands) Abandoned(caller b2bua.ConnID, callID string) bool {
 	conn := h.callerConns[caller]
 	return conn == nil || conn.callerLeft(callID)
 }
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -26,7 +26,7 @@
 // connection is one connection with its write queue. Queueing never blocks: a peer that reads too slowly loses its
 // connection.
 type connection struct {
-	id         b2bua.Conn
+	id         b2bua.ConnID
 	netConn    net.Conn
 	maxQueued  int
 	wake       chan struct{}
@@ -47,7 +47,7 @@
 	cseq       uint32
 }
 
-func newConnection(id b2bua.Conn, netConn net.Conn, maxQueued int) *connection {
+func newConnection(id b2bua.ConnID, netConn net.Conn, maxQueued int) *connection {
 	return &connection{id: id, netConn: netConn, maxQueued: maxQueued, wake: make(chan struct{}, 1)}
 }
 
