--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -32,11 +32,11 @@
 		for _, k := range l.Calls {
 			phases[k.Phase]++
 		}
-		fmt.Printf("format %d, %d frames, %d octets read\n", l.Version, l.Frames, l.Good)
-		fmt.Printf("%d calls stand, %d are being set up\n", phases[recovery.Standing], phases[recovery.Asked])
-		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", instant(l.Life.Alive), l.Life.Own, len(l.Life.Far))
-		if l.Why != "" {
-			fmt.Printf("%d octets at the end were not read: %s\n", l.Left, l.Why)
+		fmt.Printf("format %d, %d frames, %d octets read\n", l.Version, l.Frames, l.ReadOctets)
+		fmt.Printf("%d calls stand, %d are being set up\n", phases[recovery.Established], phases[recovery.SettingUp])
+		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", instant(l.Process.LastHeartbeat), l.Process.OwnIncarnation, len(l.Process.Incarnations))
+		if l.UnreadReason != "" {
+			fmt.Printf("%d octets at the end were not read: %s\n", l.UnreadOctets, l.UnreadReason)
 		}
 		return nil
 	}}
@@ -47,9 +47,9 @@
 			if err != nil {
 				return err
 			}
-			if l.Why != "" {
+			if l.UnreadReason != "" {
 				damaged = true
-				fmt.Printf("%s: whole up to octet %d, %d after it are not: %s\n", name, l.Good, l.Left, l.Why)
+				fmt.Printf("%s: whole up to octet %d, %d after it are not: %s\n", name, l.ReadOctets, l.UnreadOctets, l.UnreadReason)
 				continue
 			}
 			fmt.Printf("%s: %d frames, whole\n", name, l.Frames)
@@ -65,11 +65,11 @@
 		if err != nil {
 			return err
 		}
-		calls := make([]recovery.Kept, 0, len(l.Calls))
+		calls := make([]recovery.StoredCall, 0, len(l.Calls))
 		for _, k := range l.Calls {
 			calls = append(calls, k)
 		}
-		slices.SortFunc(calls, func(a, b recovery.Kept) int { return int(int64(a.ID) - int64(b.ID)) })
+		slices.SortFunc(calls, func(a, b recovery.StoredCall) int { return int(int64(a.ID) - int64(b.ID)) })
 		if asJSON {
 			out := json.NewEncoder(os.Stdout)
 			for _, k := range calls {
@@ -83,7 +83,7 @@
 		fmt.Fprintln(t, "call\treference\tphase\tsince\tfrom\tto")
 		for _, k := range calls {
 			phase, to := "being set up", "-"
-			if k.Phase == recovery.Standing {
+			if k.Phase == recovery.Established {
 				phase, to = "stands", side(k.Out)
 			}
 			fmt.Fprintf(t, "%d\t%d/%d\t%s\t%s\t%s\t%s\n", k.ID, k.Ref.Point, k.Ref.Identity, phase, instant(k.Since), side(k.In), to)
--- a/cmd/indigodrift/main_test.go
+++ b/cmd/indigodrift/main_test.go
@@ -291,7 +291,7 @@
 		}
 		var r control.Reply
 		for range 200 {
-			if r, err = control.Tell(at, control.Order{Do: "versions"}); err == nil {
+			if r, err = control.SendCommand(at, control.Command{Name: "versions"}); err == nil {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -303,7 +303,7 @@
 		next = max(next, r.Version+1)
 		kill := time.AfterFunc(time.Duration(5+life*7)*time.Millisecond, func() { c.Process.Kill() })
 		for {
-			r, err := control.Tell(at, control.Order{Do: "load", File: table(next)})
+			r, err := control.SendCommand(at, control.Command{Name: "load", File: table(next)})
 			if err != nil {
 				break
 			}
--- a/cmd/indigodrift/numbers.go
+++ b/cmd/indigodrift/numbers.go
@@ -118,7 +118,7 @@
 	for _, c := range []*cobra.Command{explain, diff} {
 		c.Flags().StringVar(&at, "at", "", "instant, now if absent")
 	}
-	tell := func(o control.Order) error {
+	tell := func(o control.Command) error {
 		failed := 0
 		for _, a := range strings.Split(address, ",") { // each exchange says for itself whether it could
 			if err := tellOne(a, o); err != nil {
@@ -137,22 +137,22 @@
 			if err != nil {
 				return fmt.Errorf("load: %w", err)
 			}
-			o := control.Order{Do: "load", File: name}
+			o := control.Command{Name: "load", File: name}
 			if at != "" {
 				t, err := when()
 				if err != nil {
 					return err
 				}
-				o.At = t.Unix()
+				o.ActivationTime = t.Unix()
 			}
 			return tell(o)
 		}}
 	load.Flags().StringVar(&at, "at", "", "instant at which it comes into force")
 	rollback := &cobra.Command{Use: "rollback", Short: "Have a running exchange return to the table before", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return tell(control.Order{Do: "rollback", Why: why}) }}
+		RunE: func(*cobra.Command, []string) error { return tell(control.Command{Name: "rollback", Reason: why}) }}
 	rollback.Flags().StringVar(&why, "why", "", "reason, for the history")
 	versions := &cobra.Command{Use: "versions", Short: "Show the table in force at a running exchange", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return tell(control.Order{Do: "versions"}) }}
+		RunE: func(*cobra.Command, []string) error { return tell(control.Command{Name: "versions"}) }}
 	for _, c := range []*cobra.Command{load, rollback, versions} {
 		c.Flags().StringVar(&address, "control", "127.0.0.1:7900", "control sockets of the exchanges, comma-separated")
 	}
@@ -161,14 +161,14 @@
 }
 
 // tellOne sends an order to one exchange and prints what is in force there.
-func tellOne(address string, o control.Order) error {
-	r, err := control.Tell(address, o)
+func tellOne(address string, o control.Command) error {
+	r, err := control.SendCommand(address, o)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("exchange %d: version %d %q in force, %d held", r.Exchange, r.Version, r.Name, r.Held)
-	if r.Waiting != 0 {
-		fmt.Printf(", version %d waits for %s", r.Waiting, time.Unix(r.At, 0).Format(time.RFC3339))
+	fmt.Printf("exchange %d: version %d %q in force, %d held", r.Exchange, r.Version, r.Name, r.HeldVersions)
+	if r.PendingVersion != 0 {
+		fmt.Printf(", version %d waits for %s", r.PendingVersion, time.Unix(r.ActivationTime, 0).Format(time.RFC3339))
 	}
 	fmt.Println()
 	if r.Error != "" {
--- a/cmd/indigodrift/serve.go
+++ b/cmd/indigodrift/serve.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	log := slog.New(handler).With("exchange", s.Deployment.OwnExchange)
-	build := control.Build(module)
+	build := control.DeciderBuilder(module)
 	switch routing {
 	case "module":
 	case "direct", "random":
@@ -85,9 +85,9 @@
 	if err != nil {
 		return err
 	}
-	station.Ready = func() { fmt.Println("ready") }
+	station.OnReady = func() { fmt.Println("ready") }
 	if wrong != nil {
-		station.Sent = wrong.Sent
+		station.InterceptSend = wrong.Sent
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
--- a/internal/b2bua/far.go
+++ b/internal/b2bua/far.go
@@ -123,7 +123,7 @@
 	nextRecoveryAt    policy.Tenths // when the next connection is opened for calls whose own connection is closed
 	silentSinceLoss   bool          // no message came from the switch since a connection was lost
 	lostRepeat        lostRepeat
-	reconnectPace     *reconnect.Pace
+	reconnectPace     *reconnect.Backoff
 	nextDialAt        policy.Tenths     // next dial that no call requested
 	lastMessageAt     policy.Tenths     // last message on any connection
 	shortLinks        int               // consecutive connections that lasted less than minLinkLifetime
@@ -202,7 +202,7 @@
 	delete(a.switchOfLink, worst.conn)
 	a.closingLinks[worst.conn] = other.entry.ID
 	other.links = slices.DeleteFunc(other.links, func(l *switchLink) bool { return l == worst })
-	other.nextDialAt = a.now + other.reconnectPace.Wait()
+	other.nextDialAt = a.now + other.reconnectPace.NextDelay()
 	a.transport.Close(worst.conn, "descriptor needed for another switch")
 	return true
 }
@@ -231,7 +231,7 @@
 	}
 	if c == 0 {
 		f.reconnectPace.Down(now)
-		f.nextDialAt = now + f.reconnectPace.Wait()
+		f.nextDialAt = now + f.reconnectPace.NextDelay()
 		a.endWaitingTries(f)
 		if refused && len(f.links) == 0 { // the process that held the calls established there is gone
 			a.disconnectCalls(f, now+1, "its address refuses connections")
@@ -328,7 +328,7 @@
 		f.reconnectPace.Down(now)
 		f.nextDialAt = now
 		if f.shortLinks > maxShortLinks || l != nil && !l.messageSeen {
-			f.nextDialAt = now + min(f.reconnectPace.Wait(), maxShortLinkDelay)
+			f.nextDialAt = now + min(f.reconnectPace.NextDelay(), maxShortLinkDelay)
 		}
 		if !whole && l != nil && !l.silent {
 			a.linkLost(f, l)
@@ -474,7 +474,7 @@
 		}
 		if f == nil {
 			f = &remoteSwitch{entry: s, lastMessageAt: now, nextDialAt: now}
-			f.reconnectPace = reconnect.NewPaceBetween(a.settings.Policy.Seed^uint64(s.ID), initialReconnectDelay, maxReconnectDelay)
+			f.reconnectPace = reconnect.NewBackoffBetween(a.settings.Policy.Seed^uint64(s.ID), initialReconnectDelay, maxReconnectDelay)
 			a.switches[s.ID] = f
 			a.switchOrder = append(a.switchOrder, s.ID)
 		}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -125,7 +125,7 @@
 
 // network starts exchanges on loopback whose switches process messages in no time. It returns the address of the first one's
 // switch and the servers.
-func network(b *testing.B, n int, change func(i int, s *Site)) (string, []*Station) {
+func network(b *testing.B, n int, change func(i int, s *Config)) (string, []*Server) {
 	quick := standin.Work{SetUp: time.Nanosecond, Finish: time.Nanosecond, RefuseAfter: time.Hour, ReportEvery: time.Second, Reuse: true,
 		ColdFrom: 1, Ramp: 1, FallMultiple: 1e9, FallWindow: time.Second}
 	log := audit.NewLog(discard{})
@@ -155,11 +155,11 @@
 	reg.Start(rl)
 	b.Cleanup(reg.Stop)
 	var d net.Dialer
-	var stations []*Station
+	var stations []*Server
 	for i := range n {
-		s := Site{Deployment: policy.Deployment{OwnExchange: i, Seed: uint64(i), MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
-			Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, Exchanges: n, OwnSwitch: at[i], Register: rl.Addr().String(),
-			Inbox: 16384, LinkMost: 1 << 24}
+		s := Config{Deployment: policy.Deployment{OwnExchange: i, Seed: uint64(i), MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
+			Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, ExchangeCount: n, OwnSwitchAddress: at[i], RegisterAddress: rl.Addr().String(),
+			InboxSize: 16384, MaxLinkOctets: 1 << 24}
 		for j := range n {
 			if j != i {
 				s.Neighbours = append(s.Neighbours, Neighbour{exchange.Neighbour{Number: j, Circuits: 100}, at[j]})
@@ -299,8 +299,8 @@
 		return name
 	}
 	first := write(1, 1000)
-	at, stations := network(b, 2, func(i int, s *Site) {
-		s.Numbers = &Numbers{Store: filepath.Join(dir, fmt.Sprint("store", i)), Table: first, Callers: 1000}
+	at, stations := network(b, 2, func(i int, s *Config) {
+		s.NumberAnalysis = &NumberAnalysis{StoreFolder: filepath.Join(dir, fmt.Sprint("store", i)), InitialTable: first, MaxCallers: 1000}
 	})
 	name := write(2, prefixes)
 	a := newAsker(b, at, 0)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -32,24 +32,24 @@
 	Address string
 }
 
-// Site holds the settings of a running exchange.
-type Site struct {
-	Deployment policy.Deployment
-	Exchanges  int    // exchanges in the network, numbered from 0
-	OwnSwitch  string // address
-	Register   string // address
-	Neighbours []Neighbour
-	Inbox      int         // capacity of the event queue
-	LinkMost   int         // maximum octets queued on one link
-	Control    string      // address for operators' commands, "" for none
-	Numbers    *Numbers    // nil: the first digits of a number identify the exchange
-	Gateways   *Gateways   // nil: no MGCP gateways
-	Ledger     string      // file that stores the calls, "" for none
-	Disk       ledger.Disk // nil: the local file system
+// Config holds the settings of a running exchange.
+type Config struct {
+	Deployment       policy.Deployment
+	ExchangeCount    int    // exchanges in the network, numbered from 0
+	OwnSwitchAddress string // address
+	RegisterAddress  string // address
+	Neighbours       []Neighbour
+	InboxSize        int             // capacity of the event queue
+	MaxLinkOctets    int             // maximum octets queued on one link
+	ControlAddress   string          // address for operators' commands, "" for none
+	NumberAnalysis   *NumberAnalysis // nil: the first digits of a number identify the exchange
+	Gateways         *Gateways       // nil: no MGCP gateways
+	LedgerFile       string          // file that stores the calls, "" for none
+	Disk             ledger.Disk     // nil: the local file system
 }
 
-// Build creates the decision module of an exchange.
-type Build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider
+// DeciderBuilder creates the decision module of an exchange.
+type DeciderBuilder func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider
 
 // clock is the time of this process. It starts well above zero, so that the start time of a switch is never negative.
 type clock struct {
@@ -99,72 +99,72 @@
 	mgcp   datagram
 }
 
-// Station runs one exchange.
-type Station struct {
-	site   Site
-	log    *slog.Logger
-	clock  *clock
-	x      *exchange.Exchange
-	view   *membership.View
-	links  []*trunk.Link // one for each neighbour, then the own switch's
-	reg    *register.Client
-	inbox  chan event
-	done   chan struct{}
-	abort  chan struct{}
-	lags   []lag.Lag // one for each link, used only by its reader
-	buf    []byte
-	stall  lag.Stall
-	held   []event        // received since a stall ended, not handled yet
-	behind map[uint32]int // point code: neighbour index
-	tables *tables
-	orders net.Listener
-	agent  *agent
-	ledger *ledger.Ledger
-	Ready  func() // called once when the own switch first answers
+// Server runs one exchange.
+type Server struct {
+	site    Config
+	log     *slog.Logger
+	clock   *clock
+	x       *exchange.Exchange
+	view    *membership.View
+	links   []*trunk.Link // one for each neighbour, then the own switch's
+	reg     *register.Client
+	inbox   chan event
+	done    chan struct{}
+	abort   chan struct{}
+	lags    []lag.Estimator // one for each link, used only by its reader
+	buf     []byte
+	stall   lag.StallDetector
+	held    []event        // received since a stall ended, not handled yet
+	behind  map[uint32]int // point code: neighbour index
+	tables  *tables
+	orders  net.Listener
+	agent   *agent
+	ledger  *ledger.Ledger
+	OnReady func() // called once when the own switch first answers
 	// ListenPacket opens the socket for MGCP gateways. Tests replace it with one in memory.
 	ListenPacket func(address string) (net.PacketConn, error)
-	// Sent, if set, intercepts messages from the exchange to the links. Only scripted days set it, to break a rule on
+	// InterceptSend, if set, intercepts messages from the exchange to the links. Only scripted days set it, to break a rule on
 	// purpose.
-	Sent func(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message))
+	InterceptSend func(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message))
 }
 
 // New creates a server from settings. Run starts it.
-func New(site Site, build Build, dial trunk.Dialer, log *slog.Logger) (*Station, error) {
-	s := &Station{site: site, log: log, clock: &clock{base: time.Now()}, view: membership.NewView(site.Exchanges),
-		inbox: make(chan event, site.Inbox), done: make(chan struct{}), abort: make(chan struct{}, 1), behind: map[uint32]int{},
-		lags: make([]lag.Lag, len(site.Neighbours)+1), Ready: func() {},
+func New(site Config, build DeciderBuilder, dial trunk.Dialer, log *slog.Logger) (*Server, error) {
+	s := &Server{site: site, log: log, clock: &clock{base: time.Now()}, view: membership.NewView(site.ExchangeCount),
+		inbox: make(chan event, site.InboxSize), done: make(chan struct{}), abort: make(chan struct{}, 1), behind: map[uint32]int{},
+		lags: make([]lag.Estimator, len(site.Neighbours)+1), OnReady: func() {},
 		ListenPacket: func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }}
 	var near []exchange.Neighbour
 	own := uint32(exchange.Point(site.Deployment.OwnExchange))
-	line := trunk.Line{Own: own, Most: site.LinkMost, Links: len(site.Neighbours) + 1}
+	line := trunk.Config{OwnPoint: own, MaxQueuedOctets: site.MaxLinkOctets, LinkCount: len(site.Neighbours) + 1}
 	for i, n := range site.Neighbours {
 		near = append(near, n.Neighbour)
 		s.behind[uint32(exchange.Point(n.Number))] = i
-		line.Link, line.Peer, line.Address = i, uint32(exchange.Point(n.Number)), n.Address
+		line.Index, line.PeerPoint, line.Address = i, uint32(exchange.Point(n.Number)), n.Address
 		line.Seed = site.Deployment.Seed*0x9e3779b97f4a7c15 + uint64(i)
 		s.links = append(s.links, trunk.NewLink(line, dial, s.clock, (*reader)(s)))
 	}
-	line.Link, line.Peer, line.Address, line.Links = len(near), own, site.OwnSwitch, 1
+	line.Index, line.PeerPoint, line.Address, line.LinkCount = len(near), own, site.OwnSwitchAddress, 1
 	line.Seed++
 	s.links = append(s.links, trunk.NewLink(line, dial, s.clock, (*reader)(s)))
-	s.reg = register.NewClient(site.Deployment.OwnExchange, site.Register, line.Seed+1, 1, dial, s.clock, (*reader)(s))
+	s.reg = register.NewClient(site.Deployment.OwnExchange, site.RegisterAddress, line.Seed+1, 1, dial, s.clock, (*reader)(s))
 	s.x = exchange.New(site.Deployment, near, (*hands)(s), s.clock.Now(), build)
-	if site.Numbers != nil {
-		if err := s.openTables(site.Numbers, line.Seed+2); err != nil {
+	if site.NumberAnalysis != nil {
+		if err := s.openTables(site.NumberAnalysis, line.Seed+2); err != nil {
 			return nil, err
 		}
 	}
 	if site.Gateways != nil {
 		s.agent = newAgent(s, site.Gateways)
 	}
-	if site.Ledger != "" {
-		if err := s.openLedger(site.Ledger); err != nil {
+	if site.LedgerFile != "" {
+		if err := s.openLedger(site.LedgerFile); err != nil {
 			return nil, err
 		}
 	}
-	if site.Control != "" {
+	if site.ControlAddress != "" {
 		var err error
-		if s.orders, err = net.Listen("tcp", site.Control); err != nil {
+		if s.orders, err = net.Listen("tcp", site.ControlAddress); err != nil {
 			return nil, fmt.Errorf("listen on control socket: %w", err)
 		}
 	}
@@ -175,7 +175,7 @@
 var ErrAborted = errors.New("aborted")
 
 // Abort makes Run return without a drain, like a killed process. Tests use it, as they have no process to kill.
-func (s *Station) Abort() {
+func (s *Server) Abort() {
 	select {
 	case s.abort <- struct{}{}:
 	default:
@@ -187,13 +187,13 @@
 
 // Run serves until the context ends, then drains: it accepts no new call and returns once every accepted call is
 // answered.
-func (s *Station) Run(ctx context.Context) error {
+func (s *Server) Run(ctx context.Context) error {
 	carrying, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var all sync.WaitGroup
 	for _, l := range s.links {
-		all.Go(func() { l.Keep(carrying) })
+		all.Go(func() { l.Run(carrying) })
 	}
-	all.Go(func() { s.reg.Keep(carrying) })
+	all.Go(func() { s.reg.Run(carrying) })
 	if s.tables != nil {
 		all.Go(func() { s.tables.run(carrying) })
 	}
@@ -223,15 +223,15 @@
 	return err
 }
 
-func (s *Station) loop(ctx context.Context) error {
+func (s *Server) loop(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	quit, drainBy := ctx.Done(), policy.Tenths(0)
 	for {
 		now := s.clock.Now()
 		next := min(s.x.Next(), s.agent.next())
-		s.stood(s.stall.Works(now))
-		until, reading := s.stall.Reading(now)
+		s.stood(s.stall.Running(now))
+		until, reading := s.stall.TimersHeld(now)
 		if reading {
 			next = max(next, until)
 		} else {
@@ -249,7 +249,7 @@
 			s.drainInbox(256) // queued events go before the next timer
 			continue
 		}
-		timer.Reset(trunk.Span(next - now))
+		timer.Reset(trunk.Duration(next - now))
 		select {
 		case <-s.abort:
 			return ErrAborted
@@ -272,15 +272,15 @@
 }
 
 // stood records a stall of the process that ended just now.
-func (s *Station) stood(stood bool) {
+func (s *Server) stood(stood bool) {
 	if stood {
-		s.clock.stalled.Store(int64(s.stall.Ended()))
+		s.clock.stalled.Store(int64(s.stall.LastEnd()))
 		s.log.Info("process was stalled")
 	}
 }
 
 // drainInbox handles queued events, up to a limit.
-func (s *Station) drainInbox(most int) {
+func (s *Server) drainInbox(most int) {
 	for range most {
 		select {
 		case ev := <-s.inbox:
@@ -292,10 +292,10 @@
 }
 
 // take handles an event, or holds it back while messages that arrived during a stall are still being read.
-func (s *Station) take(ev event) {
+func (s *Server) take(ev event) {
 	now := s.clock.Now()
-	s.stood(s.stall.Works(now))
-	if _, reading := s.stall.Reading(now); reading {
+	s.stood(s.stall.Running(now))
+	if _, reading := s.stall.TimersHeld(now); reading {
 		s.held = append(s.held, ev)
 		return
 	}
@@ -305,7 +305,7 @@
 
 // release handles the events held back after a stall, those of the own switch first: a caller who abandoned the call
 // during the stall must not be answered because a remote switch's answer was read before the caller's release.
-func (s *Station) release() {
+func (s *Server) release() {
 	if len(s.held) == 0 {
 		return
 	}
@@ -321,8 +321,8 @@
 	for i, ev := range order {
 		s.handle(ev)
 		now := s.clock.Now()
-		if s.stood(s.stall.Works(now)); i+1 < len(order) {
-			if _, reading := s.stall.Reading(now); reading { // another stall: hold the rest back again
+		if s.stood(s.stall.Running(now)); i+1 < len(order) {
+			if _, reading := s.stall.TimersHeld(now); reading { // another stall: hold the rest back again
 				s.held = append(s.held, order[i+1:]...)
 				return
 			}
@@ -330,7 +330,7 @@
 	}
 }
 
-func (s *Station) handle(ev event) {
+func (s *Server) handle(ev event) {
 	now := s.clock.Now()
 	defer s.agent.settle(now)
 	own := ev.link == len(s.links)-1
@@ -341,8 +341,8 @@
 		if own {
 			s.log.Info("own switch is up", "life", ev.life)
 			s.x.OwnUp(now, ev.life)
-			s.Ready()
-			s.Ready = func() {}
+			s.OnReady()
+			s.OnReady = func() {}
 			return
 		}
 		s.log.Debug("link is up", "to", s.site.Neighbours[ev.link].Number, "life", ev.life)
@@ -356,15 +356,15 @@
 		s.log.Info("link is down", "to", s.site.Neighbours[ev.link].Number, "why", ev.err)
 		s.x.LinkDown(now, ev.link)
 	case evList:
-		verdict, told, doubts := s.view.Take(now, ev.list)
+		verdict, told, doubts := s.view.Apply(now, ev.list)
 		for _, d := range doubts {
 			s.log.Warn("register", "version", ev.list.Version, "doubt", d)
 		}
 		switch verdict {
 		case membership.Accepted:
-			s.x.Listed(now, ev.list.Whole, told)
+			s.x.Listed(now, ev.list.Full, told)
 			s.reg.Ack(ev.list.Version)
-		case membership.Refused:
+		case membership.Rejected:
 			// The decision module paces the next request: asking at once never ended with a register that kept sending
 			// bad lists.
 			s.x.ListLost(now)
@@ -390,7 +390,7 @@
 }
 
 // Do runs a function on the event loop, between two events, and waits for it. It returns false if the server has ended.
-func (s *Station) Do(do func()) bool {
+func (s *Server) Do(do func()) bool {
 	ran := make(chan struct{})
 	select {
 	case s.inbox <- event{kind: evDo, do: func() { do(); close(ran) }}:
@@ -407,7 +407,7 @@
 
 // reader receives what happens on the links and at the register client, each on its own goroutine, and queues it for the
 // event loop.
-type reader Station
+type reader Server
 
 func (r *reader) put(ev event) {
 	select {
@@ -416,31 +416,31 @@
 	}
 }
 
-// Up reports that a link came up.
-func (r *reader) Up(link int, g trunk.Greeting) {
+// LinkUp reports that a link came up.
+func (r *reader) LinkUp(link int, g trunk.Handshake) {
 	// A restarted switch has a new clock. With the estimate of the old one every call seemed to have waited for as long as
 	// the switch had run before, and none was accepted.
-	r.lags[link] = lag.Lag{}
+	r.lags[link] = lag.Estimator{}
 	if g.HasClock {
-		r.lags[link] = lag.Begin(g.Asked, g.Read, g.Clock)
+		r.lags[link] = lag.NewEstimator(g.SentAt, g.ReceivedAt, g.Clock)
 	}
-	r.put(event{kind: evUp, link: link, life: g.Life})
+	r.put(event{kind: evUp, link: link, life: g.Incarnation})
 }
 
-// Down reports that a link went down.
-func (r *reader) Down(link int, err error) { r.put(event{kind: evDown, link: link, err: err}) }
+// LinkDown reports that a link went down.
+func (r *reader) LinkDown(link int, err error) { r.put(event{kind: evDown, link: link, err: err}) }
 
-// List reports a list of switches from the register.
-func (r *reader) List(l membership.List) { r.put(event{kind: evList, list: l}) }
+// HandleList reports a list of switches from the register.
+func (r *reader) HandleList(l membership.List) { r.put(event{kind: evList, list: l}) }
 
-// Advice reports tandems that the register advises.
-func (r *reader) Advice(advice map[int]int) { r.put(event{kind: evAdvice, advice: advice}) }
+// HandleAdvice reports tandems that the register advises.
+func (r *reader) HandleAdvice(advice map[int]int) { r.put(event{kind: evAdvice, advice: advice}) }
 
-// Lost reports that the connection to the register ended.
-func (r *reader) Lost(err error) { r.put(event{kind: evLost, err: err}) }
+// RegisterLost reports that the connection to the register ended.
+func (r *reader) RegisterLost(err error) { r.put(event{kind: evLost, err: err}) }
 
-// Frame queues a message from a link. If the queue has no capacity for a new call, the call is refused here, at once.
-func (r *reader) Frame(link int, f m3ua.Frame) error {
+// HandleFrame queues a message from a link. If the queue has no capacity for a new call, the call is refused here, at once.
+func (r *reader) HandleFrame(link int, f m3ua.Frame) error {
 	m, err := isup.Decode(f.User)
 	if err != nil {
 		return err
@@ -460,7 +460,7 @@
 		ev.age = r.lags[link].Age(r.clock.Now(), m.Says.Stamp)
 	}
 	if m.Type == isup.IAM && !exchange.RoomForCall(len(r.inbox), cap(r.inbox)) {
-		(*Station)(r).transmit(nil, hop, isup.Message{CIC: m.CIC, Type: isup.REL, Cause: isup.Congestion, Location: isup.LocalNetwork})
+		(*Server)(r).transmit(nil, hop, isup.Message{CIC: m.CIC, Type: isup.REL, Cause: isup.Congestion, Location: isup.LocalNetwork})
 		return nil
 	}
 	r.put(ev)
@@ -468,7 +468,7 @@
 }
 
 // transmit encodes and sends a message. buf is scratch memory and may be nil.
-func (s *Station) transmit(buf []byte, to exchange.Hop, m isup.Message) []byte {
+func (s *Server) transmit(buf []byte, to exchange.Hop, m isup.Message) []byte {
 	buf, err := isup.Append(buf[:0], m)
 	if err != nil {
 		s.log.Error("cannot encode message", "why", err)
@@ -491,23 +491,23 @@
 }
 
 // hands carries out what the exchange asks for.
-type hands Station
+type hands Server
 
 // Transmit sends a message to a line or a neighbour.
 func (h *hands) Transmit(to exchange.Hop, m isup.Message) {
-	s := (*Station)(h)
+	s := (*Server)(h)
 	if to.Side == exchange.Line && s.agent.hears(to.Point, m) {
 		return
 	}
-	if s.Sent != nil {
-		s.Sent(to, m, func(to exchange.Hop, m isup.Message) { s.buf = s.transmit(s.buf, to, m) })
+	if s.InterceptSend != nil {
+		s.InterceptSend(to, m, func(to exchange.Hop, m isup.Message) { s.buf = s.transmit(s.buf, to, m) })
 		return
 	}
 	s.buf = s.transmit(s.buf, to, m)
 }
 
 // Follow requests the full list of switches from the register.
-func (h *hands) Follow() { h.reg.Ask() }
+func (h *hands) Follow() { h.reg.RequestList() }
 
 // Note logs a notable event.
 func (h *hands) Note(text string) { h.log.Info(text) }
@@ -516,10 +516,10 @@
 func (h *hands) Answered(a exchange.Answer) {
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
 		h.log.Debug("answer", "call", a.Ref.Identity, "from", a.Ref.Point, "outcome", a.Outcome.String(), "dest", a.Dest,
-			"tries", a.Tries, "took", trunk.Span(a.Took), "transit", a.Transit, "come_back", trunk.Span(a.ComeBack))
+			"tries", a.Tries, "took", trunk.Duration(a.Took), "transit", a.Transit, "come_back", trunk.Duration(a.ComeBack))
 	}
 }
 
 // Reload compares settings that were read again with those in force. No setting can change while the exchange runs, so
 // it only reports whether they are equal.
-func (s *Station) Reload(again Site) bool { return reflect.DeepEqual(s.site, again) }
+func (s *Server) Reload(again Config) bool { return reflect.DeepEqual(s.site, again) }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -24,7 +24,7 @@
 // bench is a running server whose own switch is played by the test.
 type bench struct {
 	t       *testing.T
-	station *Station
+	station *Server
 	own     net.Conn
 	log     strings.Builder
 	mu      sync.Mutex
@@ -47,9 +47,9 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, ended: make(chan error, 1)}
-	s := Site{Deployment: policy.Deployment{OwnExchange: 0, Seed: 1, MaxTries: 4, ReleaseTime: 3000,
-		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, Exchanges: 3, OwnSwitch: "own", Register: "none",
-		Neighbours: []Neighbour{{exchange.Neighbour{Number: 1, Circuits: 4}, "away"}}, Inbox: inbox, LinkMost: 1 << 16}
+	s := Config{Deployment: policy.Deployment{OwnExchange: 0, Seed: 1, MaxTries: 4, ReleaseTime: 3000,
+		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none",
+		Neighbours: []Neighbour{{exchange.Neighbour{Number: 1, Circuits: 4}, "away"}}, InboxSize: inbox, MaxLinkOctets: 1 << 16}
 	b.station, err = New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
 	},
@@ -217,8 +217,8 @@
 		m := memnet.New()
 		ln, _ := m.Listen("own")
 		b := &bench{t: t, ended: make(chan error, 1)}
-		s := Site{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
-			Exchanges: 3, OwnSwitch: "own", Register: "none", Inbox: 64, LinkMost: 1 << 16}
+		s := Config{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
+			ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none", InboxSize: 64, MaxLinkOctets: 1 << 16}
 		b.station, _ = New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -43,13 +43,13 @@
 // agent connects the call agent to the server. The event loop calls it, one goroutine reads its socket and one writes to
 // it. Without gateways it is nil.
 type agent struct {
-	s      *Station
+	s      *Server
 	a      *callagent.Agent
 	listen string
 	send   chan packet
 }
 
-func newAgent(s *Station, g *Gateways) *agent {
+func newAgent(s *Server, g *Gateways) *agent {
 	n := &agent{s: s, listen: g.Listen, send: make(chan packet, datagramsMost)}
 	site := g.Site
 	site.Life = uint32(time.Now().Unix()) // two starts within a second would share call IDs, but the first had no time to use any
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -342,7 +342,7 @@
 	for range b.N {
 		for life, rate := range []float64{200, 1e6} {
 			agentAt := freeUDP(b)
-			at, _ := network(b, 2, func(i int, s *Site) {
+			at, _ := network(b, 2, func(i int, s *Config) {
 				if i == 0 {
 					s.Gateways = gatewaySite(0, gateways, 4, rate)
 					s.Gateways.Listen = agentAt
@@ -488,7 +488,7 @@
 	for range b.N {
 		for _, loss := range []float64{0, 0.01, 0.05, 0.2} {
 			agents := []string{freeUDP(b), freeUDP(b)}
-			network(b, 2, func(i int, s *Site) {
+			network(b, 2, func(i int, s *Config) {
 				s.Gateways = gatewaySite(i, 1, phones, 1e6)
 				s.Gateways.Listen = agents[i]
 			})
--- a/internal/control/keep.go
+++ b/internal/control/keep.go
@@ -19,7 +19,7 @@
 	a *agent
 }
 
-func (k keeper) Put(c recovery.Kept) {
+func (k keeper) Put(c recovery.StoredCall) {
 	if k.a.takes(c.In) || k.a.takes(c.Out) {
 		return
 	}
@@ -33,45 +33,45 @@
 
 // openLedger reads the calls that the previous process stored, restores them in the exchange, and stores its calls from then
 // on.
-func (s *Station) openLedger(name string) error {
+func (s *Server) openLedger(name string) error {
 	disk := s.site.Disk
 	if disk == nil {
-		disk = ledger.OnDisk{}
+		disk = ledger.OSDisk{}
 	}
-	digest := xxhash.Sum64String(fmt.Sprintf("indigodrift exchange %d of %d", s.site.Deployment.OwnExchange, s.site.Exchanges))
+	digest := xxhash.Sum64String(fmt.Sprintf("indigodrift exchange %d of %d", s.site.Deployment.OwnExchange, s.site.ExchangeCount))
 	l, c, err := ledger.Open(name, digest, disk, func(text string) { s.log.Warn(text) })
 	if err != nil {
 		return err
 	}
 	s.ledger = l
 	s.x.Keep(keeper{l, s.agent}, s.clock.wall)
-	if len(c.Calls) == 0 && len(c.Life.Far) == 0 {
+	if len(c.Calls) == 0 && len(c.Process.Incarnations) == 0 {
 		return nil
 	}
-	sites := recovery.Sites{Digest: digest, Circuits: map[int]int{}, Lines: func(point uint16) bool {
+	sites := recovery.Settings{SiteDigest: digest, Circuits: map[int]int{}, HasLines: func(point uint16) bool {
 		return point >= exchange.Lines && point < exchange.AtGateways || point >= exchange.CalledFrom && point < 1<<14
 	}}
 	for _, n := range s.site.Neighbours {
 		sites.Circuits[n.Number] = n.Circuits
 	}
-	kept := make([]recovery.Kept, 0, len(c.Calls))
+	kept := make([]recovery.StoredCall, 0, len(c.Calls))
 	for _, k := range c.Calls {
 		kept = append(kept, k)
 	}
 	now := s.clock.Now()
-	verdicts := recovery.Judge(s.clock.wall(now), c.Life, kept, sites)
-	count := map[recovery.Fate]int{}
+	verdicts := recovery.Decide(s.clock.wall(now), c.Process, kept, sites)
+	count := map[recovery.Outcome]int{}
 	for _, v := range verdicts {
-		if count[v.Fate]++; v.Fate == recovery.StandsOn || v.Fate == recovery.AnswerFail {
-			l.Put(v.Kept)
+		if count[v.Outcome]++; v.Outcome == recovery.Continue || v.Outcome == recovery.AnswerFailed {
+			l.Put(v.StoredCall)
 		}
 	}
-	for n, life := range c.Life.Far {
+	for n, life := range c.Process.Incarnations {
 		l.Knows(n, life)
 	}
-	l.Knows(-1, c.Life.Own)
-	standing := s.x.Restore(now, c.Life, verdicts)
-	s.log.Info("restored calls of the previous process", "stand on", standing, "answered failed", count[recovery.AnswerFail], "cut", count[recovery.Cut],
-		"forgotten", count[recovery.Forget], "dead for", time.Duration(s.clock.wall(now)-c.Life.Alive)*100*time.Microsecond)
+	l.Knows(-1, c.Process.OwnIncarnation)
+	standing := s.x.Restore(now, c.Process, verdicts)
+	s.log.Info("restored calls of the previous process", "stand on", standing, "answered failed", count[recovery.AnswerFailed], "cut", count[recovery.Release],
+		"forgotten", count[recovery.Discard], "dead for", time.Duration(s.clock.wall(now)-c.Process.LastHeartbeat)*100*time.Microsecond)
 	return nil
 }
--- a/internal/control/keep_bench_test.go
+++ b/internal/control/keep_bench_test.go
@@ -13,14 +13,14 @@
 )
 
 // slowDisk is a disk on which a sync takes two seconds.
-type slowDisk struct{ ledger.OnDisk }
+type slowDisk struct{ ledger.OSDisk }
 
 // slowFile is a file on a slow disk.
 type slowFile struct{ ledger.File }
 
 func (f slowFile) Sync() error { time.Sleep(2 * time.Second); return f.File.Sync() }
 func (d slowDisk) Create(name string) (ledger.File, error) {
-	f, err := d.OnDisk.Create(name)
+	f, err := d.OSDisk.Create(name)
 	return slowFile{f}, err
 }
 
@@ -28,12 +28,12 @@
 // sync takes two seconds.
 func BenchmarkAnswerKept(b *testing.B) {
 	var all []*asker
-	var keeps []*Station
+	var keeps []*Server
 	for _, kind := range []string{"none", "kept", "slow"} {
 		dir := b.TempDir()
-		at, stations := network(b, 2, func(i int, s *Site) {
+		at, stations := network(b, 2, func(i int, s *Config) {
 			if kind != "none" {
-				s.Ledger = filepath.Join(dir, string(rune('a'+i)))
+				s.LedgerFile = filepath.Join(dir, string(rune('a'+i)))
 			}
 			if kind == "slow" {
 				s.Disk = slowDisk{}
@@ -60,7 +60,7 @@
 			b.ReportMetric(float64(took[i].ValueAtQuantile(99))/float64(took[0].ValueAtQuantile(99)), name+"-99th-over-none")
 		}
 	}
-	b.ReportMetric(float64(keeps[1].ledger.Wrote())/float64(b.N), "octets-a-call")
+	b.ReportMetric(float64(keeps[1].ledger.WrittenOctets())/float64(b.N), "octets-a-call")
 }
 
 // BenchmarkTakeUp times reading a ledger and deciding on its calls.
@@ -68,33 +68,33 @@
 	for _, calls := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(calls), func(b *testing.B) {
 			name := filepath.Join(b.TempDir(), "ledger")
-			l, _, err := ledger.Open(name, 7, ledger.OnDisk{}, func(string) {})
+			l, _, err := ledger.Open(name, 7, ledger.OSDisk{}, func(string) {})
 			if err != nil {
 				b.Fatal(err)
 			}
 			go l.Run()
 			now := time.Now().UnixNano() / 100_000
 			for i := range calls {
-				l.Put(recovery.Kept{ID: uint32(i + 1), Phase: recovery.Standing, In: recovery.Place{Point: 0x2000 + uint16(i>>12), CIC: uint16(i & 4095)},
+				l.Put(recovery.StoredCall{ID: uint32(i + 1), Phase: recovery.Established, In: recovery.Place{Point: 0x2000 + uint16(i>>12), CIC: uint16(i & 4095)},
 					Out: recovery.Place{Trunk: true, Number: i / 3900, CIC: uint16(i%3900/31*32 + i%31 + 1)}, Since: now})
 			}
 			l.Close()
-			sites := recovery.Sites{Digest: 7, Circuits: map[int]int{}, Lines: func(uint16) bool { return true }}
+			sites := recovery.Settings{SiteDigest: 7, Circuits: map[int]int{}, HasLines: func(uint16) bool { return true }}
 			for n := range 30 {
 				sites.Circuits[n] = 3968
 			}
 			for b.Loop() {
-				_, c, err := ledger.Open(name, 7, ledger.OnDisk{}, func(string) {})
+				_, c, err := ledger.Open(name, 7, ledger.OSDisk{}, func(string) {})
 				if err != nil || len(c.Calls) != calls {
 					b.Fatal(err, len(c.Calls))
 				}
-				kept := make([]recovery.Kept, 0, calls)
+				kept := make([]recovery.StoredCall, 0, calls)
 				for _, k := range c.Calls {
 					kept = append(kept, k)
 				}
 				stand := 0
-				for _, v := range recovery.Judge(now+20000, c.Life, kept, sites) {
-					if v.Fate == recovery.StandsOn {
+				for _, v := range recovery.Decide(now+20000, c.Process, kept, sites) {
+					if v.Outcome == recovery.Continue {
 						stand++
 					}
 				}
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -15,20 +15,20 @@
 	"indigodrift/policy"
 )
 
-// Numbers holds the settings of number analysis. Without them calls are routed by the first digits of the number.
-type Numbers struct {
-	Store   string // folder of table versions
-	Table   string // file of the first table, read when the store is empty
-	Trial   numbers.Trial
-	Callers int      // callers remembered for splitting traffic between choices
-	Servers []string // ENUM servers for portability: two, or none
-	Zone    string   // ENUM zone
-	Limits  numbers.Limits
+// NumberAnalysis holds the settings of number analysis. Without them calls are routed by the first digits of the number.
+type NumberAnalysis struct {
+	StoreFolder  string // folder of table versions
+	InitialTable string // file of the first table, read when the store is empty
+	Trial        numbers.Trial
+	MaxCallers   int      // callers remembered for splitting traffic between choices
+	ENUMServers  []string // ENUM servers for portability: two, or none
+	ENUMZone     string   // ENUM zone
+	Limits       numbers.Limits
 }
 
 // tables does the file access and the ENUM queries of number analysis, outside the event loop.
 type tables struct {
-	s       *Station
+	s       *Server
 	store   *numberfile.Store
 	keep    chan numberfile.Record // records to be written to the history, in order
 	client  *enum.Client
@@ -39,14 +39,14 @@
 }
 
 // openTables loads the table version to start with and sets up number analysis in the exchange.
-func (s *Station) openTables(n *Numbers, seed uint64) error {
+func (s *Server) openTables(n *NumberAnalysis, seed uint64) error {
 	t := &tables{s: s, keep: make(chan numberfile.Record, 64)}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	var err error
-	if t.store, err = numberfile.OpenStore(n.Store); err != nil {
+	if t.store, err = numberfile.OpenStore(n.StoreFolder); err != nil {
 		return err
 	}
-	table, doubts, err := t.store.InForce(s.site.Exchanges)
+	table, doubts, err := t.store.InForce(s.site.ExchangeCount)
 	if err != nil {
 		return err
 	}
@@ -54,19 +54,19 @@
 		s.log.Warn("tables", "doubt", d)
 	}
 	if table == nil {
-		if table, err = t.first(n.Table); err != nil {
+		if table, err = t.first(n.InitialTable); err != nil {
 			return err
 		}
 	}
 	s.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
-	x := &exchange.Numbering{Versions: numbers.NewVersions(table, n.Trial), Split: numbers.NewSplit(n.Callers),
-		Second: func(at policy.Tenths) int64 { return time.Now().Add(trunk.Span(at - s.clock.Now())).Unix() },
+	x := &exchange.Numbering{Versions: numbers.NewVersions(table, n.Trial), Split: numbers.NewSplit(n.MaxCallers),
+		Second: func(at policy.Tenths) int64 { return time.Now().Add(trunk.Duration(at - s.clock.Now())).Unix() },
 		At: func(second int64) policy.Tenths {
 			return s.clock.Now() + policy.Tenths(time.Until(time.Unix(second, 0))/(100*time.Microsecond))
 		},
 		Changed: t.changed}
-	if len(n.Servers) == 2 {
-		t.client = &enum.Client{Servers: [2]string{n.Servers[0], n.Servers[1]}, Zone: n.Zone, Most: trunk.Span(n.Limits.TimeOut)}
+	if len(n.ENUMServers) == 2 {
+		t.client = &enum.Client{Servers: [2]string{n.ENUMServers[0], n.ENUMServers[1]}, Zone: n.ENUMZone, Most: trunk.Duration(n.Limits.TimeOut)}
 		if x.Inquirer, err = numbers.NewInquirer(n.Limits, seed, s.x.Asker(t.query)); err != nil {
 			return fmt.Errorf("portability: %w", err)
 		}
@@ -94,7 +94,7 @@
 	if err != nil {
 		return src, nil, err
 	}
-	table, err := src.Table(t.s.site.Exchanges)
+	table, err := src.Table(t.s.site.ExchangeCount)
 	return src, table, err
 }
 
@@ -141,15 +141,15 @@
 	}
 }
 
-// ErrNoNumbers is returned when number analysis is not configured.
-var ErrNoNumbers = errors.New("number analysis is not configured")
+// ErrNoNumberAnalysis is returned when number analysis is not configured.
+var ErrNoNumberAnalysis = errors.New("number analysis is not configured")
 
 // Load reads a table, stores it, and puts it into force at the given time, or at once if that has passed. If the table cannot
 // be read, built or stored, nothing changes.
-func (s *Station) Load(name string, at time.Time) (*numbers.Table, error) {
+func (s *Server) Load(name string, at time.Time) (*numbers.Table, error) {
 	t := s.tables
 	if t == nil {
-		return nil, ErrNoNumbers
+		return nil, ErrNoNumberAnalysis
 	}
 	t.loading.Lock()
 	defer t.loading.Unlock()
@@ -174,7 +174,7 @@
 }
 
 // versions reads a number from the table versions on the event loop.
-func (s *Station) versions(get func(*numbers.Versions) (uint64, error)) (got uint64) {
+func (s *Server) versions(get func(*numbers.Versions) (uint64, error)) (got uint64) {
 	s.change(func(n *exchange.Numbering, _ policy.Tenths) (err error) {
 		got, err = get(n.Versions)
 		return err
@@ -183,7 +183,7 @@
 }
 
 // Rollback puts the previous version into force.
-func (s *Station) Rollback(why string) (back *numbers.Table, err error) {
+func (s *Server) Rollback(why string) (back *numbers.Table, err error) {
 	err = s.change(func(n *exchange.Numbering, now policy.Tenths) (err error) {
 		if back, err = n.Versions.Rollback(why, now); err == nil {
 			n.Changed(back, why)
@@ -193,20 +193,20 @@
 	return back, err
 }
 
-// ErrEnded is returned to a command that arrives while the server ends.
-var ErrEnded = errors.New("the exchange is shutting down")
+// ErrShuttingDown is returned to a command that arrives while the server ends.
+var ErrShuttingDown = errors.New("the exchange is shutting down")
 
 // change runs a function on the number analysis, on the event loop.
-func (s *Station) change(do func(n *exchange.Numbering, now policy.Tenths) error) error {
+func (s *Server) change(do func(n *exchange.Numbering, now policy.Tenths) error) error {
 	if s.tables == nil {
-		return ErrNoNumbers
+		return ErrNoNumberAnalysis
 	}
 	var err error
 	if !s.Do(func() {
 		now := s.clock.Now()
 		s.x.Change(now, func(n *exchange.Numbering) { err = do(n, now) })
 	}) {
-		return ErrEnded
+		return ErrShuttingDown
 	}
 	return err
 }
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -20,11 +20,11 @@
 )
 
 // withTables runs a server whose table store is in dir, until stop is called.
-func withTables(t *testing.T, dir string) (s *Station, stop func()) {
+func withTables(t *testing.T, dir string) (s *Server, stop func()) {
 	m := memnet.New()
-	s, err := New(Site{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
-		Exchanges: 3, OwnSwitch: "own", Register: "none", Inbox: 64, LinkMost: 1 << 16,
-		Numbers: &Numbers{Store: filepath.Join(dir, "store"), Table: tableAt(t, dir, 1, 1), Callers: 10, Trial: numbers.Trial{Window: 600000, Bound: 0.2, Least: 5}}},
+	s, err := New(Config{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
+		ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none", InboxSize: 64, MaxLinkOctets: 1 << 16,
+		NumberAnalysis: &NumberAnalysis{StoreFolder: filepath.Join(dir, "store"), InitialTable: tableAt(t, dir, 1, 1), MaxCallers: 10, Trial: numbers.Trial{Window: 600000, Bound: 0.2, Least: 5}}},
 		func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
@@ -55,7 +55,7 @@
 }
 
 // inForce returns the version in force.
-func inForce(s *Station) uint64 {
+func inForce(s *Server) uint64 {
 	return s.versions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil })
 }
 
@@ -148,15 +148,15 @@
 	defer func() { cancel(); <-ended; stop() }()
 	at := ln.Addr().String()
 	for _, c := range []struct {
-		o       Order
+		o       Command
 		version uint64
 		fault   string
 	}{
-		{Order{Do: "versions"}, 1, ""}, {Order{Do: "load", File: tableAt(t, dir, 2, 2)}, 2, ""}, {Order{Do: "load", File: tableAt(t, dir, 2, 2)}, 2, "not newer"},
-		{Order{Do: "load", File: filepath.Join(dir, "none")}, 2, "no such file"}, {Order{Do: "rollback"}, 1, ""},
-		{Order{Do: "load", File: tableAt(t, dir, 2, 2)}, 1, "taken back before: by order"}, {Order{Do: "dance"}, 1, "there are load, rollback, versions"},
+		{Command{Name: "versions"}, 1, ""}, {Command{Name: "load", File: tableAt(t, dir, 2, 2)}, 2, ""}, {Command{Name: "load", File: tableAt(t, dir, 2, 2)}, 2, "not newer"},
+		{Command{Name: "load", File: filepath.Join(dir, "none")}, 2, "no such file"}, {Command{Name: "rollback"}, 1, ""},
+		{Command{Name: "load", File: tableAt(t, dir, 2, 2)}, 1, "taken back before: by order"}, {Command{Name: "dance"}, 1, "there are load, rollback, versions"},
 	} {
-		r, err := Tell(at, c.o)
+		r, err := SendCommand(at, c.o)
 		if err != nil || r.Version != c.version || (c.fault == "") != (r.Error == "") || !strings.Contains(r.Error, c.fault) {
 			t.Errorf("%+v: %+v, %v", c.o, r, err)
 		}
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -13,30 +13,30 @@
 	"indigodrift/policy"
 )
 
-// Order is a command to a running exchange, sent as one line of JSON.
-type Order struct {
-	Do   string `json:"do"` // load, rollback, versions
-	File string `json:"file,omitempty"`
-	At   int64  `json:"at,omitempty"` // seconds since 1970; 0: at once
-	Why  string `json:"why,omitempty"`
+// Command is a command to a running exchange, sent as one line of JSON.
+type Command struct {
+	Name           string `json:"do"` // load, rollback, versions
+	File           string `json:"file,omitempty"`
+	ActivationTime int64  `json:"at,omitempty"` // seconds since 1970; 0: at once
+	Reason         string `json:"why,omitempty"`
 }
 
 // Reply is the answer to a command, sent as one line of JSON.
 type Reply struct {
-	Exchange int    `json:"exchange"`
-	Error    string `json:"error,omitempty"`
-	Version  uint64 `json:"version"` // in force after the command
-	Name     string `json:"name"`
-	Waiting  uint64 `json:"waiting,omitempty"` // version that is to come into force
-	At       int64  `json:"at,omitempty"`      // and when, in seconds since 1970
-	Held     int    `json:"held"`              // versions in memory
+	Exchange       int    `json:"exchange"`
+	Error          string `json:"error,omitempty"`
+	Version        uint64 `json:"version"` // in force after the command
+	Name           string `json:"name"`
+	PendingVersion uint64 `json:"waiting,omitempty"` // version that is to come into force
+	ActivationTime int64  `json:"at,omitempty"`      // and when, in seconds since 1970
+	HeldVersions   int    `json:"held"`              // versions in memory
 }
 
 // orderMost is the maximum length of a command, in octets.
 const orderMost = 1 << 16
 
 // takeOrders serves commands on the control socket until ctx ends.
-func (s *Station) takeOrders(ctx context.Context, ln net.Listener) {
+func (s *Server) takeOrders(ctx context.Context, ln net.Listener) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	stop := context.AfterFunc(ctx, func() { ln.Close() })
@@ -54,7 +54,7 @@
 			in.Buffer(nil, orderMost)
 			out := json.NewEncoder(c)
 			for in.Scan() {
-				var o Order
+				var o Command
 				var r Reply
 				if err := json.Unmarshal(in.Bytes(), &o); err != nil {
 					r.Error = "read command: " + err.Error()
@@ -70,30 +70,30 @@
 }
 
 // obey runs a command.
-func (s *Station) obey(o Order) Reply {
+func (s *Server) obey(o Command) Reply {
 	var err error
-	switch o.Do {
+	switch o.Name {
 	case "load":
 		at := time.Now()
-		if o.At != 0 {
-			at = time.Unix(o.At, 0)
+		if o.ActivationTime != 0 {
+			at = time.Unix(o.ActivationTime, 0)
 		}
 		_, err = s.Load(o.File, at)
 	case "rollback":
-		why := o.Why
+		why := o.Reason
 		if why == "" {
 			why = "by order"
 		}
 		_, err = s.Rollback(why)
 	case "versions":
 	default:
-		err = fmt.Errorf("unknown command %q; there are load, rollback, versions", o.Do)
+		err = fmt.Errorf("unknown command %q; there are load, rollback, versions", o.Name)
 	}
 	r := Reply{Exchange: s.site.Deployment.OwnExchange}
 	if asked := s.change(func(n *exchange.Numbering, _ policy.Tenths) error {
-		r.Version, r.Name, r.Held = n.Versions.Current().Version, n.Versions.Current().Name, n.Versions.Held()
+		r.Version, r.Name, r.HeldVersions = n.Versions.Current().Version, n.Versions.Current().Name, n.Versions.Held()
 		if t, at := n.Versions.Waiting(); t != nil {
-			r.Waiting, r.At = t.Version, at
+			r.PendingVersion, r.ActivationTime = t.Version, at
 		}
 		return nil
 	}); err == nil {
@@ -105,8 +105,8 @@
 	return r
 }
 
-// Tell sends a command to a running exchange and returns its reply.
-func Tell(address string, o Order) (Reply, error) {
+// SendCommand sends a command to a running exchange and returns its reply.
+func SendCommand(address string, o Command) (Reply, error) {
 	c, err := net.DialTimeout("tcp", address, 3*time.Second)
 	if err != nil {
 		return Reply{}, fmt.Errorf("connect to exchange: %w", err)
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{control: s.Control, cmd: exec.Command(program, args...), ready: make(chan struct{}), done: make(chan struct{})}
+	p := &process{control: s.ControlAddress, cmd: exec.Command(program, args...), ready: make(chan struct{}), done: make(chan struct{})}
 	p.cmd.Stderr = out
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing outlives the day, however it ends
 	pipe, err := p.cmd.StdoutPipe()
@@ -91,7 +91,7 @@
 
 // Load has the process take a table.
 func (p *process) Load(table string) error {
-	r, err := control.Tell(p.control, control.Order{Do: "load", File: table})
+	r, err := control.SendCommand(p.control, control.Command{Name: "load", File: table})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
--- a/internal/day/virtual_test.go
+++ b/internal/day/virtual_test.go
@@ -32,7 +32,7 @@
 
 // inside is a controller in this process.
 type inside struct {
-	station     *control.Station
+	station     *control.Server
 	ready, done chan struct{}
 	drain       context.CancelFunc
 	gate        *memnet.Gate
@@ -48,9 +48,9 @@
 		return nil, err
 	}
 	s.Disk = v.disk
-	s.Control = "" // orders come by call here
+	s.ControlAddress = "" // orders come by call here
 	p := &inside{ready: make(chan struct{}), done: make(chan struct{}), gate: &memnet.Gate{}}
-	build := control.Build(func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
+	build := control.DeciderBuilder(func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
 	})
 	if routing == "random" {
@@ -95,9 +95,9 @@
 		return c, err
 	}
 	if wrong != nil {
-		p.station.Sent = wrong.Sent
+		p.station.InterceptSend = wrong.Sent
 	}
-	p.station.Ready = func() { close(p.ready) }
+	p.station.OnReady = func() { close(p.ready) }
 	ctx, cancel := context.WithCancel(context.Background())
 	p.drain = cancel
 	go func() {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -236,8 +236,8 @@
 	told     []portTold
 	keeper   Keeper
 	wall     func(policy.Tenths) int64
-	coldFrom policy.Tenths   // nothing goes to a cold switch before
-	fails    []recovery.Kept // callers of the life before who are to be told that their calls failed
+	coldFrom policy.Tenths         // nothing goes to a cold switch before
+	fails    []recovery.StoredCall // callers of the life before who are to be told that their calls failed
 	cuts     []recovery.Place
 	withheld []policy.Switch // cold ones, as listed
 }
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -275,7 +275,7 @@
 	x.count(k)
 	k.decided = true
 	if !k.ask.Transit {
-		x.keeper.Put(x.kept(k, recovery.Asked))
+		x.keeper.Put(x.kept(k, recovery.SettingUp))
 	}
 	k.ask.TTL = k.leavesAt - x.now
 	x.become(k, Offered)
@@ -342,7 +342,7 @@
 // stand passes an answer back to the caller's side.
 func (x *Exchange) stand(k *call, says isup.Says) {
 	x.become(k, Standing)
-	x.keeper.Put(x.kept(k, recovery.Standing))
+	x.keeper.Put(x.kept(k, recovery.Established))
 	x.answered(k, Stood, 0)
 	x.out.Transmit(k.in.hop, isup.Message{CIC: k.in.bundle.CIC, Type: isup.ANM,
 		Says: isup.Says{Has: says.Has & isup.PartSession, Session: says.Session}})
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -9,7 +9,7 @@
 
 // Keeper keeps what must outlive this process. Its methods must neither wait nor call back.
 type Keeper interface {
-	Put(k recovery.Kept)
+	Put(k recovery.StoredCall)
 	Drop(id uint32)
 	Knows(number int, life string) // the life of a neighbour's switch; -1: of the own one
 }
@@ -17,17 +17,17 @@
 // noKeeper keeps nothing.
 type noKeeper struct{}
 
-func (noKeeper) Put(recovery.Kept) {}
-func (noKeeper) Drop(uint32)       {}
-func (noKeeper) Knows(int, string) {}
+func (noKeeper) Put(recovery.StoredCall) {}
+func (noKeeper) Drop(uint32)             {}
+func (noKeeper) Knows(int, string)       {}
 
 // Keep has the exchange tell a keeper of its calls from now on; wall turns an instant into tenths since 1970.
 func (x *Exchange) Keep(k Keeper, wall func(policy.Tenths) int64) { x.keeper, x.wall = k, wall }
 
 // kept is a call as the keeper gets it.
-func (x *Exchange) kept(k *call, p recovery.Phase) recovery.Kept {
-	r := recovery.Kept{ID: k.id, Phase: p, In: x.place(k.in), Ref: k.ref, Transit: k.ask.Transit, Since: x.wall(x.now), Until: x.wall(k.leavesAt + handBack)}
-	if p == recovery.Standing {
+func (x *Exchange) kept(k *call, p recovery.Phase) recovery.StoredCall {
+	r := recovery.StoredCall{ID: k.id, Phase: p, In: x.place(k.in), Ref: k.ref, Transit: k.ask.Transit, Since: x.wall(x.now), Until: x.wall(k.leavesAt + handBack)}
+	if p == recovery.Established {
 		r.Out = x.place(k.out)
 	}
 	return r
@@ -55,27 +55,27 @@
 // Restore takes up what was kept of the life before, before any link is up: calls that stand on stand, and their circuits are asked
 // about once the far switches answer; callers who wait are told once the own one does. No call that was being set up goes on: it is
 // answered failed, so that no try of this life follows one of the last within its release time. It returns how many stand on.
-func (x *Exchange) Restore(now policy.Tenths, life recovery.Life, all []recovery.Verdict) (standing int) {
+func (x *Exchange) Restore(now policy.Tenths, life recovery.Process, all []recovery.Decision) (standing int) {
 	x.now = now
-	x.ownLife = life.Own
-	x.coldFrom = recovery.ColdUntil(now, x.d)
+	x.ownLife = life.OwnIncarnation
+	x.coldFrom = recovery.ColdSwitchHoldEnd(now, x.d)
 	for i := range x.groups {
 		g := &x.groups[i]
-		g.life, g.anew = life.Far[g.number], true
-		g.auditAt = recovery.AuditAt(now, x.own, i, len(x.groups))
+		g.life, g.anew = life.Incarnations[g.number], true
+		g.auditAt = recovery.FirstAuditTime(now, x.own, i, len(x.groups))
 	}
 	for _, v := range all {
 		x.nextID = max(x.nextID, v.ID)
-		switch v.Fate {
-		case recovery.StandsOn:
-			if x.standOn(v.Kept) {
+		switch v.Outcome {
+		case recovery.Continue:
+			if x.standOn(v.StoredCall) {
 				standing++
 			}
-		case recovery.AnswerFail:
+		case recovery.AnswerFailed:
 			if !v.In.Trunk { // one from a neighbour is told by the reset of its circuit
-				x.fails = append(x.fails, v.Kept)
+				x.fails = append(x.fails, v.StoredCall)
 			}
-		case recovery.Cut: // the far ends learn of it by reset, the lines by release
+		case recovery.Release: // the far ends learn of it by reset, the lines by release
 			for _, p := range []recovery.Place{v.In, v.Out} {
 				if !p.Trunk {
 					x.cuts = append(x.cuts, p)
@@ -86,7 +86,7 @@
 	return standing
 }
 
-func (x *Exchange) standOn(v recovery.Kept) bool {
+func (x *Exchange) standOn(v recovery.StoredCall) bool {
 	in, ok := x.leg(v.In, false)
 	out, ok2 := x.leg(v.Out, true)
 	if !ok || !ok2 {
@@ -156,21 +156,21 @@
 			continue
 		}
 		state, id, _ := g.g.State(cic)
-		ours := recovery.Free
+		ours := recovery.Idle
 		switch state {
 		case circuit.Seized, circuit.Outgoing:
 			ours = recovery.Outgoing
 		case circuit.Incoming:
 			ours = recovery.Incoming
 		case circuit.Releasing, circuit.Resetting:
-			ours = recovery.Under
+			ours = recovery.Clearing
 		}
-		step := recovery.Compare(ours, m.States[i])
+		step := recovery.CompareStates(ours, m.States[i])
 		switch step {
-		case recovery.Agreed:
+		case recovery.NoAction:
 			g.g.Sure(cic)
-		case recovery.DropOurs, recovery.ResetBoth:
-			g.g.Drop(x.now, cic, step == recovery.ResetBoth)
+		case recovery.DropCall, recovery.ResetCircuit:
+			g.g.Drop(x.now, cic, step == recovery.ResetCircuit)
 			g.changed = true
 			x.lose(peer, []uint32{id})
 		}
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -11,11 +11,11 @@
 
 // notebook is a keeper in memory.
 type notebook struct {
-	calls map[uint32]recovery.Kept
+	calls map[uint32]recovery.StoredCall
 	far   map[int]string
 }
 
-func (n *notebook) Put(k recovery.Kept)           { n.calls[k.ID] = k }
+func (n *notebook) Put(k recovery.StoredCall)     { n.calls[k.ID] = k }
 func (n *notebook) Drop(id uint32)                { delete(n.calls, id) }
 func (n *notebook) Knows(number int, life string) { n.far[number] = life }
 
@@ -48,14 +48,14 @@
 	x := New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
 		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []Neighbour{{1, 62}}, out, now,
 		func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider { return policy.New(d, e, now) })
-	next := &notebook{calls: map[uint32]recovery.Kept{}, far: map[int]string{}}
+	next := &notebook{calls: map[uint32]recovery.StoredCall{}, far: map[int]string{}}
 	x.Keep(next, wallOf)
-	var all []recovery.Kept
+	var all []recovery.StoredCall
 	for _, k := range kept.calls {
 		all = append(all, k)
 	}
-	life := recovery.Life{Alive: wallOf(now) - 5000, Own: kept.far[-1], Far: kept.far}
-	x.Restore(now, life, recovery.Judge(wallOf(now), life, all, recovery.Sites{Circuits: map[int]int{1: 62}, Lines: func(uint16) bool { return true }}))
+	life := recovery.Process{LastHeartbeat: wallOf(now) - 5000, OwnIncarnation: kept.far[-1], Incarnations: kept.far}
+	x.Restore(now, life, recovery.Decide(wallOf(now), life, all, recovery.Settings{Circuits: map[int]int{1: 62}, HasLines: func(uint16) bool { return true }}))
 	x.OwnUp(now, own)
 	x.LinkUp(now, 0, far)
 	for range 20 {
@@ -69,7 +69,7 @@
 func before(t *testing.T) (*notebook, policy.Tenths, []uint16) {
 	t.Helper()
 	x, out, now := lone(62)
-	kept := &notebook{calls: map[uint32]recovery.Kept{}, far: map[int]string{}}
+	kept := &notebook{calls: map[uint32]recovery.StoredCall{}, far: map[int]string{}}
 	x.Keep(kept, wallOf)
 	x.keeper.Knows(1, "1")
 	x.keeper.Knows(-1, "1")
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -10,8 +10,8 @@
 // path that has become permanently longer is learned within two windows.
 const window = policy.Tenths(600000)
 
-// Lag estimates the waiting time of messages on one link. The zero value takes the first message as one that did not wait.
-type Lag struct {
+// Estimator estimates the waiting time of messages on one link. The zero value takes the first message as one that did not wait.
+type Estimator struct {
 	now, before int32         // minimum differences in this window and in the last one
 	since       policy.Tenths // start of this window
 	known       bool          // a stamp has been read
@@ -19,7 +19,7 @@
 
 // Age returns how long a message with the given stamp, read at the given time, has waited. Differences are computed in 32 bits
 // like the stamps, so the origins of the two clocks do not matter.
-func (l *Lag) Age(at policy.Tenths, stamp uint32) policy.Tenths {
+func (l *Estimator) Age(at policy.Tenths, stamp uint32) policy.Tenths {
 	d := int32(uint32(at) - stamp)
 	switch {
 	case !l.known:
@@ -36,15 +36,15 @@
 	return max(0, policy.Tenths(d-least))
 }
 
-// Begin returns an estimator that knows the clock of the remote switch from the handshake, which was sent at asked and whose
+// NewEstimator returns an estimator that knows the clock of the remote switch from the handshake, which was sent at asked and whose
 // answer was read at read. If the two are as far apart as a stall, the answer may have waited, and the remote clock reading is
 // attributed to the time of asking. Without this, the first messages of a link that came up during a stall all seemed new, and
 // callers were answered after they had abandoned their calls.
-func Begin(asked, read policy.Tenths, stamp uint32) Lag {
+func NewEstimator(asked, read policy.Tenths, stamp uint32) Estimator {
 	at := read
 	if read-asked >= stallMin {
 		at = asked
 	}
 	d := int32(uint32(at) - stamp)
-	return Lag{now: d, before: d, since: read, known: true}
+	return Estimator{now: d, before: d, since: read, known: true}
 }
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -13,7 +13,7 @@
 
 func TestWaitIsFoundWhateverTheClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l Lag
+		var l Estimator
 		offset := rapid.Uint32().Draw(t, "offset") // the stamps may wrap at any point
 		now, way := policy.Tenths(rapid.Uint32().Draw(t, "start")), policy.Tenths(20)
 		l.Age(now+way, uint32(now)+offset)
@@ -28,7 +28,7 @@
 }
 
 func TestLongerWayIsLearned(t *testing.T) {
-	var l Lag
+	var l Estimator
 	l.Age(10, 0)
 	for now := policy.Tenths(0); now < 3*window; now += 1000 {
 		got := l.Age(now+500, uint32(now))
@@ -40,7 +40,7 @@
 
 func TestFirstMessagesAfterAStallAreOld(t *testing.T) {
 	for _, c := range []struct{ read, want policy.Tenths }{{1010, 18990}, {20000, 19000}} { // the handshake was read at once, or after the stall
-		l := Begin(1000, c.read, 500)
+		l := NewEstimator(1000, c.read, 500)
 		if got := l.Age(20000, 500); got != c.want {
 			t.Errorf("handshake read at %d: age %d, want %d", c.read, got, c.want)
 		}
--- a/internal/lag/stall.go
+++ b/internal/lag/stall.go
@@ -8,10 +8,10 @@
 	heldMost  = policy.Tenths(1000) // maximum total hold, however many stalls follow each other
 )
 
-// Stall detects that this process was stalled: stopped, swapped out, or starved of CPU time. Timers that expired meanwhile must
+// StallDetector detects that this process was stalled: stopped, swapped out, or starved of CPU time. Timers that expired meanwhile must
 // wait until the messages that arrived during the stall are read. Otherwise a timer would fail a call whose answer has arrived,
 // or answer a caller who has abandoned the call.
-type Stall struct {
+type StallDetector struct {
 	last  policy.Tenths // when the process was last seen running
 	until policy.Tenths // end of the hold on timers
 	ended policy.Tenths // end of the last stall
@@ -19,21 +19,21 @@
 }
 
 // Woke records that the process woke up from waiting, at the latest at due as planned. It reports whether it was stalled.
-func (s *Stall) Woke(now, due policy.Tenths) (stood bool) {
+func (s *StallDetector) Woke(now, due policy.Tenths) (stood bool) {
 	s.last = now
 	return s.check(now, now-due)
 }
 
-// Works records that the process is running, between two pieces of work and without having waited. It reports whether it was
+// Running records that the process is running, between two pieces of work and without having waited. It reports whether it was
 // stalled since it was last seen running: what it has already read is then as old as the stall.
-func (s *Stall) Works(now policy.Tenths) (stood bool) {
+func (s *StallDetector) Running(now policy.Tenths) (stood bool) {
 	last := s.last
 	s.last = now
 	return last != 0 && s.check(now, now-last)
 }
 
 // check starts or extends the hold on timers if the gap is long enough for a stall.
-func (s *Stall) check(now, gap policy.Tenths) bool {
+func (s *StallDetector) check(now, gap policy.Tenths) bool {
 	if gap < stallMin {
 		return false
 	}
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Reading returns until when timers are held, and whether they still are.
-func (s *Stall) Reading(now policy.Tenths) (policy.Tenths, bool) {
+// TimersHeld returns until when timers are held, and whether they still are.
+func (s *StallDetector) TimersHeld(now policy.Tenths) (policy.Tenths, bool) {
 	if now >= s.until {
 		s.held = 0
 		return s.until, false
@@ -53,5 +53,5 @@
 	return s.until, true
 }
 
-// Ended returns the end of the last stall, 0 if there was none.
-func (s *Stall) Ended() policy.Tenths { return s.ended }
+// LastEnd returns the end of the last stall, 0 if there was none.
+func (s *StallDetector) LastEnd() policy.Tenths { return s.ended }
--- a/internal/lag/stall_test.go
+++ b/internal/lag/stall_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestTimersWaitUntilWhatCameDuringAStallIsRead(t *testing.T) {
-	var s Stall
+	var s StallDetector
 	if !s.Woke(10000, 5000) {
 		t.Fatal("no stall found")
 	}
-	if until, reading := s.Reading(10000); !reading || until != 10000+readFirst {
+	if until, reading := s.TimersHeld(10000); !reading || until != 10000+readFirst {
 		t.Errorf("timers held %v until %d", reading, until)
 	}
-	if _, reading := s.Reading(10000 + readFirst); reading {
+	if _, reading := s.TimersHeld(10000 + readFirst); reading {
 		t.Error("timers still held")
 	}
 }
@@ -22,12 +22,12 @@
 // Guards against timers that never run: under a CPU quota a new stall begins before the hold after the previous one has ended.
 func TestStallsInARowDoNotHoldTimersForGood(t *testing.T) {
 	const runs, stands = policy.Tenths(100), policy.Tenths(900) // a quota of a tenth of a CPU
-	var s Stall
+	var s StallDetector
 	acted := 0
 	for now := policy.Tenths(10000); now < 110000; now += runs + stands {
 		s.Woke(now, now-stands)
 		for at := now; at < now+runs; at += 10 {
-			if _, reading := s.Reading(at); !reading {
+			if _, reading := s.TimersHeld(at); !reading {
 				acted++
 				break
 			}
--- a/internal/ledger/format_test.go
+++ b/internal/ledger/format_test.go
@@ -25,17 +25,17 @@
 	call = append(call, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2, 0) // since, until
 	old = frame(old, call...)
 	c := Read(old)
-	want := recovery.Kept{ID: 9, Phase: recovery.Standing, In: recovery.Place{Point: 0x2000, CIC: 5}, Out: recovery.Place{Trunk: true, Number: 3, CIC: 33},
+	want := recovery.StoredCall{ID: 9, Phase: recovery.Established, In: recovery.Place{Point: 0x2000, CIC: 5}, Out: recovery.Place{Trunk: true, Number: 3, CIC: 33},
 		Ref: isup.Reference{Point: 1, Identity: 77}, Since: 256, Until: 512}
-	if c.Why != "" || c.Version != 1 || c.Life.Site != 7 || c.Calls[9] != want {
+	if c.UnreadReason != "" || c.Version != 1 || c.Process.SiteDigest != 7 || c.Calls[9] != want {
 		t.Fatalf("%+v", c)
 	}
-	again := Read(appendFrame(header(), Record{Kind: Call, Call: c.Calls[9]}))
+	again := Read(appendFrame(header(), Record{Kind: CallFrame, Call: c.Calls[9]}))
 	if again.Version != version || again.Calls[9] != want {
 		t.Fatalf("%+v", again)
 	}
 	old[len(magic)] = version // in the current format the same octets are not valid calls
-	if c := Read(old); c.Why == "" || len(c.Calls) != 0 {
+	if c := Read(old); c.UnreadReason == "" || len(c.Calls) != 0 {
 		t.Fatalf("%+v", c)
 	}
 }
--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -18,22 +18,22 @@
 type Kind byte
 
 const (
-	Head Kind = 'H' // the exchange that the file belongs to; the first frame
-	Call Kind = 'C' // a call and its phase
-	Over Kind = 'O' // the end of a call
-	Far  Kind = 'F' // the incarnation of a neighbour's switch; number -1: the own switch
-	Beat Kind = 'B' // heartbeat
-	Full Kind = 'S' // the end of the snapshot that a file begins with
+	HeaderFrame      Kind = 'H' // the exchange that the file belongs to; the first frame
+	CallFrame        Kind = 'C' // a call and its phase
+	CallEndFrame     Kind = 'O' // the end of a call
+	IncarnationFrame Kind = 'F' // the incarnation of a neighbour's switch; number -1: the own switch
+	HeartbeatFrame   Kind = 'B' // heartbeat
+	SnapshotEndFrame Kind = 'S' // the end of the snapshot that a file begins with
 )
 
 // Record is one frame.
 type Record struct {
-	Kind   Kind
-	Site   uint64 // Head
-	Number int    // Far
-	Text   string // Far
-	At     int64  // Beat
-	Call   recovery.Kept
+	Kind        Kind
+	SiteDigest  uint64 // Head
+	Exchange    int    // Far
+	Incarnation string // Far
+	Time        int64  // Beat
+	Call        recovery.StoredCall
 }
 
 const (
@@ -53,16 +53,16 @@
 	b = append(b, 0, 0, 0, 0, 0, 0)
 	b = append(b, byte(r.Kind))
 	switch r.Kind {
-	case Head:
-		b = binary.BigEndian.AppendUint64(b, r.Site)
-	case Far:
-		b = binary.BigEndian.AppendUint32(b, uint32(int32(r.Number)))
-		b = append(b, r.Text[:min(len(r.Text), 255)]...)
-	case Beat:
-		b = binary.BigEndian.AppendUint64(b, uint64(r.At))
-	case Over:
+	case HeaderFrame:
+		b = binary.BigEndian.AppendUint64(b, r.SiteDigest)
+	case IncarnationFrame:
+		b = binary.BigEndian.AppendUint32(b, uint32(int32(r.Exchange)))
+		b = append(b, r.Incarnation[:min(len(r.Incarnation), 255)]...)
+	case HeartbeatFrame:
+		b = binary.BigEndian.AppendUint64(b, uint64(r.Time))
+	case CallEndFrame:
 		b = binary.BigEndian.AppendUint32(b, r.Call.ID)
-	case Call:
+	case CallFrame:
 		k := r.Call
 		b = binary.BigEndian.AppendUint32(b, k.ID)
 		flags := byte(k.Phase) << 4
@@ -112,31 +112,31 @@
 	wrong := fmt.Errorf("%w: invalid frame %q of %d octets", ErrDamaged, r.Kind, size)
 	p := body[1:]
 	switch r.Kind {
-	case Head:
+	case HeaderFrame:
 		if len(p) != 8 {
 			return r, 0, wrong
 		}
-		r.Site = binary.BigEndian.Uint64(p)
-	case Far:
+		r.SiteDigest = binary.BigEndian.Uint64(p)
+	case IncarnationFrame:
 		if len(p) < 4 {
 			return r, 0, wrong
 		}
-		r.Number, r.Text = int(int32(binary.BigEndian.Uint32(p))), string(p[4:])
-	case Beat:
+		r.Exchange, r.Incarnation = int(int32(binary.BigEndian.Uint32(p))), string(p[4:])
+	case HeartbeatFrame:
 		if len(p) != 8 {
 			return r, 0, wrong
 		}
-		r.At = int64(binary.BigEndian.Uint64(p))
-	case Over:
+		r.Time = int64(binary.BigEndian.Uint64(p))
+	case CallEndFrame:
 		if len(p) != 4 {
 			return r, 0, wrong
 		}
 		r.Call.ID = binary.BigEndian.Uint32(p)
-	case Full:
+	case SnapshotEndFrame:
 		if len(p) != 0 {
 			return r, 0, wrong
 		}
-	case Call:
+	case CallFrame:
 		if version == 1 && len(p) != callSizeV1 || version != 1 && len(p) != callSize {
 			return r, 0, wrong
 		}
@@ -166,20 +166,20 @@
 
 // Contents is the state that a file describes, and how much of the file was read.
 type Contents struct {
-	Life    recovery.Life
-	Calls   map[uint32]recovery.Kept
-	Frames  int
-	Version byte
-	Good    int    // octets read
-	Left    int    // octets after them that were not read
-	Why     string // why they were not read, "" if all were
+	Process      recovery.Process
+	Calls        map[uint32]recovery.StoredCall
+	Frames       int
+	Version      byte
+	ReadOctets   int    // octets read
+	UnreadOctets int    // octets after them that were not read
+	UnreadReason string // why they were not read, "" if all were
 }
 
 // Read decodes the contents of a file up to the first damaged frame.
 func Read(b []byte) Contents {
-	c := Contents{Calls: map[uint32]recovery.Kept{}, Life: recovery.Life{Far: map[int]string{}}}
+	c := Contents{Calls: map[uint32]recovery.StoredCall{}, Process: recovery.Process{Incarnations: map[int]string{}}}
 	stop := func(at int, why string) Contents {
-		c.Good, c.Left, c.Why = at, len(b)-at, why
+		c.ReadOctets, c.UnreadOctets, c.UnreadReason = at, len(b)-at, why
 		return c
 	}
 	if len(b) < len(magic)+1 || string(b[:len(magic)]) != magic {
@@ -205,19 +205,19 @@
 // take applies a record.
 func (c *Contents) take(r Record) {
 	switch r.Kind {
-	case Head:
-		c.Life.Site = r.Site
-	case Call:
+	case HeaderFrame:
+		c.Process.SiteDigest = r.SiteDigest
+	case CallFrame:
 		c.Calls[r.Call.ID] = r.Call
-	case Over:
+	case CallEndFrame:
 		delete(c.Calls, r.Call.ID)
-	case Far:
-		if r.Number < 0 {
-			c.Life.Own = r.Text
+	case IncarnationFrame:
+		if r.Exchange < 0 {
+			c.Process.OwnIncarnation = r.Incarnation
 		} else {
-			c.Life.Far[r.Number] = r.Text
+			c.Process.Incarnations[r.Exchange] = r.Incarnation
 		}
-	case Beat:
-		c.Life.Alive = r.At
+	case HeartbeatFrame:
+		c.Process.LastHeartbeat = r.Time
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -45,11 +45,11 @@
 	site uint64
 	note func(text string) // logs a message
 	mu   sync.Mutex
-	live map[uint32]recovery.Kept // current state
-	far  map[int]string           // incarnations of switches, by exchange; -1: the own one
-	todo map[uint32]bool          // calls that changed since they were last written
-	onto map[uint32]bool          // calls in the file
-	farT map[int]bool             // incarnations that changed since they were last written
+	live map[uint32]recovery.StoredCall // current state
+	far  map[int]string                 // incarnations of switches, by exchange; -1: the own one
+	todo map[uint32]bool                // calls that changed since they were last written
+	onto map[uint32]bool                // calls in the file
+	farT map[int]bool                   // incarnations that changed since they were last written
 	kick chan struct{}
 	stop chan struct{}
 	done chan struct{}
@@ -66,24 +66,24 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Contents{}, fmt.Errorf("read ledger: %w", err)
 	}
-	c := Contents{Calls: map[uint32]recovery.Kept{}, Life: recovery.Life{Far: map[int]string{}}}
+	c := Contents{Calls: map[uint32]recovery.StoredCall{}, Process: recovery.Process{Incarnations: map[int]string{}}}
 	if len(b) > 0 {
-		if c = Read(b); c.Why != "" {
-			note(fmt.Sprintf("ledger %s: read %d octets, skipped the remaining %d: %s", name, c.Good, c.Left, c.Why))
-			if c.Good == 0 {
+		if c = Read(b); c.UnreadReason != "" {
+			note(fmt.Sprintf("ledger %s: read %d octets, skipped the remaining %d: %s", name, c.ReadOctets, c.UnreadOctets, c.UnreadReason))
+			if c.ReadOctets == 0 {
 				if err := disk.Rename(name, name+".damaged"); err != nil {
 					return nil, c, fmt.Errorf("rename damaged ledger: %w", err)
 				}
 			}
 		}
 	}
-	l := &Ledger{name: name, disk: disk, site: site, note: note, live: map[uint32]recovery.Kept{}, far: map[int]string{}, todo: map[uint32]bool{},
+	l := &Ledger{name: name, disk: disk, site: site, note: note, live: map[uint32]recovery.StoredCall{}, far: map[int]string{}, todo: map[uint32]bool{},
 		onto: map[uint32]bool{}, farT: map[int]bool{}, kick: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	return l, c, nil
 }
 
 // Put stores the present state of a call. It does not block.
-func (l *Ledger) Put(k recovery.Kept) {
+func (l *Ledger) Put(k recovery.StoredCall) {
 	l.mu.Lock()
 	l.live[k.ID] = k
 	l.todo[k.ID] = true
@@ -122,8 +122,8 @@
 	}
 }
 
-// Wrote returns how many octets have been written to disk.
-func (l *Ledger) Wrote() int64 { l.mu.Lock(); defer l.mu.Unlock(); return l.wrote }
+// WrittenOctets returns how many octets have been written to disk.
+func (l *Ledger) WrittenOctets() int64 { l.mu.Lock(); defer l.mu.Unlock(); return l.wrote }
 
 // Run writes changes until Close. It starts with a snapshot in a new file, so that it never appends to a file of an older format.
 func (l *Ledger) Run() {
@@ -195,14 +195,14 @@
 // snapshot writes the current state to a new file and renames it over the old one, so that a crash leaves one complete file.
 func (l *Ledger) snapshot() (File, error) {
 	l.mu.Lock()
-	b := appendFrame(header(), Record{Kind: Head, Site: l.site})
+	b := appendFrame(header(), Record{Kind: HeaderFrame, SiteDigest: l.site})
 	for _, n := range slices.Sorted(maps.Keys(l.far)) {
-		b = appendFrame(b, Record{Kind: Far, Number: n, Text: l.far[n]})
+		b = appendFrame(b, Record{Kind: IncarnationFrame, Exchange: n, Incarnation: l.far[n]})
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.live)) {
-		b = appendFrame(b, Record{Kind: Call, Call: l.live[id]})
+		b = appendFrame(b, Record{Kind: CallFrame, Call: l.live[id]})
 	}
-	b = appendFrame(appendFrame(b, Record{Kind: Full}), Record{Kind: Beat, At: now()})
+	b = appendFrame(appendFrame(b, Record{Kind: SnapshotEndFrame}), Record{Kind: HeartbeatFrame, Time: now()})
 	taken := maps.Clone(l.live)
 	todo, farT := l.todo, l.farT
 	l.todo, l.farT = map[uint32]bool{}, map[int]bool{}
@@ -257,14 +257,14 @@
 	l.mu.Lock()
 	var b []byte
 	for _, n := range slices.Sorted(maps.Keys(l.farT)) {
-		b = appendFrame(b, Record{Kind: Far, Number: n, Text: l.far[n]})
+		b = appendFrame(b, Record{Kind: IncarnationFrame, Exchange: n, Incarnation: l.far[n]})
 	}
 	for _, id := range slices.Sorted(maps.Keys(l.todo)) {
 		if k, live := l.live[id]; live {
-			b = appendFrame(b, Record{Kind: Call, Call: k})
+			b = appendFrame(b, Record{Kind: CallFrame, Call: k})
 			l.onto[id] = true
 		} else {
-			b = appendFrame(b, Record{Kind: Over, Call: recovery.Kept{ID: id}})
+			b = appendFrame(b, Record{Kind: CallEndFrame, Call: recovery.StoredCall{ID: id}})
 			delete(l.onto, id)
 		}
 	}
@@ -272,7 +272,7 @@
 	clear(l.farT)
 	l.mu.Unlock()
 	if beat || len(b) > 0 {
-		b = appendFrame(b, Record{Kind: Beat, At: now()})
+		b = appendFrame(b, Record{Kind: HeartbeatFrame, Time: now()})
 	}
 	if len(b) == 0 {
 		return nil
@@ -297,14 +297,14 @@
 	return l.size > compactFrom && l.size > compactOver*int64((len(l.live)+16)*(callSize+7))
 }
 
-// OnDisk is the local file system.
-type OnDisk struct{}
+// OSDisk is the local file system.
+type OSDisk struct{}
 
 // Read returns the contents of a file.
-func (OnDisk) Read(name string) ([]byte, error) { return os.ReadFile(name) }
+func (OSDisk) Read(name string) ([]byte, error) { return os.ReadFile(name) }
 
 // Create creates an empty file, and its folder if that is missing.
-func (OnDisk) Create(name string) (File, error) {
+func (OSDisk) Create(name string) (File, error) {
 	if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
 		return nil, err
 	}
@@ -312,7 +312,7 @@
 }
 
 // Rename renames a file and syncs the folder, so that the new name survives a crash.
-func (OnDisk) Rename(from, to string) error {
+func (OSDisk) Rename(from, to string) error {
 	if err := os.Rename(from, to); err != nil {
 		return err
 	}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -18,23 +18,23 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-func anyKept(t *rapid.T, id uint32) recovery.Kept {
+func anyKept(t *rapid.T, id uint32) recovery.StoredCall {
 	place := func(name string) recovery.Place {
 		return recovery.Place{Trunk: rapid.Bool().Draw(t, name), Number: rapid.IntRange(0, 998).Draw(t, name), Point: rapid.Uint16().Draw(t, name),
 			CIC: rapid.Uint16().Draw(t, name), Slots: rapid.Uint32().Draw(t, name)}
 	}
-	return recovery.Kept{ID: id, Phase: recovery.Phase(rapid.IntRange(0, 1).Draw(t, "phase")), In: place("in"), Out: place("out"), Transit: rapid.Bool().Draw(t, "transit"),
+	return recovery.StoredCall{ID: id, Phase: recovery.Phase(rapid.IntRange(0, 1).Draw(t, "phase")), In: place("in"), Out: place("out"), Transit: rapid.Bool().Draw(t, "transit"),
 		Ref: isup.Reference{Point: rapid.Uint16().Draw(t, "point"), Identity: rapid.Uint32().Draw(t, "identity")}, Since: rapid.Int64().Draw(t, "since"), Until: rapid.Int64().Draw(t, "until")}
 }
 
 // kept runs a ledger on an in-memory disk with random changes. It returns the calls at the end and the file.
-func kept(t *rapid.T, disk *memnet.Disk, steps int) (map[uint32]recovery.Kept, []byte) {
+func kept(t *rapid.T, disk *memnet.Disk, steps int) (map[uint32]recovery.StoredCall, []byte) {
 	l, _, err := ledger.Open("l", 7, disk, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	go l.Run()
-	live := map[uint32]recovery.Kept{}
+	live := map[uint32]recovery.StoredCall{}
 	for range steps {
 		id := rapid.Uint32Range(1, 20).Draw(t, "id")
 		if rapid.Bool().Draw(t, "put") {
@@ -63,7 +63,7 @@
 	inBubble(t, func(t *rapid.T) {
 		live, file := kept(t, memnet.NewDisk(), rapid.IntRange(0, 60).Draw(t, "steps"))
 		c := ledger.Read(file)
-		if c.Why != "" || c.Left != 0 || !maps.Equal(c.Calls, live) || c.Life.Site != 7 || c.Life.Own != "2" || c.Life.Far[3] != "4" || c.Life.Alive == 0 {
+		if c.UnreadReason != "" || c.UnreadOctets != 0 || !maps.Equal(c.Calls, live) || c.Process.SiteDigest != 7 || c.Process.OwnIncarnation != "2" || c.Process.Incarnations[3] != "4" || c.Process.LastHeartbeat == 0 {
 			t.Fatalf("read %+v\nwant %+v", c, live)
 		}
 	})
@@ -75,14 +75,14 @@
 	inBubble(t, func(t *rapid.T) {
 		_, file := kept(t, memnet.NewDisk(), rapid.IntRange(1, 5).Draw(t, "steps"))
 		whole := ledger.Read(file)
-		seen := map[recovery.Kept]bool{}
+		seen := map[recovery.StoredCall]bool{}
 		ends := map[int]bool{}
 		for n := 0; n <= len(file); n++ {
 			c := ledger.Read(file[:n])
-			if c.Good+c.Left != n || c.Frames > whole.Frames {
+			if c.ReadOctets+c.UnreadOctets != n || c.Frames > whole.Frames {
 				t.Fatalf("truncated at %d: %+v", n, c)
 			}
-			if c.Why == "" {
+			if c.UnreadReason == "" {
 				ends[n] = true
 			}
 			for _, k := range c.Calls {
@@ -96,8 +96,8 @@
 		turned := append([]byte(nil), file...)
 		turned[bit/8] ^= 1 << (bit % 8)
 		c := ledger.Read(turned)
-		if c.Why == "" || c.Good > bit/8 {
-			t.Fatalf("bit %d flipped, and %d of %d octets were read: %q", bit, c.Good, len(file), c.Why)
+		if c.UnreadReason == "" || c.ReadOctets > bit/8 {
+			t.Fatalf("bit %d flipped, and %d of %d octets were read: %q", bit, c.ReadOctets, len(file), c.UnreadReason)
 		}
 		for _, k := range c.Calls {
 			if !seen[k] {
@@ -118,7 +118,7 @@
 				t.Fatal(err)
 			}
 			go l.Run()
-			l.Put(recovery.Kept{ID: 1})
+			l.Put(recovery.StoredCall{ID: 1})
 			time.Sleep(time.Second)
 			if bad == "full" {
 				disk.Fail(errors.New("no space left on device"))
@@ -127,7 +127,7 @@
 			}
 			from := time.Now()
 			for id := range uint32(1000) {
-				l.Put(recovery.Kept{ID: id + 10, Since: int64(id)})
+				l.Put(recovery.StoredCall{ID: id + 10, Since: int64(id)})
 				if id%2 == 0 {
 					l.Drop(id + 10)
 				}
@@ -139,7 +139,7 @@
 			if took := time.Since(from); took != time.Second {
 				t.Errorf("%s: storing calls took %v", bad, took)
 			}
-			if c := ledger.Read(disk.Get("l")); c.Why != "" || len(c.Calls) == 0 {
+			if c := ledger.Read(disk.Get("l")); c.UnreadReason != "" || len(c.Calls) == 0 {
 				t.Errorf("%s: the file reads as %+v while the disk fails", bad, c)
 			}
 			disk.Fail(nil)
@@ -147,8 +147,8 @@
 			time.Sleep(20 * time.Second)
 			l.Close()
 			c := ledger.Read(disk.Get("l"))
-			if c.Why != "" || len(c.Calls) != 500 || c.Calls[1].ID != 0 {
-				t.Errorf("%s: %d calls, %q", bad, len(c.Calls), c.Why)
+			if c.UnreadReason != "" || len(c.Calls) != 500 || c.Calls[1].ID != 0 {
+				t.Errorf("%s: %d calls, %q", bad, len(c.Calls), c.UnreadReason)
 			}
 			if bad == "full" && len(told) != 2 {
 				t.Errorf("logged messages: %q", told)
@@ -168,7 +168,7 @@
 		go l.Run()
 		most := 0
 		for id := range uint32(60000) {
-			l.Put(recovery.Kept{ID: id, Phase: recovery.Standing})
+			l.Put(recovery.StoredCall{ID: id, Phase: recovery.Established})
 			if id >= 100 {
 				l.Drop(id - 100)
 			}
@@ -178,14 +178,14 @@
 			if id%997 == 0 {
 				file := disk.Get("l")
 				most = max(most, len(file))
-				if c := ledger.Read(file); c.Why != "" || len(c.Calls) > 250 {
-					t.Fatalf("after %d calls: the file has %d, %q", id, len(c.Calls), c.Why)
+				if c := ledger.Read(file); c.UnreadReason != "" || len(c.Calls) > 250 {
+					t.Fatalf("after %d calls: the file has %d, %q", id, len(c.Calls), c.UnreadReason)
 				}
 			}
 		}
 		l.Close()
-		if c := ledger.Read(disk.Get("l")); len(c.Calls) != 100 || most > 1<<21 || l.Wrote() < 3<<20 {
-			t.Fatalf("%d calls, the file had up to %d octets, %d were written", len(c.Calls), most, l.Wrote())
+		if c := ledger.Read(disk.Get("l")); len(c.Calls) != 100 || most > 1<<21 || l.WrittenOctets() < 3<<20 {
+			t.Fatalf("%d calls, the file had up to %d octets, %d were written", len(c.Calls), most, l.WrittenOctets())
 		}
 	})
 }
@@ -196,7 +196,7 @@
 		disk.Put("l", b)
 		var told []string
 		_, c, err := ledger.Open("l", 7, disk, func(text string) { told = append(told, text) })
-		if err != nil || len(c.Calls) != 0 || c.Why == "" || len(told) != 1 || string(disk.Get("l.damaged")) != string(b) {
+		if err != nil || len(c.Calls) != 0 || c.UnreadReason == "" || len(told) != 1 || string(disk.Get("l.damaged")) != string(b) {
 			t.Errorf("%s: %v %+v %q", name, err, c, told)
 		}
 	}
@@ -205,7 +205,7 @@
 var corpus = [][]byte{[]byte("indigoledger\x02\x00\x01\x00\x00\x00\x00S"), []byte("indigoledger\x01")}
 
 func accountsForEveryOctet(t *testing.T, b []byte) {
-	if c := ledger.Read(b); c.Good+c.Left != len(b) || c.Good < 0 || (c.Why == "") != (c.Left == 0 && len(b) > 12) {
+	if c := ledger.Read(b); c.ReadOctets+c.UnreadOctets != len(b) || c.ReadOctets < 0 || (c.UnreadReason == "") != (c.UnreadOctets == 0 && len(b) > 12) {
 		t.Fatalf("%+v of %d octets", c, len(b))
 	}
 }
--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -106,7 +106,7 @@
 	listenerClosed chan struct{} // closed once no more connections are accepted
 	lastBoardEvent uint64        // number of the last notice board event
 	boardConnected bool
-	stall          lag.Stall
+	stall          lag.StallDetector
 	stalls         int // stalls since the last summary
 	noteCount      int // log lines since the last summary
 	// recordCounts counts the records of each kind since the last summary, unsaid the log lines that were suppressed.
@@ -147,7 +147,7 @@
 
 // timeUntil returns the time left to an instant.
 func (s *Server) timeUntil(deadline policy.Tenths) time.Duration {
-	return trunk.Span(deadline - s.now())
+	return trunk.Duration(deadline - s.now())
 }
 
 // post passes an event to the event loop and blocks while the inbox is full. It returns false after shutdown.
@@ -250,7 +250,7 @@
 	for {
 		now := s.now()
 		due := s.agent.NextTick()
-		if readUntil, reading := s.stall.Reading(now); reading {
+		if readUntil, reading := s.stall.TimersHeld(now); reading {
 			due = max(due, readUntil)
 		}
 		timer.Reset(s.timeUntil(due))
@@ -265,7 +265,7 @@
 			drainRequested = nil
 			longestAbandon := time.Duration(0)
 			for _, bearer := range s.config.Settings.Policy.Bearers {
-				longestAbandon = max(longestAbandon, trunk.Span(bearer.AbandonTime))
+				longestAbandon = max(longestAbandon, trunk.Duration(bearer.AbandonTime))
 			}
 			timeToKill := min(longestAbandon, maxAbandonTime) + killDelay
 			stopListening = time.After(timeToKill - stopListeningLead)
@@ -298,11 +298,11 @@
 		}
 		s.handleQueued() // messages before timers: a message may make a timer void
 		now = s.now()
-		if s.stall.Works(now) {
+		if s.stall.Running(now) {
 			s.stalls++
 		}
-		if _, reading := s.stall.Reading(now); !reading && now >= s.agent.NextTick() {
-			s.agent.Tick(now, s.stall.Ended())
+		if _, reading := s.stall.TimersHeld(now); !reading && now >= s.agent.NextTick() {
+			s.agent.Tick(now, s.stall.LastEnd())
 		}
 	}
 }
@@ -560,7 +560,7 @@
 	s := (*Server)(h)
 	timeout := defaultDialTimeout
 	if t := s.config.Settings.DialTimeout; t > 0 {
-		timeout = trunk.Span(t)
+		timeout = trunk.Duration(t)
 	}
 	select {
 	case s.switchSlots <- struct{}{}:
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -22,8 +22,8 @@
 	silentMost = policy.Tenths(35000) // a link is dead after such a silence: three heartbeats and a margin
 )
 
-// Pace computes the delays between the dials of one link: exponential backoff with jitter.
-type Pace struct {
+// Backoff computes the delays between the dials of one link: exponential backoff with jitter.
+type Backoff struct {
 	chance  *rand.Rand
 	links   int
 	least   policy.Tenths // minimum delay, and at least the random part after the first failure
@@ -33,20 +33,20 @@
 	upAt    policy.Tenths // when the link came up, 0 while it is down
 }
 
-// NewPace creates the backoff for one of the links of an exchange. The seed must differ between links and exchanges.
-func NewPace(seed uint64, links int) *Pace {
-	return &Pace{chance: rand.New(rand.NewPCG(seed, 0x11)), links: links, least: first, most: most}
+// NewBackoff creates the backoff for one of the links of an exchange. The seed must differ between links and exchanges.
+func NewBackoff(seed uint64, links int) *Backoff {
+	return &Backoff{chance: rand.New(rand.NewPCG(seed, 0x11)), links: links, least: first, most: most}
 }
 
-// NewPaceBetween creates a backoff with its own minimum delay and maximum random part. The first dial counts as made.
-func NewPaceBetween(seed uint64, least, most policy.Tenths) *Pace {
-	return &Pace{chance: rand.New(rand.NewPCG(seed, 0x11)), links: 1, least: least, most: most, dialled: true}
+// NewBackoffBetween creates a backoff with its own minimum delay and maximum random part. The first dial counts as made.
+func NewBackoffBetween(seed uint64, least, most policy.Tenths) *Backoff {
+	return &Backoff{chance: rand.New(rand.NewPCG(seed, 0x11)), links: 1, least: least, most: most, dialled: true}
 }
 
-// Wait returns the delay before the next dial. The first dials are spread over all links. Later delays are the minimum delay
+// NextDelay returns the delay before the next dial. The first dials are spread over all links. Later delays are the minimum delay
 // and a random part of a span that doubles with each failure, so that many exchanges that lost the same switch at once do not
 // reconnect at once.
-func (p *Pace) Wait() policy.Tenths {
+func (p *Backoff) NextDelay() policy.Tenths {
 	if !p.dialled {
 		p.dialled = true
 		return policy.Tenths(p.chance.Int64N(int64(perLink)*int64(max(1, p.links)) + 1))
@@ -57,26 +57,26 @@
 }
 
 // Up records that the link came up.
-func (p *Pace) Up(now policy.Tenths) { p.upAt = now }
+func (p *Backoff) Up(now policy.Tenths) { p.upAt = now }
 
 // Down records that the link went down or could not be established. The failure count is reset only if the link was up for
 // long, so that a switch that accepts connections and drops them is not dialled at full speed.
-func (p *Pace) Down(now policy.Tenths) {
+func (p *Backoff) Down(now policy.Tenths) {
 	if p.upAt != 0 && now-p.upAt >= steady {
 		p.failed = 0
 	}
 	p.upAt = 0
 }
 
-// Life tracks the liveness of one link that is up.
-type Life struct{ heardAt, beatAt policy.Tenths }
+// Liveness tracks the liveness of one link that is up.
+type Liveness struct{ heardAt, beatAt policy.Tenths }
 
-// Heard records that something was received on the link.
-func (l *Life) Heard(now policy.Tenths) { l.heardAt = now }
+// Received records that something was received on the link.
+func (l *Liveness) Received(now policy.Tenths) { l.heardAt = now }
 
 // Check reports whether a heartbeat is due, whether the link is dead, and when to check again. stalled is the end of the last
 // stall of this process: what arrived during the stall has not been read, so silence counts from its end.
-func (l *Life) Check(now, stalled policy.Tenths) (beat, dead bool, next policy.Tenths) {
+func (l *Liveness) Check(now, stalled policy.Tenths) (beat, dead bool, next policy.Tenths) {
 	if quiet := now - max(l.heardAt, stalled); quiet >= silentMost {
 		return false, true, now
 	}
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -14,13 +14,13 @@
 		dials := make([]int, length/tenth+1)
 		total := 0
 		for e := range uint64(exchanges) {
-			p := NewPace(e, exchanges)
+			p := NewBackoff(e, exchanges)
 			if !starting { // the links were up for long
-				p.Wait()
+				p.NextDelay()
 				p.Up(1)
 				p.Down(1 + steady)
 			}
-			for now := p.Wait(); now < length; now += p.Wait() {
+			for now := p.NextDelay(); now < length; now += p.NextDelay() {
 				p.Down(now)
 				dials[now/tenth]++
 				total++
@@ -38,10 +38,10 @@
 }
 
 func TestLinkThatDropsAtOnceIsNotDialledAtFullSpeed(t *testing.T) {
-	p, now := NewPace(3, 1), policy.Tenths(1)
+	p, now := NewBackoff(3, 1), policy.Tenths(1)
 	dials := 0
 	for ; now < 600000; dials++ {
-		now += p.Wait()
+		now += p.NextDelay()
 		p.Up(now)
 		now += 100
 		p.Down(now)
@@ -52,14 +52,14 @@
 	p.Up(now)
 	p.Down(now + steady)
 	p.failed = 0
-	if w := p.Wait(); w > 2*first {
+	if w := p.NextDelay(); w > 2*first {
 		t.Fatalf("delay of %d after a link was up for long", w)
 	}
 }
 
 func TestSilentLinkIsDeadButNotAfterAStallOfOurOwn(t *testing.T) {
-	var l Life
-	l.Heard(100)
+	var l Liveness
+	l.Received(100)
 	dead, diedAt := false, policy.Tenths(0)
 	beats := 0
 	for now := policy.Tenths(100); !dead; now += 500 {
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -16,23 +16,23 @@
 	"indigodrift/internal/trunk"
 )
 
-// Word is one message in either direction. Absent fields are left out.
-type Word struct {
-	Exchange *int             `json:"exchange,omitempty"` // controller: its exchange
-	Ask      bool             `json:"ask,omitempty"`      // controller: requests the full list
-	Ack      uint64           `json:"ack,omitempty"`      // controller: the version that it has in force
-	List     *membership.List `json:"list,omitempty"`     // register
-	Advice   map[int]int      `json:"advice,omitempty"`   // register: a tandem for each destination
+// Message is one message in either direction. Absent fields are left out.
+type Message struct {
+	Exchange    *int             `json:"exchange,omitempty"` // controller: its exchange
+	RequestList bool             `json:"ask,omitempty"`      // controller: requests the full list
+	AckVersion  uint64           `json:"ack,omitempty"`      // controller: the version that it has in force
+	List        *membership.List `json:"list,omitempty"`     // register
+	Advice      map[int]int      `json:"advice,omitempty"`   // register: a tandem for each destination
 }
 
-// LineMost is the maximum length of a message in octets, enough for a list of some thousand switches.
-const LineMost = 1 << 20
+// MaxMessageLength is the maximum length of a message in octets, enough for a list of some thousand switches.
+const MaxMessageLength = 1 << 20
 
-// Sink receives what the register sends.
-type Sink interface {
-	List(l membership.List)
-	Advice(a map[int]int)
-	Lost(err error)
+// Handler receives what the register sends.
+type Handler interface {
+	HandleList(l membership.List)
+	HandleAdvice(a map[int]int)
+	RegisterLost(err error)
 }
 
 // Client maintains a connection to the register.
@@ -41,43 +41,43 @@
 	address  string
 	dial     trunk.Dialer
 	clock    trunk.Clock
-	sink     Sink
-	pace     *reconnect.Pace
-	words    chan Word
+	sink     Handler
+	pace     *reconnect.Backoff
+	words    chan Message
 }
 
 // NewClient creates a client for an exchange. Keep runs it.
-func NewClient(exchange int, address string, seed uint64, links int, dial trunk.Dialer, clock trunk.Clock, sink Sink) *Client {
+func NewClient(exchange int, address string, seed uint64, links int, dial trunk.Dialer, clock trunk.Clock, sink Handler) *Client {
 	return &Client{exchange: exchange, address: address, dial: dial, clock: clock, sink: sink,
-		pace: reconnect.NewPace(seed, links), words: make(chan Word, 16)}
+		pace: reconnect.NewBackoff(seed, links), words: make(chan Message, 16)}
 }
 
-// Ask requests the full list. The request is dropped if the register does not read; its next list makes up for it.
-func (c *Client) Ask() { c.say(Word{Ask: true}) }
+// RequestList requests the full list. The request is dropped if the register does not read; its next list makes up for it.
+func (c *Client) RequestList() { c.say(Message{RequestList: true}) }
 
 // Ack reports that a version is in force. Like a request, it may be dropped.
-func (c *Client) Ack(version uint64) { c.say(Word{Ack: version}) }
+func (c *Client) Ack(version uint64) { c.say(Message{AckVersion: version}) }
 
 // say queues a message without blocking.
-func (c *Client) say(w Word) {
+func (c *Client) say(w Message) {
 	select {
 	case c.words <- w:
 	default:
 	}
 }
 
-// Keep connects to the register, again and again, until the context ends.
-func (c *Client) Keep(ctx context.Context) {
+// Run connects to the register, again and again, until the context ends.
+func (c *Client) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(trunk.Span(c.pace.Wait())):
+		case <-time.After(trunk.Duration(c.pace.NextDelay())):
 		}
 		err := c.once(ctx)
 		c.pace.Down(c.clock.Now())
 		if ctx.Err() == nil {
-			c.sink.Lost(err)
+			c.sink.RegisterLost(err)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	all.Go(func() {
 		defer cancel()
 		out := json.NewEncoder(conn)
-		for w := (Word{Exchange: &c.exchange}); ; {
+		for w := (Message{Exchange: &c.exchange}); ; {
 			if err := out.Encode(w); err != nil {
 				return
 			}
@@ -115,17 +115,17 @@
 		}
 	})
 	in := bufio.NewScanner(conn)
-	in.Buffer(make([]byte, 0, 1<<14), LineMost)
+	in.Buffer(make([]byte, 0, 1<<14), MaxMessageLength)
 	for in.Scan() {
-		var w Word
+		var w Message
 		if err := json.Unmarshal(in.Bytes(), &w); err != nil {
 			return fmt.Errorf("decode message of register %s: %w", c.address, err)
 		}
 		if w.List != nil {
-			c.sink.List(*w.List)
+			c.sink.HandleList(*w.List)
 		}
 		if w.Advice != nil {
-			c.sink.Advice(w.Advice)
+			c.sink.HandleAdvice(w.Advice)
 		}
 	}
 	if err := in.Err(); err != nil {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -27,37 +27,37 @@
 )
 
 // Read takes a site file. Its error has a line for each fault, with file, line, column and reason.
-func Read(name string) (control.Site, error) {
+func Read(name string) (control.Config, error) {
 	f, b, err := hclread.Open(name)
 	if err != nil {
-		return control.Site{}, err
+		return control.Config{}, err
 	}
 	s := parse(b)
 	return s, f.Err()
 }
 
-func parse(b *hclread.Block) control.Site {
-	var s control.Site
+func parse(b *hclread.Block) control.Config {
+	var s control.Config
 	d := &s.Deployment
-	s.Exchanges = b.Whole("exchanges", 2, exchangesMost, 1)
+	s.ExchangeCount = b.Whole("exchanges", 2, exchangesMost, 1)
 	d.OwnExchange = b.Whole("exchange", 0, exchangesMost-1, -1)
-	if d.OwnExchange >= s.Exchanges {
-		b.FaultAt("exchange", "exchange %d, but exchanges are numbered below %d", d.OwnExchange, s.Exchanges)
+	if d.OwnExchange >= s.ExchangeCount {
+		b.FaultAt("exchange", "exchange %d, but exchanges are numbered below %d", d.OwnExchange, s.ExchangeCount)
 	}
 	d.Seed = uint64(b.Whole("seed", 0, math.MaxInt32, 1))
-	s.OwnSwitch = b.Address("own_switch", false)
-	s.Register = b.Address("register", false)
+	s.OwnSwitchAddress = b.Address("own_switch", false)
+	s.RegisterAddress = b.Address("register", false)
 	Rules(b, d)
 	queues := b.Only("queues", false)
-	s.Inbox = queues.Whole("inbox", 16, 1<<20, 8192)
-	s.LinkMost = queues.Whole("link_octets", 4096, 1<<30, 1<<20)
+	s.InboxSize = queues.Whole("inbox", 16, 1<<20, 8192)
+	s.MaxLinkOctets = queues.Whole("link_octets", 4096, 1<<30, 1<<20)
 	queues.Done()
-	s.Ledger = b.Text("ledger", false, "")
+	s.LedgerFile = b.Text("ledger", false, "")
 	if b.Has("control") {
-		s.Control = b.Address("control", true)
+		s.ControlAddress = b.Address("control", true)
 	}
 	if all := b.Blocks("numbers", false); len(all) > 0 {
-		s.Numbers = numbering(b.Only("numbers", false))
+		s.NumberAnalysis = numbering(b.Only("numbers", false))
 	}
 	names := map[string]int{}
 	d.Bearers = Bearers(b, func(n *hclread.Block) { names[n.Label] = len(names) })
@@ -69,8 +69,8 @@
 		near := control.Neighbour{Neighbour: exchange.Neighbour{Number: n.Whole("exchange", 0, exchangesMost-1, -1),
 			Circuits: n.Whole("circuits", 1, circuit.MostCircuits, 0)}, Address: n.Address("address", false)}
 		switch {
-		case near.Number >= s.Exchanges:
-			n.FaultAt("exchange", "the group %q has no far end: exchanges are numbered below %d", n.Label, s.Exchanges)
+		case near.Number >= s.ExchangeCount:
+			n.FaultAt("exchange", "the group %q has no far end: exchanges are numbered below %d", n.Label, s.ExchangeCount)
 		case near.Number == d.OwnExchange:
 			n.FaultAt("exchange", "the group %q leads to this exchange itself", n.Label)
 		case seen[near.Number]:
@@ -190,21 +190,21 @@
 }
 
 // numbering reads what a site says of number analysis.
-func numbering(b *hclread.Block) *control.Numbers {
-	n := &control.Numbers{Store: b.Text("store", true, ""), Table: b.Text("table", false, ""), Callers: b.Whole("callers", 1, 1<<24, 100000),
+func numbering(b *hclread.Block) *control.NumberAnalysis {
+	n := &control.NumberAnalysis{StoreFolder: b.Text("store", true, ""), InitialTable: b.Text("table", false, ""), MaxCallers: b.Whole("callers", 1, 1<<24, 100000),
 		Trial: numbers.Trial{Window: b.Span("trial_window", 0, forever, time.Minute), Bound: b.Number("trial_bound", 0, 1, 0.2),
 			Least: b.Whole("trial_least", 1, 1<<30, 20)}}
 	p := b.Only("portability", false)
-	if n.Servers = p.Texts("servers"); len(n.Servers) != 0 && len(n.Servers) != 2 {
-		p.FaultAt("servers", "%d servers, two are needed (the same twice where there is one)", len(n.Servers))
+	if n.ENUMServers = p.Texts("servers"); len(n.ENUMServers) != 0 && len(n.ENUMServers) != 2 {
+		p.FaultAt("servers", "%d servers, two are needed (the same twice where there is one)", len(n.ENUMServers))
 	}
-	for _, a := range n.Servers {
+	for _, a := range n.ENUMServers {
 		if _, err := netip.ParseAddrPort(a); err != nil {
 			p.FaultAt("servers", "%q is not an address with a port", a)
 		}
 	}
-	if n.Zone = p.Text("zone", false, "e164.arpa."); !strings.HasSuffix(n.Zone, ".") {
-		n.Zone += "."
+	if n.ENUMZone = p.Text("zone", false, "e164.arpa."); !strings.HasSuffix(n.ENUMZone, ".") {
+		n.ENUMZone += "."
 	}
 	n.Limits = numbers.Limits{Known: p.Whole("known", 1, 1<<26, 100000), Unknown: p.Whole("unknown", 1, 1<<26, 10000),
 		Age: p.Span("age", time.Second, forever, time.Hour), Out: p.Whole("out", 1, 1<<16, 256),
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -25,7 +25,7 @@
 	wrong    string // trouble: how the next lists are wrong
 	version  uint64
 	held     []sighting
-	shown    []membership.Line
+	shown    []membership.Entry
 	clients  map[*client]bool
 	ln       net.Listener
 	stop     chan struct{}
@@ -34,7 +34,7 @@
 
 type sighting struct {
 	at    time.Time
-	lines []membership.Line
+	lines []membership.Entry
 }
 
 type client struct {
@@ -80,12 +80,12 @@
 func (r *Register) Late(d time.Duration) { r.mu.Lock(); r.late = d; r.mu.Unlock() }
 func (r *Register) Wrong(how string)     { r.mu.Lock(); r.wrong, r.mend = how, how == ""; r.mu.Unlock() }
 
-func (r *Register) look() []membership.Line {
-	var lines []membership.Line
+func (r *Register) look() []membership.Entry {
+	var lines []membership.Entry
 	for _, s := range r.switches {
 		life, up, ready, draining := s.Lamp()
-		lines = append(lines, membership.Line{ID: uint32(1000 + s.Number), Number: s.Number, Life: uint64(life),
-			UpFor: policy.Tenths(up / (100 * time.Microsecond)), Ready: ready, Draining: draining})
+		lines = append(lines, membership.Entry{ID: uint32(1000 + s.Number), Number: s.Number, Incarnation: uint64(life),
+			Uptime: policy.Tenths(up / (100 * time.Microsecond)), Ready: ready, Draining: draining})
 	}
 	return lines
 }
@@ -98,10 +98,10 @@
 		changed := r.shown == nil
 		for len(r.held) > 0 && (now.Sub(r.held[0].at) >= r.late || r.shown == nil) {
 			for i, l := range r.held[0].lines {
-				changed = changed || r.shown == nil || l.Ready != r.shown[i].Ready || l.Draining != r.shown[i].Draining || l.Life != r.shown[i].Life
+				changed = changed || r.shown == nil || l.Ready != r.shown[i].Ready || l.Draining != r.shown[i].Draining || l.Incarnation != r.shown[i].Incarnation
 			}
 			for i := range r.held[0].lines { // how long it has been up is reckoned when it is told
-				r.held[0].lines[i].UpFor += policy.Tenths(now.Sub(r.held[0].at) / (100 * time.Microsecond))
+				r.held[0].lines[i].Uptime += policy.Tenths(now.Sub(r.held[0].at) / (100 * time.Microsecond))
 			}
 			r.shown, r.held = r.held[0].lines, r.held[1:]
 		}
@@ -126,34 +126,34 @@
 
 // list writes the whole list to one controller; the lock is held.
 func (r *Register) list(c *client) {
-	l := membership.List{Epoch: 1, Version: r.version, Whole: true, Count: len(r.shown), Lines: r.shown}
+	l := membership.List{Epoch: 1, Version: r.version, Full: true, Count: len(r.shown), Entries: r.shown}
 	switch r.wrong {
 	case "short":
-		l.Lines = l.Lines[:len(l.Lines)/2]
+		l.Entries = l.Entries[:len(l.Entries)/2]
 	case "stale":
 		l.Version = 1
 	case "contradictory":
-		l.Lines = append(append([]membership.Line{}, l.Lines...), l.Lines[0])
-		l.Lines[len(l.Lines)-1].Ready = !l.Lines[0].Ready
+		l.Entries = append(append([]membership.Entry{}, l.Entries...), l.Entries[0])
+		l.Entries[len(l.Entries)-1].Ready = !l.Entries[0].Ready
 		l.Count++
 	}
-	for _, s := range l.Lines {
+	for _, s := range l.Entries {
 		e := audit.Event{Kind: audit.Told, Site: c.exchange, Peer: s.Number, Value: int64(l.Version)}
 		if s.Ready {
 			e.CIC = 1
 		}
 		// What a controller must not believe tells it nothing; a list that is sent twice, or wrong about one switch, does.
-		if r.wrong == "" || r.wrong == "repeated" || r.wrong == "contradictory" && s.ID != l.Lines[0].ID {
+		if r.wrong == "" || r.wrong == "repeated" || r.wrong == "contradictory" && s.ID != l.Entries[0].ID {
 			r.log.Add(e)
 		}
 	}
-	r.write(c, register.Word{List: &l})
+	r.write(c, register.Message{List: &l})
 	if r.wrong == "repeated" {
-		r.write(c, register.Word{List: &l})
+		r.write(c, register.Message{List: &l})
 	}
 }
 
-func (r *Register) write(c *client, w register.Word) {
+func (r *Register) write(c *client, w register.Message) {
 	b, err := json.Marshal(w)
 	if err != nil {
 		return
@@ -189,7 +189,7 @@
 				advice[to] = best
 			}
 		}
-		r.write(c, register.Word{Advice: advice})
+		r.write(c, register.Message{Advice: advice})
 	}
 }
 
@@ -203,7 +203,7 @@
 	}()
 	in := bufio.NewScanner(conn)
 	for in.Scan() {
-		var w register.Word
+		var w register.Message
 		if json.Unmarshal(in.Bytes(), &w) != nil {
 			return
 		}
@@ -212,12 +212,12 @@
 			c.exchange = *w.Exchange
 			r.clients[c] = true
 		}
-		if (w.Exchange != nil || w.Ask) && r.clients[c] && r.shown != nil {
+		if (w.Exchange != nil || w.RequestList) && r.clients[c] && r.shown != nil {
 			r.version++
 			r.list(c)
 		}
-		if w.Ack != 0 && r.clients[c] {
-			r.log.Add(audit.Event{Kind: audit.Ack, Site: c.exchange, Value: int64(w.Ack)})
+		if w.AckVersion != 0 && r.clients[c] {
+			r.log.Add(audit.Event{Kind: audit.Ack, Site: c.exchange, Value: int64(w.AckVersion)})
 		}
 		r.mu.Unlock()
 	}
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -28,33 +28,33 @@
 // Dialer connects to an address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Sink receives the events of links, one call at a time for each link. The octets of a frame are valid until the method returns.
-type Sink interface {
-	Up(link int, g Greeting)
-	Frame(link int, f m3ua.Frame) error // an error closes the link
-	Down(link int, err error)
+// Handler receives the events of links, one call at a time for each link. The octets of a frame are valid until the method returns.
+type Handler interface {
+	LinkUp(link int, g Handshake)
+	HandleFrame(link int, f m3ua.Frame) error // an error closes the link
+	LinkDown(link int, err error)
 }
 
-// Line holds the settings of a link.
-type Line struct {
-	Link    int    // index of the link, passed to Sink
-	Own     uint32 // point code of this exchange
-	Peer    uint32 // point code of the switch, which must answer with it
-	Address string
-	Most    int // maximum octets queued for writing
-	Seed    uint64
-	Links   int // number of links of this exchange, over which the dials are spread
+// Config holds the settings of a link.
+type Config struct {
+	Index           int    // index of the link, passed to Sink
+	OwnPoint        uint32 // point code of this exchange
+	PeerPoint       uint32 // point code of the switch, which must answer with it
+	Address         string
+	MaxQueuedOctets int // maximum octets queued for writing
+	Seed            uint64
+	LinkCount       int // number of links of this exchange, over which the dials are spread
 }
 
 const greetWithin = 3 * time.Second
 
 // Link is a signalling link that is dialled again whenever it fails.
 type Link struct {
-	line  Line
+	line  Config
 	dial  Dialer
 	clock Clock
-	sink  Sink
-	pace  *reconnect.Pace
+	sink  Handler
+	pace  *reconnect.Backoff
 
 	mu      sync.Mutex
 	pending []byte
@@ -64,36 +64,36 @@
 }
 
 // NewLink creates a link. Keep runs it.
-func NewLink(line Line, dial Dialer, clock Clock, sink Sink) *Link {
-	return &Link{line: line, dial: dial, clock: clock, sink: sink, pace: reconnect.NewPace(line.Seed, line.Links),
+func NewLink(line Config, dial Dialer, clock Clock, sink Handler) *Link {
+	return &Link{line: line, dial: dial, clock: clock, sink: sink, pace: reconnect.NewBackoff(line.Seed, line.LinkCount),
 		wake: make(chan struct{}, 1)}
 }
 
 // Errors that end a link.
 var (
-	ErrStranger = errors.New("unexpected peer")
-	ErrSilent   = errors.New("keepalive timeout")
-	ErrSlow     = errors.New("remote switch reads too slowly")
+	ErrUnexpectedPeer   = errors.New("unexpected peer")
+	ErrKeepaliveTimeout = errors.New("keepalive timeout")
+	ErrSlowPeer         = errors.New("remote switch reads too slowly")
 )
 
-// Keep dials and serves the link until the context ends.
-func (l *Link) Keep(ctx context.Context) {
+// Run dials and serves the link until the context ends.
+func (l *Link) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(Span(l.pace.Wait())):
+		case <-time.After(Duration(l.pace.NextDelay())):
 		}
 		up, err := l.once(ctx)
 		l.pace.Down(l.clock.Now())
 		if up && ctx.Err() == nil {
-			l.sink.Down(l.line.Link, err)
+			l.sink.LinkDown(l.line.Index, err)
 		}
 	}
 }
 
-// Span converts tenths of a millisecond to a time.Duration.
-func Span(t policy.Tenths) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
+// Duration converts tenths of a millisecond to a time.Duration.
+func Duration(t policy.Tenths) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
 // once dials and serves one connection; up tells whether the link came up.
 func (l *Link) once(ctx context.Context) (up bool, err error) {
@@ -130,7 +130,7 @@
 	l.mu.Lock()
 	l.conn = conn
 	l.mu.Unlock()
-	l.sink.Up(l.line.Link, g)
+	l.sink.LinkUp(l.line.Index, g)
 	failed := make(chan error, 2)
 	all.Go(func() { failed <- l.write(conn, stop) })
 	all.Go(func() { failed <- l.watch(&pulse, conn, stop) })
@@ -145,24 +145,24 @@
 	return true, err
 }
 
-// Greeting is the remote switch's part of the handshake.
-type Greeting struct {
-	Life        string // incarnation of the switch, which changes with every start
-	Clock       uint32 // reading of the clock that stamps its messages, in tenths of a millisecond
-	HasClock    bool
-	Asked, Read policy.Tenths // when the handshake was sent and its answer read
+// Handshake is the remote switch's part of the handshake.
+type Handshake struct {
+	Incarnation        string // incarnation of the switch, which changes with every start
+	Clock              uint32 // reading of the clock that stamps its messages, in tenths of a millisecond
+	HasClock           bool
+	SentAt, ReceivedAt policy.Tenths // when the handshake was sent and its answer read
 }
 
 // greet announces this exchange to the switch and reads the answer.
-func (l *Link) greet(conn net.Conn) (g Greeting, scratch []byte, err error) {
-	hello, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Up, ASP: l.line.Own})
+func (l *Link) greet(conn net.Conn) (g Handshake, scratch []byte, err error) {
+	hello, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Up, ASP: l.line.OwnPoint})
 	if err != nil {
 		return g, nil, err
 	}
 	if err := conn.SetDeadline(time.Now().Add(greetWithin)); err != nil {
 		return g, nil, fmt.Errorf("set deadline: %w", err)
 	}
-	g.Asked = l.clock.Now()
+	g.SentAt = l.clock.Now()
 	if _, err := conn.Write(hello); err != nil {
 		return g, nil, fmt.Errorf("write: %w", err)
 	}
@@ -170,19 +170,19 @@
 	if err != nil {
 		return g, nil, err
 	}
-	if f.Kind != m3ua.UpAck || f.ASP != l.line.Peer {
-		return g, nil, fmt.Errorf("%w: frame kind %04x, point code %d, want %d", ErrStranger, uint16(f.Kind), f.ASP, l.line.Peer)
+	if f.Kind != m3ua.UpAck || f.ASP != l.line.PeerPoint {
+		return g, nil, fmt.Errorf("%w: frame kind %04x, point code %d, want %d", ErrUnexpectedPeer, uint16(f.Kind), f.ASP, l.line.PeerPoint)
 	}
-	g.Read = l.clock.Now()
+	g.ReceivedAt = l.clock.Now()
 	for _, part := range strings.Fields(f.Info) {
 		name, v, _ := strings.Cut(part, "=")
 		switch name {
 		case "life":
-			g.Life = v
+			g.Incarnation = v
 		case "clock":
 			n, err := strconv.ParseUint(v, 10, 32)
 			if err != nil {
-				return g, nil, fmt.Errorf("%w: clock %q", ErrStranger, v)
+				return g, nil, fmt.Errorf("%w: clock %q", ErrUnexpectedPeer, v)
 			}
 			g.Clock, g.HasClock = uint32(n), true
 		}
@@ -203,7 +203,7 @@
 		case m3ua.Beat:
 			l.Send(m3ua.Frame{Kind: m3ua.BeatAck, User: f.User})
 		case m3ua.Data:
-			if err := l.sink.Frame(l.line.Link, f); err != nil {
+			if err := l.sink.HandleFrame(l.line.Index, f); err != nil {
 				return err
 			}
 		}
@@ -223,7 +223,7 @@
 		return false
 	}
 	l.pending = buf
-	if len(l.pending) > l.line.Most {
+	if len(l.pending) > l.line.MaxQueuedOctets {
 		l.full.Add(1)
 		l.conn.Close()
 		l.conn = nil
@@ -248,7 +248,7 @@
 		l.mu.Lock()
 		if l.conn == nil && l.full.Load() > 0 {
 			l.mu.Unlock()
-			return ErrSlow
+			return ErrSlowPeer
 		}
 		buf, l.pending = l.pending, buf[:0]
 		l.mu.Unlock()
@@ -262,12 +262,12 @@
 // pulse is the liveness of a link, shared by its reader and its keepalive check.
 type pulse struct {
 	mu   sync.Mutex
-	life reconnect.Life
+	life reconnect.Liveness
 }
 
 func (p *pulse) heard(now policy.Tenths) {
 	p.mu.Lock()
-	p.life.Heard(now)
+	p.life.Received(now)
 	p.mu.Unlock()
 }
 
@@ -280,7 +280,7 @@
 		p.mu.Unlock()
 		if dead {
 			conn.Close()
-			return ErrSilent
+			return ErrKeepaliveTimeout
 		}
 		if beat {
 			l.Send(m3ua.Frame{Kind: m3ua.Beat, User: []byte("beat")})
@@ -288,7 +288,7 @@
 		select {
 		case <-stop:
 			return nil
-		case <-time.After(Span(next - now)):
+		case <-time.After(Duration(next - now)):
 		}
 	}
 }
