--- a/internal/circuit/circuit.go
+++ b/internal/circuit/circuit.go
@@ -1,7 +1,6 @@
-// Package circuit keeps the states of the circuits between this exchange and one neighbour, by the procedures of ITU-T
-// Q.764: which circuit a call takes, who keeps one that both ends seized at once, and when a release or reset that was
-// not answered is sent again. It is pure: told the time and what arrived, it says what follows. internal/exchange calls
-// it and sends what it asks for; it never sees a link or a message's octets.
+// Package circuit tracks the states of the circuits between this exchange and one neighbour, by the procedures of ITU-T
+// Q.764: the selection of a circuit for a call, the resolution of dual seizures, and the repetition of unanswered releases
+// and resets. It does no I/O: internal/exchange passes in the time and the events, and sends the messages that result.
 package circuit
 
 import (
@@ -12,67 +11,70 @@
 	"indigodrift/policy"
 )
 
-// State of one circuit. set is the one place that changes it.
+// State is the state of one circuit. Only the set method changes it. The transitions are:
 //
-//	Idle      -> Seized (ours), Incoming (theirs), Resetting
-//	Seized    -> Outgoing (a backward message), Incoming (we yield), Releasing, Idle, Resetting
+//	Idle      -> Seized (own call), Incoming (neighbour's call), Resetting
+//	Seized    -> Outgoing (backward message), Incoming (yielded in a dual seizure), Releasing, Idle, Resetting
 //	Outgoing  -> Releasing, Idle, Resetting
 //	Incoming  -> Releasing, Idle, Resetting
-//	Releasing -> Idle (RLC), Incoming (their next call overtook the RLC), Resetting (no RLC for long)
+//	Releasing -> Idle (RLC), Incoming (the neighbour's next call overtook the RLC), Resetting (no RLC)
 //	Resetting -> Idle (RLC, GRA)
 type State uint8
 
+// States of a circuit.
 const (
-	Idle State = iota
-	Seized
-	Outgoing
-	Incoming
-	Releasing
-	Resetting
+	Idle      State = iota
+	Seized          // an own set-up was sent, nothing received yet
+	Outgoing        // an own call that the neighbour has received
+	Incoming        // a call of the neighbour
+	Releasing       // a release was sent, not answered yet
+	Resetting       // a reset was sent, not answered yet
 )
 
 const (
-	repeatFirst = policy.Tenths(10000) // a release or reset not answered is sent again after this; it doubles
+	repeatFirst = policy.Tenths(10000) // before an unanswered release or reset is repeated; doubles each time
 	repeatMost  = policy.Tenths(80000)
-	releaseMost = 4 // releases sent in vain before the circuit is reset (Q.764 2.9.6: T5)
+	releaseMost = 4 // unanswered releases before the circuit is reset (Q.764 2.9.6: T5)
 
-	// settle keeps this exchange from seizing a circuit that the other end's release just cleared: the release's
-	// answer takes another way than the next set-up, and would be overtaken by it.
+	// settle is the time before this exchange seizes a circuit that the neighbour has released. The answer to the release
+	// takes another link than the next set-up, which could overtake it.
 	settle = policy.Tenths(3000)
 
-	// A call of ours that yields its circuits to one of theirs may lie in a queue of their switch still, and may come out of it after
-	// their call has ended: taken then, it was set up twice over, as we sent it on other circuits. So the end of their call tells them
-	// of it (Yielded); what comes on its circuits within crossing is passed over there, and we do not seize them for yieldSettle.
+	// A set-up that lost a dual seizure may still wait in a queue of the neighbour's switch and be read after the winning
+	// call has ended. It was then accepted as a second set-up of a call that had been repeated on other circuits. The
+	// release of the winning call therefore carries the Yielded mark: the neighbour ignores set-ups on these circuits for
+	// crossing, and the yielding exchange does not seize them for yieldSettle.
 	crossing    = policy.Tenths(20000)
 	yieldSettle = policy.Tenths(25000)
 )
 
-// None is the call number that no call has.
+// None is the call id of a circuit without a call.
 const None = 0
 
 type circuit struct {
 	state   State
-	blocked bool // by the far end: no new call
-	heard   bool // the far end knew of the call that is being released
-	theirs  bool // the call that is being released was the far end's
-	unsure  bool // its call was kept from the program's life before: the far end is asked whether it still stands
+	blocked bool // by the neighbour: no new call
+	heard   bool // the neighbour knew the call that is being released
+	theirs  bool // the call that is being released came from the neighbour
+	unsure  bool // its call was restored after a restart, and the neighbour has not confirmed it
 	call    uint32
 	lead    int // index of the circuit whose code the call's set-up named
 	idleAt  policy.Tenths
-	settled policy.Tenths // not seized by us before
-	crossed policy.Tenths // a set-up of theirs that comes before was sent before they had ours
-	yielded bool          // its call of theirs took it from one of ours
+	settled policy.Tenths // earliest time for this exchange to seize it
+	crossed policy.Tenths // set-ups received before this time lost a dual seizure and are ignored
+	yielded bool          // the neighbour's call on it took it from an own call
 	dueAt   policy.Tenths // next repeat (Releasing, Resetting)
 	repeats int
 }
 
-// Bundle is what one call holds in a group: the circuit its messages name, and the slots of a multirate call.
+// Bundle is the set of circuits that one call holds in a group: the circuit that its messages name, and the time slots
+// of a multirate call.
 type Bundle struct {
 	CIC   uint16
 	Slots uint32 // 0 for a single circuit
 }
 
-// Group is all circuits to one neighbour.
+// Group holds the circuits to one neighbour.
 type Group struct {
 	own, peer uint16 // point codes
 	circuits  []circuit
@@ -80,33 +82,36 @@
 	open      int // not blocked
 }
 
-// New makes a group of that many circuits, every one idle. Both ends must make it alike.
+// New creates a group of idle circuits between two point codes. Both exchanges must configure the same size.
 func New(own, peer uint16, size int) *Group {
 	return &Group{own: own, peer: peer, circuits: make([]circuit, size), free: size, open: size}
 }
 
-// MostCircuits is the largest group that circuit codes of 12 bits can name.
+// MostCircuits is the size of the largest group that 12-bit circuit codes can address.
 const MostCircuits = (isup.CICMost + 1) / 32 * isup.PerMultiplex
 
-// code is the circuit identification code of the circuit at an index: slot 0 of each multiplex is not used.
+// code returns the circuit identification code of the circuit at an index. Slot 0 of each multiplex is not used.
 func code(i int) uint16 { return uint16(i/isup.PerMultiplex*32 + i%isup.PerMultiplex + 1) }
 
-// multiplex is the range of indices in which a call that holds circuit i has all of its circuits.
+// multiplex returns the index range of the multiplex of circuit i. All circuits of a call are in one multiplex.
 func (g *Group) multiplex(i int) (from, to int) {
 	from = i - i%isup.PerMultiplex
 	return from, min(from+isup.PerMultiplex, len(g.circuits))
 }
 
+// index returns the index of a circuit identification code; false if the group does not have it.
 func (g *Group) index(cic uint16) (int, bool) {
 	i := int(cic)/32*isup.PerMultiplex + int(cic)%32 - 1
 	return i, cic%32 != 0 && i < len(g.circuits)
 }
 
-// Free is how many circuits could be seized, Size how many are not blocked.
+// Free returns the number of circuits that are idle and not blocked.
 func (g *Group) Free() int { return g.free }
+
+// Size returns the number of circuits that are not blocked.
 func (g *Group) Size() int { return g.open }
 
-// State tells how the circuit named stands and which call holds it; false when the group has no such circuit.
+// State returns the state of a circuit and the call that holds it; false if the group has no such circuit.
 func (g *Group) State(cic uint16) (State, uint32, bool) {
 	i, ok := g.index(cic)
 	if !ok {
@@ -115,11 +120,11 @@
 	return g.circuits[i].state, g.circuits[i].call, true
 }
 
-// controls tells whether this exchange keeps the circuit when both seize it: the one with the higher point code
-// controls the even circuit codes, the other the odd ones (Q.764, 2.9.1.4).
+// controls reports whether this exchange wins a dual seizure of the circuit: the exchange with the higher point code
+// controls the even circuit codes, the other one the odd codes (Q.764, 2.9.1.4).
 func (g *Group) controls(cic uint16) bool { return (g.own > g.peer) == (cic%2 == 0) }
 
-// set is the one place where a circuit changes its state.
+// set changes the state of a circuit; no other function does.
 func (g *Group) set(now policy.Tenths, i int, s State, call uint32, lead int) {
 	c := &g.circuits[i]
 	if c.state == Idle && !c.blocked {
@@ -140,9 +145,9 @@
 	}
 }
 
-// Seize takes circuits for a call of ours. Among the circuits this exchange controls it takes the one longest idle,
-// then among the others the one idle for the shortest time (Q.764, 2.9.1.3, method 2), so that the two ends meet late.
-// A multirate call takes slots of one multiplex.
+// Seize selects circuits for an outgoing call. It takes the longest idle of the circuits that this exchange controls,
+// or else the shortest idle of the others (Q.764, 2.9.1.3, method 2), which makes dual seizures rare. A multirate call
+// takes time slots of one multiplex.
 func (g *Group) Seize(now policy.Tenths, call uint32, width int) (Bundle, bool) {
 	if width == 1 {
 		best := -1
@@ -183,11 +188,13 @@
 	return Bundle{}, false
 }
 
+// fit reports whether this exchange may seize a circuit.
 func (g *Group) fit(now policy.Tenths, i int) bool {
 	c := &g.circuits[i]
 	return c.state == Idle && !c.blocked && now >= c.settled
 }
 
+// before reports whether circuit i is to be seized in preference to circuit j.
 func (g *Group) before(i, j int) bool {
 	mine, theirs := g.controls(code(i)), g.controls(code(j))
 	if mine != theirs {
@@ -199,19 +206,20 @@
 	return g.circuits[i].idleAt > g.circuits[j].idleAt
 }
 
-// Verdict is what follows from a set-up that arrived.
+// Verdict is the result of a received set-up.
 type Verdict uint8
 
+// Results of a received set-up.
 const (
-	Taken   Verdict = iota // the circuits are theirs now
-	Ours                   // seized by both, ours stands: pass over their set-up
-	NotIdle                // a release or reset is under way: pass over it
-	Unknown                // the group has no such circuits: a fault of the far end
+	Taken   Verdict = iota // accepted: the neighbour's call holds the circuits
+	Ours                   // dual seizure that the own call won: ignore the set-up
+	NotIdle                // release or reset in progress: ignore the set-up
+	Unknown                // the group has no such circuits: fault of the neighbour
 )
 
-// Arrived takes the far end's set-up. yielded are calls of ours that lost their circuits to it and may be tried again
-// on others; nothing is sent for those circuits. gone are calls of theirs that held circuits asked for: what they send
-// for calls of theirs keeps its order, so that the release of those was lost.
+// Arrived handles a set-up of the neighbour. yielded lists the outgoing calls that lost their circuits to it; they may be
+// tried again on other circuits, and nothing is sent for the lost ones. gone lists earlier calls of the neighbour on the
+// same circuits: its messages arrive in order, so that their release must have been lost.
 func (g *Group) Arrived(now policy.Tenths, call uint32, b Bundle, width int) (v Verdict, yielded, gone []uint32) {
 	taken, ok := g.members(b)
 	if !ok || len(taken) != width {
@@ -228,7 +236,7 @@
 				return Ours, nil, nil
 			}
 		case Releasing:
-			if !c.heard { // their set-up may have crossed ours, so that our release will end it there
+			if !c.heard { // the set-up may have crossed that of the own call, whose release ends it there
 				return NotIdle, nil, nil
 			}
 		case Incoming:
@@ -255,8 +263,8 @@
 		}
 	}
 	for _, i := range taken {
-		// Their set-up tells that they took our release of the call before; all its circuits are idle, not these
-		// alone, else the rest of a multirate call is held for ever.
+		// The set-up implies that the neighbour received the release of the previous call. All circuits of that call are
+		// idle; otherwise the remaining circuits of a multirate call would be held for ever.
 		g.held(now, code(i), Idle, Releasing)
 		g.set(now, i, Incoming, call, taken[0])
 	}
@@ -266,18 +274,20 @@
 	return Taken, yielded, gone
 }
 
-// Yielded tells whether the call on a circuit took it from one of ours: its end must say so. Crossed takes that word, from the end
-// of a call of ours.
+// Yielded reports whether the neighbour's call on a circuit took it from an own call. The release of that call must say
+// so.
 func (g *Group) Yielded(cic uint16) bool {
 	found := false
 	g.bundle(cic, func(c *circuit) { found = found || c.yielded })
 	return found
 }
+
+// Crossed records that the release of an outgoing call on a circuit carried the Yielded mark.
 func (g *Group) Crossed(now policy.Tenths, cic uint16) {
 	g.bundle(cic, func(c *circuit) { c.crossed = now + crossing })
 }
 
-// bundle does something with each circuit that the call on a circuit holds.
+// bundle calls do for each circuit of the call that holds a given circuit.
 func (g *Group) bundle(cic uint16, do func(c *circuit)) {
 	i, ok := g.index(cic)
 	if !ok {
@@ -291,9 +301,9 @@
 	}
 }
 
-// keeps settles a dual seizure of circuit i, that a call of ours holds and their call asks for with others: the call
-// with more circuits stands, as it is the harder to place again; among equals, the exchange that controls the lowest
-// circuit both ask for. Both ends see the same two set-ups and so agree.
+// keeps reports whether the own call that holds circuit i wins a dual seizure against a call for the circuits theirs. The
+// call with more circuits wins, as it is harder to place again; with equal numbers, the exchange wins that controls the
+// lowest circuit of both calls. Both exchanges see the same two set-ups and come to the same result.
 func (g *Group) keeps(i int, theirs []int) bool {
 	var ours []int
 	from, to := g.multiplex(i)
@@ -315,7 +325,7 @@
 	return false
 }
 
-// members lists the circuits of a bundle in rising order.
+// members returns the indices of the circuits of a bundle in rising order; false if the group lacks one of them.
 func (g *Group) members(b Bundle) ([]int, bool) {
 	lead, ok := g.index(b.CIC)
 	if !ok {
@@ -334,11 +344,11 @@
 	return all, all[0] == lead && all[len(all)-1] < len(g.circuits)
 }
 
-// Answered tells that a backward message came for a call of ours: the far end knows it.
+// Answered records a backward message for an outgoing call: the neighbour has received the set-up.
 func (g *Group) Answered(now policy.Tenths, cic uint16) { g.held(now, cic, Outgoing, Seized) }
 
-// Keep has circuits carry a call that stood in the program's life before, until the far end says otherwise. False: the group has
-// no such circuits, or they are taken.
+// Keep assigns circuits to an established call that was restored after a restart. They stay assigned until the neighbour
+// denies the call. It returns false if the group has no such circuits or they are taken.
 func (g *Group) Keep(now policy.Tenths, call uint32, b Bundle, theirs bool) bool {
 	taken, ok := g.members(b)
 	if !ok {
@@ -361,7 +371,7 @@
 	return true
 }
 
-// ResetRest puts every circuit into resetting that carries no kept call: what the far end holds there is not known.
+// ResetRest resets every circuit without a restored call, as its state at the neighbour is unknown.
 func (g *Group) ResetRest(now policy.Tenths) {
 	for i := range g.circuits {
 		if c := &g.circuits[i]; !c.unsure {
@@ -371,7 +381,7 @@
 	}
 }
 
-// Indicator is the circuit state that a CQR tells (Q.763, 3.14).
+// Indicator returns the circuit state indicator for a CQR (Q.763, 3.14).
 func (g *Group) Indicator(cic uint16) byte {
 	i, ok := g.index(cic)
 	if !ok {
@@ -393,18 +403,20 @@
 	return isup.Transient
 }
 
-// Unsure tells whether the far end is still to be asked about a circuit; Sure that it agrees.
+// Unsure reports whether the neighbour has yet to confirm the restored call on a circuit.
 func (g *Group) Unsure(cic uint16) bool {
 	i, ok := g.index(cic)
 	return ok && g.circuits[i].unsure
 }
+
+// Sure records that the neighbour has confirmed the call on a circuit.
 func (g *Group) Sure(cic uint16) {
 	if i, ok := g.index(cic); ok {
 		g.circuits[i].unsure = false
 	}
 }
 
-// UnsureCount counts the circuits that the far end has not agreed on yet.
+// UnsureCount returns the number of circuits whose restored call the neighbour has not confirmed.
 func (g *Group) UnsureCount() (n int) {
 	for i := range g.circuits {
 		if g.circuits[i].unsure {
@@ -414,8 +426,8 @@
 	return n
 }
 
-// Drop ends what a circuit and the others of its call hold, as the far end does not know of it: idle at once, or, with reset, once
-// the far end has answered a reset. It returns the call.
+// Drop frees the circuits of a call that the neighbour does not know, at once, or with reset after the neighbour has
+// answered a reset. It returns the call.
 func (g *Group) Drop(now policy.Tenths, cic uint16, reset bool) uint32 {
 	i, ok := g.index(cic)
 	if !ok {
@@ -436,13 +448,13 @@
 	return call
 }
 
-// Release tells that a release was sent for the call on a circuit: its answer is awaited.
+// Release records that a release was sent for the call on a circuit; the answer is pending.
 func (g *Group) Release(now policy.Tenths, cic uint16) {
 	g.held(now, cic, Releasing, Seized, Outgoing, Incoming)
 }
 
-// Cleared tells that the far end answered our release or reset, or that we answer its release. settling is set in the
-// latter case: we do not seize the circuit for a moment.
+// Cleared frees the circuits of a call: the neighbour has answered a release or reset, or this exchange answers its
+// release. In the latter case settling is set, and the circuits are not seized again for the time settle.
 func (g *Group) Cleared(now policy.Tenths, cic uint16, settling bool) {
 	if i, ok := g.index(cic); ok && settling && g.circuits[i].state != Idle {
 		from, to := g.multiplex(i)
@@ -455,7 +467,7 @@
 	g.held(now, cic, Idle, Seized, Outgoing, Incoming, Releasing, Resetting)
 }
 
-// held changes the state of all circuits that the call on a circuit holds, if they are in one of the states given.
+// held changes the state of all circuits of the call on a circuit, if they are in one of the states from.
 func (g *Group) held(now policy.Tenths, cic uint16, to State, from ...State) {
 	i, ok := g.index(cic)
 	if !ok {
@@ -476,8 +488,8 @@
 	}
 }
 
-// Reset puts every circuit into resetting: their state at the far end is not known. It returns the calls that held
-// some.
+// Reset starts the reset of every circuit, as their states at the neighbour are unknown. It returns the calls that held
+// circuits.
 func (g *Group) Reset(now policy.Tenths) []uint32 {
 	var lost []uint32
 	for i := range g.circuits {
@@ -486,13 +498,13 @@
 			lost = append(lost, c.call)
 		}
 		g.set(now, i, Resetting, None, i)
-		c.dueAt = now // sent by the next Due
+		c.dueAt = now // the next Due returns it
 	}
 	return lost
 }
 
-// WasReset tells that the far end reset the circuits from cic on, count of them: they are idle now, and blocked ones
-// are open. It returns the calls that held some, and false when the group has no such circuits.
+// WasReset handles the neighbour's reset of count circuits, starting at cic: they become idle and unblocked. It returns
+// the calls that held them, and false if the group has no such circuits.
 func (g *Group) WasReset(now policy.Tenths, cic uint16, count int) ([]uint32, bool) {
 	i, ok := g.index(cic)
 	if !ok || int(cic)%32+count > 32 || i+count > len(g.circuits) {
@@ -505,7 +517,7 @@
 			g.held(now, code(j), Idle, c.state)
 		} else if c.state != Resetting {
 			g.set(now, j, Idle, None, j)
-		} else { // a reset of ours is still to be answered; the far end is alive, so it is sent again at once
+		} else { // an own reset is unanswered; the neighbour is alive, so it is repeated at once
 			c.dueAt = now
 		}
 		g.Block(code(j), false)
@@ -513,7 +525,7 @@
 	return lost, true
 }
 
-// ResetDone tells that the far end answered a group reset.
+// ResetDone records the neighbour's answer to a group reset.
 func (g *Group) ResetDone(now policy.Tenths, cic uint16, count int) {
 	for j := range count {
 		if i, ok := g.index(cic + uint16(j)); ok && g.circuits[i].state == Resetting {
@@ -522,7 +534,8 @@
 	}
 }
 
-// Block marks a circuit as blocked by the far end, or open again; a call on it goes on.
+// Block marks a circuit as blocked or unblocked by the neighbour. A call on it continues. It returns false if the group
+// has no such circuit.
 func (g *Group) Block(cic uint16, blocked bool) bool {
 	i, ok := g.index(cic)
 	if !ok {
@@ -542,17 +555,17 @@
 	return true
 }
 
-// Repeat is a message that is due again.
+// Repeat is a message that is due, for the first time or again.
 type Repeat struct {
 	Type  isup.Type // REL, RSC, GRS or CQM
 	CIC   uint16
 	Range uint8 // GRS, CQM
-	// Theirs tells that the call released was the far end's: its release goes back the way its set-up came.
+	// Theirs is set for the release of a call from the neighbour, which takes the link of its set-up.
 	Theirs bool
 }
 
-// Due lists what must be sent (again) now. Circuits of one multiplex that are all to be reset share a GRS; a release
-// never answered becomes a reset.
+// Due returns the messages that must be sent or repeated now. Adjacent circuits of one multiplex share a GRS or CQM. A
+// release that stays unanswered becomes a reset.
 func (g *Group) Due(now policy.Tenths) []Repeat {
 	var due []Repeat
 	for i := 0; i < len(g.circuits); i++ {
@@ -598,13 +611,14 @@
 	return due
 }
 
+// again schedules the next repetition for a circuit.
 func (g *Group) again(now policy.Tenths, i int) {
 	c := &g.circuits[i]
 	c.dueAt = now + min(repeatMost, repeatFirst<<min(c.repeats, 10))
 	c.repeats++
 }
 
-// check is what must hold after every step; the tests call it.
+// check verifies the invariants of the group, for tests.
 func (g *Group) check() error {
 	free, open := 0, 0
 	for i, c := range g.circuits {
@@ -620,7 +634,7 @@
 		}
 	}
 	if free != g.free || open != g.open {
-		return fmt.Errorf("free %d of %d counted, %d of %d kept", free, open, g.free, g.open)
+		return fmt.Errorf("counted %d free of %d circuits, expected %d of %d", free, open, g.free, g.open)
 	}
 	return nil
 }
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -13,24 +13,26 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-// end is one exchange of a pair on paper: a group and the calls it knows.
+// end simulates one exchange of a pair: its group, its calls and its outgoing messages.
 type end struct {
 	g     *Group
-	out   map[uint32]Bundle // calls of ours
-	in    map[uint32]Bundle // calls of theirs, by their number
-	lost  int               // yielded
-	sends []isup.Message    // on the way to the other end; the call's number rides in Ref
+	out   map[uint32]Bundle // own calls
+	in    map[uint32]Bundle // calls of the other exchange
+	lost  int               // number of calls that yielded their circuits
+	sends []isup.Message    // in transit to the other exchange; Ref.Identity holds the call
 }
 
 func newEnd(own, peer uint16, size int) *end {
 	return &end{g: New(own, peer, size), out: map[uint32]Bundle{}, in: map[uint32]Bundle{}}
 }
 
+// send puts a message in transit.
 func (e *end) send(t isup.Type, call uint32, b Bundle, width int) {
 	e.sends = append(e.sends, isup.Message{Type: t, CIC: b.CIC, Slots: b.Slots, Width: width,
 		Ref: isup.Reference{Identity: call}})
 }
 
+// take handles a received message.
 func (e *end) take(now policy.Tenths, m isup.Message) {
 	switch m.Type {
 	case isup.IAM:
@@ -60,8 +62,8 @@
 	}
 }
 
-// Two ends seize, answer and release at random while each one's messages reach the other later and in order. After all
-// has arrived both must agree on every circuit: one call at most on each, known at both ends, and none held for nothing.
+// Two exchanges seize, answer and release circuits at random, and their messages arrive late but in order. After all
+// messages have arrived, both must agree on the state and the call of every circuit.
 func TestTwoEndsAgreeOnEveryCircuit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{1, 3, 8, 40}).Draw(t, "size")
@@ -82,7 +84,7 @@
 				free := e.g.Free()
 				if b, ok := e.g.Seize(now, next, width); ok {
 					if e.g.Free() != free-width {
-						t.Fatalf("seizing %d left %d of %d free", width, e.g.Free(), free)
+						t.Fatalf("seizing %d circuits left %d of %d free", width, e.g.Free(), free)
 					}
 					e.out[next] = b
 					e.send(isup.IAM, next, b, width)
@@ -113,7 +115,7 @@
 				}
 			}
 		}
-		for range 2 { // all arrives; then set-ups that two crossing seizures left without an answer time out
+		for range 2 { // deliver all messages; then release set-ups that dual seizures left without an answer
 			for len(ends[0].sends)+len(ends[1].sends) > 0 {
 				for who := range ends {
 					if len(ends[who].sends) > 0 {
@@ -147,7 +149,7 @@
 			fits := a == Idle && b == Idle || a == Outgoing && b == Incoming && callA == callB ||
 				a == Incoming && b == Outgoing && callA == callB
 			if !fits {
-				t.Fatalf("circuit %d: %d for call %d at one end, %d for call %d at the other", code(i), a, callA, b, callB)
+				t.Fatalf("circuit %d: state %d of call %d at one exchange, state %d of call %d at the other", code(i), a, callA, b, callB)
 			}
 		}
 		if ends[0].g.Free() != ends[1].g.Free() {
@@ -176,7 +178,7 @@
 		a, b := New(2, 9, 3), New(9, 2, 3)
 		x, _ := a.Seize(0, 1, width[0])
 		y, _ := b.Seize(0, 2, width[1])
-		if width[0] == 1 && width[1] == 1 { // each would take its own half: force one circuit
+		if width[0] == 1 && width[1] == 1 { // each would take a circuit it controls: force one circuit
 			a, b = New(2, 9, 1), New(9, 2, 1)
 			x, _ = a.Seize(0, 1, 1)
 			y, _ = b.Seize(0, 2, 1)
@@ -227,10 +229,10 @@
 	}
 	g.Seize(3, 9, 1)
 	if lost, ok := g.WasReset(4, 1, 31); !ok || !slices.Equal(lost, []uint32{9}) {
-		t.Fatalf("a reset by the far end: lost %v", lost)
+		t.Fatalf("reset by the neighbour: lost calls %v", lost)
 	}
 	if _, ok := g.WasReset(4, 33, 31); ok {
-		t.Fatal("a reset of circuits that the group does not have was taken")
+		t.Fatal("reset of circuits that the group does not have was accepted")
 	}
 }
 
@@ -262,10 +264,10 @@
 	}
 }
 
-// Both ends seize a circuit; the one that yields says so as the other's call ends, and the set-up that lay in the other's switch is
-// passed over when it comes out, where a later one is taken.
+// The set-up that lost a dual seizure may be read late, after the winning call has ended. The release with the Yielded mark
+// makes the winner ignore it, while a later set-up is accepted.
 func TestSetUpThatWasYieldedIsPassedOverWhenItComesLate(t *testing.T) {
-	keeper, loser := New(2, 1, 31), New(1, 2, 31) // both may come to hold circuit 2; the higher point code keeps it
+	keeper, loser := New(2, 1, 31), New(1, 2, 31) // only circuit 2 is free; the higher point code controls it
 	const cic = 2
 	for _, g := range []*Group{keeper, loser} {
 		for i := range g.circuits {
@@ -279,20 +281,20 @@
 	if v != Taken || len(lost) != 1 || !loser.Yielded(cic) || keeper.Yielded(cic) {
 		t.Fatal(v, lost)
 	}
-	loser.Release(1200, cic) // it refuses the call
+	loser.Release(1200, cic) // the call is refused
 	keeper.Crossed(1300, cic)
 	keeper.Cleared(1300, cic, true)
 	loser.Cleared(1400, cic, false)
 	if v, _, _ := keeper.Arrived(9000, 9, Bundle{CIC: cic}, 1); v != NotIdle {
-		t.Fatalf("verdict %d on what was yielded", v)
+		t.Fatalf("verdict %d on the yielded set-up", v)
 	}
 	if _, ok := loser.Seize(1300+crossing, 10, 1); ok {
-		t.Fatal("seized while the other end passes over what comes on it")
+		t.Fatal("seized while the other exchange ignores set-ups on the circuit")
 	}
 	if _, ok := loser.Seize(1400+yieldSettle, 10, 1); !ok {
 		t.Fatal("never seized again")
 	}
 	if v, _, _ := keeper.Arrived(1400+yieldSettle, 10, Bundle{CIC: cic}, 1); v != Taken {
-		t.Fatalf("verdict %d on the next", v)
+		t.Fatalf("verdict %d on the next set-up", v)
 	}
 }
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -8,7 +8,7 @@
 	"indigodrift/policy"
 )
 
-// mute takes what an exchange sends and keeps the last of it.
+// mute is a Carrier that keeps the last message sent to a neighbour.
 type mute struct {
 	to Hop
 	m  isup.Message
@@ -23,6 +23,7 @@
 func (c *mute) Note(string)     {}
 func (c *mute) Answered(Answer) {}
 
+// lone returns an exchange with one neighbour, links up and all circuits idle.
 func lone(circuits int) (*Exchange, *mute, policy.Tenths) {
 	out, now := &mute{}, policy.Tenths(1<<32)
 	x := New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
@@ -37,12 +38,13 @@
 	return x, out, now
 }
 
+// dial passes a set-up from a subscriber line to the exchange.
 func (x *Exchange) dial(now policy.Tenths, i uint32) {
 	x.Receive(now, Hop{Side: Line, Point: Lines + uint16(i>>12&0xff)}, isup.Message{CIC: uint16(i & isup.CICMost), Type: isup.IAM, Width: 1,
 		Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: i & 0xffffff}, Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: 30000}}, 0)
 }
 
-// BenchmarkDecide is all that the owning goroutine does for one call that stands and ends: module, circuits, states.
+// BenchmarkDecide measures the work of the event loop for one call that is answered and released.
 func BenchmarkDecide(b *testing.B) {
 	x, out, now := lone(248)
 	b.ReportAllocs()
@@ -50,7 +52,7 @@
 		now += 200
 		x.dial(now, i)
 		if out.m.Type != isup.IAM {
-			b.Fatal("not sent")
+			b.Fatal("set-up was not sent")
 		}
 		cic := out.m.CIC
 		x.Receive(now+50, Hop{Side: Ahead}, isup.Message{CIC: cic, Type: isup.ANM, Says: isup.Says{Has: isup.PartLoad}}, 0)
@@ -62,7 +64,7 @@
 	}
 }
 
-// BenchmarkStanding is the memory that one standing call holds.
+// BenchmarkStanding measures the memory of one established call.
 func BenchmarkStanding(b *testing.B) {
 	const calls = 3900
 	for range b.N {
@@ -75,12 +77,12 @@
 			x.dial(now, i+1)
 			x.Receive(now+50, Hop{Side: Ahead}, isup.Message{CIC: out.m.CIC, Type: isup.ANM}, 0)
 		}
-		now += 40000 // what guarded the set-ups has fallen due
+		now += 40000 // the timers of the set-ups have expired
 		x.Tick(now)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		if x.Standing() != calls {
-			b.Fatalf("%d of %d calls stand", x.Standing(), calls)
+			b.Fatalf("%d of %d calls are established", x.Standing(), calls)
 		}
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/calls, "B/standing-call")
 		runtime.KeepAlive(x)
--- a/internal/exchange/desk.go
+++ b/internal/exchange/desk.go
@@ -5,8 +5,8 @@
 	"indigodrift/policy"
 )
 
-// desk is the exchange as the module sees it: each wish is carried out in the order made, and what follows at once from
-// one is told only after the module has returned.
+// desk implements policy.Exchange. It carries out the decider's actions in the order they are made; an ending that
+// follows at once from an action is reported only after the decider has returned.
 type desk Exchange
 
 // Send starts a route try.
@@ -14,7 +14,7 @@
 	x := (*Exchange)(d)
 	k := x.calls[id]
 	if k == nil || k.state != Offered {
-		x.out.Note("fault: the module sends a call that is over or has a try out")
+		x.out.Note("fault: route try requested for a call that has ended or already has a try in progress")
 		return
 	}
 	k.tries++
@@ -44,7 +44,7 @@
 	x.setUp(k)
 }
 
-// Block gives the final answer "refused".
+// Block refuses a call.
 func (d *desk) Block(id uint32, comeBack policy.Tenths) {
 	x := (*Exchange)(d)
 	k := x.calls[id]
@@ -52,7 +52,7 @@
 		return
 	}
 	cause := isup.NoCircuit
-	if k.ask.Transit && k.cause == isup.Congestion { // the exchange before learns that the processor beyond is full
+	if k.ask.Transit && k.cause == isup.Congestion { // tells the preceding exchange that the processor beyond is full
 		cause = isup.Congestion
 	}
 	if k.cause == isup.UserBusy {
@@ -61,19 +61,19 @@
 	x.finish(k, Refused, cause, comeBack)
 }
 
-// Abort gives the final answer "failed".
+// Abort fails a call.
 func (d *desk) Abort(id uint32) {
 	x := (*Exchange)(d)
 	if k := x.calls[id]; k != nil {
 		cause := isup.TemporaryFailure
-		if k.ask.Transit { // returned: the exchange before may try another way
+		if k.ask.Transit { // the preceding exchange may try another route
 			cause = isup.NoCircuit
 		}
 		x.finish(k, Failed, cause, 0)
 	}
 }
 
-// Cancel calls a try off.
+// Cancel abandons a route try.
 func (d *desk) Cancel(id uint32, try int) {
 	x := (*Exchange)(d)
 	if k := x.calls[id]; k != nil && k.state == Trying && try == k.tries-1 {
@@ -82,11 +82,11 @@
 	}
 }
 
-// SetTimer has the module woken.
+// SetTimer schedules a call of the decider's wake-up method.
 func (d *desk) SetTimer(at policy.Tenths, token uint64) { (*Exchange)(d).at(at, dueWake, token) }
 
-// Subscribe asks for the list of switches.
+// Subscribe subscribes to the list of switches.
 func (d *desk) Subscribe() { d.out.Follow() }
 
-// Log writes a line for staff.
+// Log writes a line to the operator's log.
 func (d *desk) Log(text string) { d.out.Note(text) }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,9 @@
-// Package exchange is one exchange's call control without any socket: it joins what arrives from subscribers' lines and
-// trunk circuits with the deciding module, and says what is to be sent. It is pure: internal/control tells it the time
-// and every message, carries out what it asks through Carrier, and calls Tick when Next falls due. Which route a call
-// takes is the Decider's; which circuit, and what an unexpected message means, stands here and in internal/circuit.
+// Package exchange implements the call control of one exchange, without I/O. It connects subscriber lines and trunk
+// circuits with the routing policy and issues the messages to send.
+//
+// internal/control passes in the time and every received message, sends what the exchange emits through Carrier, and
+// calls Tick at the time that Next returns. The Decider chooses the route of a call; this package and internal/circuit
+// choose the circuit and handle unexpected messages.
 package exchange
 
 import (
@@ -17,8 +19,8 @@
 	"indigodrift/policy"
 )
 
-// Decider makes every choice about a call; policy.Controller is the one in service. Its methods and what they mean are
-// those of package policy.
+// Decider makes every routing and admission decision. The implementation in service is policy.Controller, which
+// documents the methods.
 type Decider interface {
 	Offer(now policy.Tenths, ask policy.Call) bool
 	Answered(now policy.Tenths, id uint32, try int)
@@ -31,41 +33,44 @@
 	ListLost(now policy.Tenths)
 }
 
-// Side tells which way a message goes or came.
+// Side is the kind of party that a message goes to or comes from.
 type Side uint8
 
+// Kinds of parties.
 const (
-	// Line is the own switch's line side; Hop.Point names the block of lines.
+	// Line is the line side of the own switch; Hop.Point names the block of lines.
 	Line Side = iota
-	// Ahead is the link dialled to a neighbour's switch: it carries what concerns calls that this exchange sent there.
+	// Ahead is the link that this exchange opened to a neighbour's switch. It carries messages about calls sent there.
 	Ahead
-	// Behind is the own switch, for a neighbour: it carries what concerns calls that the neighbour sent here.
+	// Behind is the link from the own switch to a neighbour. It carries messages about calls received from there.
 	Behind
 )
 
-// Hop is one way to another party.
+// Hop addresses the party that a message goes to or comes from.
 type Hop struct {
 	Side  Side
 	Peer  int    // index of the neighbour (Ahead, Behind)
 	Point uint16 // block of lines (Line)
 }
 
-// atGateway tells whether a line is a phone at a gateway, which is told without the own switch.
+// atGateway reports whether the hop is a telephone at a media gateway, which is reached without the own switch.
 func (h Hop) atGateway() bool { return h.Side == Line && h.Point >= AtGateways && h.Point < CalledFrom }
 
 // Outcome is the final answer of a call.
 type Outcome uint8
 
+// Outcomes of a call.
 const (
-	Stood Outcome = iota
-	Refused
-	Failed
-	Left // the caller left first: nothing is owed
+	Stood   Outcome = iota // answered
+	Refused                // no capacity or no route
+	Failed                 // fault or time-out
+	Left                   // the caller abandoned the call first: no answer is due
 )
 
+// String returns the outcome as the log shows it.
 func (o Outcome) String() string { return [...]string{"stands", "refused", "failed", "caller left"}[o] }
 
-// Answer is what is told, once, of every call that was offered to the module.
+// Answer describes the final answer of a call; it is reported once for every call that was offered to the decider.
 type Answer struct {
 	Ref      isup.Reference
 	Outcome  Outcome
@@ -76,58 +81,52 @@
 	ComeBack policy.Tenths
 }
 
-// Carrier carries out what the exchange asks. Its methods must not call back.
+// Carrier sends the messages and reports of the exchange. Its methods must not call back into the exchange.
 type Carrier interface {
 	Transmit(to Hop, m isup.Message)
-	Follow() // ask the register for the whole list
-	Note(text string)
+	Follow()          // request the whole switch list from the register
+	Note(text string) // write a line to the operator's log
 	Answered(a Answer)
 }
 
-// Neighbour is another exchange and the size of the group of circuits to it.
+// Neighbour is an adjacent exchange and the number of circuits of the trunk group to it.
 type Neighbour struct{ Number, Circuits int }
 
-// Point is the point code of an exchange; Lines the first of the codes that stand for its own line side, each with as
-// many circuit codes as ISUP has.
+// Point returns the point code of an exchange.
 func Point(number int) uint16 { return uint16(number + 1) }
 
+// Point codes of the own line side. Each addresses a block of lines with one circuit code per line.
 const (
-	Lines      = 0x2000 // blocks from which subscribers call
-	AtGateways = 0x2f00 // blocks from which lines at gateways call
-	CalledFrom = 0x3000 // blocks on which this exchange calls its lines
-	blockMost  = 256
+	Lines      = 0x2000 // first block for calls from subscriber lines
+	AtGateways = 0x2f00 // first block for calls from lines at gateways
+	CalledFrom = 0x3000 // first block for calls to lines of this exchange
+	blockMost  = 256    // number of blocks for calls to lines
 
-	numberDigits = 3 // a called number begins with so many digits of the exchange's number
+	numberDigits = 3 // leading digits of a called number that hold the exchange number
 )
 
-// Called is the number of a line at an exchange.
+// Called returns the number of a line at an exchange.
 func Called(exchange int, line uint32) string {
 	return fmt.Sprintf("%0*d%06d", numberDigits, exchange, line)
 }
 
-// State of a call. become is the one place that changes it.
-//
-//	Asking    -> Offered (to the module), Answering (its line rings), Over; where its number leads is being found; Standing where it
-//	             was kept from the program's life before
-//	Offered   -> Trying (a set-up sent on), Over
-//	Trying    -> Offered (that try ended, the module decides), Standing, Over
-//	Answering -> Standing, Over
-//	Standing  -> Over
+// State is the state of a call. Only the become method changes it, and only along the transitions of mayBecome.
 type State uint8
 
+// States of a call.
 const (
-	Asking State = iota
-	Offered
-	Trying
-	Answering
-	Standing
-	Over
+	Asking    State = iota // its number is being analysed
+	Offered                // the decider chooses what to do
+	Trying                 // a set-up was sent to another exchange
+	Answering              // a line of this exchange rings
+	Standing               // answered, or restored as answered after a restart
+	Over                   // released, refused or failed
 )
 
 var mayBecome = [...][]State{Asking: {Offered, Answering, Standing, Over}, Offered: {Trying, Over}, Trying: {Offered, Standing, Over},
 	Answering: {Standing, Over}, Standing: {Over}, Over: nil}
 
-// leg is one side of a call: where it came from or where its present try went.
+// leg is one side of a call: where it came from, or where its current try went.
 type leg struct {
 	hop    Hop
 	bundle circuit.Bundle
@@ -141,35 +140,35 @@
 	digits   string
 	hops     uint8
 	in, out  leg
-	caller   string         // calling number, "" when not told
-	table    *numbers.Table // the version it goes by here, nil when it was found elsewhere
-	version  uint64         // of the table that found its destination, wherever that was
-	found    numbers.Result // what its number leads to, while portability is asked for
-	donor    bool           // portability could not be asked in time
-	counted  bool           // owed a final answer by this exchange
-	decided  bool           // offered to the module: originating here or in transit
-	closed   bool           // its final answer was told
+	caller   string         // calling number, "" if not given
+	table    *numbers.Table // number table used for this call, nil if another exchange analysed the number
+	version  uint64         // version of the table that found the destination, here or at another exchange
+	found    numbers.Result // result of the number analysis, while a portability query is pending
+	donor    bool           // routed by the donor exchange, as portability was not known in time
+	counted  bool           // counted among the calls that await a final answer
+	decided  bool           // offered to the decider: an originating or transit call
+	closed   bool           // its final answer was reported
 	beganAt  policy.Tenths
 	leavesAt policy.Tenths
-	limitAt  policy.Tenths // when the present try times out
+	limitAt  policy.Tenths // when the current try times out
 	tries    int
-	sw       uint32     // the switch of the present try
-	cause    isup.Cause // why the last try ended, for a caller in another exchange
-	session  string     // where the caller's side takes media, "" not told
+	sw       uint32     // the switch of the current try
+	cause    isup.Cause // why the last try ended, for the caller or the preceding exchange
+	session  string     // session description of the caller's side, "" if not given
 }
 
 type group struct {
 	number  int
 	g       *circuit.Group
-	sw      uint32 // id of the switch that serves it, as last listed
-	ready   bool   // and what the list said of it
+	sw      uint32 // id of the switch that serves the neighbour, from the last list
+	ready   bool   // whether the list gave that switch as ready
 	bootAt  policy.Tenths
 	listed  bool
 	up      bool
 	life    string
 	changed bool
-	anew    bool          // this exchange has started anew and knows of its circuits what was kept
-	auditAt policy.Tenths // not asked about them before
+	anew    bool          // this process has restarted and knows only the circuits of stored calls
+	auditAt policy.Tenths // earliest time for the next circuit query after a restart
 }
 
 type lineKey struct {
@@ -178,14 +177,14 @@
 }
 
 const (
-	dueLimit due.Kind = iota // a try's time-out
-	dueLeave                 // the caller gives up
-	dueWake                  // the module asked to be woken
-	dueAudit                 // circuits with something to repeat
-	dueAsk                   // a neighbour's turn to be asked has come
+	dueLimit due.Kind = iota // a route try times out
+	dueLeave                 // the caller abandons the call
+	dueWake                  // the decider asked to be woken
+	dueAudit                 // unanswered circuit messages may have to be repeated
+	dueAsk                   // the circuit query to a neighbour may start
 )
 
-// report is an ending that the module is told once it has returned from the choice it is making.
+// report is the end of a try that is reported to the decider once it has returned from its current decision.
 type report struct {
 	id    uint32
 	try   int
@@ -198,18 +197,18 @@
 }
 
 const (
-	// auditEvery is how often circuits are looked through for a release or reset to repeat.
+	// auditEvery is the interval at which unanswered releases and resets are looked for.
 	auditEvery = policy.Tenths(2500)
 
-	// handBack is kept of a caller's time for the way of its final answer: an answer made at the very end would reach
-	// the caller after it gave up.
+	// handBack is subtracted from a caller's abandon time, as an answer sent at that very time would reach the caller
+	// too late.
 	handBack = policy.Tenths(300)
 
-	hopsAtStart = 3 // an originating call may cross so many exchanges: one tandem and the destination
+	hopsAtStart = 3 // hop counter of an originating call: allows one tandem and the destination
 )
 
-// RoomForCall tells whether a new call may still join so many messages that wait, of so many that can: the last quarter is
-// kept for answers and releases, which end work, where a call begins some.
+// RoomForCall reports whether a new call may join a message queue. The last quarter of the queue is reserved for
+// answers and releases, which finish work, where a new call adds some.
 func RoomForCall(waiting, most int) bool { return waiting <= most-most/4 }
 
 // Exchange is the call control of one exchange.
@@ -231,18 +230,18 @@
 	later    []report
 	ownLife  string
 	draining bool
-	waiting  int // calls that have no final answer yet
+	waiting  int // calls without a final answer
 	number   *Numbering
 	told     []portTold
 	keeper   Keeper
 	wall     func(policy.Tenths) int64
-	coldFrom policy.Tenths         // nothing goes to a cold switch before
-	fails    []recovery.StoredCall // callers of the life before who are to be told that their calls failed
-	cuts     []recovery.Place
-	withheld []policy.Switch // cold ones, as listed
+	coldFrom policy.Tenths         // no call goes to a cold switch before this time
+	fails    []recovery.StoredCall // calls of the previous process whose callers must be told that they failed
+	cuts     []recovery.Place      // lines of established calls that were lost in the restart
+	withheld []policy.Switch       // cold switches, as listed, that are not used yet
 }
 
-// New makes the exchange; build makes its decider round the interface that the exchange offers to it.
+// New creates an exchange. build creates its decider, which acts through the policy.Exchange passed to it.
 func New(d policy.Deployment, neighbours []Neighbour, out Carrier, now policy.Tenths,
 	build func(policy.Deployment, policy.Executor, policy.Tenths) Decider) *Exchange {
 	x := &Exchange{own: d.OwnExchange, d: d, out: out, now: now, byNumber: map[int]int{}, bySwitch: map[uint32]int{},
@@ -256,16 +255,16 @@
 	return x
 }
 
-// Next is when Tick must be called next.
+// Next returns the time at which Tick must be called.
 func (x *Exchange) Next() policy.Tenths {
 	at, _ := x.timers.Next() // the audit is always set
 	return min(at, x.nextNumbering())
 }
 
-// Unanswered counts the calls that have no final answer yet.
+// Unanswered returns the number of calls without a final answer.
 func (x *Exchange) Unanswered() int { return x.waiting }
 
-// Standing counts the calls that stand, in whatever part this exchange has in them.
+// Standing returns the number of established calls, whether they originate here, end here or are in transit.
 func (x *Exchange) Standing() int {
 	n := 0
 	for _, k := range x.calls {
@@ -276,12 +275,12 @@
 	return n
 }
 
-// Drain has every new call refused from now on.
+// Drain makes the exchange refuse every new call from now on.
 func (x *Exchange) Drain() { x.draining = true }
 
 func (x *Exchange) at(at policy.Tenths, kind due.Kind, token uint64) { x.timers.Set(at, kind, token) }
 
-// Tick does what has fallen due.
+// Tick handles all timers that have expired.
 func (x *Exchange) Tick(now policy.Tenths) {
 	x.now = now
 	for d, ok := x.timers.Pop(now); ok; d, ok = x.timers.Pop(now) {
@@ -312,22 +311,22 @@
 	x.settle()
 }
 
-// expire is the last guard of the first rule: a call that the module has not answered when its caller is about to give
-// up fails now. The module answers before that, so a line is written when this acts.
+// expire fails a call that still has no answer when its caller is about to abandon it. The decider normally answers
+// earlier, so that an expired call is logged.
 func (x *Exchange) expire(id uint32) {
 	k := x.calls[id]
 	if k == nil || k.state == Standing || k.state == Over {
 		return
 	}
 	if k.decided {
-		x.out.Note("a call found no answer before its caller's time was up")
+		x.out.Note("call not answered before its abandon time")
 		x.decide.Abandoned(x.now, id)
 	}
 	x.dropTry(k, isup.TimerExpiry)
 	x.finish(k, Failed, isup.TimerExpiry, 0)
 }
 
-// settle tells the module of endings that followed from its own choices and of groups that changed.
+// settle reports pending endings, portability replies and changed trunk groups to the decider until none is left.
 func (x *Exchange) settle() {
 	for {
 		if len(x.later) > 0 {
@@ -356,6 +355,7 @@
 	}
 }
 
+// tell reports the end of a try to the decider, unless the call has moved on since.
 func (x *Exchange) tell(r report) {
 	k := x.calls[r.id]
 	if !r.final && (k == nil || k.state != Offered || k.tries-1 != r.try) {
@@ -368,6 +368,7 @@
 	x.decide.TryEnded(x.now, r.id, r.try, r.sw, r.end, r.final, r.why, r.wait, rep)
 }
 
+// groupReport builds the decider's report about a trunk group and the load of the switch behind it.
 func (x *Exchange) groupReport(i int, says isup.Says) policy.LoadReport {
 	g := &x.groups[i]
 	rep := policy.LoadReport{Free: g.g.Free(), Size: g.g.Size(), Wait: -1, HoldBack: -1}
@@ -380,27 +381,28 @@
 	return rep
 }
 
+// circuits reports the free circuits of a trunk group to the decider.
 func (x *Exchange) circuits(i int, says isup.Says) {
 	if x.groups[i].listed {
 		x.decide.LoadReported(x.now, x.groups[i].sw, x.groupReport(i, says))
 	}
 }
 
-// become is the one place where a call changes its state.
+// become changes the state of a call; a transition that is not allowed is logged as a fault.
 func (x *Exchange) become(k *call, s State) {
 	fits := false
 	for _, may := range mayBecome[k.state] {
 		fits = fits || may == s
 	}
 	if !fits {
-		x.out.Note(fmt.Sprintf("fault: call in state %d was to become %d", k.state, s))
+		x.out.Note(fmt.Sprintf("fault: call in state %d cannot change to state %d", k.state, s))
 		return
 	}
 	if s == Over {
 		delete(x.calls, k.id)
 		x.keeper.Drop(k.id)
 		x.unnumber(k)
-		if k.counted && !k.closed { // its line answered nothing, or its side is gone: nobody is owed an answer
+		if k.counted && !k.closed { // the caller's side is gone: no answer can be given
 			k.closed = true
 			x.waiting--
 		}
@@ -414,7 +416,7 @@
 	k.state = s
 }
 
-// finish gives the final answer that a call did not stand, and ends it.
+// finish ends a call that was not established and gives the caller its final answer.
 func (x *Exchange) finish(k *call, o Outcome, cause isup.Cause, comeBack policy.Tenths) {
 	if k.state == Over {
 		return
@@ -431,7 +433,7 @@
 	x.become(k, Over)
 }
 
-// answered tells the carrier of the final answer, once.
+// answered reports the final answer of a call, once.
 func (x *Exchange) answered(k *call, o Outcome, comeBack policy.Tenths) {
 	if k.closed || !k.counted {
 		return
@@ -442,7 +444,7 @@
 		Transit: k.ask.Transit, ComeBack: comeBack})
 }
 
-// release sends a release on a leg and marks its circuits.
+// release sends a release on a leg and marks its circuits as being released.
 func (x *Exchange) release(l leg, m isup.Message) {
 	m.CIC = l.bundle.CIC
 	if l.hop.Side != Line {
@@ -453,7 +455,7 @@
 	x.out.Transmit(l.hop, m)
 }
 
-// sayYielded has the end of a call tell that it took its circuits from one of ours.
+// sayYielded marks a release or its answer if the call had taken its circuits from a call of this exchange.
 func (x *Exchange) sayYielded(peer int, m *isup.Message) {
 	if x.groups[peer].g.Yielded(m.CIC) {
 		m.Says.Has |= isup.PartCall
@@ -461,20 +463,20 @@
 	}
 }
 
-// dropTry releases what the present try holds, if any.
+// dropTry releases the circuits of the current try, if any.
 func (x *Exchange) dropTry(k *call, cause isup.Cause) {
 	if k.state == Trying || k.state == Answering || k.state == Standing {
 		x.release(k.out, isup.Message{Type: isup.REL, Cause: cause, Location: isup.LocalNetwork})
 	}
 }
 
-// tryEnded puts a call whose try is out back to the module.
+// tryEnded returns a call to the decider after its try has ended.
 func (x *Exchange) tryEnded(k *call, end policy.Outcome, why policy.Reason, wait policy.Tenths, says isup.Says) {
 	x.become(k, Offered)
 	x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: end, why: why, wait: wait, says: says})
 }
 
-// audit sends again what the far ends have not answered.
+// audit repeats the messages that neighbours have not answered.
 func (x *Exchange) audit() {
 	for i := range x.groups {
 		g := &x.groups[i]
@@ -496,7 +498,7 @@
 	}
 }
 
-// Listed takes an accepted list of switches.
+// Listed applies a validated list of switches.
 func (x *Exchange) Listed(now policy.Tenths, whole bool, list []policy.Switch) {
 	x.now = now
 	if whole {
@@ -509,7 +511,7 @@
 	}
 	seen := map[int]bool{}
 	for i := range list {
-		// The life before may have used the budget of a cold switch up.
+		// The previous process may have used up the slow-start budget of a cold switch.
 		if s := &list[i]; now < x.coldFrom && s.BootAt > 0 && now < s.BootAt+x.d.RampTime {
 			x.withheld = append(x.withheld, *s)
 			s.Ready = false
@@ -528,18 +530,18 @@
 	x.settle()
 }
 
-// ListLost tells that the register cannot be had.
+// ListLost reports that the register cannot be reached.
 func (x *Exchange) ListLost(now policy.Tenths) {
 	x.now = now
 	x.decide.ListLost(now)
 	x.settle()
 }
 
-// Advise takes the centre's advice: for each destination the tandem it thinks best.
+// Advise sets the tandem that the centre recommends for each destination.
 func (x *Exchange) Advise(advice map[int]int) { x.advice = advice }
 
-// LinkUp tells that the link to a neighbour's switch is up, and which life of that switch answered. Where the switch is
-// another than before, or this exchange has just started, nothing is known of the circuits: all are reset.
+// LinkUp reports that the link to a neighbour's switch is up. life identifies the process lifetime of that switch. If it
+// has changed, the state of the circuits is unknown and all of them are reset.
 func (x *Exchange) LinkUp(now policy.Tenths, peer int, life string) {
 	x.now = now
 	g := &x.groups[peer]
@@ -550,7 +552,7 @@
 		x.lose(peer, g.g.Reset(now))
 		x.keeper.Knows(g.number, life)
 		x.audit()
-	case g.anew: // the switch that knew our calls: those that were kept stand, all other circuits start anew
+	case g.anew: // the switch still knows the restored calls; all other circuits are reset
 		g.g.ResetRest(now)
 		x.keeper.Knows(g.number, life)
 		x.audit()
@@ -560,8 +562,8 @@
 	x.settle()
 }
 
-// LinkDown tells that the link to a neighbour's switch broke. Tries that were out there are cut; calls that stand go on,
-// as their circuits do not run through the link.
+// LinkDown reports that the link to a neighbour's switch was lost. Tries through that switch end; established calls
+// continue, as their circuits do not depend on the signalling link.
 func (x *Exchange) LinkDown(now policy.Tenths, peer int) {
 	x.now = now
 	x.groups[peer].up, x.groups[peer].changed = false, true
@@ -574,7 +576,8 @@
 	x.settle()
 }
 
-// OwnUp tells that the link to the own switch is up. Another life of it has no line and no circuit of the one before.
+// OwnUp reports that the link to the own switch is up. A restarted switch, which a changed life shows, has lost all
+// lines and circuits.
 func (x *Exchange) OwnUp(now policy.Tenths, life string) {
 	x.now = now
 	if x.ownLife != "" && x.ownLife != life {
@@ -591,8 +594,8 @@
 	x.settle()
 }
 
-// OwnDown tells that the link to the own switch broke. No answer reaches a caller now: calls without one are over and
-// what they hold is released; calls that stand go on until the switch is back and turns out to be another.
+// OwnDown reports that the link to the own switch was lost. No answer can reach a caller, so that calls without one end
+// and are released. Established calls continue until the switch returns and turns out to have restarted.
 func (x *Exchange) OwnDown(now policy.Tenths) {
 	x.now = now
 	for _, k := range x.sorted() {
@@ -603,7 +606,7 @@
 	x.settle()
 }
 
-// vanish ends a call whose caller's side is gone.
+// vanish ends a call whose caller's side is lost.
 func (x *Exchange) vanish(k *call, cause isup.Cause) {
 	if k.decided && k.state != Standing {
 		x.decide.Abandoned(x.now, k.id)
@@ -615,13 +618,13 @@
 		x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: policy.Disconnected, final: true})
 	}
 	x.dropTry(k, cause)
-	if k.in.hop.Side == Behind || k.in.hop.atGateway() { // a gateway's phone can still be told, whatever became of the switch
+	if k.in.hop.Side == Behind || k.in.hop.atGateway() { // a telephone at a gateway is reached without the switch
 		x.release(k.in, isup.Message{Type: isup.REL, Cause: cause, Location: isup.LocalNetwork})
 	}
 	x.become(k, Over)
 }
 
-// lose ends calls whose circuits of a group are gone, the circuits being dealt with already.
+// lose ends calls that lost their circuits of a group. The circuits themselves are already in their new state.
 func (x *Exchange) lose(peer int, ids []uint32) {
 	for _, id := range ids {
 		k := x.calls[id]
@@ -636,7 +639,7 @@
 	}
 }
 
-// sorted lists the calls in the order they came, so that map order decides nothing.
+// sorted returns the calls in the order of arrival, so that processing does not depend on map order.
 func (x *Exchange) sorted() []*call {
 	all := make([]*call, 0, len(x.calls))
 	for _, k := range x.calls {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 600) }
 
-// paper is a network on paper: exchanges, the messages between them, and subscribers who keep watch over the rules.
+// paper simulates a network: exchanges, the messages between them, and callers. It records violations of the call rules.
 type paper struct {
 	now      policy.Tenths
 	sites    []*site
@@ -28,6 +28,7 @@
 	delivering flight
 }
 
+// flight is a message in transit.
 type flight struct {
 	at   policy.Tenths
 	to   int
@@ -35,22 +36,24 @@
 	m    isup.Message
 }
 
+// site is one simulated exchange and its Carrier.
 type site struct {
 	p      *paper
 	no     int
 	x      *Exchange
 	ups    int
 	notes  []string
-	lastAt map[int]policy.Tenths // links keep order
+	lastAt map[int]policy.Tenths // time of the last message to each exchange, as links keep the order
 }
 
+// caller is a subscriber with a call, as the line sees it.
 type caller struct {
 	site         int
 	cic          uint16
 	leaves       policy.Tenths
 	answers      []string
 	left, stands bool
-	outAt        map[string]isup.Message // set-ups that its own exchange sent and has not ended
+	outAt        map[string]isup.Message // tries in progress, by exchange and circuit
 	lastRelease  policy.Tenths
 	released     bool
 }
@@ -59,7 +62,7 @@
 func (s *site) Note(text string)  { s.notes = append(s.notes, text) }
 func (s *site) Answered(a Answer) {}
 
-// Transmit carries a message over the paper network. Switches pass on without work; the called line answers at once.
+// Transmit sends a message through the simulated network. A called line answers at once.
 func (s *site) Transmit(to Hop, m isup.Message) {
 	p := s.p
 	if to.Side == Line {
@@ -90,6 +93,7 @@
 	p.fly(s.no, far, from, m)
 }
 
+// fly puts a message in transit.
 func (p *paper) fly(from, to int, hop Hop, m isup.Message) {
 	s := p.sites[from]
 	at := max(p.now+50, s.lastAt[to])
@@ -97,11 +101,13 @@
 	p.on = append(p.on, flight{at, to, hop, m})
 }
 
+// fault records a violation of a call rule.
 func (p *paper) fault(format string, args ...any) {
 	p.broken = append(p.broken, fmt.Sprintf(format, args...))
 }
 
-// tried watches the second and fifth rule where a call's own exchange sends it.
+// tried checks a set-up of the originating exchange: one try at a time, none after the end of the call, and none within
+// the release time of the previous try.
 func (p *paper) tried(site, far int, m isup.Message) {
 	c := p.callers[m.Ref]
 	if c == nil || c.site != site {
@@ -112,22 +118,22 @@
 	}
 	if f := p.delivering; f.m.Type == isup.IAM && f.to == site && f.from.Side == Behind {
 		by := p.sites[site].x.groups[f.from.Peer].number
-		for key, sent := range c.outAt { // both ends seized these circuits and the other end keeps them: void there
+		for key, sent := range c.outAt { // dual seizure won by the neighbour: this try is void
 			if key == fmt.Sprint(by, sent.CIC) && slots(sent)&slots(f.m) != 0 {
 				delete(c.outAt, key)
 			}
 		}
 	}
 	if len(c.outAt) > 0 {
-		p.fault("call %v has two tries out: %v and %d", m.Ref, c.outAt, far)
+		p.fault("call %v has two tries in progress: %v and %d", m.Ref, c.outAt, far)
 	}
 	if c.released && p.now < c.lastRelease+3000 {
-		p.fault("call %v sent %d after a release", m.Ref, p.now-c.lastRelease)
+		p.fault("call %v tried again %d after a release", m.Ref, p.now-c.lastRelease)
 	}
 	c.outAt[fmt.Sprint(far, m.CIC)] = m
 }
 
-// slots are the circuits of one multiplex that a set-up names, as bits; all of a test's groups have one multiplex.
+// slots returns the circuits of a set-up as bits of one multiplex. No group of these tests has more than one multiplex.
 func slots(m isup.Message) uint32 {
 	if m.Slots != 0 {
 		return m.Slots
@@ -135,7 +141,7 @@
 	return 1 << (m.CIC - 1)
 }
 
-// heard is what a subscriber's line hears.
+// heard checks a message to a subscriber line: one answer per call, in time, and none after its end.
 func (p *paper) heard(site int, m isup.Message) {
 	for ref, c := range p.callers {
 		if c.site != site || c.cic != m.CIC {
@@ -146,7 +152,7 @@
 		case m.Type == isup.REL && c.stands:
 			c.stands = false
 		case c.left || len(c.answers) > 0:
-			p.fault("call %v: %v after its end (%v, left %v)", ref, m.Type, c.answers, c.left)
+			p.fault("call %v: %v after its end (answers %v, abandoned %v)", ref, m.Type, c.answers, c.left)
 		case p.now > c.leaves:
 			p.fault("call %v answered too late", ref)
 		default:
@@ -156,6 +162,7 @@
 	}
 }
 
+// newPaper returns n fully meshed exchanges with groups of the given size.
 func newPaper(n, size int) *paper {
 	p := &paper{now: 1000000, callers: map[isup.Reference]*caller{}, lose: func() bool { return false }}
 	var list []policy.Switch
@@ -174,6 +181,7 @@
 	return p
 }
 
+// start creates the Exchange of a site.
 func (p *paper) start(s *site, list []policy.Switch, size int) {
 	var near []Neighbour
 	for j := range list {
@@ -191,6 +199,7 @@
 	s.x.Listed(p.now, true, list)
 }
 
+// wire brings up the links of an exchange.
 func (p *paper) wire(i int) {
 	s := p.sites[i]
 	s.ups++
@@ -200,6 +209,7 @@
 	}
 }
 
+// call starts a call to a line at another exchange.
 func (p *paper) call(site, dest, bearer, width int, ttl policy.Tenths) isup.Reference {
 	p.nextCall++
 	ref := isup.Reference{Point: Point(site), Identity: p.nextCall}
@@ -211,13 +221,14 @@
 	return ref
 }
 
+// hangUp releases a call from the caller's side.
 func (p *paper) hangUp(ref isup.Reference) {
 	c := p.callers[ref]
 	c.left, c.stands = true, false
 	p.sites[c.site].x.Receive(p.now, Hop{Side: Line, Point: Lines}, isup.Message{CIC: c.cic, Type: isup.REL, Cause: isup.NormalClearing}, 0)
 }
 
-// pass lets time go by, from one thing due to the next.
+// pass advances the simulated time, event by event.
 func (p *paper) pass(by policy.Tenths) {
 	for end := p.now + by; p.now < end; {
 		next := end
@@ -260,7 +271,7 @@
 	}
 }
 
-// ended takes a backward message, or a reset, as the end of the try it answers.
+// ended notes that a backward message or a reset ends the try on its circuits.
 func (p *paper) ended(f flight) {
 	if f.m.Type == isup.GRS || f.m.Type == isup.RSC {
 		for _, c := range p.callers {
@@ -285,23 +296,25 @@
 	}
 }
 
+// idle fails the test if any circuit, call or line is still held.
 func (p *paper) idle(t interface{ Fatalf(string, ...any) }) {
 	for _, s := range p.sites {
 		for i := range s.x.groups {
 			if g := s.x.groups[i].g; g.Free() != g.Size() {
-				t.Fatalf("exchange %d holds %d of %d circuits to %d with no call left; %d calls: %+v", s.no, g.Size()-g.Free(),
+				t.Fatalf("exchange %d still holds %d of %d circuits to %d; %d calls: %+v", s.no, g.Size()-g.Free(),
 					g.Size(), s.x.groups[i].number, len(s.x.calls), g)
 			}
 		}
 		if len(s.x.calls) > 0 || len(s.x.lines) > 0 || s.x.waiting != 0 {
-			t.Fatalf("exchange %d keeps %d calls, %d lines, %d waiting", s.no, len(s.x.calls), len(s.x.lines), s.x.waiting)
+			t.Fatalf("exchange %d still holds %d calls, %d lines, %d unanswered", s.no, len(s.x.calls), len(s.x.lines), s.x.waiting)
 		}
 	}
 }
 
+// clean fails the test on a rule violation or a logged fault.
 func (p *paper) clean(t interface{ Fatalf(string, ...any) }) {
 	if len(p.broken) > 0 {
-		t.Fatalf("%d rules broken: %v", len(p.broken), p.broken[:min(3, len(p.broken))])
+		t.Fatalf("%d rule violations: %v", len(p.broken), p.broken[:min(3, len(p.broken))])
 	}
 	for _, s := range p.sites {
 		for _, n := range s.notes {
@@ -320,7 +333,7 @@
 		t.Fatalf("answers %v", c.answers)
 	}
 	if free := p.sites[1].x.groups[p.sites[1].x.byNumber[0]].g.Free(); free != 9 {
-		t.Fatalf("the far end counts %d free", free)
+		t.Fatalf("the remote exchange counts %d free", free)
 	}
 	p.hangUp(ref)
 	p.pass(2000)
@@ -342,7 +355,7 @@
 		}
 	}
 	if stood < 15 {
-		t.Fatalf("%d of 18 calls stand over 12 direct circuits and one tandem", stood)
+		t.Fatalf("%d of 18 calls are established over 12 direct circuits and one tandem", stood)
 	}
 	for _, ref := range refs {
 		if p.callers[ref].stands {
@@ -354,8 +367,8 @@
 	p.clean(t)
 }
 
-// Calls, hang-ups, lost messages, broken and reset links, and restarted controllers, in any order. After each step the
-// rules hold as the subscribers and the wires see them; when all is over, no circuit and no memory is left held.
+// Runs calls, releases, lost messages, link failures and restarted switches in random order. The call rules must hold
+// after each step, and in the end no circuit, call or line may be held.
 func TestRulesHoldUnderAnyMixtureOfFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 4).Draw(t, "exchanges")
@@ -384,7 +397,7 @@
 				if len(p.sites[site].x.groups) > 0 {
 					peer := rapid.IntRange(0, n-2).Draw(t, "peer")
 					p.sites[site].x.LinkDown(p.now, peer)
-					for _, c := range p.callers { // what was out there is known to be cut from here on
+					for _, c := range p.callers { // tries through the lost link have ended
 						for key := range c.outAt {
 							if c.site == site && len(key) > 0 && key[0] == byte('0'+p.sites[site].x.groups[peer].number) {
 								delete(c.outAt, key)
@@ -415,7 +428,7 @@
 		}
 		p.pass(400000)
 		p.clean(t)
-		if lossy { // a circuit whose release was lost is found by the next call on it, or by a reset
+		if lossy { // a lost release is only found by the next call on the circuit or by a reset
 			for _, s := range p.sites {
 				for j := range s.x.groups {
 					s.x.LinkUp(p.now, j, "3")
--- a/internal/exchange/numbering.go
+++ b/internal/exchange/numbering.go
@@ -8,47 +8,48 @@
 	"indigodrift/policy"
 )
 
-// Numbering is what an exchange finds destinations with, where the numbers dialled do not begin with the exchange's own
-// number. Its tables and look-ups are internal/numbers'; here they meet the states of a call.
+// Numbering holds the number tables and the portability client of an exchange. An exchange without it takes the
+// destination from the first digits of the called number.
 type Numbering struct {
 	Versions *numbers.Versions
 	Split    *numbers.Split
-	Inquirer *numbers.Inquirer                  // nil: portability is not asked for
-	Second   func(at policy.Tenths) int64       // seconds since 1970 at an instant
-	At       func(second int64) policy.Tenths   // and back
-	Changed  func(t *numbers.Table, why string) // another version is in force; why it was taken back, or ""
+	Inquirer *numbers.Inquirer                  // nil if portability is not queried
+	Second   func(at policy.Tenths) int64       // converts an instant to Unix seconds
+	At       func(second int64) policy.Tenths   // converts Unix seconds to an instant
+	Changed  func(t *numbers.Table, why string) // called when another version takes effect; why is the reason for a rollback, or ""
 }
 
-// portTold is an answer of the inquirer that has not been handled yet.
+// portTold is a reply of the portability client that has not been handled yet.
 type portTold struct {
 	call  uint32
 	port  numbers.Port
 	known bool
 }
 
-// Asker is what the inquirer of an exchange tells its calls through; queries go out by query.
+// Asker implements numbers.Net for an exchange: it sends queries through a function and queues replies for the calls
+// that wait for them.
 type Asker struct {
 	x     *Exchange
 	query func(id uint32, server int, number string)
 }
 
-// Asker makes the exchange's side of an inquirer.
+// Asker returns the numbers.Net that the portability client of this exchange is to use.
 func (x *Exchange) Asker(query func(id uint32, server int, number string)) *Asker {
 	return &Asker{x, query}
 }
 
-// Query sends a query out.
+// Query sends a query to a portability server.
 func (a *Asker) Query(id uint32, server int, number string) { a.query(id, server, number) }
 
-// Told takes what is known for a call; it is handled once the inquirer has returned.
+// Told queues the portability result for a call; it is handled after the portability client has returned.
 func (a *Asker) Told(call uint32, p numbers.Port, known bool) {
 	a.x.told = append(a.x.told, portTold{call, p, known})
 }
 
-// Number has the exchange analyse numbers; without it the first digits name the exchange.
+// Number makes the exchange analyse called numbers with n.
 func (x *Exchange) Number(n *Numbering) { x.number = n }
 
-// Change does something to versions or look-ups at an instant, and lets follow what follows.
+// Change calls do with the numbering of the exchange, if it has any, and handles what results for its calls.
 func (x *Exchange) Change(now policy.Tenths, do func(n *Numbering)) {
 	x.now = now
 	if x.number != nil {
@@ -57,8 +58,7 @@
 	x.settle()
 }
 
-// analyse finds where a call's number leads, by the version in force as it begins; the call goes by that version until its
-// end.
+// analyse analyses the called number with the table version in force. The call uses that version until its end.
 func (x *Exchange) analyse(k *call) {
 	n := x.number
 	k.table = n.Versions.Pin()
@@ -81,7 +81,7 @@
 	x.found(k, r)
 }
 
-// portKnown takes what was told for a call that waits. One that has gone on meanwhile is not touched.
+// portKnown handles the portability reply for a call. A call that has gone on or ended since is left alone.
 func (x *Exchange) portKnown(t portTold) {
 	k := x.calls[t.call]
 	if k == nil || k.state != Asking {
@@ -95,6 +95,7 @@
 	x.found(k, k.found)
 }
 
+// ported repeats the number analysis with the new number if the called number was ported.
 func (x *Exchange) ported(k *call, r numbers.Result, p numbers.Port) {
 	if p.Ported {
 		r = k.table.Again(k.caller, p.Number, x.number.Second(x.now), x.number.Split.For(k.version))
@@ -102,7 +103,8 @@
 	x.found(k, r)
 }
 
-// found takes a call on by what its number leads to, and watches whether the version in force should be taken back.
+// found continues a call with the result of its number analysis, and rolls the table back if too many numbers have no
+// route.
 func (x *Exchange) found(k *call, r numbers.Result) {
 	n := x.number
 	if why, back := n.Versions.Analysed(k.table, r.Outcome != numbers.NoRoute, x.now); back {
@@ -118,7 +120,7 @@
 	x.routed(k, r.Exchange)
 }
 
-// unnumber lets go what a call that is over held of tables and look-ups.
+// unnumber releases the table version and the pending query of a call that has ended.
 func (x *Exchange) unnumber(k *call) {
 	if k.table == nil {
 		return
@@ -130,7 +132,7 @@
 	k.table = nil
 }
 
-// nextNumbering is when a look-up falls due or a version comes into force.
+// nextNumbering returns the time at which a portability query is due or a table version takes effect.
 func (x *Exchange) nextNumbering() policy.Tenths {
 	next := policy.Tenths(math.MaxInt64)
 	if x.number == nil {
@@ -147,6 +149,7 @@
 	return next
 }
 
+// tickNumbering puts a due table version into force and handles the timers of the portability client.
 func (x *Exchange) tickNumbering() {
 	n := x.number
 	if n == nil {
--- a/internal/exchange/numbering_test.go
+++ b/internal/exchange/numbering_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// bureau is the portability servers of one exchange on paper.
+// bureau simulates the portability servers of one exchange.
 type bureau struct {
 	p     *paper
-	delay policy.Tenths // negative: silent
+	delay policy.Tenths // of a reply; negative for no reply
 	on    []struct {
 		at     policy.Tenths
 		id     uint32
@@ -23,6 +23,7 @@
 	ported map[string]string
 }
 
+// query queues the reply to a portability query.
 func (b *bureau) query(id uint32, _ int, number string) {
 	if b.delay >= 0 {
 		b.on = append(b.on, struct {
@@ -33,7 +34,7 @@
 	}
 }
 
-// turned is a version that leads 0NN... to exchange NN plus so many, counted round; numbers of exchange 0 are portable.
+// turned returns a table version that routes numbers 0NN... to exchange (NN+by) mod n. Numbers of exchange 0 are portable.
 func turned(t interface{ Fatal(...any) }, version uint64, by, n int) *numbers.Table {
 	z, err := numbers.NewZone("UTC")
 	if err != nil {
@@ -52,7 +53,7 @@
 	return tab
 }
 
-// numbered gives every exchange of a paper network the same table and a bureau.
+// numbered gives every exchange the same number table and simulated portability servers.
 func numbered(t interface{ Fatal(...any) }, p *paper) []*bureau {
 	var all []*bureau
 	for _, s := range p.sites {
@@ -72,7 +73,7 @@
 	return all
 }
 
-// answer hands over what the bureaus have ready.
+// answer delivers the portability replies that are due.
 func answer(p *paper, all []*bureau) {
 	for i, b := range all {
 		still := b.on[:0]
@@ -90,6 +91,7 @@
 	}
 }
 
+// passWith advances the simulated time and delivers portability replies.
 func (p *paper) passWith(by policy.Tenths, all []*bureau) {
 	for end := p.now + by; p.now < end; {
 		p.pass(min(100, end-p.now))
@@ -97,7 +99,7 @@
 	}
 }
 
-// reached tells at which exchange a call's line rang, from the circuits held there.
+// reached returns the exchange where an established call ends, or -1.
 func reached(p *paper, ref isup.Reference) int {
 	for i, s := range p.sites {
 		for _, k := range s.x.calls {
@@ -109,6 +111,7 @@
 	return -1
 }
 
+// load loads a table version at an exchange.
 func load(p *paper, site int, t *numbers.Table) (err error) {
 	p.sites[site].x.Change(p.now, func(n *Numbering) { err = n.Versions.Load(t, 0, 0, p.now) })
 	return err
@@ -118,21 +121,21 @@
 	p := newPaper(3, 10)
 	all := numbered(t, p)
 	all[1].delay = 1500
-	ref := p.call(1, 0, 0, 1, 30000) // portable: asks
+	ref := p.call(1, 0, 0, 1, 30000) // portable: queried
 	p.passWith(500, all)
-	if err := load(p, 1, turned(t, 2, 1, 3)); err != nil { // would lead it to exchange 1
+	if err := load(p, 1, turned(t, 2, 1, 3)); err != nil { // routes the number to exchange 1
 		t.Fatal(err)
 	}
-	other := p.call(1, 1, 0, 1, 30000) // a new call goes by the new one, to exchange 2
+	other := p.call(1, 1, 0, 1, 30000) // uses the new version, to exchange 2
 	p.passWith(3000, all)
 	if at := reached(p, ref); at != 0 {
-		t.Errorf("a call that began by version 1 reached exchange %d", at)
+		t.Errorf("a call started with version 1 reached exchange %d", at)
 	}
 	if at := reached(p, other); at != 2 {
-		t.Errorf("a call that began by version 2 reached exchange %d", at)
+		t.Errorf("a call started with version 2 reached exchange %d", at)
 	}
 	if held := p.sites[1].x.number.Versions.Held(); held != 2 {
-		t.Errorf("%d versions held while calls stand by two", held)
+		t.Errorf("%d versions held while calls use two", held)
 	}
 	p.hangUp(ref)
 	p.hangUp(other)
@@ -144,29 +147,29 @@
 	p.clean(t)
 }
 
-// The answer comes when the call has gone by the donor's route, and when it is over: neither touches it, and the next call
-// to the number knows.
+// A late portability reply, received after the call was routed by the donor exchange or has ended, must not affect that
+// call. The next call to the number uses it.
 func TestPortabilityAnswerThatComesTooLate(t *testing.T) {
 	for _, over := range []bool{false, true} {
 		p := newPaper(3, 10)
 		all := numbered(t, p)
-		all[1].delay = 6000 // a call waits for 3000 at most
+		all[1].delay = 6000 // a call waits 3000 at most
 		number := Called(0, 1)
 		all[1].ported[number] = Called(2, 7)
 		ref := p.call(1, 0, 0, 1, 30000)
 		p.passWith(4000, all)
 		if at := reached(p, ref); at != 0 {
-			t.Fatalf("without an answer it reached exchange %d, the donor is 0", at)
+			t.Fatalf("reached exchange %d without a reply, want the donor exchange 0", at)
 		}
 		if over {
 			p.hangUp(ref)
 		}
 		if !over && !p.sites[1].x.sorted()[0].donor {
-			t.Fatal("not marked as gone by the donor's route")
+			t.Fatal("call not marked as routed by the donor exchange")
 		}
 		p.passWith(4000, all)
 		if at := reached(p, ref); over != (at == -1) {
-			t.Fatalf("over %v: the late answer left it at exchange %d", over, at)
+			t.Fatalf("call ended %v: after the late reply it is at exchange %d", over, at)
 		}
 		p.nextCall = 0 // the same line again
 		p.callers = map[isup.Reference]*caller{}
@@ -176,14 +179,14 @@
 		again := p.call(1, 0, 0, 1, 30000)
 		p.passWith(1000, all)
 		if at := reached(p, again); at != 2 {
-			t.Fatalf("the next call to the number reached exchange %d, it was ported to 2", at)
+			t.Fatalf("the next call to the number reached exchange %d, want 2", at)
 		}
 		p.clean(t)
 	}
 }
 
-// Exchange 1 believes in a version that leads a number to 2, exchange 2 in one that leads it back to 1: the result found
-// where the call began travels, so that no exchange asks its own.
+// With different table versions, exchange 1 routes a number to 2 and exchange 2 routes it back to 1. The call must not
+// loop: the set-up carries the result of the originating exchange, and other exchanges don't analyse the number again.
 func TestDifferentVersionsCannotMakeACallLoop(t *testing.T) {
 	p := newPaper(3, 10)
 	all := numbered(t, p)
@@ -218,13 +221,13 @@
 		p.passWith(200, all)
 	}
 	if v := p.sites[1].x.number.Versions.Current().Version; v != 1 || !p.callers[standing].stands {
-		t.Fatalf("version %d is in force, the standing call stands: %v", v, p.callers[standing].stands)
+		t.Fatalf("version %d is in force, the call is established: %v", v, p.callers[standing].stands)
 	}
 	p.clean(t)
 }
 
-// A version comes into force in the very second in which a time rule of both turns: each call goes by one whole version at
-// the time it began, never by the new one's route at the old one's hour.
+// A table version takes effect at the instant at which a time rule of both versions changes. Each call must use one
+// version and the time at which it started, never the route of the new version for the time before.
 func TestChangeAtTheInstantOfATimeRule(t *testing.T) {
 	p := newPaper(3, 20)
 	all := numbered(t, p)
@@ -252,12 +255,12 @@
 	after := p.call(1, 1, 0, 1, 30000)
 	p.passWith(2000, all)
 	if a, b := reached(p, before), reached(p, after); a != 0 || b != 2 {
-		t.Fatalf("the call before reached %d, the one after %d; 0 and 2 are right, 1 is a mixture", a, b)
+		t.Fatalf("the call before reached %d, the one after %d; want 0 and 2, 1 mixes both versions", a, b)
 	}
 }
 
-// Calls, hang-ups, tables changed and taken back, look-ups quick, late and silent, in any order: the rules hold, nothing is
-// held when all is over, and every version but the one in force is freed.
+// Runs calls, releases, table changes, rollbacks and portability replies of any delay in random order. The call rules must
+// hold, and in the end no circuit, call or line and no table version but the current one may be held.
 func TestRulesHoldWhileTablesAndLookUpsChange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
@@ -301,7 +304,7 @@
 		p.idle(t)
 		for _, s := range p.sites {
 			if held := s.x.number.Versions.Held(); held != 1 {
-				t.Fatalf("exchange %d holds %d versions with no call", s.no, held)
+				t.Fatalf("exchange %d holds %d versions without a call", s.no, held)
 			}
 		}
 	})
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -9,7 +9,7 @@
 	"indigodrift/policy"
 )
 
-// Receive takes a message from a hop. age is how long it waited before it was read.
+// Receive handles a message from a hop. age is the time that the message waited before it was read.
 func (x *Exchange) Receive(now policy.Tenths, from Hop, m isup.Message, age policy.Tenths) {
 	x.now = now
 	if from.Side == Line {
@@ -20,13 +20,14 @@
 	x.settle()
 }
 
+// fromLine handles a message from a line.
 func (x *Exchange) fromLine(from Hop, m isup.Message, age policy.Tenths) {
 	key := lineKey{from.Point, m.CIC}
 	k := x.calls[x.lines[key]]
 	switch m.Type {
 	case isup.IAM:
 		if k != nil {
-			x.out.Note("fault: a subscriber's circuit began a second call")
+			x.out.Note("fault: set-up on a subscriber circuit that already has a call")
 			return
 		}
 		x.nextID++
@@ -47,19 +48,20 @@
 	}
 }
 
+// fromTrunk handles a message about circuits of a trunk group.
 func (x *Exchange) fromTrunk(from Hop, m isup.Message, age policy.Tenths) {
 	g := &x.groups[from.Peer]
 	state, id, known := g.g.State(m.CIC)
 	if !known {
-		x.out.Note("fault: a message names circuit " + strconv.Itoa(int(m.CIC)) + ", which the group to exchange " +
+		x.out.Note("fault: message for circuit " + strconv.Itoa(int(m.CIC)) + ", which the trunk group to exchange " +
 			strconv.Itoa(g.number) + " does not have")
 		return
 	}
 	g.changed = true
 	k := x.calls[id]
 	if k != nil && !names(k, from.Peer, m.CIC) && (m.Type == isup.ANM || m.Type == isup.REL || m.Type == isup.ACM || m.Type == isup.RLC) {
-		// A multirate call is named by its lowest circuit alone. A release on another of its circuits is about a call that is long
-		// over here; taken for this one's, it was tried again with its try still out.
+		// Messages of a multirate call name only its lowest circuit. A release on another of its circuits concerns an
+		// earlier call; applied to this one, it caused a second try while the first was still in progress.
 		if m.Type == isup.REL {
 			x.out.Transmit(from, isup.Message{CIC: m.CIC, Type: isup.RLC})
 		}
@@ -78,7 +80,7 @@
 	switch m.Type {
 	case isup.IAM:
 		if from.Side != Behind {
-			x.out.Note("fault: a set-up came back along a link that carries this exchange's own")
+			x.out.Note("fault: set-up received on a link that carries only set-ups of this exchange")
 			return
 		}
 		x.arrived(from, m, age)
@@ -86,7 +88,7 @@
 		g.g.Answered(x.now, m.CIC)
 	case isup.ANM:
 		switch {
-		case state == circuit.Idle: // it tells of a call that is long over here: both ends start anew
+		case state == circuit.Idle: // answer to a call that has ended here: reset the circuit at both ends
 			reply(isup.RSC)
 		case k != nil && k.state == Trying && k.out.hop.Peer == from.Peer && from.Side == Ahead &&
 			(state == circuit.Seized || state == circuit.Outgoing):
@@ -110,13 +112,13 @@
 				x.forwardGone(k, m.Cause)
 			}
 		case from.Side == Behind && ours && k != nil && k.state == Trying:
-			// They release a call of theirs that never reached us; our set-up crossed it and they have passed over it.
+			// The neighbour releases a call whose set-up never arrived here. It has ignored our set-up, which crossed its own.
 			x.dropTry(k, isup.NormalUnspecified)
 			x.tryEnded(k, policy.Disconnected, policy.NoReason, 0, m.Says)
 		}
 	case isup.RLC:
-		// On a circuit that holds their call it answers a release of ours sent twice, before their call began: to clear
-		// the circuit then cut calls that stood.
+		// If the circuit carries a call of the neighbour, this answers the repetition of an earlier release. Clearing the
+		// circuit would disconnect an established call.
 		if state == circuit.Releasing || state == circuit.Resetting {
 			g.g.Cleared(x.now, m.CIC, false)
 		}
@@ -145,7 +147,7 @@
 	}
 }
 
-// names tells whether a circuit of the group to a neighbour is the one that a call's messages name.
+// names reports whether the messages of a call name a given circuit of the trunk group to a neighbour.
 func names(k *call, peer int, cic uint16) bool {
 	for _, l := range []leg{k.in, k.out} {
 		if l.hop.Side != Line && l.hop.Peer == peer && l.bundle.CIC == cic {
@@ -155,11 +157,11 @@
 	return false
 }
 
-// arrived takes a neighbour's set-up: which of two that seized the same circuit stands, then the call itself.
+// arrived handles a neighbour's set-up: it resolves a dual seizure, then starts the call.
 func (x *Exchange) arrived(from Hop, m isup.Message, age policy.Tenths) {
 	g := &x.groups[from.Peer]
 	b := circuit.Bundle{CIC: m.CIC, Slots: m.Slots}
-	x.nextID++ // the call's number, should it be taken
+	x.nextID++ // id of the call if it is accepted
 	verdict, yielded, gone := g.g.Arrived(x.now, x.nextID, b, m.Width)
 	for _, id := range gone {
 		if k := x.calls[id]; k != nil {
@@ -168,7 +170,7 @@
 	}
 	switch verdict {
 	case circuit.Unknown:
-		x.out.Note("fault: a set-up names circuits that the group to exchange " + strconv.Itoa(g.number) + " does not have")
+		x.out.Note("fault: set-up for circuits that the trunk group to exchange " + strconv.Itoa(g.number) + " does not have")
 		x.out.Transmit(from, isup.Message{CIC: m.CIC, Type: isup.REL, Cause: isup.NoCircuit, Location: isup.LocalNetwork})
 	case circuit.Taken:
 		for _, id := range yielded {
@@ -180,10 +182,10 @@
 	}
 }
 
-// repeatTry sends a try whose circuits went to the other end's call on other circuits of the same group (the automatic
-// repeat attempt of Q.764, 2.8.1), else hands the call back to the module. The module does not see the repeat, so it goes
-// only where no rule could forbid it: not to a switch that the list has told off since, and not to a cold one, whose
-// budget does not know of it.
+// repeatTry repeats a try that lost its circuits to a call of the neighbour, on other circuits of the same group (the
+// automatic repeat attempt of Q.764, 2.8.1), or else returns the call to the decider. The decider does not see the
+// repeat. It is therefore not made to a switch that is no longer listed as ready, nor to a cold switch, whose slow-start
+// budget would not count it.
 func (x *Exchange) repeatTry(k *call) {
 	g := &x.groups[k.out.hop.Peer]
 	cold := g.bootAt > 0 && x.now < g.bootAt+x.d.RampTime
@@ -197,7 +199,8 @@
 	x.tryEnded(k, policy.Blocked, policy.NoCircuit, 0, isup.Says{})
 }
 
-// begin takes a new call: one that ends on a line here is rung, all others are offered to the module.
+// begin starts a new call, or refuses it when it cannot be served. A call to a line of this exchange is passed to that
+// line, all others are offered to the decider.
 func (x *Exchange) begin(id uint32, in leg, m isup.Message, age policy.Tenths) {
 	transit := in.hop.Side == Behind
 	refuse := func(c isup.Cause) {
@@ -213,7 +216,7 @@
 		refuse(isup.Congestion)
 		return
 	case bearer >= len(x.d.Bearers) || m.Width < 1:
-		x.out.Note("fault: a call with a number or bearer type that there is not")
+		x.out.Note("fault: call with an unknown bearer type or no circuits")
 		refuse(isup.TemporaryFailure)
 		return
 	case transit && m.Hops == 0:
@@ -224,12 +227,12 @@
 	if m.Says.Has&isup.PartLeft != 0 {
 		left = policy.Tenths(m.Says.Left) - age
 	}
-	if left > 0 && left <= handBack { // no route can serve it now, but it can still be told
+	if left > 0 && left <= handBack { // too late for a route try, but an answer still reaches the caller
 		refuse(isup.TemporaryFailure)
 		return
 	}
 	if left -= handBack; left <= 0 {
-		// Its caller gave up while it lay unread, and will say so: nothing may be sent for it, not even a refusal.
+		// The caller abandoned the call while the set-up waited, and sends a release: not even a refusal may be sent.
 		if transit {
 			refuse(isup.Congestion)
 		}
@@ -246,9 +249,9 @@
 	if in.hop.Side == Line {
 		x.lines[lineKey{in.hop.Point, in.bundle.CIC}] = k.id
 	}
-	x.at(k.leavesAt+handBack/2, dueLeave, uint64(k.id)) // after any try's own time-out at that instant
+	x.at(k.leavesAt+handBack/2, dueLeave, uint64(k.id)) // after the time-out of a try at the same time
 	switch {
-	case m.Says.Has&isup.PartRoute != 0 && transit: // the table of the exchange where it began counts, here as there
+	case m.Says.Has&isup.PartRoute != 0 && transit: // the originating exchange's table applies in every exchange
 		k.version = m.Says.Table
 		x.routed(k, int(m.Says.Dest))
 	case x.number != nil && !transit:
@@ -262,7 +265,7 @@
 	}
 }
 
-// routed takes a call on whose destination is known: its line rings, or the module gets it.
+// routed continues a call whose destination is known: its line rings, or it is offered to the decider.
 func (x *Exchange) routed(k *call, dest int) {
 	if k.ask.Dest = dest; dest == x.own {
 		k.ask.Transit = false
@@ -282,7 +285,7 @@
 	x.decide.Offer(x.now, k.ask)
 }
 
-// count notes that a call is owed a final answer.
+// count adds a call to those that await a final answer, once.
 func (x *Exchange) count(k *call) {
 	if !k.counted {
 		k.counted = true
@@ -290,16 +293,16 @@
 	}
 }
 
-// number is the called number as the module knows it.
+// number returns the called number in the form that the decider uses.
 func number(digits string) uint64 {
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
 		return 0
 	}
-	return n + 1 // 0 means not told
+	return n + 1 // 0 means unknown
 }
 
-// ring passes a call on to a line of this exchange.
+// ring sends a call to a line of this exchange.
 func (x *Exchange) ring(k *call) {
 	x.nextLine++
 	at := x.nextLine % (blockMost * (isup.CICMost + 1))
@@ -309,7 +312,7 @@
 	x.setUp(k)
 }
 
-// setUp sends the set-up of a call's present try.
+// setUp sends the set-up of a call's current try.
 func (x *Exchange) setUp(k *call) {
 	marks := uint8(0)
 	if k.ask.Redial {
@@ -339,7 +342,7 @@
 		Slots: k.out.bundle.Slots, Hops: k.hops, Ref: k.ref, Says: says})
 }
 
-// stand passes an answer back to the caller's side.
+// stand marks a call as established and passes the answer to the caller's side.
 func (x *Exchange) stand(k *call, says isup.Says) {
 	x.become(k, Standing)
 	x.keeper.Put(x.kept(k, recovery.Established))
@@ -351,7 +354,7 @@
 	}
 }
 
-// forwardGone ends a call whose caller's side released it.
+// forwardGone ends a call that was released from the caller's side.
 func (x *Exchange) forwardGone(k *call, cause isup.Cause) {
 	x.dropTry(k, cause)
 	switch {
@@ -366,7 +369,7 @@
 	x.become(k, Over)
 }
 
-// backward takes a release from the called side, the circuits of that side being dealt with already.
+// backward handles a release from the called side. The circuits of that side are already in their new state.
 func (x *Exchange) backward(k *call, end policy.Outcome, why policy.Reason, m isup.Message) {
 	switch {
 	case k.state == Trying:
@@ -391,7 +394,7 @@
 	}
 }
 
-// ending reads what a release tells about a try.
+// ending derives from a release how and why a try ended.
 func ending(m isup.Message) (policy.Outcome, policy.Reason) {
 	switch m.Cause {
 	case isup.NormalClearing:
@@ -411,7 +414,7 @@
 	case isup.OutOfOrder, isup.NetworkOutOfOrder:
 		return policy.Unreachable, policy.NoReason
 	case isup.TimerExpiry:
-		return policy.Blocked, policy.TurnedBack // its own try timed out beyond, and is called off there
+		return policy.Blocked, policy.TurnedBack // the remote exchange's own try timed out and was abandoned there
 	}
 	return policy.Faulted, policy.NoReason
 }
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -7,24 +7,25 @@
 	"indigodrift/policy"
 )
 
-// Keeper keeps what must outlive this process. Its methods must neither wait nor call back.
+// Keeper stores what must survive a restart of the process. Its methods must neither block nor call back.
 type Keeper interface {
-	Put(k recovery.StoredCall)
-	Drop(id uint32)
-	Knows(number int, life string) // the life of a neighbour's switch; -1: of the own one
+	Put(k recovery.StoredCall)     // add or replace a call
+	Drop(id uint32)                // remove a call
+	Knows(number int, life string) // record the process lifetime of a neighbour's switch, or of the own one for -1
 }
 
-// noKeeper keeps nothing.
+// noKeeper stores nothing.
 type noKeeper struct{}
 
 func (noKeeper) Put(recovery.StoredCall) {}
 func (noKeeper) Drop(uint32)             {}
 func (noKeeper) Knows(int, string)       {}
 
-// Keep has the exchange tell a keeper of its calls from now on; wall turns an instant into tenths since 1970.
+// Keep makes the exchange store its calls in k from now on. wall converts an instant to tenths of a millisecond since
+// 1970.
 func (x *Exchange) Keep(k Keeper, wall func(policy.Tenths) int64) { x.keeper, x.wall = k, wall }
 
-// kept is a call as the keeper gets it.
+// kept returns the form in which a call is stored.
 func (x *Exchange) kept(k *call, p recovery.Phase) recovery.StoredCall {
 	r := recovery.StoredCall{ID: k.id, Phase: p, In: x.place(k.in), Ref: k.ref, Transit: k.ask.Transit, Since: x.wall(x.now), Until: x.wall(k.leavesAt + handBack)}
 	if p == recovery.Established {
@@ -33,6 +34,7 @@
 	return r
 }
 
+// place returns the stored form of a leg.
 func (x *Exchange) place(l leg) recovery.Place {
 	if l.hop.Side == Line {
 		return recovery.Place{Point: l.hop.Point, CIC: l.bundle.CIC}
@@ -40,6 +42,7 @@
 	return recovery.Place{Trunk: true, Number: x.groups[l.hop.Peer].number, CIC: l.bundle.CIC, Slots: l.bundle.Slots}
 }
 
+// leg returns the leg for its stored form; false if the neighbour is not configured any more.
 func (x *Exchange) leg(p recovery.Place, out bool) (leg, bool) {
 	if !p.Trunk {
 		return leg{Hop{Side: Line, Point: p.Point}, circuit.Bundle{CIC: p.CIC}}, true
@@ -52,9 +55,10 @@
 	return leg{Hop{Side: side, Peer: i}, circuit.Bundle{CIC: p.CIC, Slots: p.Slots}}, ok
 }
 
-// Restore takes up what was kept of the life before, before any link is up: calls that stand on stand, and their circuits are asked
-// about once the far switches answer; callers who wait are told once the own one does. No call that was being set up goes on: it is
-// answered failed, so that no try of this life follows one of the last within its release time. It returns how many stand on.
+// Restore takes over the stored calls of the previous process. It must be called before any link is up, and returns the
+// number of established calls that continue. Their circuits are compared with the neighbours once the links are up, and
+// waiting callers are answered once the own switch is up. Calls in set-up fail: otherwise a new try could follow one of
+// the previous process within its release time.
 func (x *Exchange) Restore(now policy.Tenths, life recovery.Process, all []recovery.Decision) (standing int) {
 	x.now = now
 	x.ownLife = life.OwnIncarnation
@@ -72,10 +76,10 @@
 				standing++
 			}
 		case recovery.AnswerFailed:
-			if !v.In.Trunk { // one from a neighbour is told by the reset of its circuit
+			if !v.In.Trunk { // a neighbour learns of it by the reset of the circuit
 				x.fails = append(x.fails, v.StoredCall)
 			}
-		case recovery.Release: // the far ends learn of it by reset, the lines by release
+		case recovery.Release: // neighbours learn of it by a circuit reset, lines by a release
 			for _, p := range []recovery.Place{v.In, v.Out} {
 				if !p.Trunk {
 					x.cuts = append(x.cuts, p)
@@ -86,6 +90,7 @@
 	return standing
 }
 
+// standOn restores an established call; false if its circuits are unknown or taken.
 func (x *Exchange) standOn(v recovery.StoredCall) bool {
 	in, ok := x.leg(v.In, false)
 	out, ok2 := x.leg(v.Out, true)
@@ -115,7 +120,8 @@
 	return true
 }
 
-// told tells callers of the life before what became of their calls, once the own switch is up and is the one that knew them.
+// tellKept releases the lines of calls of the previous process that failed or were lost. It runs once the own switch is
+// up and has not restarted.
 func (x *Exchange) tellKept() {
 	for _, k := range x.fails {
 		if x.wall(x.now) < k.Until-int64(handBack) {
@@ -129,7 +135,7 @@
 	x.fails, x.cuts = nil, nil
 }
 
-// Unagreed counts the circuits of kept calls that their far ends have not answered for.
+// Unagreed returns the number of circuits of restored calls that the neighbours have not confirmed.
 func (x *Exchange) Unagreed() (n int) {
 	for i := range x.groups {
 		n += x.groups[i].g.UnsureCount()
@@ -137,7 +143,7 @@
 	return n
 }
 
-// answerQuery tells a neighbour the state of its circuits with us.
+// answerQuery answers a neighbour's circuit group query.
 func (x *Exchange) answerQuery(from Hop, m isup.Message) {
 	g := &x.groups[from.Peer]
 	states := make([]byte, int(m.Range)+1)
@@ -147,12 +153,12 @@
 	x.out.Transmit(from, isup.Message{CIC: m.CIC, Type: isup.CQR, Range: m.Range, States: string(states)})
 }
 
-// compare takes a neighbour's answer, circuit by circuit.
+// compare compares a neighbour's circuit states with those held here, and drops or resets circuits that differ.
 func (x *Exchange) compare(peer int, m isup.Message) {
 	g := &x.groups[peer]
 	for i := range len(m.States) {
 		cic := m.CIC + uint16(i)
-		if !g.g.Unsure(cic) { // it has been settled since it was asked about
+		if !g.g.Unsure(cic) { // resolved since the query was sent
 			continue
 		}
 		state, id, _ := g.g.State(cic)
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -9,7 +9,7 @@
 	"indigodrift/policy"
 )
 
-// notebook is a keeper in memory.
+// notebook is a Keeper in memory.
 type notebook struct {
 	calls map[uint32]recovery.StoredCall
 	far   map[int]string
@@ -19,7 +19,7 @@
 func (n *notebook) Drop(id uint32)                { delete(n.calls, id) }
 func (n *notebook) Knows(number int, life string) { n.far[number] = life }
 
-// sentBy keeps all that an exchange sends.
+// sentBy is a Carrier that keeps all messages sent.
 type sentBy struct {
 	all []isup.Message
 	to  []Hop
@@ -30,6 +30,7 @@
 func (c *sentBy) Note(string)                     {}
 func (c *sentBy) Answered(Answer)                 {}
 
+// count returns the number of messages of a type.
 func (c *sentBy) count(t isup.Type) (n int) {
 	for _, m := range c.all {
 		if m.Type == t {
@@ -41,7 +42,8 @@
 
 func wallOf(at policy.Tenths) int64 { return int64(at) }
 
-// again is an exchange started anew with what was kept, its far switch and its own in a life that is told.
+// again restarts an exchange with its stored calls. own and far identify the process lifetimes of the own switch and of
+// the neighbour's switch after the restart.
 func again(t *testing.T, now policy.Tenths, kept *notebook, own, far string) (*Exchange, *sentBy, *notebook) {
 	t.Helper()
 	out := &sentBy{}
@@ -65,7 +67,7 @@
 	return x, out, next
 }
 
-// before is an exchange with two calls that stand and one that is being set up, as kept.
+// before returns the stored calls of an exchange with two established calls and one in set-up.
 func before(t *testing.T) (*notebook, policy.Tenths, []uint16) {
 	t.Helper()
 	x, out, now := lone(62)
@@ -83,7 +85,7 @@
 		}
 	}
 	if len(kept.calls) != 3 || x.Standing() != 2 {
-		t.Fatalf("%d calls are kept, %d stand", len(kept.calls), x.Standing())
+		t.Fatalf("%d calls are stored, %d established", len(kept.calls), x.Standing())
 	}
 	return kept, now + 100, cics
 }
@@ -92,13 +94,13 @@
 	kept, now, cics := before(t)
 	x, out, next := again(t, now, kept, "1", "1")
 	if x.Standing() != 2 || x.Unagreed() != 2 || out.count(isup.CQM) == 0 || out.count(isup.GRS)+out.count(isup.RSC) == 0 {
-		t.Fatalf("%d stand, %d unagreed, %d queries", x.Standing(), x.Unagreed(), out.count(isup.CQM))
+		t.Fatalf("%d established, %d unconfirmed, %d queries", x.Standing(), x.Unagreed(), out.count(isup.CQM))
 	}
-	for i, m := range out.all { // no circuit that carries a kept call is reset, and the caller who waited is told once
+	for i, m := range out.all { // no circuit of a restored call is reset, and the waiting caller is released once
 		last := m.CIC + uint16(m.Range)
 		for _, cic := range cics[:2] {
 			if (m.Type == isup.GRS || m.Type == isup.RSC) && m.CIC <= cic && cic <= last {
-				t.Fatalf("circuit %d, which carries a call, is reset by %+v", cic, m)
+				t.Fatalf("circuit %d of a restored call is reset by %+v", cic, m)
 			}
 		}
 		if m.Type == isup.REL && (out.to[i].Side != Line || m.CIC != 3 || m.Cause != isup.TemporaryFailure) {
@@ -106,33 +108,33 @@
 		}
 	}
 	if out.count(isup.REL) != 1 || len(next.calls) != 0 {
-		t.Fatalf("%d callers were told; %v is kept anew by the exchange", out.count(isup.REL), next.calls)
+		t.Fatalf("%d callers were released; the exchange stored %v again", out.count(isup.REL), next.calls)
 	}
 	now += 30000
-	// The far end carries the first, and knows nothing of the second.
+	// The neighbour confirms the first call and does not know the second.
 	for n, state := range []byte{isup.IncomingBusy, isup.CircuitIdle} {
 		x.Receive(now, Hop{Side: Ahead}, isup.Message{CIC: cics[n], Type: isup.CQR, States: string([]byte{state})}, 0)
 	}
 	if x.Standing() != 1 || x.Unagreed() != 0 {
-		t.Fatalf("%d stand, %d unagreed", x.Standing(), x.Unagreed())
+		t.Fatalf("%d established, %d unconfirmed", x.Standing(), x.Unagreed())
 	}
 	if state, _, _ := x.groups[0].g.State(cics[1]); state != circuit.Idle {
-		t.Fatalf("the other's circuit is in state %d", state)
+		t.Fatalf("circuit of the second call is in state %d", state)
 	}
 	last := out.all[len(out.all)-1]
-	if last.Type != isup.REL || last.CIC != 2 || out.to[len(out.to)-1].Side != Line { // its caller hears of it
+	if last.Type != isup.REL || last.CIC != 2 || out.to[len(out.to)-1].Side != Line { // its caller is released
 		t.Fatalf("%+v", last)
 	}
 	x.Receive(now+10, Hop{Side: Line, Point: Lines}, isup.Message{CIC: 1, Type: isup.REL, Cause: isup.NormalClearing}, 0)
-	if last = out.all[len(out.all)-1]; x.Standing() != 0 || last.Type != isup.REL || last.CIC != cics[0] { // and the first ends as any call
-		t.Fatalf("%d stand; %+v", x.Standing(), last)
+	if last = out.all[len(out.all)-1]; x.Standing() != 0 || last.Type != isup.REL || last.CIC != cics[0] { // the first call is released as usual
+		t.Fatalf("%d established; %+v", x.Standing(), last)
 	}
 }
 
 func TestAnotherLifeOfASwitchKeepsNothing(t *testing.T) {
 	kept, now, _ := before(t)
 	if x, out, _ := again(t, now, kept, "1", "2"); x.Standing() != 0 || out.count(isup.CQM) > 0 || out.count(isup.REL) != 3 {
-		t.Fatalf("the far switch is another: %d stand, %d queries, %d callers told", x.Standing(), out.count(isup.CQM), out.count(isup.REL))
+		t.Fatalf("neighbour's switch restarted: %d established, %d queries, %d callers released", x.Standing(), out.count(isup.CQM), out.count(isup.REL))
 	}
 	kept, now, _ = before(t)
 	x, out, _ := again(t, now, kept, "2", "1")
@@ -143,7 +145,7 @@
 		}
 	}
 	if x.Standing() != 0 || toLines > 0 {
-		t.Fatalf("the own switch is another: %d stand, %d lines were told", x.Standing(), toLines)
+		t.Fatalf("own switch restarted: %d established, %d lines released", x.Standing(), toLines)
 	}
 }
 
@@ -162,12 +164,12 @@
 			want = isup.OutgoingBusy
 		}
 		if s != want {
-			t.Fatalf("circuit %d is told as %02x", i+1, s)
+			t.Fatalf("circuit %d is reported as %02x", i+1, s)
 		}
 	}
 }
 
-// A release on a circuit that is only part of a multirate call is not that call's.
+// A release that names a multirate call by a circuit other than its lowest must not end the call.
 func TestReleaseOnAnotherCircuitOfAWideCallIsNotItsOwn(t *testing.T) {
 	x, out, now := lone(62)
 	x.Receive(now, Hop{Side: Line, Point: Lines}, isup.Message{CIC: 1, Type: isup.IAM, Width: 3, Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: 1},
@@ -187,6 +189,6 @@
 	}
 	x.Receive(now+20, Hop{Side: Ahead}, isup.Message{CIC: lead, Type: isup.ANM}, 0)
 	if x.Standing() != 1 {
-		t.Fatal("the call does not stand")
+		t.Fatal("the call is not established")
 	}
 }
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -1,6 +1,6 @@
-// Package isup turns messages of the ISDN user part (ITU-T Q.763) into octets and back. It holds no state and does
-// no I/O; what the messages mean to a circuit is Q.764's and stands in internal/circuit. docs/protocol.md lists every
-// octet and every departure.
+// Package isup encodes and decodes messages of the ISDN user part (ITU-T Q.763). It holds no state and does no I/O; the
+// procedures of Q.764 are in internal/circuit. docs/protocol.md lists the octets of each message and all departures from
+// the standard.
 package isup
 
 import (
@@ -12,26 +12,28 @@
 // Type is the message type code (Q.763, table 4).
 type Type uint8
 
+// Message types in use.
 const (
-	IAM Type = 0x01
-	ACM Type = 0x06
-	ANM Type = 0x09
-	REL Type = 0x0c
-	RLC Type = 0x10
-	RSC Type = 0x12
-	BLO Type = 0x13
-	UBL Type = 0x14
-	BLA Type = 0x15
-	UBA Type = 0x16
-	GRS Type = 0x17
-	GRA Type = 0x29
-	CQM Type = 0x2a
-	CQR Type = 0x2b
+	IAM Type = 0x01 // initial address
+	ACM Type = 0x06 // address complete
+	ANM Type = 0x09 // answer
+	REL Type = 0x0c // release
+	RLC Type = 0x10 // release complete
+	RSC Type = 0x12 // reset circuit
+	BLO Type = 0x13 // blocking
+	UBL Type = 0x14 // unblocking
+	BLA Type = 0x15 // blocking acknowledgement
+	UBA Type = 0x16 // unblocking acknowledgement
+	GRS Type = 0x17 // circuit group reset
+	GRA Type = 0x29 // circuit group reset acknowledgement
+	CQM Type = 0x2a // circuit group query
+	CQR Type = 0x2b // circuit group query response
 )
 
 var typeNames = map[Type]string{IAM: "IAM", ACM: "ACM", ANM: "ANM", REL: "REL", RLC: "RLC", RSC: "RSC", BLO: "BLO",
 	UBL: "UBL", BLA: "BLA", UBA: "UBA", GRS: "GRS", GRA: "GRA", CQM: "CQM", CQR: "CQR"}
 
+// String returns the acronym of the message type.
 func (t Type) String() string {
 	if n, ok := typeNames[t]; ok {
 		return n
@@ -42,10 +44,11 @@
 // Cause is a Q.850 cause value.
 type Cause uint8
 
+// Cause values in use.
 const (
 	NormalClearing    Cause = 16
 	UserBusy          Cause = 17
-	NoAnswer          Cause = 19 // the called user does not answer
+	NoAnswer          Cause = 19 // no answer from the called user
 	OutOfOrder        Cause = 27 // destination out of order
 	NormalUnspecified Cause = 31
 	NoCircuit         Cause = 34
@@ -55,9 +58,10 @@
 	TimerExpiry       Cause = 102
 )
 
-// Location tells who made a cause (Q.850, table 2).
+// Location is the place where a cause was generated (Q.850, table 2).
 type Location uint8
 
+// Locations in use.
 const (
 	User         Location = 0
 	LocalNetwork Location = 2
@@ -68,11 +72,11 @@
 const (
 	// CICMost is the highest circuit identification code (12 bits, Q.763 1.2).
 	CICMost = 1<<12 - 1
-	// PerMultiplex counts the circuits of one 2048 kbit/s system: time slots 1 to 31 of CIC 32*m to 32*m+31.
+	// PerMultiplex is the number of circuits of a 2048 kbit/s system: time slots 1 to 31 of CIC 32*m to 32*m+31.
 	PerMultiplex = 31
-	// DigitsMost is the longest called number taken.
+	// DigitsMost is the greatest number of digits of a called or calling number.
 	DigitsMost = 24
-	// WidthMost is the widest multirate call: 30 x 64 kbit/s.
+	// WidthMost is the greatest width of a multirate call: 30 x 64 kbit/s.
 	WidthMost = 30
 
 	paramReference = 0x01
@@ -84,47 +88,49 @@
 	mapOf2048 = 1
 )
 
-// Reference names a call over the whole network: who took it first, and that exchange's number for it.
+// Reference identifies a call in the whole network: the originating exchange, and its identity there.
 type Reference struct {
-	Point    uint16 // point code of the exchange where the call began
+	Point    uint16 // point code of the originating exchange
 	Identity uint32 // 24 bits
 }
 
-// Message is one ISUP message. What its type does not carry is zero.
+// Message is one ISUP message. Fields that its type does not carry are zero.
 type Message struct {
 	CIC      uint16
 	Type     Type
 	Digits   string    // called party number (IAM)
-	Caller   string    // calling party number, "" when not told (IAM)
+	Caller   string    // calling party number, "" if not given (IAM)
 	Width    int       // N of N x 64 kbit/s (IAM)
 	Slots    uint32    // bit t-1 set: time slot t of the multiplex is part of a multirate call (IAM)
-	Hops     uint8     // exchanges that the call may still cross (IAM)
+	Hops     uint8     // hop counter: exchanges that the call may still cross (IAM)
 	Ref      Reference // IAM
 	Cause    Cause     // REL
 	Location Location  // REL
-	Range    uint8     // circuits after CIC that a group message is about (GRS, GRA, CQM, CQR)
-	States   string    // circuit state indicators of the Range+1 circuits, an octet each (CQR; Q.763, 3.14)
-	Says     Says      // user-to-user information: what deployments need and ISUP has no field for
+	Range    uint8     // number of circuits after CIC that a group message covers (GRS, GRA, CQM, CQR)
+	States   string    // circuit state indicators of the Range+1 circuits, one octet each (CQR; Q.763, 3.14)
+	Says     Says      // user-to-user information, for data that ISUP has no parameter for
 }
 
-// Circuit states that a CQR tells of (Q.763, 3.14): bits D and C the call processing state, B and A the blocking state.
+// Circuit state indicators of a CQR (Q.763, 3.14). Bits D and C hold the call processing state, bits B and A the blocking
+// state.
 const (
-	Transient    = 0x00 // a release or reset is under way
+	Transient    = 0x00 // release or reset in progress
 	Unequipped   = 0x03
 	IncomingBusy = 0x04
 	OutgoingBusy = 0x08
 	CircuitIdle  = 0x0c
-	Processing   = 0x0c // the bits that tell which of the three
+	Processing   = 0x0c // mask of the call processing state
 )
 
-// ErrMessage is wrapped by every error about a malformed message.
+// ErrMessage is wrapped by all errors about malformed messages.
 var ErrMessage = errors.New("malformed ISUP message")
 
+// bad returns an error that wraps ErrMessage.
 func bad(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMessage}, args...)...)
 }
 
-// requirement is the transmission medium requirement for N x 64 kbit/s (Q.763, 3.54).
+// requirement returns the transmission medium requirement for n x 64 kbit/s (Q.763, 3.54).
 func requirement(n int) (byte, bool) {
 	switch {
 	case n == 1:
@@ -143,6 +149,7 @@
 	return 0, false
 }
 
+// widthOf returns the number of 64 kbit/s channels for a transmission medium requirement.
 func widthOf(requirement byte) (int, bool) {
 	switch r := int(requirement); {
 	case r == 0 || r == 2 || r == 3:
@@ -161,11 +168,11 @@
 	return 0, false
 }
 
-// Append adds the octets of m to buf.
+// Append appends the encoding of m to buf.
 func Append(buf []byte, m Message) ([]byte, error) {
 	at := len(buf)
 	if m.CIC > CICMost {
-		return buf, bad("circuit %d, %d at most", m.CIC, CICMost)
+		return buf, bad("circuit %d is above the maximum %d", m.CIC, CICMost)
 	}
 	buf = binary.LittleEndian.AppendUint16(buf, m.CIC)
 	buf = append(buf, byte(m.Type))
@@ -173,21 +180,21 @@
 	case IAM:
 		medium, ok := requirement(m.Width)
 		if !ok {
-			return buf[:at], bad("width %d", m.Width)
+			return buf[:at], bad("unsupported width %d", m.Width)
 		}
 		if len(m.Digits) == 0 || len(m.Digits) > DigitsMost {
-			return buf[:at], bad("called number of %d digits, 1 to %d", len(m.Digits), DigitsMost)
+			return buf[:at], bad("called number of %d digits, must have 1 to %d", len(m.Digits), DigitsMost)
 		}
-		// nature of connection; forward call indicators: ISUP all the way; ordinary subscriber; medium; pointers
+		// nature of connection; forward call indicators (ISUP all the way); ordinary subscriber; medium; pointers
 		buf = append(buf, 0, 0x60, 0x01, 10, medium, 2, 0)
 		pointer := len(buf) - 1
 		if buf, ok = appendNumber(buf, m.Digits, 0x10); !ok { // E.164 plan
-			return buf[:at], bad("called number %q", m.Digits)
+			return buf[:at], bad("invalid called number %q", m.Digits)
 		}
 		buf[pointer] = byte(len(buf) - pointer)
 		if m.Caller != "" {
 			if buf, ok = appendNumber(append(buf, paramCaller), m.Caller, 0x13); !ok || len(m.Caller) > DigitsMost { // presented, network provided
-				return buf[:at], bad("calling number %q", m.Caller)
+				return buf[:at], bad("invalid calling number %q", m.Caller)
 			}
 		}
 		if m.Ref != (Reference{}) {
@@ -235,7 +242,7 @@
 	return buf, nil
 }
 
-// optional ends a message whose last octet is the pointer to its optional part.
+// optional appends the optional part of a message whose last octet is the pointer to it.
 func optional(buf []byte, m Message) []byte {
 	if !m.Says.any() {
 		return buf
@@ -244,7 +251,7 @@
 	return append(m.Says.appendTo(buf), 0)
 }
 
-// appendNumber adds the length and the octets of a national number; false when a sign is no address signal.
+// appendNumber appends the length and the octets of a national number; false if a character is no address signal.
 func appendNumber(buf []byte, digits string, plan byte) ([]byte, bool) {
 	odd := byte(len(digits)%2) << 7
 	buf = append(buf, byte(2+(len(digits)+1)/2), odd|3, plan)
@@ -263,6 +270,7 @@
 	return buf, true
 }
 
+// digit returns the address signal for a character.
 func digit(c byte) (byte, bool) {
 	switch {
 	case c >= '0' && c <= '9':
@@ -275,14 +283,14 @@
 	return 0, false
 }
 
-// Decode reads one message. What it does not know among the optional parameters is passed over.
+// Decode decodes one message. Unknown optional parameters are ignored.
 func Decode(b []byte) (Message, error) {
 	if len(b) < 3 {
-		return Message{}, bad("%d octets", len(b))
+		return Message{}, bad("message of %d octets", len(b))
 	}
 	m := Message{CIC: binary.LittleEndian.Uint16(b), Type: Type(b[2])}
 	if m.CIC > CICMost {
-		return m, bad("circuit code %04x", m.CIC)
+		return m, bad("circuit identification code %04x", m.CIC)
 	}
 	b = b[3:]
 	switch m.Type {
@@ -292,7 +300,7 @@
 		}
 		var ok bool
 		if m.Width, ok = widthOf(b[4]); !ok {
-			return m, bad("transmission medium requirement %d", b[4])
+			return m, bad("unknown transmission medium requirement %d", b[4])
 		}
 		number, err := variable(b, 5, "called party number")
 		if err != nil {
@@ -318,7 +326,7 @@
 			return m, err
 		}
 		if len(cause) < 2 || cause[0]&0x80 == 0 {
-			return m, bad("cause indicators % x", cause)
+			return m, bad("invalid cause indicators % x", cause)
 		}
 		m.Location, m.Cause = Location(cause[0]&15), Cause(cause[1]&0x7f)
 		if len(b) < 2 {
@@ -331,7 +339,7 @@
 			return m, err
 		}
 		if len(status) == 0 || status[0] == 0 || status[0] >= 32 {
-			return m, bad("range % x", status)
+			return m, bad("invalid range and status % x", status)
 		}
 		m.Range = status[0]
 		if m.Type == GRA && len(status) != 2+int(m.Range)/8 {
@@ -344,7 +352,7 @@
 			return m, err
 		}
 		if len(status) != 1 || status[0] >= 32 {
-			return m, bad("range % x", status)
+			return m, bad("invalid range and status % x", status)
 		}
 		if m.Range = status[0]; m.Type == CQM {
 			return m, nil
@@ -364,21 +372,22 @@
 	return m, bad("%v is not known", m.Type)
 }
 
-// variable is the mandatory variable parameter whose pointer stands at b[at].
+// variable returns the mandatory variable parameter whose pointer is at b[at].
 func variable(b []byte, at int, what string) ([]byte, error) {
 	if at >= len(b) {
 		return nil, bad("no pointer to the %s", what)
 	}
 	start := at + int(b[at])
 	if b[at] == 0 || start >= len(b) || start+1+int(b[start]) > len(b) {
-		return nil, bad("the %s reaches past the end", what)
+		return nil, bad("%s exceeds the message", what)
 	}
 	return b[start+1 : start+1+int(b[start])], nil
 }
 
+// digits decodes the digits of a called or calling party number.
 func digits(b []byte) (string, error) {
 	if len(b) < 3 || len(b) > 2+(DigitsMost+1)/2 {
-		return "", bad("called party number of %d octets", len(b))
+		return "", bad("party number of %d octets", len(b))
 	}
 	out := make([]byte, 0, DigitsMost)
 	for i, pair := range b[2:] {
@@ -394,27 +403,27 @@
 		case d == 11 || d == 12:
 			out[i] = 'B' + d - 11
 		default:
-			return "", bad("address signal %d", d)
+			return "", bad("unknown address signal %d", d)
 		}
 	}
 	return string(out), nil
 }
 
-// options reads the optional part, whose pointer stands at b[at]. A parameter that the message's type does not carry is
-// passed over like an unknown one: it could not be passed on.
+// options decodes the optional part, whose pointer is at b[at]. A parameter that the message type does not carry is
+// ignored like an unknown one, as Append could not write it again.
 func (m *Message) options(b []byte, at int) error {
 	if b[at] == 0 {
 		return nil
 	}
 	for i := at + int(b[at]); ; {
 		if i >= len(b) {
-			return bad("the optional part has no end")
+			return bad("optional part without an end octet")
 		}
 		if b[i] == 0 {
 			return nil
 		}
 		if i+2 > len(b) || i+2+int(b[i+1]) > len(b) {
-			return bad("optional parameter %02x reaches past the end", b[i])
+			return bad("optional parameter %02x exceeds the message", b[i])
 		}
 		name, value := b[i], b[i+2:i+2+int(b[i+1])]
 		i += 2 + len(value)
@@ -435,7 +444,7 @@
 			}
 		case paramMap:
 			if len(value) != 5 || value[0]&0x3f != mapOf2048 {
-				return bad("circuit assignment map % x", value)
+				return bad("unsupported circuit assignment map % x", value)
 			}
 			m.Slots = binary.LittleEndian.Uint32(value[1:]) & (1<<PerMultiplex - 1)
 		case paramHops:
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -11,6 +11,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
+// anyMessage draws a valid message.
 func anyMessage(t *rapid.T) Message {
 	types := []Type{IAM, ACM, ANM, REL, RLC, RSC, BLO, UBL, BLA, UBA, GRS, GRA, CQM, CQR}
 	m := Message{CIC: rapid.Uint16Max(CICMost).Draw(t, "cic"), Type: rapid.SampledFrom(types).Draw(t, "type")}
@@ -67,17 +68,17 @@
 		}
 		got, err := Decode(b)
 		if err != nil || got != m {
-			t.Fatalf("read back %+v, %v; wrote %+v", got, err, m)
+			t.Fatalf("decoded %+v, %v; encoded %+v", got, err, m)
 		}
 		for n := range b {
 			if short, err := Decode(b[:n]); err == nil && short == m {
-				t.Fatalf("%v cut to %d of %d octets reads as the whole", m.Type, n, len(b))
+				t.Fatalf("%v truncated to %d of %d octets decodes as the whole message", m.Type, n, len(b))
 			}
 		}
 	})
 }
 
-// The octets of an IAM and a REL as the tables of Q.763 lay them out.
+// Encodings of some messages, laid out by hand from the tables of Q.763.
 func TestOctets(t *testing.T) {
 	for _, c := range []struct {
 		m    Message
@@ -105,6 +106,7 @@
 	}
 }
 
+// corpus returns encoded messages for the tests with damaged input.
 func corpus() (all [][]byte) {
 	for _, m := range []Message{{CIC: 1, Type: IAM, Digits: "0031234", Width: 3, Slots: 7, Hops: 3, Ref: Reference{2, 77},
 		Says: Says{Has: PartLeft | PartCall, Left: 30000}}, {CIC: 9, Type: REL, Cause: Congestion, Says: Says{Has: PartLoad}},
@@ -118,8 +120,8 @@
 // anotherTypes is a REL with the calling number of an IAM among its optional parts.
 var anotherTypes = []byte("\x05\x00\x0c\x02\x04\x02\x86\xb0\x0a\x07\x03\x13\x35\x35\x03\x00\x00\x00")
 
-// What a type does not carry was once read all the same, and lost when the message was passed on: a fuzz found a REL that
-// told a calling number.
+// Parameters that a message type does not carry are ignored. A fuzz test found a REL with a calling number that was
+// decoded and then lost when the message was encoded again.
 func TestPartsThatATypeDoesNotCarryArePassedOver(t *testing.T) {
 	want := Message{CIC: 5, Type: REL, Cause: 48, Location: 6}
 	if m, err := Decode(anotherTypes); err != nil || m != want {
@@ -127,20 +129,21 @@
 	}
 }
 
+// readsBack fails the test if an accepted message changes when it is encoded and decoded again.
 func readsBack(t *testing.T, b []byte) {
 	m, err := Decode(b)
 	if err != nil {
 		if !errors.Is(err, ErrMessage) {
-			t.Fatalf("error of another kind: %v", err)
+			t.Fatalf("error does not wrap ErrMessage: %v", err)
 		}
 		return
 	}
 	again, err := Append(nil, m)
 	if err != nil {
-		t.Fatalf("%+v was read but cannot be written: %v", m, err)
+		t.Fatalf("%+v was decoded but cannot be encoded: %v", m, err)
 	}
 	if back, err := Decode(again); err != nil || back != m {
-		t.Fatalf("%+v reads back as %+v, %v", m, back, err)
+		t.Fatalf("%+v decodes again as %+v, %v", m, back, err)
 	}
 }
 
--- a/internal/isup/says.go
+++ b/internal/isup/says.go
@@ -2,25 +2,26 @@
 
 import "encoding/binary"
 
-// Says is what rides in user-to-user information (Q.763, 3.60). Spans are in tenths of a millisecond. A part that was
-// not told has its Has bit clear.
+// Says is the content of the user-to-user information parameter (Q.763, 3.60). Durations are in tenths of a millisecond.
+// Has holds a bit for each part that is present.
 type Says struct {
 	Has      Part
-	Left     uint32 // until the caller gives up, counted from Stamp
-	Stamp    uint32 // the sender's own clock when it wrote this; only differences mean something
-	Wait     uint32 // wait at the processor
-	HoldBack uint16 // share of new set-ups asked to be held back, in thousandths
-	ComeBack uint32 // the caller should not dial again before
-	Bearer   uint8  // row of the operator's bearer types
-	Marks    uint8  // Redial, CutBefore, Donor
-	Dest     uint16 // exchange that the call's table found, where it began
-	Table    uint64 // and the version of that table
-	Session  string // where the sender's side of the call takes media (SDP, RFC 4566), for gateways at both ends
+	Left     uint32 // time left until the caller abandons the call, from Stamp on
+	Stamp    uint32 // sender's clock at sending; only differences are meaningful
+	Wait     uint32 // waiting time at the processor
+	HoldBack uint16 // requested admission hold-back: share of new set-ups, in thousandths
+	ComeBack uint32 // time for which the caller should not redial
+	Bearer   uint8  // index of the bearer type in the operator's configuration
+	Marks    uint8  // Redial, CutBefore, Donor, Yielded
+	Dest     uint16 // destination exchange, as found by the originating exchange
+	Table    uint64 // version of the number table that it was found with
+	Session  string // session description of the sender's side (SDP, RFC 4566), for calls between gateways
 }
 
-// Part names a part of Says.
+// Part is a set of parts of Says, one bit each.
 type Part uint8
 
+// Parts of Says.
 const (
 	PartLeft Part = 1 << iota
 	PartLoad
@@ -30,12 +31,12 @@
 	PartSession
 )
 
-// Marks of a call.
+// Bits of Marks.
 const (
-	Redial    = 1 // the caller was turned away before
-	CutBefore = 2 // it stood, was cut and comes again
-	Donor     = 4 // portability could not be asked in time: it goes by the donor's route
-	Yielded   = 8 // REL, RLC: the call that ends took a circuit from one of the sender's, which may still lie unread
+	Redial    = 1 // the caller was refused before and redials
+	CutBefore = 2 // the call was established, was disconnected and is placed again
+	Donor     = 4 // routed by the donor exchange, as portability was not known in time
+	Yielded   = 8 // REL, RLC: the ending call won a dual seizure against a call of the sender, whose set-up may still be unread
 )
 
 const (
@@ -48,13 +49,15 @@
 	elementRoute    = 5
 	elementSession  = 6
 
-	// SessionMost is the longest session description that rides along: an octet counts the whole of the information, and the
-	// other parts take up to 41.
+	// SessionMost is the greatest length of a session description. The length of the whole parameter is one octet, and the
+	// other parts take up to 41 octets.
 	SessionMost = 200
 )
 
+// any reports whether any part is present.
 func (s Says) any() bool { return s.Has != 0 }
 
+// appendTo appends the user-to-user information parameter to buf, if any part is present.
 func (s Says) appendTo(buf []byte) []byte {
 	if s.Has == 0 {
 		return buf
@@ -83,14 +86,14 @@
 		buf = binary.BigEndian.AppendUint16(buf, s.Dest)
 		buf = binary.BigEndian.AppendUint64(buf, s.Table)
 	}
-	if s.Has&PartSession != 0 && len(s.Session) <= SessionMost { // a longer one is left out: the far side falls back on its own
+	if s.Has&PartSession != 0 && len(s.Session) <= SessionMost { // a longer one is left out; the receiver then uses its own default
 		buf = append(append(buf, elementSession, byte(len(s.Session))), s.Session...)
 	}
 	buf[size] = byte(len(buf) - size - 1)
 	return buf
 }
 
-// read takes the octets of the parameter. Another protocol's information is not ours and is passed over whole.
+// read decodes the parameter value. Information with another protocol discriminator is ignored.
 func (s *Says) read(b []byte) error {
 	if len(b) == 0 {
 		return bad("user-to-user information without a discriminator")
@@ -100,7 +103,7 @@
 	}
 	for b = b[1:]; len(b) > 0; {
 		if len(b) < 2 || len(b) < 2+int(b[1]) {
-			return bad("user-to-user element reaches past the end")
+			return bad("user-to-user element exceeds the parameter")
 		}
 		v := b[2 : 2+int(b[1])]
 		switch name := b[0]; {
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -1,6 +1,5 @@
-// Package m3ua frames signalling messages as RFC 4666 has it: the common header, DATA, and of the maintenance
-// messages those a link needs to come up and to be known alive. It does no I/O of its own beyond the Reader and
-// Writer handed to it, and never looks into the ISUP message that DATA carries.
+// Package m3ua encodes and decodes M3UA messages (RFC 4666): DATA, and the maintenance messages that a link needs for
+// start-up and keepalive. It does not interpret the ISUP message that DATA carries.
 package m3ua
 
 import (
@@ -10,21 +9,22 @@
 	"io"
 )
 
-// Kind is message class and type in one number, class first (RFC 4666, 3.1.1 and 3.1.2).
+// Kind is the message class and type, with the class in the high octet (RFC 4666, 3.1.1 and 3.1.2).
 type Kind uint16
 
+// Message kinds in use.
 const (
-	Data    Kind = 0x0101
+	Data    Kind = 0x0101 // DATA
 	Up      Kind = 0x0301 // ASPUP
 	Down    Kind = 0x0302 // ASPDN
-	Beat    Kind = 0x0303
-	UpAck   Kind = 0x0304
-	BeatAck Kind = 0x0306
+	Beat    Kind = 0x0303 // BEAT
+	UpAck   Kind = 0x0304 // ASPUP ACK
+	BeatAck Kind = 0x0306 // BEAT ACK
 )
 
 const (
 	headerSize = 8
-	// FrameMost is the longest frame taken, in octets; a longer one is refused before any memory is given to it.
+	// FrameMost is the largest frame accepted, in octets. A longer frame is rejected before memory is allocated for it.
 	FrameMost = 4096
 
 	tagInfo      = 0x0004
@@ -37,25 +37,26 @@
 	labelSize       = 12
 )
 
-// Frame is one message of a link. What a kind does not carry is zero.
+// Frame is one M3UA message. Fields that its kind does not carry are zero.
 type Frame struct {
 	Kind Kind
-	ASP  uint32 // who speaks: the point code of the exchange (Up, UpAck)
-	Info string // on UpAck: which life of the switch this is
+	ASP  uint32 // ASP identifier: the point code of the sender (Up, UpAck)
+	Info string // process lifetime of the switch (UpAck)
 	From uint32 // originating point code (Data)
 	To   uint32 // destination point code (Data)
 	SLS  uint8
 	User []byte // the ISUP message (Data), the heartbeat's data (Beat, BeatAck)
 }
 
-// ErrFrame is wrapped by every error about a malformed frame.
+// ErrFrame is wrapped by all errors about malformed frames.
 var ErrFrame = errors.New("malformed M3UA frame")
 
+// bad returns an error that wraps ErrFrame.
 func bad(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrFrame}, args...)...)
 }
 
-// Append adds the octets of f to buf.
+// Append appends the encoding of f to buf.
 func Append(buf []byte, f Frame) ([]byte, error) {
 	at := len(buf)
 	buf = append(buf, 1, 0, byte(f.Kind>>8), byte(f.Kind), 0, 0, 0, 0)
@@ -82,18 +83,20 @@
 	}
 	size := len(buf) - at
 	if size > FrameMost {
-		return buf[:at], bad("%d octets to send, %d at most", size, FrameMost)
+		return buf[:at], bad("frame of %d octets is longer than %d", size, FrameMost)
 	}
 	binary.BigEndian.PutUint32(buf[at+4:], uint32(size))
 	return buf, nil
 }
 
+// appendText appends a parameter of variable length.
 func appendText(buf []byte, tag uint16, text []byte) []byte {
 	buf = binary.BigEndian.AppendUint16(buf, tag)
 	buf = binary.BigEndian.AppendUint16(buf, uint16(4+len(text)))
 	return pad(append(buf, text...), len(text))
 }
 
+// pad fills a parameter value of n octets up to a multiple of four.
 func pad(buf []byte, n int) []byte {
 	for ; n%4 != 0; n++ {
 		buf = append(buf, 0)
@@ -101,15 +104,16 @@
 	return buf
 }
 
-// Read takes one frame. The User octets are valid until the next Read with the same scratch buffer.
+// Read reads one frame, using scratch as its buffer if it is large enough, and returns the buffer for the next call. The
+// User octets are valid until the next Read with the same buffer.
 func Read(r io.Reader, scratch []byte) (Frame, []byte, error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return Frame{}, scratch, fmt.Errorf("frame header: %w", err)
+		return Frame{}, scratch, fmt.Errorf("read frame header: %w", err)
 	}
 	size := binary.BigEndian.Uint32(head[4:])
 	if head[0] != 1 || size < headerSize || size > FrameMost || size%4 != 0 {
-		return Frame{}, scratch, bad("version %d, length %d", head[0], size)
+		return Frame{}, scratch, bad("unsupported version %d or invalid length %d", head[0], size)
 	}
 	n := int(size) - headerSize
 	if cap(scratch) < n {
@@ -117,22 +121,22 @@
 	}
 	scratch = scratch[:n]
 	if _, err := io.ReadFull(r, scratch); err != nil {
-		return Frame{}, scratch, fmt.Errorf("frame body of %d octets: %w", n, err)
+		return Frame{}, scratch, fmt.Errorf("read frame body of %d octets: %w", n, err)
 	}
 	f, err := Decode(Kind(head[2])<<8|Kind(head[3]), scratch)
 	return f, scratch, err
 }
 
-// Decode takes the parameters of a frame; unknown ones are passed over, as RFC 4666 asks.
+// Decode decodes the parameters of a frame. Unknown parameters are ignored, as RFC 4666 requires.
 func Decode(kind Kind, body []byte) (Frame, error) {
 	f := Frame{Kind: kind}
 	for at := 0; at < len(body); {
 		if len(body)-at < 4 {
-			return f, bad("%d octets after the last parameter", len(body)-at)
+			return f, bad("%d trailing octets after the last parameter", len(body)-at)
 		}
 		tag, size := binary.BigEndian.Uint16(body[at:]), int(binary.BigEndian.Uint16(body[at+2:]))
 		if size < 4 || at+size > len(body) {
-			return f, bad("parameter %04x of %d octets at %d reaches past the end", tag, size, at)
+			return f, bad("parameter %04x of %d octets at offset %d exceeds the frame", tag, size, at)
 		}
 		value := body[at+4 : at+size]
 		switch tag {
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -35,7 +35,7 @@
 	if _, _, err := Read(r, scratch); !errors.Is(err, io.EOF) {
 		t.Fatalf("at the end: %v", err)
 	}
-	for n := range stream { // a stream that breaks off anywhere ends with an error, never a frame too many
+	for n := range stream { // a truncated stream must end with an error, never with an extra frame
 		r, whole := bytes.NewReader(stream[:n]), 0
 		for {
 			if _, _, err := Read(r, nil); err != nil {
@@ -58,6 +58,7 @@
 	}
 }
 
+// corpus returns encoded frames for the tests with damaged input.
 func corpus() (all [][]byte) {
 	for _, s := range samples {
 		b, _ := Append(nil, s)
@@ -66,6 +67,7 @@
 	return all
 }
 
+// staysSmall fails the test if a frame with too much user data is accepted.
 func staysSmall(t *testing.T, b []byte) {
 	got, _, err := Read(bytes.NewReader(b), nil)
 	if err == nil && got.Kind == Data && len(got.User) > FrameMost {
