--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -347,7 +347,7 @@
 // follows.
 func (a *Agent) Hear(point, cic uint16, m isup.Message) bool {
 	p := place{point, cic}
-	if point >= exchange.AtGateways && point < exchange.CalledFrom {
+	if point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint {
 		a.queue = append(a.queue, told{p, m})
 		return true
 	}
@@ -373,7 +373,7 @@
 // Takes tells whether a circuit of a block of lines is a call at one of its lines.
 func (a *Agent) Takes(point, cic uint16) bool {
 	_, ours := a.taken[place{point, cic}]
-	return ours || point >= exchange.AtGateways && point < exchange.CalledFrom
+	return ours || point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint
 }
 
 // Settle does what follows from what the exchange sent.
@@ -393,7 +393,7 @@
 		a.queue = a.queue[1:]
 		i, toLine := a.taken[t.hop]
 		if !toLine {
-			i = int(t.hop.point-exchange.AtGateways)<<12 + int(t.hop.cic)
+			i = int(t.hop.point-exchange.FirstGatewayPoint)<<12 + int(t.hop.cic)
 		}
 		if i >= len(a.lines) {
 			continue
@@ -430,12 +430,12 @@
 	a.out.Offer(hop.point, hop.cic, m)
 }
 
-func (a *Agent) pointOf(i int) uint16 { return exchange.AtGateways + uint16(i>>12) }
-func (a *Agent) cicOf(i int) uint16   { return uint16(i & isup.CICMost) }
+func (a *Agent) pointOf(i int) uint16 { return exchange.FirstGatewayPoint + uint16(i>>12) }
+func (a *Agent) cicOf(i int) uint16   { return uint16(i & isup.MaxCIC) }
 
 func (a *Agent) numberOf(i int) string {
 	g := &a.gws[a.lines[i].gw]
-	return exchange.Called(a.site.Own, uint32(g.FirstLine+i-g.first))
+	return exchange.LineNumber(a.site.Own, uint32(g.FirstLine+i-g.first))
 }
 
 // endpoint is the name of a line; find the line of a name, -1 for all of a gateway's, and whether there is such a one.
--- a/internal/callagent/callagent_test.go
+++ b/internal/callagent/callagent_test.go
@@ -332,13 +332,13 @@
 			case 4, 5: // the exchange ends, or answers, a call
 				for i := range r.a.lines {
 					k := r.a.lines[i].talk
-					if k == nil || r.calls[k.hop] == "" || k.hop.point < exchange.CalledFrom && r.a.lines[i].state == Opening {
+					if k == nil || r.calls[k.hop] == "" || k.hop.point < exchange.FirstCalledPoint && r.a.lines[i].state == Opening {
 						continue
 					}
 					hop := k.hop
-					if what == 4 && r.calls[hop] == "asked" && hop.point < exchange.CalledFrom {
+					if what == 4 && r.calls[hop] == "asked" && hop.point < exchange.FirstCalledPoint {
 						r.calls[hop] = "stands"
-						r.fromExchange(hop, isup.Message{Type: isup.ANM, Says: isup.Says{Has: isup.PartSession, Session: session}})
+						r.fromExchange(hop, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: session}})
 					} else if what == 5 {
 						delete(r.calls, hop)
 						r.ended++
@@ -348,10 +348,10 @@
 				}
 			case 6: // a call for a phone
 				incoming++
-				hop := place{exchange.CalledFrom, incoming}
+				hop := place{exchange.FirstCalledPoint, incoming}
 				r.calls[hop] = "ringing"
 				r.began++
-				r.fromExchange(hop, isup.Message{Type: isup.IAM, Digits: exchange.Called(4, uint32(10*gw+n)), Says: isup.Says{Has: isup.PartLeft, Left: 50000}})
+				r.fromExchange(hop, isup.Message{Type: isup.IAM, Digits: exchange.LineNumber(4, uint32(10*gw+n)), UserInfo: isup.UserInfo{Present: isup.PartTimeLeft, TimeLeft: 50000}})
 			case 7: // a gateway starts anew
 				for i := range r.phones[gw] {
 					r.phones[gw][i] = phone{conns: map[string]bool{}, off: r.phones[gw][i].off}
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -165,22 +165,22 @@
 	if l.last == numberDigest(k.digits) { // it was turned away or cut, and comes again
 		marks = l.lastMark
 	}
-	l.last, l.lastMark = numberDigest(k.digits), isup.Redial
+	l.last, l.lastMark = numberDigest(k.digits), isup.FlagRedial
 	a.identity = (a.identity + 1) & identityMost
-	says := isup.Says{Has: isup.PartLeft | isup.PartCall | isup.PartSession, Left: uint32(max(1, k.leaves-a.now)), Bearer: uint8(g.Bearer),
-		Marks: marks, Session: k.local}
+	says := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall | isup.PartSession, TimeLeft: uint32(max(1, k.leaves-a.now)), Bearer: uint8(g.Bearer),
+		Flags: marks, Session: k.local}
 	l.guard = k.leaves + policy.Tenths(lateAnswer)
 	a.at(l.guard, dueLine, i)
 	a.toExchange(k.hop, isup.Message{Type: isup.IAM, Digits: k.digits, Caller: a.numberOf(i), Width: g.Width,
-		Ref: isup.Reference{Point: a.site.Point, Identity: a.identity | identityFirst}, Says: says})
+		Ref: isup.Reference{Point: a.site.Point, Identity: a.identity | identityFirst}, UserInfo: says})
 }
 
 // through joins caller and called: the call stands.
 func (a *Agent) through(i int, in input) {
 	l := &a.lines[i]
 	a.Counts.Stood++
-	l.last, l.lastMark = numberDigest(l.talk.digits), isup.CutBefore
-	l.talk.remote = a.sessionOf(in.m.Says, l.talk.hop)
+	l.last, l.lastMark = numberDigest(l.talk.digits), isup.FlagDisconnectedBefore
+	l.talk.remote = a.sessionOf(in.m.UserInfo, l.talk.hop)
 	a.wish(i, HearHang, gateways.Silence, Both, 0)
 }
 
@@ -235,10 +235,10 @@
 // take has a phone ring: its connection, the ring and the caller's ring-back go out as one command.
 func (a *Agent) take(i int, in input) {
 	a.nextCall++
-	if in.m.Says.Has&isup.PartLeft != 0 {
-		a.lines[i].by = a.now + policy.Tenths(in.m.Says.Left)
+	if in.m.UserInfo.Present&isup.PartTimeLeft != 0 {
+		a.lines[i].by = a.now + policy.Tenths(in.m.UserInfo.TimeLeft)
 	}
-	a.lines[i].talk = &talk{call: a.nextCall, hop: in.hop, remote: a.sessionOf(in.m.Says, in.hop)}
+	a.lines[i].talk = &talk{call: a.nextCall, hop: in.hop, remote: a.sessionOf(in.m.UserInfo, in.hop)}
 	a.Counts.Rung++
 	a.wish(i, HearLift, gateways.Ring, Both, 0)
 }
@@ -249,7 +249,7 @@
 	l := &a.lines[i]
 	l.guard = a.now + a.site.RingMost
 	a.at(l.guard, dueLine, i)
-	a.toExchange(l.talk.hop, isup.Message{Type: isup.ANM, Says: isup.Says{Has: isup.PartSession, Session: l.talk.local}})
+	a.toExchange(l.talk.hop, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: l.talk.local}})
 }
 
 func (a *Agent) unable(i int, in input) { a.release(i, isup.TemporaryFailure); a.rest(i, in) }
--- a/internal/callagent/session.go
+++ b/internal/callagent/session.go
@@ -28,7 +28,7 @@
 		if m.MediaName.Media != "audio" || m.MediaName.Port.Value == 0 || c == nil || c.Address == nil {
 			continue
 		}
-		if len(text) <= isup.SessionMost {
+		if len(text) <= isup.MaxSessionSize {
 			return string(text), nil
 		}
 		return ownSession(c.Address.Address, m.MediaName.Port.Value), nil
--- a/internal/callagent/wish.go
+++ b/internal/callagent/wish.go
@@ -437,8 +437,8 @@
 }
 
 // sessionOf is where the other side of a call takes media: as it told, or the own switch where it told nothing.
-func (a *Agent) sessionOf(s isup.Says, hop place) string {
-	if s.Has&isup.PartSession != 0 && s.Session != "" {
+func (a *Agent) sessionOf(s isup.UserInfo, hop place) string {
+	if s.Present&isup.PartSession != 0 && s.Session != "" {
 		if _, err := readSession([]byte(s.Session)); err == nil {
 			return s.Session
 		}
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -13,152 +13,152 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-// end simulates one exchange of a pair: its group, its calls and its outgoing messages.
-type end struct {
-	g     *Group
-	out   map[uint32]Bundle // own calls
-	in    map[uint32]Bundle // calls of the other exchange
-	lost  int               // number of calls that yielded their circuits
-	sends []isup.Message    // in transit to the other exchange; Ref.Identity holds the call
+// neighbour simulates one exchange of a pair: its group, its calls and its outgoing messages.
+type neighbour struct {
+	group    *Group
+	outgoing map[uint32]Assignment // own calls
+	incoming map[uint32]Assignment // calls of the other exchange
+	yielded  int                   // number of calls that yielded their circuits
+	sent     []isup.Message        // in transit to the other exchange; Ref.Identity holds the call
 }
 
-func newEnd(own, peer uint16, size int) *end {
-	return &end{g: New(own, peer, size), out: map[uint32]Bundle{}, in: map[uint32]Bundle{}}
+func newNeighbour(own, peer uint16, size int) *neighbour {
+	return &neighbour{group: New(own, peer, size), outgoing: map[uint32]Assignment{}, incoming: map[uint32]Assignment{}}
 }
 
 // send puts a message in transit.
-func (e *end) send(t isup.Type, call uint32, b Bundle, width int) {
-	e.sends = append(e.sends, isup.Message{Type: t, CIC: b.CIC, Slots: b.Slots, Width: width,
+func (e *neighbour) send(t isup.Type, call uint32, b Assignment, width int) {
+	e.sent = append(e.sent, isup.Message{Type: t, CIC: b.CIC, Slots: b.Slots, Width: width,
 		Ref: isup.Reference{Identity: call}})
 }
 
-// take handles a received message.
-func (e *end) take(now policy.Tenths, m isup.Message) {
+// receive handles a received message.
+func (e *neighbour) receive(now policy.Tenths, m isup.Message) {
 	switch m.Type {
 	case isup.IAM:
-		b := Bundle{m.CIC, m.Slots}
-		v, yielded, _ := e.g.Arrived(now, m.Ref.Identity, b, m.Width)
+		b := Assignment{m.CIC, m.Slots}
+		v, yielded, _ := e.group.SetUpReceived(now, m.Ref.Identity, b, m.Width)
 		for _, id := range yielded {
-			delete(e.out, id)
-			e.lost++
+			delete(e.outgoing, id)
+			e.yielded++
 		}
-		if v == Taken {
-			e.in[m.Ref.Identity] = b
+		if v == Accepted {
+			e.incoming[m.Ref.Identity] = b
 			e.send(isup.ANM, m.Ref.Identity, b, 0)
 		}
 	case isup.ANM:
-		e.g.Answered(now, m.CIC)
+		e.group.Acknowledged(now, m.CIC)
 	case isup.REL:
-		if s, call, _ := e.g.State(m.CIC); s == Outgoing || s == Seized || s == Incoming {
-			delete(e.in, call)
-			delete(e.out, call)
-			e.g.Cleared(now, m.CIC, true)
+		if s, call, _ := e.group.State(m.CIC); s == Outgoing || s == Seized || s == Incoming {
+			delete(e.incoming, call)
+			delete(e.outgoing, call)
+			e.group.Cleared(now, m.CIC, true)
 		}
-		e.send(isup.RLC, 0, Bundle{CIC: m.CIC}, 0)
+		e.send(isup.RLC, 0, Assignment{CIC: m.CIC}, 0)
 	case isup.RLC:
-		if s, _, _ := e.g.State(m.CIC); s == Releasing || s == Resetting {
-			e.g.Cleared(now, m.CIC, false)
+		if s, _, _ := e.group.State(m.CIC); s == Releasing || s == Resetting {
+			e.group.Cleared(now, m.CIC, false)
 		}
 	}
 }
 
 // Two exchanges seize, answer and release circuits at random, and their messages arrive late but in order. After all
 // messages have arrived, both must agree on the state and the call of every circuit.
-func TestTwoEndsAgreeOnEveryCircuit(t *testing.T) {
+func TestBothExchangesAgreeOnEveryCircuit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{1, 3, 8, 40}).Draw(t, "size")
-		ends := [2]*end{newEnd(2, 9, size), newEnd(9, 2, size)}
+		neighbours := [2]*neighbour{newNeighbour(2, 9, size), newNeighbour(9, 2, size)}
 		now, next := policy.Tenths(100000), uint32(1)
 		deliver := func(from int) {
-			m := ends[from].sends[0]
-			ends[from].sends = ends[from].sends[1:]
-			ends[1-from].take(now, m)
+			m := neighbours[from].sent[0]
+			neighbours[from].sent = neighbours[from].sent[1:]
+			neighbours[1-from].receive(now, m)
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += policy.Tenths(rapid.IntRange(0, 4000).Draw(t, "later"))
 			who := rapid.IntRange(0, 1).Draw(t, "who")
-			e := ends[who]
+			e := neighbours[who]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				width := rapid.SampledFrom([]int{1, 1, 1, 3}).Draw(t, "width")
-				free := e.g.Free()
-				if b, ok := e.g.Seize(now, next, width); ok {
-					if e.g.Free() != free-width {
-						t.Fatalf("seizing %d circuits left %d of %d free", width, e.g.Free(), free)
+				free := e.group.Free()
+				if b, ok := e.group.Seize(now, next, width); ok {
+					if e.group.Free() != free-width {
+						t.Fatalf("seizing %d circuits left %d of %d free", width, e.group.Free(), free)
 					}
-					e.out[next] = b
+					e.outgoing[next] = b
 					e.send(isup.IAM, next, b, width)
 				}
 				next++
 			case 2:
 				ids := make([]uint32, 0)
-				for id, b := range e.out {
-					if s, _, _ := e.g.State(b.CIC); s == Outgoing || s == Seized {
+				for id, b := range e.outgoing {
+					if s, _, _ := e.group.State(b.CIC); s == Outgoing || s == Seized {
 						ids = append(ids, id)
 					}
 				}
 				if len(ids) > 0 {
 					slices.Sort(ids)
-					b := e.out[ids[0]]
-					delete(e.out, ids[0])
-					e.g.Release(now, b.CIC)
+					b := e.outgoing[ids[0]]
+					delete(e.outgoing, ids[0])
+					e.group.Release(now, b.CIC)
 					e.send(isup.REL, ids[0], b, 0)
 				}
 			default:
-				if len(e.sends) > 0 {
+				if len(e.sent) > 0 {
 					deliver(who)
 				}
 			}
-			for _, e := range ends {
-				if err := e.g.check(); err != nil {
+			for _, e := range neighbours {
+				if err := e.group.checkInvariants(); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		for range 2 { // deliver all messages; then release set-ups that dual seizures left without an answer
-			for len(ends[0].sends)+len(ends[1].sends) > 0 {
-				for who := range ends {
-					if len(ends[who].sends) > 0 {
+			for len(neighbours[0].sent)+len(neighbours[1].sent) > 0 {
+				for who := range neighbours {
+					if len(neighbours[who].sent) > 0 {
 						deliver(who)
 					}
 				}
 			}
-			for _, e := range ends {
+			for _, e := range neighbours {
 				for i := range size {
-					if s, call, _ := e.g.State(code(i)); s == Seized {
-						delete(e.out, call)
-						e.g.Release(now, code(i))
-						e.send(isup.REL, call, Bundle{CIC: code(i)}, 0)
+					if s, call, _ := e.group.State(code(i)); s == Seized {
+						delete(e.outgoing, call)
+						e.group.Release(now, code(i))
+						e.send(isup.REL, call, Assignment{CIC: code(i)}, 0)
 					}
 				}
 			}
 		}
-		for who := range ends {
-			for len(ends[who].sends) > 0 {
+		for who := range neighbours {
+			for len(neighbours[who].sent) > 0 {
 				deliver(who)
 			}
 		}
-		for who := range ends {
-			for len(ends[who].sends) > 0 {
+		for who := range neighbours {
+			for len(neighbours[who].sent) > 0 {
 				deliver(who)
 			}
 		}
 		for i := range size {
-			a, callA, _ := ends[0].g.State(code(i))
-			b, callB, _ := ends[1].g.State(code(i))
+			a, callA, _ := neighbours[0].group.State(code(i))
+			b, callB, _ := neighbours[1].group.State(code(i))
 			fits := a == Idle && b == Idle || a == Outgoing && b == Incoming && callA == callB ||
 				a == Incoming && b == Outgoing && callA == callB
 			if !fits {
 				t.Fatalf("circuit %d: state %d of call %d at one exchange, state %d of call %d at the other", code(i), a, callA, b, callB)
 			}
 		}
-		if ends[0].g.Free() != ends[1].g.Free() {
-			t.Fatalf("%d and %d free", ends[0].g.Free(), ends[1].g.Free())
+		if neighbours[0].group.Free() != neighbours[1].group.Free() {
+			t.Fatalf("%d and %d free", neighbours[0].group.Free(), neighbours[1].group.Free())
 		}
 	})
 }
 
-func TestOwnHalfFirst(t *testing.T) {
+func TestControlledCircuitsAreSeizedFirst(t *testing.T) {
 	for _, c := range []struct {
 		own, peer uint16
 		want      uint16
@@ -183,9 +183,9 @@
 			x, _ = a.Seize(0, 1, 1)
 			y, _ = b.Seize(0, 2, 1)
 		}
-		atA, _, _ := a.Arrived(1, 2, y, width[1])
-		atB, _, _ := b.Arrived(1, 1, x, width[0])
-		if (atA == Taken) == (atB == Taken) {
+		atA, _, _ := a.SetUpReceived(1, 2, y, width[1])
+		atB, _, _ := b.SetUpReceived(1, 1, x, width[0])
+		if (atA == Accepted) == (atB == Accepted) {
 			t.Errorf("widths %v: verdicts %d and %d", width, atA, atB)
 		}
 	}
@@ -214,87 +214,87 @@
 func TestGroupResetClearsBothWays(t *testing.T) {
 	g := New(1, 2, 40)
 	b, _ := g.Seize(0, 7, 3)
-	g.Arrived(0, 8, Bundle{CIC: 35}, 1)
-	if lost := g.Reset(1); !slices.Equal(lost, []uint32{7, 8}) || g.Free() != 0 {
+	g.SetUpReceived(0, 8, Assignment{CIC: 35}, 1)
+	if lost := g.ResetAll(1); !slices.Equal(lost, []uint32{7, 8}) || g.Free() != 0 {
 		t.Fatalf("lost %v, %d free (bundle %v)", lost, g.Free(), b)
 	}
 	due := g.Due(1)
-	if want := []Repeat{{Type: isup.GRS, CIC: 1, Range: 30}, {Type: isup.GRS, CIC: 33, Range: 8}}; !slices.Equal(due, want) {
+	if want := []DueMessage{{Type: isup.GRS, CIC: 1, Range: 30}, {Type: isup.GRS, CIC: 33, Range: 8}}; !slices.Equal(due, want) {
 		t.Fatalf("sent %v", due)
 	}
-	g.ResetDone(2, 1, 31)
-	g.ResetDone(2, 33, 9)
+	g.ResetAnswered(2, 1, 31)
+	g.ResetAnswered(2, 33, 9)
 	if g.Free() != 40 {
 		t.Fatalf("%d free", g.Free())
 	}
 	g.Seize(3, 9, 1)
-	if lost, ok := g.WasReset(4, 1, 31); !ok || !slices.Equal(lost, []uint32{9}) {
+	if lost, ok := g.ResetReceived(4, 1, 31); !ok || !slices.Equal(lost, []uint32{9}) {
 		t.Fatalf("reset by the neighbour: lost calls %v", lost)
 	}
-	if _, ok := g.WasReset(4, 33, 31); ok {
+	if _, ok := g.ResetReceived(4, 33, 31); ok {
 		t.Fatal("reset of circuits that the group does not have was accepted")
 	}
 }
 
 func TestBlockedCircuitsAreNotSeized(t *testing.T) {
 	g := New(1, 2, 2)
-	g.Block(1, true)
+	g.SetBlocked(1, true)
 	b, ok := g.Seize(0, 1, 1)
 	if _, again := g.Seize(0, 2, 1); !ok || b.CIC != 2 || again || g.Size() != 1 {
 		t.Fatalf("bundle %v, second seizure %v, size %d", b, again, g.Size())
 	}
 }
 
-func TestSetUpThatOvertakesTheAnswerToAWideReleaseFreesAllOfIt(t *testing.T) {
+func TestSetUpThatOvertakesReleaseAnswerFreesTheWholeMultirateCall(t *testing.T) {
 	g := New(1, 2, 6)
 	b, _ := g.Seize(0, 7, 3)
-	g.Answered(1, b.CIC)
+	g.Acknowledged(1, b.CIC)
 	g.Release(2, b.CIC)
-	if v, _, _ := g.Arrived(3, 8, Bundle{CIC: b.CIC}, 1); v != Taken || g.Free() != 5 {
+	if v, _, _ := g.SetUpReceived(3, 8, Assignment{CIC: b.CIC}, 1); v != Accepted || g.Free() != 5 {
 		t.Fatalf("verdict %d, %d free", v, g.Free())
 	}
 }
 
-func TestSetUpOnTheirOwnBusyCircuitTellsThatTheReleaseWasLost(t *testing.T) {
+func TestSetUpOnIncomingCircuitImpliesALostRelease(t *testing.T) {
 	g := New(1, 2, 6)
-	g.Arrived(0, 8, Bundle{CIC: 1, Slots: 3}, 2)
-	v, _, gone := g.Arrived(1, 9, Bundle{CIC: 2}, 1)
-	if v != Taken || !slices.Equal(gone, []uint32{8}) || g.Free() != 5 {
+	g.SetUpReceived(0, 8, Assignment{CIC: 1, Slots: 3}, 2)
+	v, _, gone := g.SetUpReceived(1, 9, Assignment{CIC: 2}, 1)
+	if v != Accepted || !slices.Equal(gone, []uint32{8}) || g.Free() != 5 {
 		t.Fatalf("verdict %d, gone %v, %d free", v, gone, g.Free())
 	}
 }
 
 // The set-up that lost a dual seizure may be read late, after the winning call has ended. The release with the Yielded mark
 // makes the winner ignore it, while a later set-up is accepted.
-func TestSetUpThatWasYieldedIsPassedOverWhenItComesLate(t *testing.T) {
+func TestLateSetUpThatLostADualSeizureIsIgnored(t *testing.T) {
 	keeper, loser := New(2, 1, 31), New(1, 2, 31) // only circuit 2 is free; the higher point code controls it
 	const cic = 2
 	for _, g := range []*Group{keeper, loser} {
 		for i := range g.circuits {
-			g.Block(code(i), code(i) != cic)
+			g.SetBlocked(code(i), code(i) != cic)
 		}
 		if b, ok := g.Seize(1000, 7, 1); !ok || b.CIC != cic {
 			t.Fatal(b, ok)
 		}
 	}
-	v, lost, _ := loser.Arrived(1100, 8, Bundle{CIC: cic}, 1)
-	if v != Taken || len(lost) != 1 || !loser.Yielded(cic) || keeper.Yielded(cic) {
+	v, lost, _ := loser.SetUpReceived(1100, 8, Assignment{CIC: cic}, 1)
+	if v != Accepted || len(lost) != 1 || !loser.Yielded(cic) || keeper.Yielded(cic) {
 		t.Fatal(v, lost)
 	}
 	loser.Release(1200, cic) // the call is refused
-	keeper.Crossed(1300, cic)
+	keeper.YieldReceived(1300, cic)
 	keeper.Cleared(1300, cic, true)
 	loser.Cleared(1400, cic, false)
-	if v, _, _ := keeper.Arrived(9000, 9, Bundle{CIC: cic}, 1); v != NotIdle {
+	if v, _, _ := keeper.SetUpReceived(9000, 9, Assignment{CIC: cic}, 1); v != NotIdle {
 		t.Fatalf("verdict %d on the yielded set-up", v)
 	}
-	if _, ok := loser.Seize(1300+crossing, 10, 1); ok {
+	if _, ok := loser.Seize(1300+ignoreInterval, 10, 1); ok {
 		t.Fatal("seized while the other exchange ignores set-ups on the circuit")
 	}
-	if _, ok := loser.Seize(1400+yieldSettle, 10, 1); !ok {
+	if _, ok := loser.Seize(1400+yieldGuardInterval, 10, 1); !ok {
 		t.Fatal("never seized again")
 	}
-	if v, _, _ := keeper.Arrived(1400+yieldSettle, 10, Bundle{CIC: cic}, 1); v != Taken {
+	if v, _, _ := keeper.SetUpReceived(1400+yieldGuardInterval, 10, Assignment{CIC: cic}, 1); v != Accepted {
 		t.Fatalf("verdict %d on the next set-up", v)
 	}
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	hello, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Up, ASP: exchange.Lines + block})
+	hello, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: exchange.FirstSubscriberPoint + block})
 	c.Write(hello)
 	a := &asker{conn: c}
 	a.read(b)
@@ -58,7 +58,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	a.buf, _ = m3ua.Append(a.buf[:0], m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines, To: 1, User: user})
+	a.buf, _ = m3ua.Append(a.buf[:0], m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: user})
 	if _, err := a.conn.Write(a.buf); err != nil {
 		b.Fatal(err)
 	}
@@ -67,12 +67,12 @@
 // call makes one call and releases it. It returns how long the answer took and whether the call was established.
 func (a *asker) call(b *testing.B, dest int) (took time.Duration, stood bool) {
 	a.n++
-	cic := uint16(a.n & isup.CICMost)
+	cic := uint16(a.n & isup.MaxCIC)
 	from := time.Now()
-	a.send(b, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.Called(dest, a.n), Ref: isup.Reference{Point: 1, Identity: a.n & 0xffffff},
-		Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: 50000, Stamp: uint32(time.Now().UnixMicro() / 100)}})
+	a.send(b, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(dest, a.n), Ref: isup.Reference{Point: 1, Identity: a.n & 0xffffff},
+		UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 50000, SentAt: uint32(time.Now().UnixMicro() / 100)}})
 	for {
-		m, err := isup.Decode(a.read(b).User)
+		m, err := isup.Decode(a.read(b).UserData)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -106,15 +106,15 @@
 				return
 			}
 			scratch = s
-			reply := m3ua.Frame{Kind: m3ua.UpAck, ASP: 1}
+			reply := m3ua.Frame{Kind: m3ua.ASPUpAck, ASPID: 1}
 			if f.Kind == m3ua.Data {
-				m, _ := isup.Decode(f.User)
+				m, _ := isup.Decode(f.UserData)
 				t := isup.ANM
 				if m.Type == isup.REL {
 					t = isup.RLC
 				}
 				user, _ = isup.Append(user[:0], isup.Message{CIC: m.CIC, Type: t})
-				reply = m3ua.Frame{Kind: m3ua.Data, From: 1, To: exchange.Lines, User: user}
+				reply = m3ua.Frame{Kind: m3ua.Data, OPC: 1, DPC: exchange.FirstSubscriberPoint, UserData: user}
 			}
 			out, _ = m3ua.Append(out[:0], reply)
 			c.Write(out)
@@ -234,9 +234,9 @@
 			all = append(all, a)
 			var stream []byte
 			for i := range uint32(calls / 4) {
-				user, _ := isup.Append(nil, isup.Message{CIC: uint16(i), Type: isup.IAM, Width: 1, Digits: exchange.Called(1, i),
-					Ref: isup.Reference{Point: 1, Identity: block<<16 + i + 1}, Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: 50000}})
-				stream, _ = m3ua.Append(stream, m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines + block, To: 1, User: user})
+				user, _ := isup.Append(nil, isup.Message{CIC: uint16(i), Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(1, i),
+					Ref: isup.Reference{Point: 1, Identity: block<<16 + i + 1}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 50000}})
+				stream, _ = m3ua.Append(stream, m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint + block, DPC: 1, UserData: user})
 			}
 			go a.conn.Write(stream)
 			go func() {
@@ -247,7 +247,7 @@
 						break
 					}
 					a.scratch = s
-					if m, err := isup.Decode(f.User); err == nil && (m.Type == isup.ANM || m.Type == isup.REL) {
+					if m, err := isup.Decode(f.UserData); err == nil && (m.Type == isup.ANM || m.Type == isup.REL) {
 						n++
 					}
 				}
@@ -266,7 +266,7 @@
 		for k, a := range all { // release the established calls
 			for i := range uint16(calls / 4) {
 				user, _ := isup.Append(nil, isup.Message{CIC: i, Type: isup.REL, Cause: isup.NormalClearing})
-				frame, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines + uint32(n%50*4+k), To: 1, User: user})
+				frame, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint + uint32(n%50*4+k), DPC: 1, UserData: user})
 				a.conn.Write(frame)
 			}
 		}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -135,12 +135,12 @@
 		lags: make([]lag.Estimator, len(site.Neighbours)+1), OnReady: func() {},
 		ListenPacket: func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }}
 	var near []exchange.Neighbour
-	own := uint32(exchange.Point(site.Deployment.OwnExchange))
+	own := uint32(exchange.PointCode(site.Deployment.OwnExchange))
 	line := trunk.Config{OwnPoint: own, MaxQueuedOctets: site.MaxLinkOctets, LinkCount: len(site.Neighbours) + 1}
 	for i, n := range site.Neighbours {
 		near = append(near, n.Neighbour)
-		s.behind[uint32(exchange.Point(n.Number))] = i
-		line.Index, line.PeerPoint, line.Address = i, uint32(exchange.Point(n.Number)), n.Address
+		s.behind[uint32(exchange.PointCode(n.Number))] = i
+		line.Index, line.PeerPoint, line.Address = i, uint32(exchange.PointCode(n.Number)), n.Address
 		line.Seed = site.Deployment.Seed*0x9e3779b97f4a7c15 + uint64(i)
 		s.links = append(s.links, trunk.NewLink(line, dial, s.clock, (*reader)(s)))
 	}
@@ -240,11 +240,11 @@
 		if next <= now {
 			s.x.Tick(now)
 			s.agent.tick(now)
-			if quit == nil && s.x.Unanswered() == 0 && (now >= drainBy || s.agent.telling(now) == 0) {
+			if quit == nil && s.x.UnansweredCalls() == 0 && (now >= drainBy || s.agent.telling(now) == 0) {
 				return nil
 			}
 			if quit == nil && now >= drainBy {
-				return fmt.Errorf("%w: %d", ErrUnanswered, s.x.Unanswered())
+				return fmt.Errorf("%w: %d", ErrUnanswered, s.x.UnansweredCalls())
 			}
 			s.drainInbox(256) // queued events go before the next timer
 			continue
@@ -255,9 +255,9 @@
 			return ErrAborted
 		case <-quit:
 			quit = nil
-			s.log.Info("draining", "unanswered", s.x.Unanswered(), "standing", s.x.Standing())
+			s.log.Info("draining", "unanswered", s.x.UnansweredCalls(), "standing", s.x.EstablishedCalls())
 			s.x.Drain()
-			s.links[len(s.links)-1].Send(m3ua.Frame{Kind: m3ua.Down})
+			s.links[len(s.links)-1].Send(m3ua.Frame{Kind: m3ua.ASPDown})
 			for _, b := range s.site.Deployment.Bearers {
 				drainBy = max(drainBy, now+b.AbandonTime)
 			}
@@ -340,7 +340,7 @@
 	case evUp:
 		if own {
 			s.log.Info("own switch is up", "life", ev.life)
-			s.x.OwnUp(now, ev.life)
+			s.x.OwnSwitchUp(now, ev.life)
 			s.OnReady()
 			s.OnReady = func() {}
 			return
@@ -350,7 +350,7 @@
 	case evDown:
 		if own {
 			s.log.Info("link to own switch is down", "why", ev.err)
-			s.x.OwnDown(now)
+			s.x.OwnSwitchDown(now)
 			return
 		}
 		s.log.Info("link is down", "to", s.site.Neighbours[ev.link].Number, "why", ev.err)
@@ -370,7 +370,7 @@
 			s.x.ListLost(now)
 		}
 	case evAdvice:
-		s.x.Advise(ev.advice)
+		s.x.SetAdvice(ev.advice)
 	case evLost:
 		s.log.Info("connection to register lost", "why", ev.err)
 		s.x.ListLost(now)
@@ -379,11 +379,11 @@
 	case evDatagram:
 		s.agent.datagram(now, ev.mgcp)
 	case evPort:
-		s.x.Change(now, func(n *exchange.Numbering) {
+		s.x.UpdateNumbering(now, func(n *exchange.Numbering) {
 			if ev.err != nil {
-				n.Inquirer.Failed(now, ev.id)
+				n.Portability.Failed(now, ev.id)
 			} else {
-				n.Inquirer.Answered(now, ev.id, ev.port.Port, ev.port.Known, ev.port.Age)
+				n.Portability.Answered(now, ev.id, ev.port.Port, ev.port.Known, ev.port.Age)
 			}
 		})
 	}
@@ -441,25 +441,25 @@
 
 // HandleFrame queues a message from a link. If the queue has no capacity for a new call, the call is refused here, at once.
 func (r *reader) HandleFrame(link int, f m3ua.Frame) error {
-	m, err := isup.Decode(f.User)
+	m, err := isup.Decode(f.UserData)
 	if err != nil {
 		return err
 	}
-	hop := exchange.Hop{Side: exchange.Ahead, Peer: link}
+	hop := exchange.Hop{Side: exchange.Succeeding, Peer: link}
 	if own := len(r.links) - 1; link == own {
-		if peer, ok := r.behind[f.From]; ok {
-			hop = exchange.Hop{Side: exchange.Behind, Peer: peer}
-		} else if f.From >= exchange.Lines && f.From < 1<<14 {
-			hop = exchange.Hop{Side: exchange.Line, Point: uint16(f.From)}
+		if peer, ok := r.behind[f.OPC]; ok {
+			hop = exchange.Hop{Side: exchange.Preceding, Peer: peer}
+		} else if f.OPC >= exchange.FirstSubscriberPoint && f.OPC < 1<<14 {
+			hop = exchange.Hop{Side: exchange.Line, Point: uint16(f.OPC)}
 		} else {
-			return fmt.Errorf("point code %d is not known", f.From)
+			return fmt.Errorf("point code %d is not known", f.OPC)
 		}
 	}
 	ev := event{kind: evMessage, link: link, hop: hop, m: m}
-	if m.Says.Has&isup.PartLeft != 0 {
-		ev.age = r.lags[link].Age(r.clock.Now(), m.Says.Stamp)
+	if m.UserInfo.Present&isup.PartTimeLeft != 0 {
+		ev.age = r.lags[link].Age(r.clock.Now(), m.UserInfo.SentAt)
 	}
-	if m.Type == isup.IAM && !exchange.RoomForCall(len(r.inbox), cap(r.inbox)) {
+	if m.Type == isup.IAM && !exchange.QueueAcceptsCall(len(r.inbox), cap(r.inbox)) {
 		(*Server)(r).transmit(nil, hop, isup.Message{CIC: m.CIC, Type: isup.REL, Cause: isup.Congestion, Location: isup.LocalNetwork})
 		return nil
 	}
@@ -475,14 +475,14 @@
 		return buf
 	}
 	own := len(s.links) - 1
-	f := m3ua.Frame{Kind: m3ua.Data, From: uint32(exchange.Point(s.site.Deployment.OwnExchange)), User: buf, SLS: uint8(m.CIC)}
+	f := m3ua.Frame{Kind: m3ua.Data, OPC: uint32(exchange.PointCode(s.site.Deployment.OwnExchange)), UserData: buf, SLS: uint8(m.CIC)}
 	link := own
 	switch to.Side {
 	case exchange.Line:
-		f.To = uint32(to.Point)
+		f.DPC = uint32(to.Point)
 	default:
-		f.To = uint32(exchange.Point(s.site.Neighbours[to.Peer].Number))
-		if to.Side == exchange.Ahead {
+		f.DPC = uint32(exchange.PointCode(s.site.Neighbours[to.Peer].Number))
+		if to.Side == exchange.Succeeding {
 			link = to.Peer
 		}
 	}
@@ -516,7 +516,7 @@
 func (h *hands) Answered(a exchange.Answer) {
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
 		h.log.Debug("answer", "call", a.Ref.Identity, "from", a.Ref.Point, "outcome", a.Outcome.String(), "dest", a.Dest,
-			"tries", a.Tries, "took", trunk.Duration(a.Took), "transit", a.Transit, "come_back", trunk.Duration(a.ComeBack))
+			"tries", a.Tries, "took", trunk.Duration(a.Duration), "transit", a.Transit, "come_back", trunk.Duration(a.RetryAfter))
 	}
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -72,11 +72,11 @@
 		b.t.Fatal(err)
 	}
 	f, _, err := m3ua.Read(c, nil)
-	if err != nil || f.Kind != m3ua.Up || f.ASP != 1 {
+	if err != nil || f.Kind != m3ua.ASPUp || f.ASPID != 1 {
 		b.t.Fatal(f, err)
 	}
 	b.own = c
-	b.frame(m3ua.Frame{Kind: m3ua.UpAck, ASP: 1, Info: "life=1"})
+	b.frame(m3ua.Frame{Kind: m3ua.ASPUpAck, ASPID: 1, Info: "life=1"})
 	go func() {
 		var scratch []byte
 		for {
@@ -85,7 +85,7 @@
 				return
 			}
 			if scratch = s; f.Kind == m3ua.Data {
-				if m, err := isup.Decode(f.User); err == nil {
+				if m, err := isup.Decode(f.UserData); err == nil {
 					b.mu.Lock()
 					b.got = append(b.got, m)
 					b.mu.Unlock()
@@ -105,12 +105,12 @@
 
 // dial sends a set-up from a line, with the time left for its caller and the stamp of the switch's clock.
 func (b *bench) dial(cic uint16, dest int, left policy.Tenths, stamp uint32) {
-	buf, err := isup.Append(nil, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.Called(dest, 1),
-		Ref: isup.Reference{Point: 1, Identity: uint32(cic) + 1}, Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: uint32(left), Stamp: stamp}})
+	buf, err := isup.Append(nil, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(dest, 1),
+		Ref: isup.Reference{Point: 1, Identity: uint32(cic) + 1}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(left), SentAt: stamp}})
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	b.frame(m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines, To: 1, User: buf})
+	b.frame(m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: buf})
 }
 
 // released counts the releases received for a circuit.
@@ -166,7 +166,7 @@
 func TestMalformedMessageCostsItsOwnLinkAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, 64)
-		b.frame(m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines, To: 1, User: []byte{1, 0, 0x7f}})
+		b.frame(m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: []byte{1, 0, 0x7f}})
 		time.Sleep(10 * time.Millisecond)
 		b.mu.Lock()
 		told := b.log.String()
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -30,7 +30,7 @@
 // gatewaySite returns settings with gateways of so many endpoints; rate is how many gateways a second may be brought into service.
 func gatewaySite(own, gateways, endpoints int, rate float64) *Gateways {
 	m, _ := mgcp.ParseMap("(xxxxxxxxx)")
-	g := &Gateways{Site: callagent.Site{Own: own, Point: exchange.Point(own), Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
+	g := &Gateways{Site: callagent.Site{Own: own, Point: exchange.PointCode(own), Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
 		RingMost: 600000, Media: "127.0.0.1", Rate: rate, Queue: 1 << 15}}
 	for n := range gateways {
 		g.Gateways = append(g.Gateways, callagent.Gateway{Name: fmt.Sprintf("gw%d", n), Endpoints: endpoints, FirstLine: 100 + n*endpoints, Width: 1})
@@ -132,11 +132,11 @@
 		func(d policy.Deployment, e policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, e, now)
 		})
-	j.x.OwnUp(j.now, "1")
+	j.x.OwnSwitchUp(j.now, "1")
 	for peer := range 2 {
 		j.x.LinkUp(j.now, peer, "1")
-		for first := 0; first < 248; first += isup.PerMultiplex {
-			j.x.Receive(j.now, exchange.Hop{Side: exchange.Ahead, Peer: peer}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.PerMultiplex*32 + 1), Range: isup.PerMultiplex - 1}, 0)
+		for first := 0; first < 248; first += isup.CircuitsPerMultiplex {
+			j.x.Receive(j.now, exchange.Hop{Side: exchange.Succeeding, Peer: peer}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1), Range: isup.CircuitsPerMultiplex - 1}, 0)
 		}
 	}
 	j.x.Listed(j.now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}, {ID: 6, Number: 2, Ready: true}})
@@ -178,7 +178,7 @@
 		return fmt.Appendf(nil, "NTFY %d aaln/1@gw0 MGCP 1.0\r\nX: %s\r\nO: %s\r\n", id, x, o)
 	}
 	trunkREL, _ := isup.Append(nil, isup.Message{CIC: 1, Type: isup.REL, Cause: isup.NormalClearing})
-	ahead := exchange.Hop{Side: exchange.Ahead, Peer: 0}
+	ahead := exchange.Hop{Side: exchange.Succeeding, Peer: 0}
 	id, calls := 0, 0
 	for b.Loop() {
 		calls++
@@ -206,11 +206,11 @@
 		j.to = exchange.Hop{}
 		step(notify(id, j.x1, "L/hd"))
 		step(notify(id+1, j.x1, "D/0, D/0, D/1, D/0, D/0, D/0, D/0, D/0, D/1"))
-		if j.to.Side != exchange.Ahead {
+		if j.to.Side != exchange.Succeeding {
 			b.Fatal("no set-up was sent")
 		}
 		cic := j.m.CIC
-		anm, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.ANM, Says: isup.Says{Has: isup.PartSession, Session: oneSession}})
+		anm, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: oneSession}})
 		spent(&byGateway, func() { j.trunk(ahead, anm) })
 		for _, r := range j.replies() {
 			spent(&byGateway, func() { j.datagram(r) })
@@ -220,11 +220,11 @@
 		spent(&byGateway, func() { j.trunk(ahead, rlc) })
 
 		iam, _ := isup.Append(nil, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: "001000001", Hops: 2, Ref: isup.Reference{Point: 3, Identity: uint32(calls) & 0xffffff},
-			Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: 80000}})
-		behind := exchange.Hop{Side: exchange.Behind, Peer: 1}
+			UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 80000}})
+		behind := exchange.Hop{Side: exchange.Preceding, Peer: 1}
 		j.to = exchange.Hop{}
 		spent(&byTrunk, func() { j.trunk(behind, iam) })
-		if j.to.Side != exchange.Ahead {
+		if j.to.Side != exchange.Succeeding {
 			b.Fatal("no set-up was sent on")
 		}
 		cic = j.m.CIC
@@ -424,7 +424,7 @@
 	there, ok := p.far[here]
 	if m.Type == isup.IAM {
 		p.next++
-		there = [2]uint16{exchange.CalledFrom, p.next}
+		there = [2]uint16{exchange.FirstCalledPoint, p.next}
 		p.far[here], p.far[there] = there, here
 	} else if !ok {
 		return
@@ -514,9 +514,9 @@
 					if e == 0 {
 						for n := range calls {
 							line := uint32(100 + n%phones)
-							to := exchange.Called(1, line)
+							to := exchange.LineNumber(1, line)
 							if path == 1 {
-								to = exchange.Called(0, line+phones)
+								to = exchange.LineNumber(0, line+phones)
 							}
 							mine = append(mine, &standin.PhoneCall{At: 2*time.Second + time.Duration(n)*40*time.Millisecond, Phone: n % phones, Digits: to,
 								Patience: 9 * time.Second, Holding: 50 * time.Millisecond})
--- a/internal/control/keep.go
+++ b/internal/control/keep.go
@@ -44,12 +44,12 @@
 		return err
 	}
 	s.ledger = l
-	s.x.Keep(keeper{l, s.agent}, s.clock.wall)
+	s.x.SetStore(keeper{l, s.agent}, s.clock.wall)
 	if len(c.Calls) == 0 && len(c.Process.Incarnations) == 0 {
 		return nil
 	}
 	sites := recovery.Settings{SiteDigest: digest, Circuits: map[int]int{}, HasLines: func(point uint16) bool {
-		return point >= exchange.Lines && point < exchange.AtGateways || point >= exchange.CalledFrom && point < 1<<14
+		return point >= exchange.FirstSubscriberPoint && point < exchange.FirstGatewayPoint || point >= exchange.FirstCalledPoint && point < 1<<14
 	}}
 	for _, n := range s.site.Neighbours {
 		sites.Circuits[n.Number] = n.Circuits
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -60,18 +60,18 @@
 	}
 	s.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
 	x := &exchange.Numbering{Versions: numbers.NewVersions(table, n.Trial), Split: numbers.NewSplit(n.MaxCallers),
-		Second: func(at policy.Tenths) int64 { return time.Now().Add(trunk.Duration(at - s.clock.Now())).Unix() },
-		At: func(second int64) policy.Tenths {
+		UnixSecond: func(at policy.Tenths) int64 { return time.Now().Add(trunk.Duration(at - s.clock.Now())).Unix() },
+		Instant: func(second int64) policy.Tenths {
 			return s.clock.Now() + policy.Tenths(time.Until(time.Unix(second, 0))/(100*time.Microsecond))
 		},
 		Changed: t.changed}
 	if len(n.ENUMServers) == 2 {
 		t.client = &enum.Client{Servers: [2]string{n.ENUMServers[0], n.ENUMServers[1]}, Zone: n.ENUMZone, Most: trunk.Duration(n.Limits.TimeOut)}
-		if x.Inquirer, err = numbers.NewInquirer(n.Limits, seed, s.x.Asker(t.query)); err != nil {
+		if x.Portability, err = numbers.NewInquirer(n.Limits, seed, s.x.PortabilityNet(t.query)); err != nil {
 			return fmt.Errorf("portability: %w", err)
 		}
 	}
-	s.x.Number(x)
+	s.x.SetNumbering(x)
 	s.tables = t
 	return nil
 }
@@ -204,7 +204,7 @@
 	var err error
 	if !s.Do(func() {
 		now := s.clock.Now()
-		s.x.Change(now, func(n *exchange.Numbering) { err = do(n, now) })
+		s.x.UpdateNumbering(now, func(n *exchange.Numbering) { err = do(n, now) })
 	}) {
 		return ErrShuttingDown
 	}
--- a/internal/day/draw.go
+++ b/internal/day/draw.go
@@ -48,7 +48,7 @@
 	for a := range n {
 		for b := range a {
 			erlangs := 2*phones + (p.share[a][b]+p.share[b][a])*s.Rate*holding
-			size := min(circuit.MostCircuits, max(1, int(math.Round(erlangs*(1+s.Spare)))))
+			size := min(circuit.MaxCircuits, max(1, int(math.Round(erlangs*(1+s.Spare)))))
 			p.sizes[a][b], p.sizes[b][a] = size, size
 		}
 	}
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -91,7 +91,7 @@
 		}
 		line := firstLine + chance.IntN(g.Each*g.Endpoints)
 		n := chance.IntN(g.Each)
-		c := &standin.PhoneCall{At: r.script.Settle + at, Phone: chance.IntN(g.Endpoints), Digits: exchange.Called(to, uint32(line)), Patience: patience,
+		c := &standin.PhoneCall{At: r.script.Settle + at, Phone: chance.IntN(g.Endpoints), Digits: exchange.LineNumber(to, uint32(line)), Patience: patience,
 			Holding: time.Duration(chance.ExpFloat64() * float64(g.Holding))}
 		calls[from][n] = append(calls[from][n], c)
 		p.calls = append(p.calls, c)
--- a/internal/day/plant.go
+++ b/internal/day/plant.go
@@ -67,19 +67,19 @@
 func (w *Wrong) Sent(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message)) {
 	send(to, m)
 	switch {
-	case w.kind == "answer" && !w.done && to.Side == exchange.Line && to.Point < exchange.CalledFrom && m.Type == isup.REL:
+	case w.kind == "answer" && !w.done && to.Side == exchange.Line && to.Point < exchange.FirstCalledPoint && m.Type == isup.REL:
 		w.done = true
 		send(to, m)
-	case w.kind == "copy" && !w.done && to.Side == exchange.Ahead && m.Type == isup.IAM && len(w.near) > 1:
+	case w.kind == "copy" && !w.done && to.Side == exchange.Succeeding && m.Type == isup.IAM && len(w.near) > 1:
 		w.done = true
 		to.Peer = (to.Peer + 1) % len(w.near)
 		send(to, m)
 	case w.kind == "cold" && w.burst >= 0:
-		to := exchange.Hop{Side: exchange.Ahead, Peer: w.burst}
+		to := exchange.Hop{Side: exchange.Succeeding, Peer: w.burst}
 		w.burst, w.done = -1, true
 		for i := range uint32(600) {
-			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.Called(w.near[to.Peer].Number, i), Hops: 1,
-				Ref: isup.Reference{Point: 999, Identity: i + 1}, Says: isup.Says{Has: isup.PartCall}})
+			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(w.near[to.Peer].Number, i), Hops: 1,
+				Ref: isup.Reference{Point: 999, Identity: i + 1}, UserInfo: isup.UserInfo{Present: isup.PartCall}})
 		}
 	}
 }
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -8,31 +8,31 @@
 	"indigodrift/policy"
 )
 
-// mute is a Carrier that keeps the last message sent to a neighbour.
-type mute struct {
-	to Hop
-	m  isup.Message
+// lastSent is a Carrier that keeps the last message sent to a neighbour.
+type lastSent struct {
+	to  Hop
+	msg isup.Message
 }
 
-func (c *mute) Transmit(to Hop, m isup.Message) {
-	if to.Side == Ahead {
-		c.to, c.m = to, m
+func (c *lastSent) Transmit(to Hop, m isup.Message) {
+	if to.Side == Succeeding {
+		c.to, c.msg = to, m
 	}
 }
-func (c *mute) Follow()         {}
-func (c *mute) Note(string)     {}
-func (c *mute) Answered(Answer) {}
+func (c *lastSent) Follow()         {}
+func (c *lastSent) Note(string)     {}
+func (c *lastSent) Answered(Answer) {}
 
-// lone returns an exchange with one neighbour, links up and all circuits idle.
-func lone(circuits int) (*Exchange, *mute, policy.Tenths) {
-	out, now := &mute{}, policy.Tenths(1<<32)
+// newTestExchange returns an exchange with one neighbour, links up and all circuits idle.
+func newTestExchange(circuits int) (*Exchange, *lastSent, policy.Tenths) {
+	out, now := &lastSent{}, policy.Tenths(1<<32)
 	x := New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
 		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []Neighbour{{1, circuits}}, out, now,
 		func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider { return policy.New(d, e, now) })
-	x.OwnUp(now, "1")
+	x.OwnSwitchUp(now, "1")
 	x.LinkUp(now, 0, "1")
-	for first := 0; first < circuits; first += isup.PerMultiplex {
-		x.Receive(now, Hop{Side: Ahead}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.PerMultiplex*32 + 1), Range: isup.PerMultiplex - 1}, 0)
+	for first := 0; first < circuits; first += isup.CircuitsPerMultiplex {
+		x.Receive(now, Hop{Side: Succeeding}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1), Range: isup.CircuitsPerMultiplex - 1}, 0)
 	}
 	x.Listed(now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}})
 	return x, out, now
@@ -40,24 +40,24 @@
 
 // dial passes a set-up from a subscriber line to the exchange.
 func (x *Exchange) dial(now policy.Tenths, i uint32) {
-	x.Receive(now, Hop{Side: Line, Point: Lines + uint16(i>>12&0xff)}, isup.Message{CIC: uint16(i & isup.CICMost), Type: isup.IAM, Width: 1,
-		Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: i & 0xffffff}, Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: 30000}}, 0)
+	x.Receive(now, Hop{Side: Line, Point: FirstSubscriberPoint + uint16(i>>12&0xff)}, isup.Message{CIC: uint16(i & isup.MaxCIC), Type: isup.IAM, Width: 1,
+		Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: i & 0xffffff}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 30000}}, 0)
 }
 
 // BenchmarkDecide measures the work of the event loop for one call that is answered and released.
 func BenchmarkDecide(b *testing.B) {
-	x, out, now := lone(248)
+	x, out, now := newTestExchange(248)
 	b.ReportAllocs()
 	for i := uint32(1); b.Loop(); i++ {
 		now += 200
 		x.dial(now, i)
-		if out.m.Type != isup.IAM {
+		if out.msg.Type != isup.IAM {
 			b.Fatal("set-up was not sent")
 		}
-		cic := out.m.CIC
-		x.Receive(now+50, Hop{Side: Ahead}, isup.Message{CIC: cic, Type: isup.ANM, Says: isup.Says{Has: isup.PartLoad}}, 0)
-		x.Receive(now+100, Hop{Side: Line, Point: Lines + uint16(i>>12&0xff)}, isup.Message{CIC: uint16(i & isup.CICMost), Type: isup.REL}, 0)
-		x.Receive(now+150, Hop{Side: Ahead}, isup.Message{CIC: cic, Type: isup.RLC}, 0)
+		cic := out.msg.CIC
+		x.Receive(now+50, Hop{Side: Succeeding}, isup.Message{CIC: cic, Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartLoad}}, 0)
+		x.Receive(now+100, Hop{Side: Line, Point: FirstSubscriberPoint + uint16(i>>12&0xff)}, isup.Message{CIC: uint16(i & isup.MaxCIC), Type: isup.REL}, 0)
+		x.Receive(now+150, Hop{Side: Succeeding}, isup.Message{CIC: cic, Type: isup.RLC}, 0)
 		for x.Next() <= now+150 {
 			x.Tick(now + 150)
 		}
@@ -68,21 +68,21 @@
 func BenchmarkStanding(b *testing.B) {
 	const calls = 3900
 	for range b.N {
-		x, out, now := lone(3968)
+		x, out, now := newTestExchange(3968)
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range uint32(calls) {
 			now += 200
 			x.dial(now, i+1)
-			x.Receive(now+50, Hop{Side: Ahead}, isup.Message{CIC: out.m.CIC, Type: isup.ANM}, 0)
+			x.Receive(now+50, Hop{Side: Succeeding}, isup.Message{CIC: out.msg.CIC, Type: isup.ANM}, 0)
 		}
 		now += 40000 // the timers of the set-ups have expired
 		x.Tick(now)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		if x.Standing() != calls {
-			b.Fatalf("%d of %d calls are established", x.Standing(), calls)
+		if x.EstablishedCalls() != calls {
+			b.Fatalf("%d of %d calls are established", x.EstablishedCalls(), calls)
 		}
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/calls, "B/standing-call")
 		runtime.KeepAlive(x)
--- a/internal/exchange/desk.go
+++ b/internal/exchange/desk.go
@@ -5,88 +5,90 @@
 	"indigodrift/policy"
 )
 
-// desk implements policy.Exchange. It carries out the decider's actions in the order they are made; an ending that
+// actionHandler implements policy.Exchange. It carries out the decider's actions in the order they are made; an ending that
 // follows at once from an action is reported only after the decider has returned.
-type desk Exchange
+type actionHandler Exchange
 
 // Send starts a route try.
-func (d *desk) Send(id, to uint32, limit policy.Tenths) {
-	x := (*Exchange)(d)
-	k := x.calls[id]
-	if k == nil || k.state != Offered {
-		x.out.Note("fault: route try requested for a call that has ended or already has a try in progress")
+func (h *actionHandler) Send(id, to uint32, limit policy.Tenths) {
+	x := (*Exchange)(h)
+	call := x.calls[id]
+	if call == nil || call.state != Offered {
+		x.output.Note("fault: route try requested for a call that has ended or already has a try in progress")
 		return
 	}
-	k.tries++
-	k.sw = to
-	unsent := func(end policy.Outcome, why policy.Reason) {
-		x.later = append(x.later, report{id: id, try: k.tries - 1, sw: to, end: end, why: why})
+	call.tries++
+	call.switchID = to
+	unsent := func(ending policy.Outcome, reason policy.Reason) {
+		x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: id, try: call.tries - 1, switchID: to, ending: ending, reason: reason})
 	}
-	i, ok := x.bySwitch[to]
-	if !ok || !x.groups[i].up {
+	i, ok := x.groupBySwitch[to]
+	if !ok || !x.groups[i].linkUp {
 		unsent(policy.Unreachable, policy.NoReason)
 		return
 	}
-	g := &x.groups[i]
-	b, ok := g.g.Seize(x.now, id, k.ask.Width)
+	group := &x.groups[i]
+	assigned, ok := group.circuits.Seize(x.now, id, call.request.Width)
 	if !ok {
 		unsent(policy.Unsent, policy.NoCircuit)
 		return
 	}
-	g.changed = true
-	k.limitAt = k.leavesAt
+	group.changed = true
+	call.tryDeadline = call.abandonTime
 	if limit > 0 {
-		k.limitAt = min(k.limitAt, x.now+limit)
+		call.tryDeadline = min(call.tryDeadline, x.now+limit)
 	}
-	k.out = leg{Hop{Side: Ahead, Peer: i}, b}
-	x.become(k, Trying)
-	x.at(k.limitAt, dueLimit, uint64(id))
-	x.setUp(k)
+	call.out = callLeg{Hop{Side: Succeeding, Peer: i}, assigned}
+	x.setState(call, Trying)
+	x.schedule(call.tryDeadline, dueTryTimeout, uint64(id))
+	x.sendSetUp(call)
 }
 
 // Block refuses a call.
-func (d *desk) Block(id uint32, comeBack policy.Tenths) {
-	x := (*Exchange)(d)
-	k := x.calls[id]
-	if k == nil {
+func (h *actionHandler) Block(id uint32, retryAfter policy.Tenths) {
+	x := (*Exchange)(h)
+	call := x.calls[id]
+	if call == nil {
 		return
 	}
 	cause := isup.NoCircuit
-	if k.ask.Transit && k.cause == isup.Congestion { // tells the preceding exchange that the processor beyond is full
+	if call.request.Transit && call.lastCause == isup.Congestion { // tells the preceding exchange that the processor beyond is full
 		cause = isup.Congestion
 	}
-	if k.cause == isup.UserBusy {
+	if call.lastCause == isup.UserBusy {
 		cause = isup.UserBusy
 	}
-	x.finish(k, Refused, cause, comeBack)
+	x.finish(call, Refused, cause, retryAfter)
 }
 
 // Abort fails a call.
-func (d *desk) Abort(id uint32) {
-	x := (*Exchange)(d)
-	if k := x.calls[id]; k != nil {
+func (h *actionHandler) Abort(id uint32) {
+	x := (*Exchange)(h)
+	if call := x.calls[id]; call != nil {
 		cause := isup.TemporaryFailure
-		if k.ask.Transit { // the preceding exchange may try another route
+		if call.request.Transit { // the preceding exchange may try another route
 			cause = isup.NoCircuit
 		}
-		x.finish(k, Failed, cause, 0)
+		x.finish(call, Failed, cause, 0)
 	}
 }
 
 // Cancel abandons a route try.
-func (d *desk) Cancel(id uint32, try int) {
-	x := (*Exchange)(d)
-	if k := x.calls[id]; k != nil && k.state == Trying && try == k.tries-1 {
-		x.dropTry(k, isup.NormalUnspecified)
-		x.tryEnded(k, policy.Cancelled, policy.NoReason, 0, isup.Says{})
+func (h *actionHandler) Cancel(id uint32, try int) {
+	x := (*Exchange)(h)
+	if call := x.calls[id]; call != nil && call.state == Trying && try == call.tries-1 {
+		x.releaseTry(call, isup.NormalUnspecified)
+		x.endTry(call, policy.Cancelled, policy.NoReason, 0, isup.UserInfo{})
 	}
 }
 
 // SetTimer schedules a call of the decider's wake-up method.
-func (d *desk) SetTimer(at policy.Tenths, token uint64) { (*Exchange)(d).at(at, dueWake, token) }
+func (h *actionHandler) SetTimer(at policy.Tenths, token uint64) {
+	(*Exchange)(h).schedule(at, dueWake, token)
+}
 
 // Subscribe subscribes to the list of switches.
-func (d *desk) Subscribe() { d.out.Follow() }
+func (h *actionHandler) Subscribe() { h.output.Follow() }
 
 // Log writes a line to the operator's log.
-func (d *desk) Log(text string) { d.out.Note(text) }
+func (h *actionHandler) Log(text string) { h.output.Note(text) }
--- a/internal/exchange/numbering.go
+++ b/internal/exchange/numbering.go
@@ -11,154 +11,154 @@
 // Numbering holds the number tables and the portability client of an exchange. An exchange without it takes the
 // destination from the first digits of the called number.
 type Numbering struct {
-	Versions *numbers.Versions
-	Split    *numbers.Split
-	Inquirer *numbers.Inquirer                  // nil if portability is not queried
-	Second   func(at policy.Tenths) int64       // converts an instant to Unix seconds
-	At       func(second int64) policy.Tenths   // converts Unix seconds to an instant
-	Changed  func(t *numbers.Table, why string) // called when another version takes effect; why is the reason for a rollback, or ""
+	Versions    *numbers.Versions
+	Split       *numbers.Split
+	Portability *numbers.Inquirer                  // nil if portability is not queried
+	UnixSecond  func(at policy.Tenths) int64       // converts an instant to Unix seconds
+	Instant     func(second int64) policy.Tenths   // converts Unix seconds to an instant
+	Changed     func(t *numbers.Table, why string) // called when another version takes effect; why is the reason for a rollback, or ""
 }
 
-// portTold is a reply of the portability client that has not been handled yet.
-type portTold struct {
+// portReply is a reply of the portability client that has not been handled yet.
+type portReply struct {
 	call  uint32
 	port  numbers.Port
 	known bool
 }
 
-// Asker implements numbers.Net for an exchange: it sends queries through a function and queues replies for the calls
+// PortabilityNet implements numbers.Net for an exchange: it sends queries through a function and queues replies for the calls
 // that wait for them.
-type Asker struct {
+type PortabilityNet struct {
 	x     *Exchange
 	query func(id uint32, server int, number string)
 }
 
-// Asker returns the numbers.Net that the portability client of this exchange is to use.
-func (x *Exchange) Asker(query func(id uint32, server int, number string)) *Asker {
-	return &Asker{x, query}
+// PortabilityNet returns the numbers.Net that the portability client of this exchange is to use.
+func (x *Exchange) PortabilityNet(query func(id uint32, server int, number string)) *PortabilityNet {
+	return &PortabilityNet{x, query}
 }
 
 // Query sends a query to a portability server.
-func (a *Asker) Query(id uint32, server int, number string) { a.query(id, server, number) }
+func (a *PortabilityNet) Query(id uint32, server int, number string) { a.query(id, server, number) }
 
 // Told queues the portability result for a call; it is handled after the portability client has returned.
-func (a *Asker) Told(call uint32, p numbers.Port, known bool) {
-	a.x.told = append(a.x.told, portTold{call, p, known})
+func (a *PortabilityNet) Told(call uint32, port numbers.Port, known bool) {
+	a.x.portReplies = append(a.x.portReplies, portReply{call, port, known})
 }
 
-// Number makes the exchange analyse called numbers with n.
-func (x *Exchange) Number(n *Numbering) { x.number = n }
+// SetNumbering makes the exchange analyse called numbers with n.
+func (x *Exchange) SetNumbering(numbering *Numbering) { x.numbering = numbering }
 
-// Change calls do with the numbering of the exchange, if it has any, and handles what results for its calls.
-func (x *Exchange) Change(now policy.Tenths, do func(n *Numbering)) {
+// UpdateNumbering calls do with the numbering of the exchange, if it has any, and handles what results for its calls.
+func (x *Exchange) UpdateNumbering(now policy.Tenths, do func(n *Numbering)) {
 	x.now = now
-	if x.number != nil {
-		do(x.number)
+	if x.numbering != nil {
+		do(x.numbering)
 	}
-	x.settle()
+	x.reportPending()
 }
 
 // analyse analyses the called number with the table version in force. The call uses that version until its end.
-func (x *Exchange) analyse(k *call) {
-	n := x.number
-	k.table = n.Versions.Pin()
-	k.version = k.table.Version
-	x.count(k)
-	r := k.table.Analyse(k.caller, k.digits, n.Second(x.now), n.Split.For(k.version), nil)
-	if r.Ask && n.Inquirer != nil {
-		until := numbers.WaitUntil(x.now, x.now+x.d.Bearers[k.ask.Bearer].GoSTarget, k.leavesAt)
-		p, verdict := n.Inquirer.Ask(x.now, k.id, r.Number, until)
+func (x *Exchange) analyse(call *activeCall) {
+	numbering := x.numbering
+	call.table = numbering.Versions.Pin()
+	call.tableVersion = call.table.Version
+	x.expectAnswer(call)
+	result := call.table.Analyse(call.caller, call.digits, numbering.UnixSecond(x.now), numbering.Split.For(call.tableVersion), nil)
+	if result.Ask && numbering.Portability != nil {
+		deadline := numbers.WaitUntil(x.now, x.now+x.deployment.Bearers[call.request.Bearer].GoSTarget, call.abandonTime)
+		port, verdict := numbering.Portability.Ask(x.now, call.id, result.Number, deadline)
 		switch verdict {
 		case numbers.Known:
-			x.ported(k, r, p)
+			x.applyPort(call, result, port)
 			return
 		case numbers.Wait:
-			k.found = r
+			call.analysis = result
 			return
 		}
-		k.donor = true
+		call.donorRouted = true
 	}
-	x.found(k, r)
+	x.handleAnalysis(call, result)
 }
 
-// portKnown handles the portability reply for a call. A call that has gone on or ended since is left alone.
-func (x *Exchange) portKnown(t portTold) {
-	k := x.calls[t.call]
-	if k == nil || k.state != Asking {
+// handlePortReply handles the portability reply for a call. A call that has gone on or ended since is left alone.
+func (x *Exchange) handlePortReply(reply portReply) {
+	call := x.calls[reply.call]
+	if call == nil || call.state != Analysing {
 		return
 	}
-	if t.known {
-		x.ported(k, k.found, t.port)
+	if reply.known {
+		x.applyPort(call, call.analysis, reply.port)
 		return
 	}
-	k.donor = true
-	x.found(k, k.found)
+	call.donorRouted = true
+	x.handleAnalysis(call, call.analysis)
 }
 
-// ported repeats the number analysis with the new number if the called number was ported.
-func (x *Exchange) ported(k *call, r numbers.Result, p numbers.Port) {
-	if p.Ported {
-		r = k.table.Again(k.caller, p.Number, x.number.Second(x.now), x.number.Split.For(k.version))
+// applyPort repeats the number analysis with the new number if the called number was ported.
+func (x *Exchange) applyPort(call *activeCall, result numbers.Result, port numbers.Port) {
+	if port.Ported {
+		result = call.table.Again(call.caller, port.Number, x.numbering.UnixSecond(x.now), x.numbering.Split.For(call.tableVersion))
 	}
-	x.found(k, r)
+	x.handleAnalysis(call, result)
 }
 
-// found continues a call with the result of its number analysis, and rolls the table back if too many numbers have no
+// handleAnalysis continues a call with the result of its number analysis, and rolls the table back if too many numbers have no
 // route.
-func (x *Exchange) found(k *call, r numbers.Result) {
-	n := x.number
-	if why, back := n.Versions.Analysed(k.table, r.Outcome != numbers.NoRoute, x.now); back {
-		if t, err := n.Versions.Rollback(why, x.now); err == nil {
-			n.Changed(t, why)
+func (x *Exchange) handleAnalysis(call *activeCall, result numbers.Result) {
+	numbering := x.numbering
+	if reason, rollback := numbering.Versions.Analysed(call.table, result.Outcome != numbers.NoRoute, x.now); rollback {
+		if t, err := numbering.Versions.Rollback(reason, x.now); err == nil {
+			numbering.Changed(t, reason)
 		}
 	}
-	if r.Outcome != numbers.ToOffice {
-		x.finish(k, Refused, isup.Cause(r.Cause), 0)
+	if result.Outcome != numbers.ToOffice {
+		x.finish(call, Refused, isup.Cause(result.Cause), 0)
 		return
 	}
-	k.digits = r.Sent
-	x.routed(k, r.Exchange)
+	call.digits = result.Sent
+	x.routeCall(call, result.Exchange)
 }
 
-// unnumber releases the table version and the pending query of a call that has ended.
-func (x *Exchange) unnumber(k *call) {
-	if k.table == nil {
+// releaseNumbering releases the table version and the pending query of a call that has ended.
+func (x *Exchange) releaseNumbering(call *activeCall) {
+	if call.table == nil {
 		return
 	}
-	if k.state == Asking && x.number.Inquirer != nil {
-		x.number.Inquirer.Forget(k.id)
+	if call.state == Analysing && x.numbering.Portability != nil {
+		x.numbering.Portability.Forget(call.id)
 	}
-	x.number.Versions.Unpin(k.table)
-	k.table = nil
+	x.numbering.Versions.Unpin(call.table)
+	call.table = nil
 }
 
-// nextNumbering returns the time at which a portability query is due or a table version takes effect.
-func (x *Exchange) nextNumbering() policy.Tenths {
+// nextNumberingTime returns the time at which a portability query is due or a table version takes effect.
+func (x *Exchange) nextNumberingTime() policy.Tenths {
 	next := policy.Tenths(math.MaxInt64)
-	if x.number == nil {
+	if x.numbering == nil {
 		return next
 	}
-	if x.number.Inquirer != nil {
-		if at, ok := x.number.Inquirer.Next(); ok {
+	if x.numbering.Portability != nil {
+		if at, ok := x.numbering.Portability.Next(); ok {
 			next = at
 		}
 	}
-	if t, second := x.number.Versions.Waiting(); t != nil {
-		next = min(next, x.number.At(second))
+	if t, second := x.numbering.Versions.Waiting(); t != nil {
+		next = min(next, x.numbering.Instant(second))
 	}
 	return next
 }
 
 // tickNumbering puts a due table version into force and handles the timers of the portability client.
 func (x *Exchange) tickNumbering() {
-	n := x.number
-	if n == nil {
+	numbering := x.numbering
+	if numbering == nil {
 		return
 	}
-	if n.Versions.Due(n.Second(x.now), x.now) {
-		n.Changed(n.Versions.Current(), "")
+	if numbering.Versions.Due(numbering.UnixSecond(x.now), x.now) {
+		numbering.Changed(numbering.Versions.Current(), "")
 	}
-	if n.Inquirer != nil {
-		n.Inquirer.Tick(x.now)
+	if numbering.Portability != nil {
+		numbering.Portability.Tick(x.now)
 	}
 }
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -10,175 +10,175 @@
 )
 
 // Receive handles a message from a hop. age is the time that the message waited before it was read.
-func (x *Exchange) Receive(now policy.Tenths, from Hop, m isup.Message, age policy.Tenths) {
+func (x *Exchange) Receive(now policy.Tenths, from Hop, msg isup.Message, age policy.Tenths) {
 	x.now = now
 	if from.Side == Line {
-		x.fromLine(from, m, age)
+		x.receiveFromLine(from, msg, age)
 	} else {
-		x.fromTrunk(from, m, age)
+		x.receiveFromTrunk(from, msg, age)
 	}
-	x.settle()
+	x.reportPending()
 }
 
-// fromLine handles a message from a line.
-func (x *Exchange) fromLine(from Hop, m isup.Message, age policy.Tenths) {
-	key := lineKey{from.Point, m.CIC}
-	k := x.calls[x.lines[key]]
-	switch m.Type {
+// receiveFromLine handles a message from a line.
+func (x *Exchange) receiveFromLine(from Hop, msg isup.Message, age policy.Tenths) {
+	key := lineKey{from.Point, msg.CIC}
+	call := x.calls[x.callByLine[key]]
+	switch msg.Type {
 	case isup.IAM:
-		if k != nil {
-			x.out.Note("fault: set-up on a subscriber circuit that already has a call")
+		if call != nil {
+			x.output.Note("fault: set-up on a subscriber circuit that already has a call")
 			return
 		}
-		x.nextID++
-		x.begin(x.nextID, leg{from, circuit.Bundle{CIC: m.CIC}}, m, age)
+		x.lastCallID++
+		x.startCall(x.lastCallID, callLeg{from, circuit.Assignment{CIC: msg.CIC}}, msg, age)
 	case isup.ANM:
-		if k != nil && k.state == Answering {
-			x.stand(k, m.Says)
+		if call != nil && call.state == Ringing {
+			x.establish(call, msg.UserInfo)
 		}
 	case isup.REL:
-		x.out.Transmit(from, isup.Message{CIC: m.CIC, Type: isup.RLC})
+		x.output.Transmit(from, isup.Message{CIC: msg.CIC, Type: isup.RLC})
 		switch {
-		case k == nil:
-		case k.in.hop == from && k.in.bundle.CIC == m.CIC:
-			x.forwardGone(k, m.Cause)
+		case call == nil:
+		case call.in.hop == from && call.in.circuits.CIC == msg.CIC:
+			x.releasedByCaller(call, msg.Cause)
 		default:
-			x.backward(k, policy.Released, policy.NoReason, m)
+			x.releasedByCalled(call, policy.Released, policy.NoReason, msg)
 		}
 	}
 }
 
-// fromTrunk handles a message about circuits of a trunk group.
-func (x *Exchange) fromTrunk(from Hop, m isup.Message, age policy.Tenths) {
-	g := &x.groups[from.Peer]
-	state, id, known := g.g.State(m.CIC)
+// receiveFromTrunk handles a message about circuits of a trunk group.
+func (x *Exchange) receiveFromTrunk(from Hop, msg isup.Message, age policy.Tenths) {
+	group := &x.groups[from.Peer]
+	state, id, known := group.circuits.State(msg.CIC)
 	if !known {
-		x.out.Note("fault: message for circuit " + strconv.Itoa(int(m.CIC)) + ", which the trunk group to exchange " +
-			strconv.Itoa(g.number) + " does not have")
+		x.output.Note("fault: message for circuit " + strconv.Itoa(int(msg.CIC)) + ", which the trunk group to exchange " +
+			strconv.Itoa(group.number) + " does not have")
 		return
 	}
-	g.changed = true
-	k := x.calls[id]
-	if k != nil && !names(k, from.Peer, m.CIC) && (m.Type == isup.ANM || m.Type == isup.REL || m.Type == isup.ACM || m.Type == isup.RLC) {
+	group.changed = true
+	call := x.calls[id]
+	if call != nil && !namesCircuit(call, from.Peer, msg.CIC) && (msg.Type == isup.ANM || msg.Type == isup.REL || msg.Type == isup.ACM || msg.Type == isup.RLC) {
 		// Messages of a multirate call name only its lowest circuit. A release on another of its circuits concerns an
 		// earlier call; applied to this one, it caused a second try while the first was still in progress.
-		if m.Type == isup.REL {
-			x.out.Transmit(from, isup.Message{CIC: m.CIC, Type: isup.RLC})
+		if msg.Type == isup.REL {
+			x.output.Transmit(from, isup.Message{CIC: msg.CIC, Type: isup.RLC})
 		}
 		return
 	}
 	reply := func(t isup.Type) {
-		r := isup.Message{CIC: m.CIC, Type: t, Range: m.Range}
+		r := isup.Message{CIC: msg.CIC, Type: t, Range: msg.Range}
 		if t == isup.RLC {
-			x.sayYielded(from.Peer, &r)
+			x.markYielded(from.Peer, &r)
 		}
-		x.out.Transmit(from, r)
+		x.output.Transmit(from, r)
 	}
-	if m.Says.Marks&isup.Yielded != 0 && (state == circuit.Seized || state == circuit.Outgoing || state == circuit.Releasing) {
-		g.g.Crossed(x.now, m.CIC)
+	if msg.UserInfo.Flags&isup.FlagYielded != 0 && (state == circuit.Seized || state == circuit.Outgoing || state == circuit.Releasing) {
+		group.circuits.YieldReceived(x.now, msg.CIC)
 	}
-	switch m.Type {
+	switch msg.Type {
 	case isup.IAM:
-		if from.Side != Behind {
-			x.out.Note("fault: set-up received on a link that carries only set-ups of this exchange")
+		if from.Side != Preceding {
+			x.output.Note("fault: set-up received on a link that carries only set-ups of this exchange")
 			return
 		}
-		x.arrived(from, m, age)
+		x.receiveSetUp(from, msg, age)
 	case isup.ACM:
-		g.g.Answered(x.now, m.CIC)
+		group.circuits.Acknowledged(x.now, msg.CIC)
 	case isup.ANM:
 		switch {
 		case state == circuit.Idle: // answer to a call that has ended here: reset the circuit at both ends
 			reply(isup.RSC)
-		case k != nil && k.state == Trying && k.out.hop.Peer == from.Peer && from.Side == Ahead &&
+		case call != nil && call.state == Trying && call.out.hop.Peer == from.Peer && from.Side == Succeeding &&
 			(state == circuit.Seized || state == circuit.Outgoing):
-			g.g.Answered(x.now, m.CIC)
-			x.circuits(from.Peer, m.Says)
-			x.stand(k, m.Says)
+			group.circuits.Acknowledged(x.now, msg.CIC)
+			x.reportCircuits(from.Peer, msg.UserInfo)
+			x.establish(call, msg.UserInfo)
 		}
 	case isup.REL:
 		reply(isup.RLC)
-		ours := state == circuit.Seized || state == circuit.Outgoing
+		outgoing := state == circuit.Seized || state == circuit.Outgoing
 		switch {
-		case from.Side == Ahead && ours:
-			g.g.Cleared(x.now, m.CIC, true)
-			if k != nil {
-				end, why := ending(m)
-				x.backward(k, end, why, m)
+		case from.Side == Succeeding && outgoing:
+			group.circuits.Cleared(x.now, msg.CIC, true)
+			if call != nil {
+				ending, reason := endingOf(msg)
+				x.releasedByCalled(call, ending, reason, msg)
 			}
-		case from.Side == Behind && state == circuit.Incoming:
-			g.g.Cleared(x.now, m.CIC, true)
-			if k != nil {
-				x.forwardGone(k, m.Cause)
+		case from.Side == Preceding && state == circuit.Incoming:
+			group.circuits.Cleared(x.now, msg.CIC, true)
+			if call != nil {
+				x.releasedByCaller(call, msg.Cause)
 			}
-		case from.Side == Behind && ours && k != nil && k.state == Trying:
+		case from.Side == Preceding && outgoing && call != nil && call.state == Trying:
 			// The neighbour releases a call whose set-up never arrived here. It has ignored our set-up, which crossed its own.
-			x.dropTry(k, isup.NormalUnspecified)
-			x.tryEnded(k, policy.Disconnected, policy.NoReason, 0, m.Says)
+			x.releaseTry(call, isup.NormalUnspecified)
+			x.endTry(call, policy.Disconnected, policy.NoReason, 0, msg.UserInfo)
 		}
 	case isup.RLC:
 		// If the circuit carries a call of the neighbour, this answers the repetition of an earlier release. Clearing the
 		// circuit would disconnect an established call.
 		if state == circuit.Releasing || state == circuit.Resetting {
-			g.g.Cleared(x.now, m.CIC, false)
+			group.circuits.Cleared(x.now, msg.CIC, false)
 		}
 	case isup.BLO:
-		g.g.Block(m.CIC, true)
+		group.circuits.SetBlocked(msg.CIC, true)
 		reply(isup.BLA)
 	case isup.UBL:
-		g.g.Block(m.CIC, false)
+		group.circuits.SetBlocked(msg.CIC, false)
 		reply(isup.UBA)
 	case isup.RSC:
-		if lost, ok := g.g.WasReset(x.now, m.CIC, 1); ok {
+		if lost, ok := group.circuits.ResetReceived(x.now, msg.CIC, 1); ok {
 			reply(isup.RLC)
-			x.lose(from.Peer, lost)
+			x.endOnLostCircuits(from.Peer, lost)
 		}
 	case isup.GRS:
-		if lost, ok := g.g.WasReset(x.now, m.CIC, int(m.Range)+1); ok {
+		if lost, ok := group.circuits.ResetReceived(x.now, msg.CIC, int(msg.Range)+1); ok {
 			reply(isup.GRA)
-			x.lose(from.Peer, lost)
+			x.endOnLostCircuits(from.Peer, lost)
 		}
 	case isup.CQM:
-		x.answerQuery(from, m)
+		x.answerCircuitQuery(from, msg)
 	case isup.CQR:
-		x.compare(from.Peer, m)
+		x.compareCircuits(from.Peer, msg)
 	case isup.GRA:
-		g.g.ResetDone(x.now, m.CIC, int(m.Range)+1)
+		group.circuits.ResetAnswered(x.now, msg.CIC, int(msg.Range)+1)
 	}
 }
 
-// names reports whether the messages of a call name a given circuit of the trunk group to a neighbour.
-func names(k *call, peer int, cic uint16) bool {
-	for _, l := range []leg{k.in, k.out} {
-		if l.hop.Side != Line && l.hop.Peer == peer && l.bundle.CIC == cic {
+// namesCircuit reports whether the messages of a call name a given circuit of the trunk group to a neighbour.
+func namesCircuit(call *activeCall, peer int, cic uint16) bool {
+	for _, leg := range []callLeg{call.in, call.out} {
+		if leg.hop.Side != Line && leg.hop.Peer == peer && leg.circuits.CIC == cic {
 			return true
 		}
 	}
 	return false
 }
 
-// arrived handles a neighbour's set-up: it resolves a dual seizure, then starts the call.
-func (x *Exchange) arrived(from Hop, m isup.Message, age policy.Tenths) {
-	g := &x.groups[from.Peer]
-	b := circuit.Bundle{CIC: m.CIC, Slots: m.Slots}
-	x.nextID++ // id of the call if it is accepted
-	verdict, yielded, gone := g.g.Arrived(x.now, x.nextID, b, m.Width)
+// receiveSetUp handles a neighbour's set-up: it resolves a dual seizure, then starts the call.
+func (x *Exchange) receiveSetUp(from Hop, msg isup.Message, age policy.Tenths) {
+	group := &x.groups[from.Peer]
+	assigned := circuit.Assignment{CIC: msg.CIC, Slots: msg.Slots}
+	x.lastCallID++ // id of the call if it is accepted
+	verdict, yielded, gone := group.circuits.SetUpReceived(x.now, x.lastCallID, assigned, msg.Width)
 	for _, id := range gone {
-		if k := x.calls[id]; k != nil {
-			x.forwardGone(k, isup.NetworkOutOfOrder)
+		if call := x.calls[id]; call != nil {
+			x.releasedByCaller(call, isup.NetworkOutOfOrder)
 		}
 	}
 	switch verdict {
-	case circuit.Unknown:
-		x.out.Note("fault: set-up for circuits that the trunk group to exchange " + strconv.Itoa(g.number) + " does not have")
-		x.out.Transmit(from, isup.Message{CIC: m.CIC, Type: isup.REL, Cause: isup.NoCircuit, Location: isup.LocalNetwork})
-	case circuit.Taken:
+	case circuit.UnknownCircuit:
+		x.output.Note("fault: set-up for circuits that the trunk group to exchange " + strconv.Itoa(group.number) + " does not have")
+		x.output.Transmit(from, isup.Message{CIC: msg.CIC, Type: isup.REL, Cause: isup.NoCircuit, Location: isup.LocalNetwork})
+	case circuit.Accepted:
 		for _, id := range yielded {
-			if k := x.calls[id]; k != nil && k.state == Trying {
-				x.repeatTry(k)
+			if call := x.calls[id]; call != nil && call.state == Trying {
+				x.repeatTry(call)
 			}
 		}
-		x.begin(x.nextID, leg{from, b}, m, age)
+		x.startCall(x.lastCallID, callLeg{from, assigned}, msg, age)
 	}
 }
 
@@ -186,115 +186,115 @@
 // automatic repeat attempt of Q.764, 2.8.1), or else returns the call to the decider. The decider does not see the
 // repeat. It is therefore not made to a switch that is no longer listed as ready, nor to a cold switch, whose slow-start
 // budget would not count it.
-func (x *Exchange) repeatTry(k *call) {
-	g := &x.groups[k.out.hop.Peer]
-	cold := g.bootAt > 0 && x.now < g.bootAt+x.d.RampTime
-	if g.up && g.ready && g.sw == k.sw && !cold {
-		if b, ok := g.g.Seize(x.now, k.id, k.ask.Width); ok {
-			k.out.bundle = b
-			x.setUp(k)
+func (x *Exchange) repeatTry(call *activeCall) {
+	group := &x.groups[call.out.hop.Peer]
+	cold := group.bootAt > 0 && x.now < group.bootAt+x.deployment.RampTime
+	if group.linkUp && group.ready && group.switchID == call.switchID && !cold {
+		if assigned, ok := group.circuits.Seize(x.now, call.id, call.request.Width); ok {
+			call.out.circuits = assigned
+			x.sendSetUp(call)
 			return
 		}
 	}
-	x.tryEnded(k, policy.Blocked, policy.NoCircuit, 0, isup.Says{})
+	x.endTry(call, policy.Blocked, policy.NoCircuit, 0, isup.UserInfo{})
 }
 
-// begin starts a new call, or refuses it when it cannot be served. A call to a line of this exchange is passed to that
+// startCall starts a new call, or refuses it when it cannot be served. A call to a line of this exchange is passed to that
 // line, all others are offered to the decider.
-func (x *Exchange) begin(id uint32, in leg, m isup.Message, age policy.Tenths) {
-	transit := in.hop.Side == Behind
-	refuse := func(c isup.Cause) {
-		says := isup.Says{}
-		if x.draining && x.d.MaxRetryAfter > 0 {
-			says = isup.Says{Has: isup.PartComeBack, ComeBack: uint32(x.d.MaxRetryAfter)}
+func (x *Exchange) startCall(id uint32, in callLeg, msg isup.Message, age policy.Tenths) {
+	transit := in.hop.Side == Preceding
+	refuse := func(cause isup.Cause) {
+		userInfo := isup.UserInfo{}
+		if x.draining && x.deployment.MaxRetryAfter > 0 {
+			userInfo = isup.UserInfo{Present: isup.PartRetryAfter, RetryAfter: uint32(x.deployment.MaxRetryAfter)}
 		}
-		x.release(in, isup.Message{Type: isup.REL, Cause: c, Location: isup.LocalNetwork, Says: says})
+		x.release(in, isup.Message{Type: isup.REL, Cause: cause, Location: isup.LocalNetwork, UserInfo: userInfo})
 	}
-	bearer := int(m.Says.Bearer)
+	bearer := int(msg.UserInfo.Bearer)
 	switch {
 	case x.draining:
 		refuse(isup.Congestion)
 		return
-	case bearer >= len(x.d.Bearers) || m.Width < 1:
-		x.out.Note("fault: call with an unknown bearer type or no circuits")
+	case bearer >= len(x.deployment.Bearers) || msg.Width < 1:
+		x.output.Note("fault: call with an unknown bearer type or no circuits")
 		refuse(isup.TemporaryFailure)
 		return
-	case transit && m.Hops == 0:
+	case transit && msg.Hops == 0:
 		refuse(isup.Congestion)
 		return
 	}
-	left := x.d.Bearers[bearer].AbandonTime
-	if m.Says.Has&isup.PartLeft != 0 {
-		left = policy.Tenths(m.Says.Left) - age
+	timeLeft := x.deployment.Bearers[bearer].AbandonTime
+	if msg.UserInfo.Present&isup.PartTimeLeft != 0 {
+		timeLeft = policy.Tenths(msg.UserInfo.TimeLeft) - age
 	}
-	if left > 0 && left <= handBack { // too late for a route try, but an answer still reaches the caller
+	if timeLeft > 0 && timeLeft <= answerMargin { // too late for a route try, but an answer still reaches the caller
 		refuse(isup.TemporaryFailure)
 		return
 	}
-	if left -= handBack; left <= 0 {
+	if timeLeft -= answerMargin; timeLeft <= 0 {
 		// The caller abandoned the call while the set-up waited, and sends a release: not even a refusal may be sent.
 		if transit {
 			refuse(isup.Congestion)
 		}
 		return
 	}
-	k := &call{id: id, in: in, ref: m.Ref, digits: m.Digits, caller: m.Caller, session: m.Says.Session,
-		donor: m.Says.Marks&isup.Donor != 0, beganAt: x.now, leavesAt: x.now + left, hops: hopsAtStart}
+	call := &activeCall{id: id, in: in, ref: msg.Ref, digits: msg.Digits, caller: msg.Caller, session: msg.UserInfo.Session,
+		donorRouted: msg.UserInfo.Flags&isup.FlagDonorRouted != 0, startTime: x.now, abandonTime: x.now + timeLeft, hopCounter: initialHops}
 	if transit {
-		k.hops = m.Hops - 1
+		call.hopCounter = msg.Hops - 1
 	}
-	k.ask = policy.Call{ID: k.id, Number: number(m.Digits), Bearer: bearer, Dest: -1, Width: m.Width, AdvisedTandem: -1, TTL: left,
-		Redial: m.Says.Marks&isup.Redial != 0, Disconnected: m.Says.Marks&isup.CutBefore != 0, Transit: transit}
-	x.calls[k.id] = k
+	call.request = policy.Call{ID: call.id, Number: policyNumber(msg.Digits), Bearer: bearer, Dest: -1, Width: msg.Width, AdvisedTandem: -1, TTL: timeLeft,
+		Redial: msg.UserInfo.Flags&isup.FlagRedial != 0, Disconnected: msg.UserInfo.Flags&isup.FlagDisconnectedBefore != 0, Transit: transit}
+	x.calls[call.id] = call
 	if in.hop.Side == Line {
-		x.lines[lineKey{in.hop.Point, in.bundle.CIC}] = k.id
+		x.callByLine[lineKey{in.hop.Point, in.circuits.CIC}] = call.id
 	}
-	x.at(k.leavesAt+handBack/2, dueLeave, uint64(k.id)) // after the time-out of a try at the same time
+	x.schedule(call.abandonTime+answerMargin/2, dueAbandon, uint64(call.id)) // after the time-out of a try at the same time
 	switch {
-	case m.Says.Has&isup.PartRoute != 0 && transit: // the originating exchange's table applies in every exchange
-		k.version = m.Says.Table
-		x.routed(k, int(m.Says.Dest))
-	case x.number != nil && !transit:
-		x.analyse(k)
+	case msg.UserInfo.Present&isup.PartRoute != 0 && transit: // the originating exchange's table applies in every exchange
+		call.tableVersion = msg.UserInfo.TableVersion
+		x.routeCall(call, int(msg.UserInfo.Dest))
+	case x.numbering != nil && !transit:
+		x.analyse(call)
 	default:
-		dest, err := strconv.Atoi(m.Digits[:min(numberDigits, len(m.Digits))])
+		dest, err := strconv.Atoi(msg.Digits[:min(exchangeDigits, len(msg.Digits))])
 		if err != nil {
 			dest = -1
 		}
-		x.routed(k, dest)
+		x.routeCall(call, dest)
 	}
 }
 
-// routed continues a call whose destination is known: its line rings, or it is offered to the decider.
-func (x *Exchange) routed(k *call, dest int) {
-	if k.ask.Dest = dest; dest == x.own {
-		k.ask.Transit = false
-		x.ring(k)
+// routeCall continues a call whose destination is known: its line rings, or it is offered to the decider.
+func (x *Exchange) routeCall(call *activeCall, dest int) {
+	if call.request.Dest = dest; dest == x.ownNumber {
+		call.request.Transit = false
+		x.ringLine(call)
 		return
 	}
-	if tandem, ok := x.advice[dest]; ok && !k.ask.Transit {
-		k.ask.AdvisedTandem = tandem
+	if tandem, ok := x.advice[dest]; ok && !call.request.Transit {
+		call.request.AdvisedTandem = tandem
 	}
-	x.count(k)
-	k.decided = true
-	if !k.ask.Transit {
-		x.keeper.Put(x.kept(k, recovery.SettingUp))
+	x.expectAnswer(call)
+	call.offered = true
+	if !call.request.Transit {
+		x.store.Put(x.storedCall(call, recovery.SettingUp))
 	}
-	k.ask.TTL = k.leavesAt - x.now
-	x.become(k, Offered)
-	x.decide.Offer(x.now, k.ask)
+	call.request.TTL = call.abandonTime - x.now
+	x.setState(call, Offered)
+	x.decider.Offer(x.now, call.request)
 }
 
-// count adds a call to those that await a final answer, once.
-func (x *Exchange) count(k *call) {
-	if !k.counted {
-		k.counted = true
-		x.waiting++
+// expectAnswer adds a call to those that await a final answer, once.
+func (x *Exchange) expectAnswer(call *activeCall) {
+	if !call.answerExpected {
+		call.answerExpected = true
+		x.unanswered++
 	}
 }
 
-// number returns the called number in the form that the decider uses.
-func number(digits string) uint64 {
+// policyNumber returns the called number in the form that the decider uses.
+func policyNumber(digits string) uint64 {
 	n, err := strconv.ParseUint(digits, 10, 64)
 	if err != nil {
 		return 0
@@ -302,112 +302,112 @@
 	return n + 1 // 0 means unknown
 }
 
-// ring sends a call to a line of this exchange.
-func (x *Exchange) ring(k *call) {
-	x.nextLine++
-	at := x.nextLine % (blockMost * (isup.CICMost + 1))
-	k.out = leg{Hop{Side: Line, Point: CalledFrom + uint16(at>>12)}, circuit.Bundle{CIC: uint16(at & isup.CICMost)}}
-	x.lines[lineKey{k.out.hop.Point, k.out.bundle.CIC}] = k.id
-	x.become(k, Answering)
-	x.setUp(k)
+// ringLine sends a call to a line of this exchange.
+func (x *Exchange) ringLine(call *activeCall) {
+	x.lastCalledLine++
+	line := x.lastCalledLine % (calledBlocks * (isup.MaxCIC + 1))
+	call.out = callLeg{Hop{Side: Line, Point: FirstCalledPoint + uint16(line>>12)}, circuit.Assignment{CIC: uint16(line & isup.MaxCIC)}}
+	x.callByLine[lineKey{call.out.hop.Point, call.out.circuits.CIC}] = call.id
+	x.setState(call, Ringing)
+	x.sendSetUp(call)
 }
 
-// setUp sends the set-up of a call's current try.
-func (x *Exchange) setUp(k *call) {
-	marks := uint8(0)
-	if k.ask.Redial {
-		marks |= isup.Redial
-	}
-	if k.ask.Disconnected {
-		marks |= isup.CutBefore
-	}
-	if k.donor {
-		marks |= isup.Donor
-	}
-	until := k.leavesAt
-	if k.state == Trying {
-		until = min(until, k.limitAt)
-	}
-	says := isup.Says{Has: isup.PartLeft | isup.PartCall, Left: uint32(max(0, until-x.now)), Stamp: uint32(x.now),
-		Bearer: uint8(k.ask.Bearer), Marks: marks}
-	if k.version != 0 {
-		says.Has |= isup.PartRoute
-		says.Dest, says.Table = uint16(k.ask.Dest), k.version
-	}
-	if k.session != "" {
-		says.Has |= isup.PartSession
-		says.Session = k.session
-	}
-	x.out.Transmit(k.out.hop, isup.Message{CIC: k.out.bundle.CIC, Type: isup.IAM, Digits: k.digits, Caller: k.caller, Width: k.ask.Width,
-		Slots: k.out.bundle.Slots, Hops: k.hops, Ref: k.ref, Says: says})
+// sendSetUp sends the set-up of a call's current try.
+func (x *Exchange) sendSetUp(call *activeCall) {
+	flags := uint8(0)
+	if call.request.Redial {
+		flags |= isup.FlagRedial
+	}
+	if call.request.Disconnected {
+		flags |= isup.FlagDisconnectedBefore
+	}
+	if call.donorRouted {
+		flags |= isup.FlagDonorRouted
+	}
+	deadline := call.abandonTime
+	if call.state == Trying {
+		deadline = min(deadline, call.tryDeadline)
+	}
+	userInfo := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(max(0, deadline-x.now)), SentAt: uint32(x.now),
+		Bearer: uint8(call.request.Bearer), Flags: flags}
+	if call.tableVersion != 0 {
+		userInfo.Present |= isup.PartRoute
+		userInfo.Dest, userInfo.TableVersion = uint16(call.request.Dest), call.tableVersion
+	}
+	if call.session != "" {
+		userInfo.Present |= isup.PartSession
+		userInfo.Session = call.session
+	}
+	x.output.Transmit(call.out.hop, isup.Message{CIC: call.out.circuits.CIC, Type: isup.IAM, Digits: call.digits, Caller: call.caller, Width: call.request.Width,
+		Slots: call.out.circuits.Slots, Hops: call.hopCounter, Ref: call.ref, UserInfo: userInfo})
 }
 
-// stand marks a call as established and passes the answer to the caller's side.
-func (x *Exchange) stand(k *call, says isup.Says) {
-	x.become(k, Standing)
-	x.keeper.Put(x.kept(k, recovery.Established))
-	x.answered(k, Stood, 0)
-	x.out.Transmit(k.in.hop, isup.Message{CIC: k.in.bundle.CIC, Type: isup.ANM,
-		Says: isup.Says{Has: says.Has & isup.PartSession, Session: says.Session}})
-	if k.decided {
-		x.decide.Answered(x.now, k.id, k.tries-1)
+// establish marks a call as established and passes the answer to the caller's side.
+func (x *Exchange) establish(call *activeCall, userInfo isup.UserInfo) {
+	x.setState(call, Established)
+	x.store.Put(x.storedCall(call, recovery.Established))
+	x.reportAnswer(call, Answered, 0)
+	x.output.Transmit(call.in.hop, isup.Message{CIC: call.in.circuits.CIC, Type: isup.ANM,
+		UserInfo: isup.UserInfo{Present: userInfo.Present & isup.PartSession, Session: userInfo.Session}})
+	if call.offered {
+		x.decider.Answered(x.now, call.id, call.tries-1)
 	}
 }
 
-// forwardGone ends a call that was released from the caller's side.
-func (x *Exchange) forwardGone(k *call, cause isup.Cause) {
-	x.dropTry(k, cause)
+// releasedByCaller ends a call that was released from the caller's side.
+func (x *Exchange) releasedByCaller(call *activeCall, cause isup.Cause) {
+	x.releaseTry(call, cause)
 	switch {
-	case k.decided && k.state == Standing:
-		x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: policy.Released, final: true})
-	case k.decided:
-		x.decide.Abandoned(x.now, k.id)
-		x.answered(k, Left, 0)
+	case call.offered && call.state == Established:
+		x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: call.id, try: call.tries - 1, switchID: call.switchID, ending: policy.Released, final: true})
+	case call.offered:
+		x.decider.Abandoned(x.now, call.id)
+		x.reportAnswer(call, Abandoned, 0)
 	default:
-		x.answered(k, Left, 0)
+		x.reportAnswer(call, Abandoned, 0)
 	}
-	x.become(k, Over)
+	x.setState(call, Ended)
 }
 
-// backward handles a release from the called side. The circuits of that side are already in their new state.
-func (x *Exchange) backward(k *call, end policy.Outcome, why policy.Reason, m isup.Message) {
+// releasedByCalled handles a release from the called side. The circuits of that side are already in their new state.
+func (x *Exchange) releasedByCalled(call *activeCall, ending policy.Outcome, reason policy.Reason, msg isup.Message) {
 	switch {
-	case k.state == Trying:
-		k.cause = m.Cause
+	case call.state == Trying:
+		call.lastCause = msg.Cause
 		wait := policy.Tenths(0)
-		if m.Says.Has&isup.PartComeBack != 0 {
-			wait = policy.Tenths(m.Says.ComeBack)
+		if msg.UserInfo.Present&isup.PartRetryAfter != 0 {
+			wait = policy.Tenths(msg.UserInfo.RetryAfter)
 		}
-		x.tryEnded(k, end, why, wait, m.Says)
-	case k.state == Standing:
-		if m.Cause != isup.NormalClearing {
-			end = policy.Disconnected
+		x.endTry(call, ending, reason, wait, msg.UserInfo)
+	case call.state == Established:
+		if msg.Cause != isup.NormalClearing {
+			ending = policy.Disconnected
 		}
-		if k.decided {
-			x.later = append(x.later, report{id: k.id, try: k.tries - 1, sw: k.sw, end: end, final: true, says: m.Says})
+		if call.offered {
+			x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: call.id, try: call.tries - 1, switchID: call.switchID, ending: ending, final: true, userInfo: msg.UserInfo})
 		}
-		x.release(k.in, isup.Message{Type: isup.REL, Cause: m.Cause, Location: m.Location})
-		x.become(k, Over)
-	case k.state == Answering:
-		x.release(k.in, isup.Message{Type: isup.REL, Cause: m.Cause, Location: m.Location, Says: m.Says})
-		x.become(k, Over)
+		x.release(call.in, isup.Message{Type: isup.REL, Cause: msg.Cause, Location: msg.Location})
+		x.setState(call, Ended)
+	case call.state == Ringing:
+		x.release(call.in, isup.Message{Type: isup.REL, Cause: msg.Cause, Location: msg.Location, UserInfo: msg.UserInfo})
+		x.setState(call, Ended)
 	}
 }
 
-// ending derives from a release how and why a try ended.
-func ending(m isup.Message) (policy.Outcome, policy.Reason) {
-	switch m.Cause {
+// endingOf derives from a release how and why a try ended.
+func endingOf(msg isup.Message) (policy.Outcome, policy.Reason) {
+	switch msg.Cause {
 	case isup.NormalClearing:
 		return policy.Released, policy.NoReason
 	case isup.UserBusy:
 		return policy.Faulted, policy.NumberBusy
 	case isup.NoCircuit:
-		if m.Location == isup.Transit {
+		if msg.Location == isup.TransitNetwork {
 			return policy.Blocked, policy.TurnedBack
 		}
 		return policy.Blocked, policy.NoCircuit
 	case isup.Congestion:
-		if m.Location == isup.Transit {
+		if msg.Location == isup.TransitNetwork {
 			return policy.Blocked, policy.DestOverloaded
 		}
 		return policy.Blocked, policy.ProcessorOverloaded
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -7,178 +7,180 @@
 	"indigodrift/policy"
 )
 
-// Keeper stores what must survive a restart of the process. Its methods must neither block nor call back.
-type Keeper interface {
+// CallStore stores what must survive a restart of the process. Its methods must neither block nor call back.
+type CallStore interface {
 	Put(k recovery.StoredCall)     // add or replace a call
 	Drop(id uint32)                // remove a call
 	Knows(number int, life string) // record the process lifetime of a neighbour's switch, or of the own one for -1
 }
 
-// noKeeper stores nothing.
-type noKeeper struct{}
+// nullStore stores nothing.
+type nullStore struct{}
 
-func (noKeeper) Put(recovery.StoredCall) {}
-func (noKeeper) Drop(uint32)             {}
-func (noKeeper) Knows(int, string)       {}
+func (nullStore) Put(recovery.StoredCall) {}
+func (nullStore) Drop(uint32)             {}
+func (nullStore) Knows(int, string)       {}
 
-// Keep makes the exchange store its calls in k from now on. wall converts an instant to tenths of a millisecond since
+// SetStore makes the exchange store its calls in k from now on. wall converts an instant to tenths of a millisecond since
 // 1970.
-func (x *Exchange) Keep(k Keeper, wall func(policy.Tenths) int64) { x.keeper, x.wall = k, wall }
+func (x *Exchange) SetStore(store CallStore, wallClock func(policy.Tenths) int64) {
+	x.store, x.wallClock = store, wallClock
+}
 
-// kept returns the form in which a call is stored.
-func (x *Exchange) kept(k *call, p recovery.Phase) recovery.StoredCall {
-	r := recovery.StoredCall{ID: k.id, Phase: p, In: x.place(k.in), Ref: k.ref, Transit: k.ask.Transit, Since: x.wall(x.now), Until: x.wall(k.leavesAt + handBack)}
-	if p == recovery.Established {
-		r.Out = x.place(k.out)
+// storedCall returns the form in which a call is stored.
+func (x *Exchange) storedCall(call *activeCall, phase recovery.Phase) recovery.StoredCall {
+	stored := recovery.StoredCall{ID: call.id, Phase: phase, In: x.storedLeg(call.in), Ref: call.ref, Transit: call.request.Transit, Since: x.wallClock(x.now), Until: x.wallClock(call.abandonTime + answerMargin)}
+	if phase == recovery.Established {
+		stored.Out = x.storedLeg(call.out)
 	}
-	return r
+	return stored
 }
 
-// place returns the stored form of a leg.
-func (x *Exchange) place(l leg) recovery.Place {
-	if l.hop.Side == Line {
-		return recovery.Place{Point: l.hop.Point, CIC: l.bundle.CIC}
+// storedLeg returns the stored form of a leg.
+func (x *Exchange) storedLeg(leg callLeg) recovery.Place {
+	if leg.hop.Side == Line {
+		return recovery.Place{Point: leg.hop.Point, CIC: leg.circuits.CIC}
 	}
-	return recovery.Place{Trunk: true, Number: x.groups[l.hop.Peer].number, CIC: l.bundle.CIC, Slots: l.bundle.Slots}
+	return recovery.Place{Trunk: true, Number: x.groups[leg.hop.Peer].number, CIC: leg.circuits.CIC, Slots: leg.circuits.Slots}
 }
 
-// leg returns the leg for its stored form; false if the neighbour is not configured any more.
-func (x *Exchange) leg(p recovery.Place, out bool) (leg, bool) {
-	if !p.Trunk {
-		return leg{Hop{Side: Line, Point: p.Point}, circuit.Bundle{CIC: p.CIC}}, true
+// restoredLeg returns the leg for its stored form; false if the neighbour is not configured any more.
+func (x *Exchange) restoredLeg(place recovery.Place, out bool) (callLeg, bool) {
+	if !place.Trunk {
+		return callLeg{Hop{Side: Line, Point: place.Point}, circuit.Assignment{CIC: place.CIC}}, true
 	}
-	i, ok := x.byNumber[p.Number]
-	side := Behind
+	i, ok := x.groupByNumber[place.Number]
+	side := Preceding
 	if out {
-		side = Ahead
+		side = Succeeding
 	}
-	return leg{Hop{Side: side, Peer: i}, circuit.Bundle{CIC: p.CIC, Slots: p.Slots}}, ok
+	return callLeg{Hop{Side: side, Peer: i}, circuit.Assignment{CIC: place.CIC, Slots: place.Slots}}, ok
 }
 
 // Restore takes over the stored calls of the previous process. It must be called before any link is up, and returns the
 // number of established calls that continue. Their circuits are compared with the neighbours once the links are up, and
 // waiting callers are answered once the own switch is up. Calls in set-up fail: otherwise a new try could follow one of
 // the previous process within its release time.
-func (x *Exchange) Restore(now policy.Tenths, life recovery.Process, all []recovery.Decision) (standing int) {
+func (x *Exchange) Restore(now policy.Tenths, previous recovery.Process, verdicts []recovery.Decision) (restored int) {
 	x.now = now
-	x.ownLife = life.OwnIncarnation
-	x.coldFrom = recovery.ColdSwitchHoldEnd(now, x.d)
+	x.ownLifetime = previous.OwnIncarnation
+	x.coldHoldUntil = recovery.ColdSwitchHoldEnd(now, x.deployment)
 	for i := range x.groups {
-		g := &x.groups[i]
-		g.life, g.anew = life.Incarnations[g.number], true
-		g.auditAt = recovery.FirstAuditTime(now, x.own, i, len(x.groups))
+		group := &x.groups[i]
+		group.lifetime, group.restored = previous.Incarnations[group.number], true
+		group.earliestAudit = recovery.FirstAuditTime(now, x.ownNumber, i, len(x.groups))
 	}
-	for _, v := range all {
-		x.nextID = max(x.nextID, v.ID)
-		switch v.Outcome {
+	for _, verdict := range verdicts {
+		x.lastCallID = max(x.lastCallID, verdict.ID)
+		switch verdict.Outcome {
 		case recovery.Continue:
-			if x.standOn(v.StoredCall) {
-				standing++
+			if x.restoreCall(verdict.StoredCall) {
+				restored++
 			}
 		case recovery.AnswerFailed:
-			if !v.In.Trunk { // a neighbour learns of it by the reset of the circuit
-				x.fails = append(x.fails, v.StoredCall)
+			if !verdict.In.Trunk { // a neighbour learns of it by the reset of the circuit
+				x.failedCalls = append(x.failedCalls, verdict.StoredCall)
 			}
 		case recovery.Release: // neighbours learn of it by a circuit reset, lines by a release
-			for _, p := range []recovery.Place{v.In, v.Out} {
-				if !p.Trunk {
-					x.cuts = append(x.cuts, p)
+			for _, place := range []recovery.Place{verdict.In, verdict.Out} {
+				if !place.Trunk {
+					x.lostLines = append(x.lostLines, place)
 				}
 			}
 		}
 	}
-	return standing
+	return restored
 }
 
-// standOn restores an established call; false if its circuits are unknown or taken.
-func (x *Exchange) standOn(v recovery.StoredCall) bool {
-	in, ok := x.leg(v.In, false)
-	out, ok2 := x.leg(v.Out, true)
-	if !ok || !ok2 {
+// restoreCall restores an established call; false if its circuits are unknown or taken.
+func (x *Exchange) restoreCall(stored recovery.StoredCall) bool {
+	in, inOK := x.restoredLeg(stored.In, false)
+	out, outOK := x.restoredLeg(stored.Out, true)
+	if !inOK || !outOK {
 		return false
 	}
-	k := &call{id: v.ID, in: in, out: out, ref: v.Ref, beganAt: x.now, leavesAt: x.now, closed: true}
-	k.ask.Transit = v.Transit
-	for n, l := range []leg{in, out} {
-		if l.hop.Side != Line && !x.groups[l.hop.Peer].g.Keep(x.now, k.id, l.bundle, n == 0) {
+	call := &activeCall{id: stored.ID, in: in, out: out, ref: stored.Ref, startTime: x.now, abandonTime: x.now, answerReported: true}
+	call.request.Transit = stored.Transit
+	for n, leg := range []callLeg{in, out} {
+		if leg.hop.Side != Line && !x.groups[leg.hop.Peer].circuits.Restore(x.now, call.id, leg.circuits, n == 0) {
 			if n == 1 && in.hop.Side != Line {
-				x.groups[in.hop.Peer].g.Drop(x.now, in.bundle.CIC, true)
+				x.groups[in.hop.Peer].circuits.Drop(x.now, in.circuits.CIC, true)
 			}
 			return false
 		}
 	}
-	for _, l := range []leg{in, out} {
-		if l.hop.Side == Line {
-			x.lines[lineKey{l.hop.Point, l.bundle.CIC}] = k.id
-			if l.hop.Point >= CalledFrom {
-				x.nextLine = max(x.nextLine, uint32(l.hop.Point-CalledFrom)<<12|uint32(l.bundle.CIC))
+	for _, leg := range []callLeg{in, out} {
+		if leg.hop.Side == Line {
+			x.callByLine[lineKey{leg.hop.Point, leg.circuits.CIC}] = call.id
+			if leg.hop.Point >= FirstCalledPoint {
+				x.lastCalledLine = max(x.lastCalledLine, uint32(leg.hop.Point-FirstCalledPoint)<<12|uint32(leg.circuits.CIC))
 			}
 		}
 	}
-	x.calls[k.id] = k
-	x.become(k, Standing)
+	x.calls[call.id] = call
+	x.setState(call, Established)
 	return true
 }
 
-// tellKept releases the lines of calls of the previous process that failed or were lost. It runs once the own switch is
+// releaseLostCallers releases the lines of calls of the previous process that failed or were lost. It runs once the own switch is
 // up and has not restarted.
-func (x *Exchange) tellKept() {
-	for _, k := range x.fails {
-		if x.wall(x.now) < k.Until-int64(handBack) {
-			x.out.Transmit(Hop{Side: Line, Point: k.In.Point}, isup.Message{CIC: k.In.CIC, Type: isup.REL, Cause: isup.TemporaryFailure, Location: isup.LocalNetwork})
+func (x *Exchange) releaseLostCallers() {
+	for _, stored := range x.failedCalls {
+		if x.wallClock(x.now) < stored.Until-int64(answerMargin) {
+			x.output.Transmit(Hop{Side: Line, Point: stored.In.Point}, isup.Message{CIC: stored.In.CIC, Type: isup.REL, Cause: isup.TemporaryFailure, Location: isup.LocalNetwork})
 		}
-		x.keeper.Drop(k.ID)
+		x.store.Drop(stored.ID)
 	}
-	for _, p := range x.cuts {
-		x.out.Transmit(Hop{Side: Line, Point: p.Point}, isup.Message{CIC: p.CIC, Type: isup.REL, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork})
+	for _, line := range x.lostLines {
+		x.output.Transmit(Hop{Side: Line, Point: line.Point}, isup.Message{CIC: line.CIC, Type: isup.REL, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork})
 	}
-	x.fails, x.cuts = nil, nil
+	x.failedCalls, x.lostLines = nil, nil
 }
 
-// Unagreed returns the number of circuits of restored calls that the neighbours have not confirmed.
-func (x *Exchange) Unagreed() (n int) {
+// UnconfirmedCircuits returns the number of circuits of restored calls that the neighbours have not confirmed.
+func (x *Exchange) UnconfirmedCircuits() (n int) {
 	for i := range x.groups {
-		n += x.groups[i].g.UnsureCount()
+		n += x.groups[i].circuits.UnconfirmedCount()
 	}
 	return n
 }
 
-// answerQuery answers a neighbour's circuit group query.
-func (x *Exchange) answerQuery(from Hop, m isup.Message) {
-	g := &x.groups[from.Peer]
-	states := make([]byte, int(m.Range)+1)
+// answerCircuitQuery answers a neighbour's circuit group query.
+func (x *Exchange) answerCircuitQuery(from Hop, msg isup.Message) {
+	group := &x.groups[from.Peer]
+	states := make([]byte, int(msg.Range)+1)
 	for i := range states {
-		states[i] = g.g.Indicator(m.CIC + uint16(i))
+		states[i] = group.circuits.Indicator(msg.CIC + uint16(i))
 	}
-	x.out.Transmit(from, isup.Message{CIC: m.CIC, Type: isup.CQR, Range: m.Range, States: string(states)})
+	x.output.Transmit(from, isup.Message{CIC: msg.CIC, Type: isup.CQR, Range: msg.Range, States: string(states)})
 }
 
-// compare compares a neighbour's circuit states with those held here, and drops or resets circuits that differ.
-func (x *Exchange) compare(peer int, m isup.Message) {
-	g := &x.groups[peer]
-	for i := range len(m.States) {
-		cic := m.CIC + uint16(i)
-		if !g.g.Unsure(cic) { // resolved since the query was sent
+// compareCircuits compares a neighbour's circuit states with those held here, and drops or resets circuits that differ.
+func (x *Exchange) compareCircuits(peer int, msg isup.Message) {
+	group := &x.groups[peer]
+	for i := range len(msg.States) {
+		cic := msg.CIC + uint16(i)
+		if !group.circuits.Unconfirmed(cic) { // resolved since the query was sent
 			continue
 		}
-		state, id, _ := g.g.State(cic)
-		ours := recovery.Idle
+		state, id, _ := group.circuits.State(cic)
+		held := recovery.Idle
 		switch state {
 		case circuit.Seized, circuit.Outgoing:
-			ours = recovery.Outgoing
+			held = recovery.Outgoing
 		case circuit.Incoming:
-			ours = recovery.Incoming
+			held = recovery.Incoming
 		case circuit.Releasing, circuit.Resetting:
-			ours = recovery.Clearing
+			held = recovery.Clearing
 		}
-		step := recovery.CompareStates(ours, m.States[i])
+		step := recovery.CompareStates(held, msg.States[i])
 		switch step {
 		case recovery.NoAction:
-			g.g.Sure(cic)
+			group.circuits.Confirm(cic)
 		case recovery.DropCall, recovery.ResetCircuit:
-			g.g.Drop(x.now, cic, step == recovery.ResetCircuit)
-			g.changed = true
-			x.lose(peer, []uint32{id})
+			group.circuits.Drop(x.now, cic, step == recovery.ResetCircuit)
+			group.changed = true
+			x.endOnLostCircuits(peer, []uint32{id})
 		}
 	}
 	x.audit()
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -9,30 +9,32 @@
 	"indigodrift/policy"
 )
 
-// notebook is a Keeper in memory.
-type notebook struct {
-	calls map[uint32]recovery.StoredCall
-	far   map[int]string
+// memoryStore is a Keeper in memory.
+type memoryStore struct {
+	calls     map[uint32]recovery.StoredCall
+	lifetimes map[int]string
 }
 
-func (n *notebook) Put(k recovery.StoredCall)     { n.calls[k.ID] = k }
-func (n *notebook) Drop(id uint32)                { delete(n.calls, id) }
-func (n *notebook) Knows(number int, life string) { n.far[number] = life }
+func (n *memoryStore) Put(k recovery.StoredCall)     { n.calls[k.ID] = k }
+func (n *memoryStore) Drop(id uint32)                { delete(n.calls, id) }
+func (n *memoryStore) Knows(number int, life string) { n.lifetimes[number] = life }
 
-// sentBy is a Carrier that keeps all messages sent.
-type sentBy struct {
-	all []isup.Message
-	to  []Hop
+// sentMessages is a Carrier that keeps all messages sent.
+type sentMessages struct {
+	messages []isup.Message
+	hops     []Hop
 }
 
-func (c *sentBy) Transmit(to Hop, m isup.Message) { c.all, c.to = append(c.all, m), append(c.to, to) }
-func (c *sentBy) Follow()                         {}
-func (c *sentBy) Note(string)                     {}
-func (c *sentBy) Answered(Answer)                 {}
+func (c *sentMessages) Transmit(to Hop, m isup.Message) {
+	c.messages, c.hops = append(c.messages, m), append(c.hops, to)
+}
+func (c *sentMessages) Follow()         {}
+func (c *sentMessages) Note(string)     {}
+func (c *sentMessages) Answered(Answer) {}
 
 // count returns the number of messages of a type.
-func (c *sentBy) count(t isup.Type) (n int) {
-	for _, m := range c.all {
+func (c *sentMessages) count(t isup.Type) (n int) {
+	for _, m := range c.messages {
 		if m.Type == t {
 			n++
 		}
@@ -40,26 +42,26 @@
 	return n
 }
 
-func wallOf(at policy.Tenths) int64 { return int64(at) }
+func wallClock(at policy.Tenths) int64 { return int64(at) }
 
-// again restarts an exchange with its stored calls. own and far identify the process lifetimes of the own switch and of
+// restart restarts an exchange with its stored calls. own and far identify the process lifetimes of the own switch and of
 // the neighbour's switch after the restart.
-func again(t *testing.T, now policy.Tenths, kept *notebook, own, far string) (*Exchange, *sentBy, *notebook) {
+func restart(t *testing.T, now policy.Tenths, stored *memoryStore, own, remote string) (*Exchange, *sentMessages, *memoryStore) {
 	t.Helper()
-	out := &sentBy{}
+	out := &sentMessages{}
 	x := New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
 		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []Neighbour{{1, 62}}, out, now,
 		func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider { return policy.New(d, e, now) })
-	next := &notebook{calls: map[uint32]recovery.StoredCall{}, far: map[int]string{}}
-	x.Keep(next, wallOf)
+	next := &memoryStore{calls: map[uint32]recovery.StoredCall{}, lifetimes: map[int]string{}}
+	x.SetStore(next, wallClock)
 	var all []recovery.StoredCall
-	for _, k := range kept.calls {
+	for _, k := range stored.calls {
 		all = append(all, k)
 	}
-	life := recovery.Process{LastHeartbeat: wallOf(now) - 5000, OwnIncarnation: kept.far[-1], Incarnations: kept.far}
-	x.Restore(now, life, recovery.Decide(wallOf(now), life, all, recovery.Settings{Circuits: map[int]int{1: 62}, HasLines: func(uint16) bool { return true }}))
-	x.OwnUp(now, own)
-	x.LinkUp(now, 0, far)
+	life := recovery.Process{LastHeartbeat: wallClock(now) - 5000, OwnIncarnation: stored.lifetimes[-1], Incarnations: stored.lifetimes}
+	x.Restore(now, life, recovery.Decide(wallClock(now), life, all, recovery.Settings{Circuits: map[int]int{1: 62}, HasLines: func(uint16) bool { return true }}))
+	x.OwnSwitchUp(now, own)
+	x.LinkUp(now, 0, remote)
 	for range 20 {
 		now += 1000
 		x.Tick(now)
@@ -67,44 +69,44 @@
 	return x, out, next
 }
 
-// before returns the stored calls of an exchange with two established calls and one in set-up.
-func before(t *testing.T) (*notebook, policy.Tenths, []uint16) {
+// storedCalls returns the stored calls of an exchange with two established calls and one in set-up.
+func storedCalls(t *testing.T) (*memoryStore, policy.Tenths, []uint16) {
 	t.Helper()
-	x, out, now := lone(62)
-	kept := &notebook{calls: map[uint32]recovery.StoredCall{}, far: map[int]string{}}
-	x.Keep(kept, wallOf)
-	x.keeper.Knows(1, "1")
-	x.keeper.Knows(-1, "1")
+	x, out, now := newTestExchange(62)
+	stored := &memoryStore{calls: map[uint32]recovery.StoredCall{}, lifetimes: map[int]string{}}
+	x.SetStore(stored, wallClock)
+	x.store.Knows(1, "1")
+	x.store.Knows(-1, "1")
 	var cics []uint16
 	for i := range uint32(3) {
 		now += 200
 		x.dial(now, i+1)
-		cics = append(cics, out.m.CIC)
+		cics = append(cics, out.msg.CIC)
 		if i < 2 {
-			x.Receive(now+50, Hop{Side: Ahead}, isup.Message{CIC: out.m.CIC, Type: isup.ANM}, 0)
+			x.Receive(now+50, Hop{Side: Succeeding}, isup.Message{CIC: out.msg.CIC, Type: isup.ANM}, 0)
 		}
 	}
-	if len(kept.calls) != 3 || x.Standing() != 2 {
-		t.Fatalf("%d calls are stored, %d established", len(kept.calls), x.Standing())
+	if len(stored.calls) != 3 || x.EstablishedCalls() != 2 {
+		t.Fatalf("%d calls are stored, %d established", len(stored.calls), x.EstablishedCalls())
 	}
-	return kept, now + 100, cics
+	return stored, now + 100, cics
 }
 
-func TestRestartedExchangeAsksAndKeepsWhatStands(t *testing.T) {
-	kept, now, cics := before(t)
-	x, out, next := again(t, now, kept, "1", "1")
-	if x.Standing() != 2 || x.Unagreed() != 2 || out.count(isup.CQM) == 0 || out.count(isup.GRS)+out.count(isup.RSC) == 0 {
-		t.Fatalf("%d established, %d unconfirmed, %d queries", x.Standing(), x.Unagreed(), out.count(isup.CQM))
+func TestRestartedExchangeQueriesCircuitsAndRestoresCalls(t *testing.T) {
+	stored, now, cics := storedCalls(t)
+	x, out, next := restart(t, now, stored, "1", "1")
+	if x.EstablishedCalls() != 2 || x.UnconfirmedCircuits() != 2 || out.count(isup.CQM) == 0 || out.count(isup.GRS)+out.count(isup.RSC) == 0 {
+		t.Fatalf("%d established, %d unconfirmed, %d queries", x.EstablishedCalls(), x.UnconfirmedCircuits(), out.count(isup.CQM))
 	}
-	for i, m := range out.all { // no circuit of a restored call is reset, and the waiting caller is released once
+	for i, m := range out.messages { // no circuit of a restored call is reset, and the waiting caller is released once
 		last := m.CIC + uint16(m.Range)
 		for _, cic := range cics[:2] {
 			if (m.Type == isup.GRS || m.Type == isup.RSC) && m.CIC <= cic && cic <= last {
 				t.Fatalf("circuit %d of a restored call is reset by %+v", cic, m)
 			}
 		}
-		if m.Type == isup.REL && (out.to[i].Side != Line || m.CIC != 3 || m.Cause != isup.TemporaryFailure) {
-			t.Fatalf("%+v to %+v", m, out.to[i])
+		if m.Type == isup.REL && (out.hops[i].Side != Line || m.CIC != 3 || m.Cause != isup.TemporaryFailure) {
+			t.Fatalf("%+v to %+v", m, out.hops[i])
 		}
 	}
 	if out.count(isup.REL) != 1 || len(next.calls) != 0 {
@@ -113,54 +115,54 @@
 	now += 30000
 	// The neighbour confirms the first call and does not know the second.
 	for n, state := range []byte{isup.IncomingBusy, isup.CircuitIdle} {
-		x.Receive(now, Hop{Side: Ahead}, isup.Message{CIC: cics[n], Type: isup.CQR, States: string([]byte{state})}, 0)
+		x.Receive(now, Hop{Side: Succeeding}, isup.Message{CIC: cics[n], Type: isup.CQR, States: string([]byte{state})}, 0)
 	}
-	if x.Standing() != 1 || x.Unagreed() != 0 {
-		t.Fatalf("%d established, %d unconfirmed", x.Standing(), x.Unagreed())
+	if x.EstablishedCalls() != 1 || x.UnconfirmedCircuits() != 0 {
+		t.Fatalf("%d established, %d unconfirmed", x.EstablishedCalls(), x.UnconfirmedCircuits())
 	}
-	if state, _, _ := x.groups[0].g.State(cics[1]); state != circuit.Idle {
+	if state, _, _ := x.groups[0].circuits.State(cics[1]); state != circuit.Idle {
 		t.Fatalf("circuit of the second call is in state %d", state)
 	}
-	last := out.all[len(out.all)-1]
-	if last.Type != isup.REL || last.CIC != 2 || out.to[len(out.to)-1].Side != Line { // its caller is released
+	last := out.messages[len(out.messages)-1]
+	if last.Type != isup.REL || last.CIC != 2 || out.hops[len(out.hops)-1].Side != Line { // its caller is released
 		t.Fatalf("%+v", last)
 	}
-	x.Receive(now+10, Hop{Side: Line, Point: Lines}, isup.Message{CIC: 1, Type: isup.REL, Cause: isup.NormalClearing}, 0)
-	if last = out.all[len(out.all)-1]; x.Standing() != 0 || last.Type != isup.REL || last.CIC != cics[0] { // the first call is released as usual
-		t.Fatalf("%d established; %+v", x.Standing(), last)
+	x.Receive(now+10, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: 1, Type: isup.REL, Cause: isup.NormalClearing}, 0)
+	if last = out.messages[len(out.messages)-1]; x.EstablishedCalls() != 0 || last.Type != isup.REL || last.CIC != cics[0] { // the first call is released as usual
+		t.Fatalf("%d established; %+v", x.EstablishedCalls(), last)
 	}
 }
 
-func TestAnotherLifeOfASwitchKeepsNothing(t *testing.T) {
-	kept, now, _ := before(t)
-	if x, out, _ := again(t, now, kept, "1", "2"); x.Standing() != 0 || out.count(isup.CQM) > 0 || out.count(isup.REL) != 3 {
-		t.Fatalf("neighbour's switch restarted: %d established, %d queries, %d callers released", x.Standing(), out.count(isup.CQM), out.count(isup.REL))
+func TestRestartedSwitchLosesAllCalls(t *testing.T) {
+	stored, now, _ := storedCalls(t)
+	if x, out, _ := restart(t, now, stored, "1", "2"); x.EstablishedCalls() != 0 || out.count(isup.CQM) > 0 || out.count(isup.REL) != 3 {
+		t.Fatalf("neighbour's switch restarted: %d established, %d queries, %d callers released", x.EstablishedCalls(), out.count(isup.CQM), out.count(isup.REL))
 	}
-	kept, now, _ = before(t)
-	x, out, _ := again(t, now, kept, "2", "1")
+	stored, now, _ = storedCalls(t)
+	x, out, _ := restart(t, now, stored, "2", "1")
 	toLines := 0
-	for i, m := range out.all {
-		if m.Type == isup.REL && out.to[i].Side == Line {
+	for i, m := range out.messages {
+		if m.Type == isup.REL && out.hops[i].Side == Line {
 			toLines++
 		}
 	}
-	if x.Standing() != 0 || toLines > 0 {
-		t.Fatalf("own switch restarted: %d established, %d lines released", x.Standing(), toLines)
+	if x.EstablishedCalls() != 0 || toLines > 0 {
+		t.Fatalf("own switch restarted: %d established, %d lines released", x.EstablishedCalls(), toLines)
 	}
 }
 
-func TestNeighbourIsToldTheStatesOfCircuits(t *testing.T) {
-	x, out, now := lone(62)
+func TestCircuitQueryIsAnswered(t *testing.T) {
+	x, out, now := newTestExchange(62)
 	x.dial(now, 1)
-	got := &sentBy{}
-	x.out = got
-	x.Receive(now+10, Hop{Side: Behind}, isup.Message{CIC: 1, Type: isup.CQM, Range: 30}, 0)
-	if len(got.all) != 1 || got.all[0].Type != isup.CQR || got.to[0].Side != Behind || len(got.all[0].States) != 31 {
-		t.Fatalf("%+v", got.all)
+	got := &sentMessages{}
+	x.output = got
+	x.Receive(now+10, Hop{Side: Preceding}, isup.Message{CIC: 1, Type: isup.CQM, Range: 30}, 0)
+	if len(got.messages) != 1 || got.messages[0].Type != isup.CQR || got.hops[0].Side != Preceding || len(got.messages[0].States) != 31 {
+		t.Fatalf("%+v", got.messages)
 	}
-	for i, s := range []byte(got.all[0].States) {
+	for i, s := range []byte(got.messages[0].States) {
 		want := byte(isup.CircuitIdle)
-		if uint16(i+1) == out.m.CIC {
+		if uint16(i+1) == out.msg.CIC {
 			want = isup.OutgoingBusy
 		}
 		if s != want {
@@ -170,25 +172,25 @@
 }
 
 // A release that names a multirate call by a circuit other than its lowest must not end the call.
-func TestReleaseOnAnotherCircuitOfAWideCallIsNotItsOwn(t *testing.T) {
-	x, out, now := lone(62)
-	x.Receive(now, Hop{Side: Line, Point: Lines}, isup.Message{CIC: 1, Type: isup.IAM, Width: 3, Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: 1},
-		Says: isup.Says{Has: isup.PartLeft | isup.PartCall, Left: 30000}}, 0)
-	lead, other := out.m.CIC, uint16(0)
+func TestReleaseOnAnotherCircuitOfAMultirateCallIsIgnored(t *testing.T) {
+	x, out, now := newTestExchange(62)
+	x.Receive(now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: 1, Type: isup.IAM, Width: 3, Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: 1},
+		UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 30000}}, 0)
+	lead, other := out.msg.CIC, uint16(0)
 	for s := range uint16(31) {
-		if out.m.Slots&(1<<s) != 0 && s+1 != lead {
+		if out.msg.Slots&(1<<s) != 0 && s+1 != lead {
 			other = s + 1
 		}
 	}
-	if out.m.Type != isup.IAM || other == 0 {
-		t.Fatalf("%+v", out.m)
+	if out.msg.Type != isup.IAM || other == 0 {
+		t.Fatalf("%+v", out.msg)
 	}
-	x.Receive(now+10, Hop{Side: Ahead}, isup.Message{CIC: other, Type: isup.REL, Cause: isup.NetworkOutOfOrder}, 0)
-	if state, _, _ := x.groups[0].g.State(lead); state != circuit.Seized {
+	x.Receive(now+10, Hop{Side: Succeeding}, isup.Message{CIC: other, Type: isup.REL, Cause: isup.NetworkOutOfOrder}, 0)
+	if state, _, _ := x.groups[0].circuits.State(lead); state != circuit.Seized {
 		t.Fatalf("the call's circuit is in state %d", state)
 	}
-	x.Receive(now+20, Hop{Side: Ahead}, isup.Message{CIC: lead, Type: isup.ANM}, 0)
-	if x.Standing() != 1 {
+	x.Receive(now+20, Hop{Side: Succeeding}, isup.Message{CIC: lead, Type: isup.ANM}, 0)
+	if x.EstablishedCalls() != 1 {
 		t.Fatal("the call is not established")
 	}
 }
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -63,29 +63,29 @@
 
 // Locations in use.
 const (
-	User         Location = 0
-	LocalNetwork Location = 2
-	Transit      Location = 3
-	Remote       Location = 4
+	User           Location = 0
+	LocalNetwork   Location = 2
+	TransitNetwork Location = 3
+	RemoteNetwork  Location = 4
 )
 
 const (
-	// CICMost is the highest circuit identification code (12 bits, Q.763 1.2).
-	CICMost = 1<<12 - 1
-	// PerMultiplex is the number of circuits of a 2048 kbit/s system: time slots 1 to 31 of CIC 32*m to 32*m+31.
-	PerMultiplex = 31
-	// DigitsMost is the greatest number of digits of a called or calling number.
-	DigitsMost = 24
-	// WidthMost is the greatest width of a multirate call: 30 x 64 kbit/s.
-	WidthMost = 30
+	// MaxCIC is the highest circuit identification code (12 bits, Q.763 1.2).
+	MaxCIC = 1<<12 - 1
+	// CircuitsPerMultiplex is the number of circuits of a 2048 kbit/s system: time slots 1 to 31 of CIC 32*m to 32*m+31.
+	CircuitsPerMultiplex = 31
+	// MaxDigits is the greatest number of digits of a called or calling number.
+	MaxDigits = 24
+	// MaxWidth is the greatest width of a multirate call: 30 x 64 kbit/s.
+	MaxWidth = 30
 
-	paramReference = 0x01
-	paramCaller    = 0x0a
-	paramUser      = 0x20
-	paramMap       = 0x25
-	paramHops      = 0x3d
+	paramReference     = 0x01
+	paramCaller        = 0x0a
+	paramUserInfo      = 0x20
+	paramAssignmentMap = 0x25
+	paramHopCounter    = 0x3d
 
-	mapOf2048 = 1
+	mapType2048 = 1
 )
 
 // Reference identifies a call in the whole network: the originating exchange, and its identity there.
@@ -108,49 +108,49 @@
 	Location Location  // REL
 	Range    uint8     // number of circuits after CIC that a group message covers (GRS, GRA, CQM, CQR)
 	States   string    // circuit state indicators of the Range+1 circuits, one octet each (CQR; Q.763, 3.14)
-	Says     Says      // user-to-user information, for data that ISUP has no parameter for
+	UserInfo UserInfo  // user-to-user information, for data that ISUP has no parameter for
 }
 
 // Circuit state indicators of a CQR (Q.763, 3.14). Bits D and C hold the call processing state, bits B and A the blocking
 // state.
 const (
-	Transient    = 0x00 // release or reset in progress
-	Unequipped   = 0x03
-	IncomingBusy = 0x04
-	OutgoingBusy = 0x08
-	CircuitIdle  = 0x0c
-	Processing   = 0x0c // mask of the call processing state
+	Transient          = 0x00 // release or reset in progress
+	Unequipped         = 0x03
+	IncomingBusy       = 0x04
+	OutgoingBusy       = 0x08
+	CircuitIdle        = 0x0c
+	CallProcessingMask = 0x0c // mask of the call processing state
 )
 
 // ErrMessage is wrapped by all errors about malformed messages.
 var ErrMessage = errors.New("malformed ISUP message")
 
-// bad returns an error that wraps ErrMessage.
-func bad(format string, args ...any) error {
+// malformed returns an error that wraps ErrMessage.
+func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMessage}, args...)...)
 }
 
-// requirement returns the transmission medium requirement for n x 64 kbit/s (Q.763, 3.54).
-func requirement(n int) (byte, bool) {
+// mediumRequirement returns the transmission medium requirement for n x 64 kbit/s (Q.763, 3.54).
+func mediumRequirement(width int) (byte, bool) {
 	switch {
-	case n == 1:
+	case width == 1:
 		return 0, true
-	case n == 2:
+	case width == 2:
 		return 7, true
-	case n == 6:
+	case width == 6:
 		return 8, true
-	case n == 24:
+	case width == 24:
 		return 9, true
-	case n == 30:
+	case width == 30:
 		return 10, true
-	case n >= 3 && n <= 29:
-		return byte(n + 13), true
+	case width >= 3 && width <= 29:
+		return byte(width + 13), true
 	}
 	return 0, false
 }
 
-// widthOf returns the number of 64 kbit/s channels for a transmission medium requirement.
-func widthOf(requirement byte) (int, bool) {
+// mediumWidth returns the number of 64 kbit/s channels for a transmission medium requirement.
+func mediumWidth(requirement byte) (int, bool) {
 	switch r := int(requirement); {
 	case r == 0 || r == 2 || r == 3:
 		return 1, true
@@ -169,86 +169,86 @@
 }
 
 // Append appends the encoding of m to buf.
-func Append(buf []byte, m Message) ([]byte, error) {
-	at := len(buf)
-	if m.CIC > CICMost {
-		return buf, bad("circuit %d is above the maximum %d", m.CIC, CICMost)
+func Append(buf []byte, msg Message) ([]byte, error) {
+	start := len(buf)
+	if msg.CIC > MaxCIC {
+		return buf, malformed("circuit %d is above the maximum %d", msg.CIC, MaxCIC)
 	}
-	buf = binary.LittleEndian.AppendUint16(buf, m.CIC)
-	buf = append(buf, byte(m.Type))
-	switch m.Type {
+	buf = binary.LittleEndian.AppendUint16(buf, msg.CIC)
+	buf = append(buf, byte(msg.Type))
+	switch msg.Type {
 	case IAM:
-		medium, ok := requirement(m.Width)
+		medium, ok := mediumRequirement(msg.Width)
 		if !ok {
-			return buf[:at], bad("unsupported width %d", m.Width)
+			return buf[:start], malformed("unsupported width %d", msg.Width)
 		}
-		if len(m.Digits) == 0 || len(m.Digits) > DigitsMost {
-			return buf[:at], bad("called number of %d digits, must have 1 to %d", len(m.Digits), DigitsMost)
+		if len(msg.Digits) == 0 || len(msg.Digits) > MaxDigits {
+			return buf[:start], malformed("called number of %d digits, must have 1 to %d", len(msg.Digits), MaxDigits)
 		}
 		// nature of connection; forward call indicators (ISUP all the way); ordinary subscriber; medium; pointers
 		buf = append(buf, 0, 0x60, 0x01, 10, medium, 2, 0)
 		pointer := len(buf) - 1
-		if buf, ok = appendNumber(buf, m.Digits, 0x10); !ok { // E.164 plan
-			return buf[:at], bad("invalid called number %q", m.Digits)
+		if buf, ok = appendNumber(buf, msg.Digits, 0x10); !ok { // E.164 plan
+			return buf[:start], malformed("invalid called number %q", msg.Digits)
 		}
 		buf[pointer] = byte(len(buf) - pointer)
-		if m.Caller != "" {
-			if buf, ok = appendNumber(append(buf, paramCaller), m.Caller, 0x13); !ok || len(m.Caller) > DigitsMost { // presented, network provided
-				return buf[:at], bad("invalid calling number %q", m.Caller)
+		if msg.Caller != "" {
+			if buf, ok = appendNumber(append(buf, paramCaller), msg.Caller, 0x13); !ok || len(msg.Caller) > MaxDigits { // presented, network provided
+				return buf[:start], malformed("invalid calling number %q", msg.Caller)
 			}
 		}
-		if m.Ref != (Reference{}) {
-			buf = append(buf, paramReference, 5, byte(m.Ref.Identity>>16), byte(m.Ref.Identity>>8), byte(m.Ref.Identity),
-				byte(m.Ref.Point), byte(m.Ref.Point>>8))
+		if msg.Ref != (Reference{}) {
+			buf = append(buf, paramReference, 5, byte(msg.Ref.Identity>>16), byte(msg.Ref.Identity>>8), byte(msg.Ref.Identity),
+				byte(msg.Ref.Point), byte(msg.Ref.Point>>8))
 		}
-		if m.Slots != 0 {
-			buf = append(buf, paramMap, 5, mapOf2048)
-			buf = binary.LittleEndian.AppendUint32(buf, m.Slots)
+		if msg.Slots != 0 {
+			buf = append(buf, paramAssignmentMap, 5, mapType2048)
+			buf = binary.LittleEndian.AppendUint32(buf, msg.Slots)
 		}
-		if m.Hops != 0 {
-			buf = append(buf, paramHops, 1, m.Hops&31)
+		if msg.Hops != 0 {
+			buf = append(buf, paramHopCounter, 1, msg.Hops&31)
 		}
-		buf = m.Says.appendTo(buf)
+		buf = msg.UserInfo.appendTo(buf)
 		buf = append(buf, 0)
 	case ACM:
-		buf = optional(append(buf, 0x16, 0x14, 0), m)
+		buf = appendOptional(append(buf, 0x16, 0x14, 0), msg)
 	case ANM, RLC:
-		buf = optional(append(buf, 0), m)
+		buf = appendOptional(append(buf, 0), msg)
 	case REL:
-		buf = append(buf, 2, 0, 2, 0x80|byte(m.Location), 0x80|byte(m.Cause))
+		buf = append(buf, 2, 0, 2, 0x80|byte(msg.Location), 0x80|byte(msg.Cause))
 		pointer := len(buf) - 4
-		if m.Says.any() {
+		if msg.UserInfo.anyPresent() {
 			buf[pointer] = 4
-			buf = append(m.Says.appendTo(buf), 0)
+			buf = append(msg.UserInfo.appendTo(buf), 0)
 		}
 	case GRS:
-		buf = append(buf, 1, 1, m.Range)
+		buf = append(buf, 1, 1, msg.Range)
 	case GRA:
-		status := int(m.Range)/8 + 1
-		buf = append(buf, 1, byte(1+status), m.Range)
+		status := int(msg.Range)/8 + 1
+		buf = append(buf, 1, byte(1+status), msg.Range)
 		buf = append(buf, make([]byte, status)...)
 	case CQM:
-		buf = append(buf, 1, 1, m.Range)
+		buf = append(buf, 1, 1, msg.Range)
 	case CQR:
-		if len(m.States) != int(m.Range)+1 || m.Range >= 32 {
-			return buf[:at], bad("CQR of range %d with %d states", m.Range, len(m.States))
+		if len(msg.States) != int(msg.Range)+1 || msg.Range >= 32 {
+			return buf[:start], malformed("CQR of range %d with %d states", msg.Range, len(msg.States))
 		}
-		buf = append(buf, 2, 3, 1, m.Range, byte(len(m.States)))
-		buf = append(buf, m.States...)
+		buf = append(buf, 2, 3, 1, msg.Range, byte(len(msg.States)))
+		buf = append(buf, msg.States...)
 	case RSC, BLO, UBL, BLA, UBA:
 	default:
-		return buf[:at], bad("%v cannot be sent", m.Type)
+		return buf[:start], malformed("%v cannot be sent", msg.Type)
 	}
 	return buf, nil
 }
 
-// optional appends the optional part of a message whose last octet is the pointer to it.
-func optional(buf []byte, m Message) []byte {
-	if !m.Says.any() {
+// appendOptional appends the optional part of a message whose last octet is the pointer to it.
+func appendOptional(buf []byte, msg Message) []byte {
+	if !msg.UserInfo.anyPresent() {
 		return buf
 	}
 	buf[len(buf)-1] = 1
-	return append(m.Says.appendTo(buf), 0)
+	return append(msg.UserInfo.appendTo(buf), 0)
 }
 
 // appendNumber appends the length and the octets of a national number; false if a character is no address signal.
@@ -256,10 +256,10 @@
 	odd := byte(len(digits)%2) << 7
 	buf = append(buf, byte(2+(len(digits)+1)/2), odd|3, plan)
 	for i := 0; i < len(digits); i += 2 {
-		pair, ok := digit(digits[i])
+		pair, ok := addressSignal(digits[i])
 		if ok && i+1 < len(digits) {
 			var high byte
-			high, ok = digit(digits[i+1])
+			high, ok = addressSignal(digits[i+1])
 			pair |= high << 4
 		}
 		if !ok {
@@ -270,8 +270,8 @@
 	return buf, true
 }
 
-// digit returns the address signal for a character.
-func digit(c byte) (byte, bool) {
+// addressSignal returns the address signal for a character.
+func addressSignal(c byte) (byte, bool) {
 	switch {
 	case c >= '0' && c <= '9':
 		return c - '0', true
@@ -284,176 +284,176 @@
 }
 
 // Decode decodes one message. Unknown optional parameters are ignored.
-func Decode(b []byte) (Message, error) {
-	if len(b) < 3 {
-		return Message{}, bad("message of %d octets", len(b))
+func Decode(body []byte) (Message, error) {
+	if len(body) < 3 {
+		return Message{}, malformed("message of %d octets", len(body))
 	}
-	m := Message{CIC: binary.LittleEndian.Uint16(b), Type: Type(b[2])}
-	if m.CIC > CICMost {
-		return m, bad("circuit identification code %04x", m.CIC)
+	msg := Message{CIC: binary.LittleEndian.Uint16(body), Type: Type(body[2])}
+	if msg.CIC > MaxCIC {
+		return msg, malformed("circuit identification code %04x", msg.CIC)
 	}
-	b = b[3:]
-	switch m.Type {
+	body = body[3:]
+	switch msg.Type {
 	case IAM:
-		if len(b) < 7 {
-			return m, bad("IAM of %d octets after the type", len(b))
+		if len(body) < 7 {
+			return msg, malformed("IAM of %d octets after the type", len(body))
 		}
 		var ok bool
-		if m.Width, ok = widthOf(b[4]); !ok {
-			return m, bad("unknown transmission medium requirement %d", b[4])
+		if msg.Width, ok = mediumWidth(body[4]); !ok {
+			return msg, malformed("unknown transmission medium requirement %d", body[4])
 		}
-		number, err := variable(b, 5, "called party number")
+		number, err := variableParameter(body, 5, "called party number")
 		if err != nil {
-			return m, err
+			return msg, err
 		}
-		if m.Digits, err = digits(number); err != nil {
-			return m, err
+		if msg.Digits, err = decodeDigits(number); err != nil {
+			return msg, err
 		}
-		return m, m.options(b, 6)
+		return msg, msg.decodeOptional(body, 6)
 	case ACM:
-		if len(b) < 3 {
-			return m, bad("ACM of %d octets after the type", len(b))
+		if len(body) < 3 {
+			return msg, malformed("ACM of %d octets after the type", len(body))
 		}
-		return m, m.options(b, 2)
+		return msg, msg.decodeOptional(body, 2)
 	case ANM, RLC:
-		if len(b) < 1 {
-			return m, bad("%v without its pointer", m.Type)
+		if len(body) < 1 {
+			return msg, malformed("%v without its pointer", msg.Type)
 		}
-		return m, m.options(b, 0)
+		return msg, msg.decodeOptional(body, 0)
 	case REL:
-		cause, err := variable(b, 0, "cause indicators")
+		cause, err := variableParameter(body, 0, "cause indicators")
 		if err != nil {
-			return m, err
+			return msg, err
 		}
 		if len(cause) < 2 || cause[0]&0x80 == 0 {
-			return m, bad("invalid cause indicators % x", cause)
+			return msg, malformed("invalid cause indicators % x", cause)
 		}
-		m.Location, m.Cause = Location(cause[0]&15), Cause(cause[1]&0x7f)
-		if len(b) < 2 {
-			return m, bad("REL without its second pointer")
+		msg.Location, msg.Cause = Location(cause[0]&15), Cause(cause[1]&0x7f)
+		if len(body) < 2 {
+			return msg, malformed("REL without its second pointer")
 		}
-		return m, m.options(b, 1)
+		return msg, msg.decodeOptional(body, 1)
 	case GRS, GRA:
-		status, err := variable(b, 0, "range and status")
+		status, err := variableParameter(body, 0, "range and status")
 		if err != nil {
-			return m, err
+			return msg, err
 		}
 		if len(status) == 0 || status[0] == 0 || status[0] >= 32 {
-			return m, bad("invalid range and status % x", status)
+			return msg, malformed("invalid range and status % x", status)
 		}
-		m.Range = status[0]
-		if m.Type == GRA && len(status) != 2+int(m.Range)/8 {
-			return m, bad("GRA of range %d with %d octets of status", m.Range, len(status)-1)
+		msg.Range = status[0]
+		if msg.Type == GRA && len(status) != 2+int(msg.Range)/8 {
+			return msg, malformed("GRA of range %d with %d octets of status", msg.Range, len(status)-1)
 		}
-		return m, nil
+		return msg, nil
 	case CQM, CQR:
-		status, err := variable(b, 0, "range and status")
+		status, err := variableParameter(body, 0, "range and status")
 		if err != nil {
-			return m, err
+			return msg, err
 		}
 		if len(status) != 1 || status[0] >= 32 {
-			return m, bad("invalid range and status % x", status)
+			return msg, malformed("invalid range and status % x", status)
 		}
-		if m.Range = status[0]; m.Type == CQM {
-			return m, nil
+		if msg.Range = status[0]; msg.Type == CQM {
+			return msg, nil
 		}
-		states, err := variable(b, 1, "circuit states")
+		states, err := variableParameter(body, 1, "circuit states")
 		if err != nil {
-			return m, err
+			return msg, err
 		}
-		if len(states) != int(m.Range)+1 {
-			return m, bad("CQR of range %d with %d states", m.Range, len(states))
+		if len(states) != int(msg.Range)+1 {
+			return msg, malformed("CQR of range %d with %d states", msg.Range, len(states))
 		}
-		m.States = string(states)
-		return m, nil
+		msg.States = string(states)
+		return msg, nil
 	case RSC, BLO, UBL, BLA, UBA:
-		return m, nil
+		return msg, nil
 	}
-	return m, bad("%v is not known", m.Type)
+	return msg, malformed("%v is not known", msg.Type)
 }
 
-// variable returns the mandatory variable parameter whose pointer is at b[at].
-func variable(b []byte, at int, what string) ([]byte, error) {
-	if at >= len(b) {
-		return nil, bad("no pointer to the %s", what)
+// variableParameter returns the mandatory variable parameter whose pointer is at b[at].
+func variableParameter(body []byte, pointer int, what string) ([]byte, error) {
+	if pointer >= len(body) {
+		return nil, malformed("no pointer to the %s", what)
 	}
-	start := at + int(b[at])
-	if b[at] == 0 || start >= len(b) || start+1+int(b[start]) > len(b) {
-		return nil, bad("%s exceeds the message", what)
+	start := pointer + int(body[pointer])
+	if body[pointer] == 0 || start >= len(body) || start+1+int(body[start]) > len(body) {
+		return nil, malformed("%s exceeds the message", what)
 	}
-	return b[start+1 : start+1+int(b[start])], nil
+	return body[start+1 : start+1+int(body[start])], nil
 }
 
-// digits decodes the digits of a called or calling party number.
-func digits(b []byte) (string, error) {
-	if len(b) < 3 || len(b) > 2+(DigitsMost+1)/2 {
-		return "", bad("party number of %d octets", len(b))
+// decodeDigits decodes the digits of a called or calling party number.
+func decodeDigits(b []byte) (string, error) {
+	if len(b) < 3 || len(b) > 2+(MaxDigits+1)/2 {
+		return "", malformed("party number of %d octets", len(b))
 	}
-	out := make([]byte, 0, DigitsMost)
+	signals := make([]byte, 0, MaxDigits)
 	for i, pair := range b[2:] {
-		out = append(out, pair&15)
+		signals = append(signals, pair&15)
 		if i < len(b)-3 || b[0]&0x80 == 0 {
-			out = append(out, pair>>4)
+			signals = append(signals, pair>>4)
 		}
 	}
-	for i, d := range out {
+	for i, signal := range signals {
 		switch {
-		case d < 10:
-			out[i] = '0' + d
-		case d == 11 || d == 12:
-			out[i] = 'B' + d - 11
+		case signal < 10:
+			signals[i] = '0' + signal
+		case signal == 11 || signal == 12:
+			signals[i] = 'B' + signal - 11
 		default:
-			return "", bad("unknown address signal %d", d)
+			return "", malformed("unknown address signal %d", signal)
 		}
 	}
-	return string(out), nil
+	return string(signals), nil
 }
 
-// options decodes the optional part, whose pointer is at b[at]. A parameter that the message type does not carry is
+// decodeOptional decodes the optional part, whose pointer is at b[at]. A parameter that the message type does not carry is
 // ignored like an unknown one, as Append could not write it again.
-func (m *Message) options(b []byte, at int) error {
-	if b[at] == 0 {
+func (m *Message) decodeOptional(body []byte, pointer int) error {
+	if body[pointer] == 0 {
 		return nil
 	}
-	for i := at + int(b[at]); ; {
-		if i >= len(b) {
-			return bad("optional part without an end octet")
+	for i := pointer + int(body[pointer]); ; {
+		if i >= len(body) {
+			return malformed("optional part without an end octet")
 		}
-		if b[i] == 0 {
+		if body[i] == 0 {
 			return nil
 		}
-		if i+2 > len(b) || i+2+int(b[i+1]) > len(b) {
-			return bad("optional parameter %02x exceeds the message", b[i])
+		if i+2 > len(body) || i+2+int(body[i+1]) > len(body) {
+			return malformed("optional parameter %02x exceeds the message", body[i])
 		}
-		name, value := b[i], b[i+2:i+2+int(b[i+1])]
+		name, value := body[i], body[i+2:i+2+int(body[i+1])]
 		i += 2 + len(value)
-		if name != paramUser && m.Type != IAM {
+		if name != paramUserInfo && m.Type != IAM {
 			continue
 		}
 		switch name {
 		case paramReference:
 			if len(value) != 5 {
-				return bad("call reference of %d octets", len(value))
+				return malformed("call reference of %d octets", len(value))
 			}
 			m.Ref.Identity = uint32(value[0])<<16 | uint32(value[1])<<8 | uint32(value[2])
 			m.Ref.Point = binary.LittleEndian.Uint16(value[3:])
 		case paramCaller:
 			var err error
-			if m.Caller, err = digits(value); err != nil {
+			if m.Caller, err = decodeDigits(value); err != nil {
 				return fmt.Errorf("calling party number: %w", err)
 			}
-		case paramMap:
-			if len(value) != 5 || value[0]&0x3f != mapOf2048 {
-				return bad("unsupported circuit assignment map % x", value)
+		case paramAssignmentMap:
+			if len(value) != 5 || value[0]&0x3f != mapType2048 {
+				return malformed("unsupported circuit assignment map % x", value)
 			}
-			m.Slots = binary.LittleEndian.Uint32(value[1:]) & (1<<PerMultiplex - 1)
-		case paramHops:
+			m.Slots = binary.LittleEndian.Uint32(value[1:]) & (1<<CircuitsPerMultiplex - 1)
+		case paramHopCounter:
 			if len(value) != 1 {
-				return bad("hop counter of %d octets", len(value))
+				return malformed("hop counter of %d octets", len(value))
 			}
 			m.Hops = value[0] & 31
-		case paramUser:
-			if err := m.Says.read(value); err != nil {
+		case paramUserInfo:
+			if err := m.UserInfo.decode(value); err != nil {
 				return err
 			}
 		}
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -14,13 +14,13 @@
 // anyMessage draws a valid message.
 func anyMessage(t *rapid.T) Message {
 	types := []Type{IAM, ACM, ANM, REL, RLC, RSC, BLO, UBL, BLA, UBA, GRS, GRA, CQM, CQR}
-	m := Message{CIC: rapid.Uint16Max(CICMost).Draw(t, "cic"), Type: rapid.SampledFrom(types).Draw(t, "type")}
+	m := Message{CIC: rapid.Uint16Max(MaxCIC).Draw(t, "cic"), Type: rapid.SampledFrom(types).Draw(t, "type")}
 	switch m.Type {
 	case IAM:
 		m.Digits = rapid.StringMatching(`[0-9BC]{1,24}`).Draw(t, "digits")
 		m.Caller = rapid.StringMatching(`[0-9BC]{0,24}`).Draw(t, "caller")
-		m.Width = rapid.IntRange(1, WidthMost).Draw(t, "width")
-		m.Slots = rapid.Uint32Max(1<<PerMultiplex-1).Draw(t, "slots")
+		m.Width = rapid.IntRange(1, MaxWidth).Draw(t, "width")
+		m.Slots = rapid.Uint32Max(1<<CircuitsPerMultiplex-1).Draw(t, "slots")
 		m.Hops = rapid.Uint8Max(31).Draw(t, "hops")
 		m.Ref = Reference{rapid.Uint16().Draw(t, "point"), rapid.Uint32Max(1<<24-1).Draw(t, "identity")}
 	case REL:
@@ -35,31 +35,31 @@
 		m.Range = rapid.Uint8Range(1, 31).Draw(t, "range")
 	}
 	if m.Type == IAM || m.Type == ACM || m.Type == ANM || m.Type == REL || m.Type == RLC {
-		s := &m.Says
-		s.Has = Part(rapid.Uint8Max(63).Draw(t, "has"))
-		if s.Has&PartLeft != 0 {
-			s.Left, s.Stamp = rapid.Uint32().Draw(t, "left"), rapid.Uint32().Draw(t, "stamp")
+		s := &m.UserInfo
+		s.Present = PartSet(rapid.Uint8Max(63).Draw(t, "has"))
+		if s.Present&PartTimeLeft != 0 {
+			s.TimeLeft, s.SentAt = rapid.Uint32().Draw(t, "left"), rapid.Uint32().Draw(t, "stamp")
 		}
-		if s.Has&PartLoad != 0 {
+		if s.Present&PartLoad != 0 {
 			s.Wait, s.HoldBack = rapid.Uint32().Draw(t, "wait"), rapid.Uint16().Draw(t, "hold back")
 		}
-		if s.Has&PartComeBack != 0 {
-			s.ComeBack = rapid.Uint32().Draw(t, "come back")
+		if s.Present&PartRetryAfter != 0 {
+			s.RetryAfter = rapid.Uint32().Draw(t, "come back")
 		}
-		if s.Has&PartSession != 0 {
+		if s.Present&PartSession != 0 {
 			s.Session = rapid.StringMatching(`[a-z=\n]{0,200}`).Draw(t, "session")
 		}
-		if s.Has&PartRoute != 0 {
-			s.Dest, s.Table = rapid.Uint16().Draw(t, "dest"), rapid.Uint64().Draw(t, "table")
+		if s.Present&PartRoute != 0 {
+			s.Dest, s.TableVersion = rapid.Uint16().Draw(t, "dest"), rapid.Uint64().Draw(t, "table")
 		}
-		if s.Has&PartCall != 0 {
-			s.Bearer, s.Marks = rapid.Uint8().Draw(t, "bearer"), rapid.Uint8().Draw(t, "marks")
+		if s.Present&PartCall != 0 {
+			s.Bearer, s.Flags = rapid.Uint8().Draw(t, "bearer"), rapid.Uint8().Draw(t, "marks")
 		}
 	}
 	return m
 }
 
-func TestMessagesReadBackAsWrittenAndCutOnesAreRefused(t *testing.T) {
+func TestMessagesRoundTripAndTruncatedOnesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := anyMessage(t)
 		b, err := Append(nil, m)
@@ -86,7 +86,7 @@
 	}{
 		{Message{CIC: 0x123, Type: IAM, Digits: "12345", Width: 3},
 			"\x23\x01\x01\x00\x60\x01\x0a\x10\x02\x07\x05\x83\x10\x21\x43\x05\x00"},
-		{Message{CIC: 5, Type: REL, Cause: NoCircuit, Location: Transit}, "\x05\x00\x0c\x02\x00\x02\x83\xa2"},
+		{Message{CIC: 5, Type: REL, Cause: NoCircuit, Location: TransitNetwork}, "\x05\x00\x0c\x02\x00\x02\x83\xa2"},
 		{Message{CIC: 5, Type: RLC}, "\x05\x00\x10\x00"},
 		{Message{CIC: 33, Type: GRS, Range: 30}, "\x21\x00\x17\x01\x01\x1e"},
 	} {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestImpossibleMessagesAreNotSent(t *testing.T) {
+func TestInvalidMessagesAreNotEncoded(t *testing.T) {
 	for _, m := range []Message{{CIC: 4096, Type: RSC}, {Type: IAM, Digits: "1", Width: 31}, {Type: IAM, Width: 1},
 		{Type: IAM, Digits: "1x", Width: 1}, {Type: 0x7f}} {
 		if b, err := Append([]byte("kept"), m); !errors.Is(err, ErrMessage) || string(b) != "kept" {
@@ -109,28 +109,28 @@
 // corpus returns encoded messages for the tests with damaged input.
 func corpus() (all [][]byte) {
 	for _, m := range []Message{{CIC: 1, Type: IAM, Digits: "0031234", Width: 3, Slots: 7, Hops: 3, Ref: Reference{2, 77},
-		Says: Says{Has: PartLeft | PartCall, Left: 30000}}, {CIC: 9, Type: REL, Cause: Congestion, Says: Says{Has: PartLoad}},
+		UserInfo: UserInfo{Present: PartTimeLeft | PartCall, TimeLeft: 30000}}, {CIC: 9, Type: REL, Cause: Congestion, UserInfo: UserInfo{Present: PartLoad}},
 		{CIC: 9, Type: GRA, Range: 9}, {Type: ACM}, {Type: ANM}} {
 		b, _ := Append(nil, m)
 		all = append(all, b)
 	}
-	return append(all, anotherTypes)
+	return append(all, relWithCaller)
 }
 
-// anotherTypes is a REL with the calling number of an IAM among its optional parts.
-var anotherTypes = []byte("\x05\x00\x0c\x02\x04\x02\x86\xb0\x0a\x07\x03\x13\x35\x35\x03\x00\x00\x00")
+// relWithCaller is a REL with the calling number of an IAM among its optional parts.
+var relWithCaller = []byte("\x05\x00\x0c\x02\x04\x02\x86\xb0\x0a\x07\x03\x13\x35\x35\x03\x00\x00\x00")
 
 // Parameters that a message type does not carry are ignored. A fuzz test found a REL with a calling number that was
 // decoded and then lost when the message was encoded again.
-func TestPartsThatATypeDoesNotCarryArePassedOver(t *testing.T) {
+func TestParametersOfOtherTypesAreIgnored(t *testing.T) {
 	want := Message{CIC: 5, Type: REL, Cause: 48, Location: 6}
-	if m, err := Decode(anotherTypes); err != nil || m != want {
+	if m, err := Decode(relWithCaller); err != nil || m != want {
 		t.Errorf("%+v, %v; want %+v", m, err, want)
 	}
 }
 
-// readsBack fails the test if an accepted message changes when it is encoded and decoded again.
-func readsBack(t *testing.T, b []byte) {
+// checkRoundTrip fails the test if an accepted message changes when it is encoded and decoded again.
+func checkRoundTrip(t *testing.T, b []byte) {
 	m, err := Decode(b)
 	if err != nil {
 		if !errors.Is(err, ErrMessage) {
@@ -147,18 +147,18 @@
 	}
 }
 
-func TestDamagedMessages(t *testing.T) { seeded.Damaged(t, corpus(), 200000, readsBack) }
+func TestDamagedMessages(t *testing.T) { seeded.Damaged(t, corpus(), 200000, checkRoundTrip) }
 
 func FuzzDecode(f *testing.F) {
 	for _, b := range corpus() {
 		f.Add(b)
 	}
-	f.Fuzz(readsBack)
+	f.Fuzz(checkRoundTrip)
 }
 
 func BenchmarkDecode(b *testing.B) {
 	m := Message{CIC: 1, Type: IAM, Digits: "0031234", Width: 1, Hops: 3, Ref: Reference{2, 77},
-		Says: Says{Has: PartLeft | PartCall, Left: 30000}}
+		UserInfo: UserInfo{Present: PartTimeLeft | PartCall, TimeLeft: 30000}}
 	buf, _ := Append(nil, m)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -170,7 +170,7 @@
 
 func BenchmarkEncode(b *testing.B) {
 	m := Message{CIC: 1, Type: IAM, Digits: "0031234", Width: 1, Hops: 3, Ref: Reference{2, 77},
-		Says: Says{Has: PartLeft | PartCall, Left: 30000}}
+		UserInfo: UserInfo{Present: PartTimeLeft | PartCall, TimeLeft: 30000}}
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -11,12 +11,12 @@
 )
 
 var samples = []Frame{
-	{Kind: Data, From: 3, To: 7, SLS: 9, User: []byte{5, 0, 0x10, 0}},
-	{Kind: Up, ASP: 3}, {Kind: UpAck, ASP: 7, Info: "boot=12"}, {Kind: Beat, User: []byte{1, 2, 3, 4}},
-	{Kind: BeatAck, User: []byte{1}}, {Kind: Down},
+	{Kind: Data, OPC: 3, DPC: 7, SLS: 9, UserData: []byte{5, 0, 0x10, 0}},
+	{Kind: ASPUp, ASPID: 3}, {Kind: ASPUpAck, ASPID: 7, Info: "boot=12"}, {Kind: Heartbeat, UserData: []byte{1, 2, 3, 4}},
+	{Kind: HeartbeatAck, UserData: []byte{1}}, {Kind: ASPDown},
 }
 
-func TestFramesReadBackAsWritten(t *testing.T) {
+func TestFramesRoundTrip(t *testing.T) {
 	var stream []byte
 	for _, f := range samples {
 		var err error
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestLengthIsRefusedBeforeMemoryIsGiven(t *testing.T) {
+func TestInvalidLengthIsRejectedBeforeAllocation(t *testing.T) {
 	for _, head := range [][]byte{{1, 0, 1, 1, 0xff, 0xff, 0xff, 0xfc}, {1, 0, 1, 1, 0, 0, 0, 4}, {1, 0, 1, 1, 0, 0, 0, 13},
 		{2, 0, 1, 1, 0, 0, 0, 8}} {
 		if _, _, err := Read(bytes.NewReader(head), nil); !errors.Is(err, ErrFrame) {
@@ -67,19 +67,19 @@
 	return all
 }
 
-// staysSmall fails the test if a frame with too much user data is accepted.
-func staysSmall(t *testing.T, b []byte) {
+// checkSize fails the test if a frame with too much user data is accepted.
+func checkSize(t *testing.T, b []byte) {
 	got, _, err := Read(bytes.NewReader(b), nil)
-	if err == nil && got.Kind == Data && len(got.User) > FrameMost {
-		t.Fatalf("%d octets of user data", len(got.User))
+	if err == nil && got.Kind == Data && len(got.UserData) > MaxFrameSize {
+		t.Fatalf("%d octets of user data", len(got.UserData))
 	}
 }
 
-func TestDamagedFrames(t *testing.T) { seeded.Damaged(t, corpus(), 200000, staysSmall) }
+func TestDamagedFrames(t *testing.T) { seeded.Damaged(t, corpus(), 200000, checkSize) }
 
 func FuzzRead(f *testing.F) {
 	for _, b := range corpus() {
 		f.Add(b)
 	}
-	f.Fuzz(staysSmall)
+	f.Fuzz(checkSize)
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -121,7 +121,7 @@
 		return []Place{{Trunk: p.Trunk, Number: p.Number, Point: p.Point, CIC: p.CIC}}
 	}
 	var all []Place
-	for s := range uint16(isup.PerMultiplex) {
+	for s := range uint16(isup.CircuitsPerMultiplex) {
 		if p.Slots&(1<<s) != 0 {
 			all = append(all, Place{Trunk: true, Number: p.Number, CIC: p.CIC/32*32 + s + 1})
 		}
@@ -160,7 +160,7 @@
 	}
 	size := s.Circuits[p.Number]
 	for _, at := range spread(p) {
-		if i := int(at.CIC)/32*isup.PerMultiplex + int(at.CIC)%32 - 1; at.CIC%32 == 0 || i >= size {
+		if i := int(at.CIC)/32*isup.CircuitsPerMultiplex + int(at.CIC)%32 - 1; at.CIC%32 == 0 || i >= size {
 			return false
 		}
 	}
@@ -195,7 +195,7 @@
 	switch {
 	case ours == Clearing:
 		return NoAction // the release or reset settles it
-	case theirs&isup.Processing == 0: // transient, or not equipped
+	case theirs&isup.CallProcessingMask == 0: // transient, or not equipped
 		if theirs&3 == isup.Unequipped {
 			if ours == Idle {
 				return NoAction
@@ -203,12 +203,12 @@
 			return DropCall
 		}
 		return QueryAgain
-	case theirs&isup.Processing == isup.CircuitIdle:
+	case theirs&isup.CallProcessingMask == isup.CircuitIdle:
 		if ours == Idle {
 			return NoAction
 		}
 		return DropCall
-	case theirs&isup.Processing == isup.IncomingBusy && ours == Outgoing, theirs&isup.Processing == isup.OutgoingBusy && ours == Incoming:
+	case theirs&isup.CallProcessingMask == isup.IncomingBusy && ours == Outgoing, theirs&isup.CallProcessingMask == isup.OutgoingBusy && ours == Incoming:
 		return NoAction
 	}
 	return ResetCircuit
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -23,7 +23,7 @@
 	exchangesMost = 999 // called numbers begin with three digits of the exchange
 	forever       = 24 * time.Hour
 	linesMost     = 1_000_000 // called numbers end with six digits of the line
-	agentLines    = 256 * (isup.CICMost + 1)
+	agentLines    = 256 * (isup.MaxCIC + 1)
 )
 
 // Read takes a site file. Its error has a line for each fault, with file, line, column and reason.
@@ -67,7 +67,7 @@
 	seen := map[int]bool{}
 	for _, n := range b.Blocks("neighbour", true) {
 		near := control.Neighbour{Neighbour: exchange.Neighbour{Number: n.Whole("exchange", 0, exchangesMost-1, -1),
-			Circuits: n.Whole("circuits", 1, circuit.MostCircuits, 0)}, Address: n.Address("address", false)}
+			Circuits: n.Whole("circuits", 1, circuit.MaxCircuits, 0)}, Address: n.Address("address", false)}
 		switch {
 		case near.Number >= s.ExchangeCount:
 			n.FaultAt("exchange", "the group %q has no far end: exchanges are numbered below %d", n.Label, s.ExchangeCount)
@@ -128,7 +128,7 @@
 // gateways reads what a site says of its MGCP gateways.
 func gateways(b *hclread.Block, d *policy.Deployment, bearers map[string]int) *control.Gateways {
 	g := &control.Gateways{Listen: b.Address("listen", false)}
-	g.Own, g.Point, g.Seed = d.OwnExchange, exchange.Point(d.OwnExchange), d.Seed
+	g.Own, g.Point, g.Seed = d.OwnExchange, exchange.PointCode(d.OwnExchange), d.Seed
 	g.DialMost = b.Span("dial_most", time.Second, time.Hour, 20*time.Second)
 	g.RingMost = b.Span("ring_most", time.Second, time.Hour, time.Minute)
 	g.Rate = b.Number("restarts_per_second", 0.1, 1e6, 200)
@@ -151,7 +151,7 @@
 	}
 	names, lines := map[string]bool{}, map[int]string{}
 	for _, n := range b.Blocks("gateway", true) {
-		one := callagent.Gateway{Name: n.Text("name", false, n.Label), Endpoints: n.Whole("endpoints", 1, 4096, 0), Width: n.Whole("width", 1, isup.WidthMost, 1),
+		one := callagent.Gateway{Name: n.Text("name", false, n.Label), Endpoints: n.Whole("endpoints", 1, 4096, 0), Width: n.Whole("width", 1, isup.MaxWidth, 1),
 			FirstLine: n.Whole("first_line", 0, linesMost-1, -1)}
 		for _, text := range n.Texts("addresses") {
 			at, err := netip.ParseAddrPort(text)
--- a/internal/standin/phone.go
+++ b/internal/standin/phone.go
@@ -306,7 +306,7 @@
 	}
 	g.serial++
 	p.call, p.told = c, ""
-	p.ref = isup.Reference{Point: exchange.Point(g.p.Exchange), Identity: uint32(g.p.Number)<<17 | g.serial&0x1ffff}
+	p.ref = isup.Reference{Point: exchange.PointCode(g.p.Exchange), Identity: uint32(g.p.Number)<<17 | g.serial&0x1ffff}
 	p.turn++
 	g.lift(c.Phone)
 	g.userAfter(c.Phone, c.Patience, func() { // no dial tone
--- a/internal/standin/subscribers.go
+++ b/internal/standin/subscribers.go
@@ -157,14 +157,14 @@
 	for {
 		conn, err := s.dialer(i)
 		if err == nil {
-			hello, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Up, ASP: exchange.Lines})
+			hello, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: exchange.FirstSubscriberPoint})
 			_, err = conn.Write(hello)
 			var f m3ua.Frame
 			var scratch []byte
 			s.inbox <- heard{exchange: i, conn: conn}
 			for err == nil {
 				if f, scratch, err = m3ua.Read(conn, scratch); err == nil && f.Kind == m3ua.Data {
-					if m, bad := isup.Decode(f.User); bad == nil {
+					if m, bad := isup.Decode(f.UserData); bad == nil {
 						s.inbox <- heard{exchange: i, m: m}
 					}
 				}
@@ -185,7 +185,7 @@
 	if err != nil || s.conns[i] == nil {
 		return false
 	}
-	f, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, From: exchange.Lines, To: uint32(exchange.Point(i)), User: b})
+	f, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: uint32(exchange.PointCode(i)), UserData: b})
 	if err != nil {
 		return false
 	}
@@ -217,29 +217,29 @@
 }
 
 func (s *Subscribers) dial(c *Caller, cut bool, now time.Duration) {
-	if c.Dials++; s.conns[c.From] == nil || len(s.active[c.From]) > isup.CICMost/2 {
+	if c.Dials++; s.conns[c.From] == nil || len(s.active[c.From]) > isup.MaxCIC/2 {
 		c.Failed++
 		s.again(c, 0, now)
 		return
 	}
 	for s.active[c.From][s.next[c.From]] != nil {
-		s.next[c.From] = (s.next[c.From] + 1) & isup.CICMost
+		s.next[c.From] = (s.next[c.From] + 1) & isup.MaxCIC
 	}
 	d := &dial{caller: c, cic: s.next[c.From]}
-	s.next[c.From] = (s.next[c.From] + 1) & isup.CICMost
+	s.next[c.From] = (s.next[c.From] + 1) & isup.MaxCIC
 	s.active[c.From][d.cic] = d
 	s.ident++
 	ttl := time.Duration(s.habits.TryShare * float64(c.Abandon))
 	marks := uint8(0)
 	if c.Dials > 1 && !cut {
-		marks = isup.Redial
+		marks = isup.FlagRedial
 	} else if cut {
-		marks = isup.CutBefore
+		marks = isup.FlagDisconnectedBefore
 	}
-	s.write(c.From, isup.Message{CIC: d.cic, Type: isup.IAM, Digits: exchange.Called(c.Dest, c.Line()), Caller: exchange.Called(c.From, c.Line()), Width: c.Width,
-		Ref: isup.Reference{Point: exchange.Point(c.From), Identity: s.ident & 0xffffff}, Says: isup.Says{
-			Has: isup.PartLeft | isup.PartCall, Left: uint32(ttl / (100 * time.Microsecond)),
-			Stamp: uint32(now / (100 * time.Microsecond)), Bearer: uint8(c.Bearer), Marks: marks}})
+	s.write(c.From, isup.Message{CIC: d.cic, Type: isup.IAM, Digits: exchange.LineNumber(c.Dest, c.Line()), Caller: exchange.LineNumber(c.From, c.Line()), Width: c.Width,
+		Ref: isup.Reference{Point: exchange.PointCode(c.From), Identity: s.ident & 0xffffff}, UserInfo: isup.UserInfo{
+			Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(ttl / (100 * time.Microsecond)),
+			SentAt: uint32(now / (100 * time.Microsecond)), Bearer: uint8(c.Bearer), Flags: marks}})
 	s.mu.Lock()
 	if s.chance.Float64() < s.early {
 		ttl = time.Duration(float64(ttl) * s.chance.Float64() * 0.3)
@@ -296,7 +296,7 @@
 	case isup.REL:
 		s.write(h.exchange, isup.Message{CIC: h.m.CIC, Type: isup.RLC})
 		refused := h.m.Cause == isup.NoCircuit || h.m.Cause == isup.Congestion || h.m.Cause == isup.UserBusy
-		s.fails(d, refused, time.Duration(h.m.Says.ComeBack)*100*time.Microsecond, now)
+		s.fails(d, refused, time.Duration(h.m.UserInfo.RetryAfter)*100*time.Microsecond, now)
 	}
 }
 
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -164,7 +164,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for point, p := range s.peers {
-		if point < exchange.Lines && int(point) != int(exchange.Point(s.Number)) && s.chance.Float64() < share {
+		if point < exchange.FirstSubscriberPoint && int(point) != int(exchange.PointCode(s.Number)) && s.chance.Float64() < share {
 			reset(p.conn)
 		}
 	}
@@ -183,7 +183,7 @@
 func (s *Switch) LoseCircuits(to int, cics []uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	point := uint32(exchange.Point(to))
+	point := uint32(exchange.PointCode(to))
 	for cic := range s.lost[point] {
 		s.bothEnds(point, isup.UBL, cic)
 	}
@@ -219,7 +219,7 @@
 }
 
 func (s *Switch) bothEnds(point uint32, t isup.Type, cic uint16) {
-	own := uint32(exchange.Point(s.Number))
+	own := uint32(exchange.PointCode(s.Number))
 	m := isup.Message{CIC: cic, Type: t, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork}
 	s.write(s.peers[point], own, point, m)
 	s.write(s.peers[own], point, own, m)
@@ -229,7 +229,7 @@
 func (s *Switch) Busy(of int) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, bits := range s.busy[uint32(exchange.Point(of))] {
+	for _, bits := range s.busy[uint32(exchange.PointCode(of))] {
 		for ; bits != 0; bits &= bits - 1 {
 			n++
 		}
@@ -367,17 +367,17 @@
 		s.mu.Unlock()
 	}()
 	f, scratch, err := m3ua.Read(c, nil)
-	if err != nil || f.Kind != m3ua.Up {
+	if err != nil || f.Kind != m3ua.ASPUp {
 		return
 	}
-	p := &peer{conn: c, point: f.ASP}
+	p := &peer{conn: c, point: f.ASPID}
 	s.mu.Lock()
 	if !s.up {
 		s.mu.Unlock()
 		return
 	}
 	s.peers[p.point] = p
-	s.send(p, m3ua.Frame{Kind: m3ua.UpAck, ASP: uint32(exchange.Point(s.Number)), Info: fmt.Sprintf("life=%d clock=%d", s.lives, s.clock())})
+	s.send(p, m3ua.Frame{Kind: m3ua.ASPUpAck, ASPID: uint32(exchange.PointCode(s.Number)), Info: fmt.Sprintf("life=%d clock=%d", s.lives, s.clock())})
 	s.mu.Unlock()
 	for err == nil {
 		if f, scratch, err = m3ua.Read(c, scratch); err != nil {
@@ -385,20 +385,20 @@
 		}
 		s.mu.Lock()
 		switch {
-		case s.dis.Deaf && p.point < exchange.Lines && p.point != uint32(exchange.Point(s.Number)):
+		case s.dis.Deaf && p.point < exchange.FirstSubscriberPoint && p.point != uint32(exchange.PointCode(s.Number)):
 			// Nothing is done, but what came was seen: without it the audit held tries to be out that had been released.
-			if m, err := isup.Decode(f.User); f.Kind == m3ua.Data && err == nil && m.Type == isup.REL {
+			if m, err := isup.Decode(f.UserData); f.Kind == m3ua.Data && err == nil && m.Type == isup.REL {
 				s.log.Add(audit.Event{Kind: audit.Off, Site: s.Number, Peer: int(p.point) - 1, CIC: m.CIC})
 			}
-		case f.Kind == m3ua.Beat:
-			s.send(p, m3ua.Frame{Kind: m3ua.BeatAck, User: f.User})
-		case f.Kind == m3ua.Down:
+		case f.Kind == m3ua.Heartbeat:
+			s.send(p, m3ua.Frame{Kind: m3ua.HeartbeatAck, UserData: f.UserData})
+		case f.Kind == m3ua.ASPDown:
 			// With the peer forgotten here its callers' releases were lost, and it answered callers who had left.
 			p.down = true
 		case f.Kind == m3ua.Data:
 			var m isup.Message
-			if m, err = isup.Decode(f.User); err == nil {
-				s.route(p, f.To, m)
+			if m, err = isup.Decode(f.UserData); err == nil {
+				s.route(p, f.DPC, m)
 			}
 		}
 		s.mu.Unlock()
@@ -407,9 +407,9 @@
 	if s.peers[p.point] == p {
 		delete(s.peers, p.point)
 	}
-	if p.point == uint32(exchange.Point(s.Number)) {
+	if p.point == uint32(exchange.PointCode(s.Number)) {
 		s.log.Add(audit.Event{Kind: audit.Killed, Site: s.Number})
-	} else if p.point < exchange.Lines {
+	} else if p.point < exchange.FirstSubscriberPoint {
 		s.log.Add(audit.Event{Kind: audit.Broke, Site: s.Number, Peer: int(p.point) - 1})
 	}
 	s.mu.Unlock()
@@ -417,17 +417,17 @@
 
 // route puts a message in the processor's line; the lock is held.
 func (s *Switch) route(p *peer, to uint32, m isup.Message) {
-	own := uint32(exchange.Point(s.Number))
+	own := uint32(exchange.PointCode(s.Number))
 	far := int(p.point) - 1
 	switch {
-	case p.point >= exchange.Lines: // a subscriber
+	case p.point >= exchange.FirstSubscriberPoint: // a subscriber
 		s.fromLine(p, m, time.Now())
 	case p.point != own: // another exchange's controller
 		arrived := time.Now()
 		switch m.Type {
 		case isup.IAM:
 			s.log.Add(audit.Event{Kind: audit.Try, Site: s.Number, Peer: far, Ref: m.Ref, CIC: m.CIC, Slots: m.Slots,
-				Value: int64(m.Says.Table)<<16 | int64(m.Says.Dest)})
+				Value: int64(m.UserInfo.TableVersion)<<16 | int64(m.UserInfo.Dest)})
 			if s.tips() {
 				return
 			}
@@ -459,7 +459,7 @@
 			s.log.Add(audit.Event{Kind: audit.Reset, Site: s.Number, Peer: far, CIC: m.CIC, Value: int64(m.Range)})
 		}
 		s.add(false, s.work.Finish, func(time.Duration) { s.toController(p.point, m, arrived) })
-	case to >= exchange.CalledFrom: // own controller, to a line it calls
+	case to >= exchange.FirstCalledPoint: // own controller, to a line it calls
 		reply := isup.Message{CIC: m.CIC, Type: isup.RLC}
 		if m.Type == isup.IAM {
 			reply.Type = isup.ANM
@@ -467,7 +467,7 @@
 			return
 		}
 		s.add(false, s.work.Finish, func(time.Duration) { s.write(s.peers[own], to, own, reply) })
-	case to >= exchange.Lines: // own controller, to a subscriber
+	case to >= exchange.FirstSubscriberPoint: // own controller, to a subscriber
 		if ref, ok := s.lines[m.CIC]; ok && (m.Type == isup.ANM || m.Type == isup.REL) {
 			s.log.Add(audit.Event{Kind: audit.Answer, Site: s.Number, Ref: ref, CIC: uint16(m.Type)})
 		}
@@ -478,7 +478,7 @@
 }
 
 func (s *Switch) fromLine(p *peer, m isup.Message, arrived time.Time) {
-	own := uint32(exchange.Point(s.Number))
+	own := uint32(exchange.PointCode(s.Number))
 	switch m.Type {
 	case isup.IAM:
 		if !s.refuses(p, own, p.point, m) {
@@ -503,12 +503,12 @@
 	case s.lost[p.point][m.CIC]:
 		r.Cause = isup.NoCircuit
 	case wait > s.work.RefuseAfter:
-		r.Says = isup.Says{Has: isup.PartComeBack, ComeBack: uint32(wait / (100 * time.Microsecond))}
+		r.UserInfo = isup.UserInfo{Present: isup.PartRetryAfter, RetryAfter: uint32(wait / (100 * time.Microsecond))}
 	default:
 		return false
 	}
 	s.add(false, s.work.SetUp/2, func(wait time.Duration) {
-		if p.point < exchange.Lines {
+		if p.point < exchange.FirstSubscriberPoint {
 			s.back(to, r, wait)
 		} else {
 			s.write(p, own, to, r)
@@ -538,36 +538,36 @@
 
 // toController passes a message on to the own controller, which may not be there.
 func (s *Switch) toController(from uint32, m isup.Message, arrived time.Time) {
-	own := uint32(exchange.Point(s.Number))
+	own := uint32(exchange.PointCode(s.Number))
 	p := s.peers[own]
 	if p != nil && p.down && m.Type == isup.IAM { // it was in line when the controller said that it drains
 		p = nil
 	}
-	if m.Says.Has&isup.PartLeft != 0 {
+	if m.UserInfo.Present&isup.PartTimeLeft != 0 {
 		waited := uint32(time.Since(arrived) / (100 * time.Microsecond))
-		if m.Says.Left <= waited { // its caller is gone
+		if m.UserInfo.TimeLeft <= waited { // its caller is gone
 			return
 		}
-		m.Says.Left -= waited
-		m.Says.Stamp = s.clock()
+		m.UserInfo.TimeLeft -= waited
+		m.UserInfo.SentAt = s.clock()
 	}
-	if p != nil && from < exchange.Lines && m.Type == isup.IAM {
+	if p != nil && from < exchange.FirstSubscriberPoint && m.Type == isup.IAM {
 		s.log.Add(audit.Event{Kind: audit.In, Site: s.Number, Peer: int(from) - 1, Ref: m.Ref, CIC: m.CIC, Slots: m.Slots})
 	}
 	if p != nil && (m.Type == isup.RSC || m.Type == isup.GRS) {
 		s.log.Add(audit.Event{Kind: audit.ResetIn, Site: s.Number, Peer: int(from) - 1, CIC: m.CIC, Value: int64(m.Range)})
 	}
-	if from >= exchange.Lines {
+	if from >= exchange.FirstSubscriberPoint {
 		switch {
 		case m.Type == isup.IAM && p != nil:
 			s.lines[m.CIC] = m.Ref
 			dialled, _ := strconv.Atoi(m.Digits[:min(3, len(m.Digits))])
-			s.log.Add(audit.Event{Kind: audit.Offer, Site: s.Number, Ref: m.Ref, Slots: uint32(dialled), Value: int64(m.Says.Left) * 100})
+			s.log.Add(audit.Event{Kind: audit.Offer, Site: s.Number, Ref: m.Ref, Slots: uint32(dialled), Value: int64(m.UserInfo.TimeLeft) * 100})
 		case m.Type == isup.REL:
 			s.log.Add(audit.Event{Kind: audit.Leave, Site: s.Number, Ref: s.lines[m.CIC]})
 		}
 	}
-	if p == nil && from >= exchange.Lines && m.Type == isup.REL {
+	if p == nil && from >= exchange.FirstSubscriberPoint && m.Type == isup.REL {
 		s.write(s.peers[from], own, from, isup.Message{CIC: m.CIC, Type: isup.RLC})
 	}
 	s.write(p, from, own, m)
@@ -581,9 +581,9 @@
 	if time.Since(s.seenAt) >= s.work.ReportEvery {
 		s.seen, s.seenAt = time.Duration(float64(wait)*(1+s.work.Noise*(2*s.chance.Float64()-1))), time.Now()
 	}
-	m.Says.Has |= isup.PartLoad
-	m.Says.Wait = uint32(s.seen / (100 * time.Microsecond))
-	m.Says.HoldBack = uint16(min(900, max(0, (s.seen-100*time.Millisecond)*1000/(2*time.Second))))
+	m.UserInfo.Present |= isup.PartLoad
+	m.UserInfo.Wait = uint32(s.seen / (100 * time.Microsecond))
+	m.UserInfo.HoldBack = uint16(min(900, max(0, (s.seen-100*time.Millisecond)*1000/(2*time.Second))))
 	p := s.peers[to]
 	if (m.Type == isup.ANM || m.Type == isup.REL) && p != nil {
 		if s.chance.Float64() < s.dis.LoseAnswer {
@@ -602,7 +602,7 @@
 			delete(s.busy[to], cic)
 		}
 	}
-	s.write(p, uint32(exchange.Point(s.Number)), to, m)
+	s.write(p, uint32(exchange.PointCode(s.Number)), to, m)
 }
 
 func (s *Switch) write(p *peer, from, to uint32, m isup.Message) {
@@ -613,12 +613,12 @@
 	if err != nil {
 		return
 	}
-	s.send(p, m3ua.Frame{Kind: m3ua.Data, From: from, To: to, User: b})
+	s.send(p, m3ua.Frame{Kind: m3ua.Data, OPC: from, DPC: to, UserData: b})
 }
 
 // send writes a frame; a far end that does not read loses its connection rather than hold the switch up.
 func (s *Switch) send(p *peer, f m3ua.Frame) {
-	if s.dis.Deaf && p.point < exchange.Lines && p.point != uint32(exchange.Point(s.Number)) {
+	if s.dis.Deaf && p.point < exchange.FirstSubscriberPoint && p.point != uint32(exchange.PointCode(s.Number)) {
 		return
 	}
 	p.mu.Lock()
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -155,7 +155,7 @@
 
 // greet announces this exchange to the switch and reads the answer.
 func (l *Link) greet(conn net.Conn) (g Handshake, scratch []byte, err error) {
-	hello, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Up, ASP: l.line.OwnPoint})
+	hello, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: l.line.OwnPoint})
 	if err != nil {
 		return g, nil, err
 	}
@@ -170,8 +170,8 @@
 	if err != nil {
 		return g, nil, err
 	}
-	if f.Kind != m3ua.UpAck || f.ASP != l.line.PeerPoint {
-		return g, nil, fmt.Errorf("%w: frame kind %04x, point code %d, want %d", ErrUnexpectedPeer, uint16(f.Kind), f.ASP, l.line.PeerPoint)
+	if f.Kind != m3ua.ASPUpAck || f.ASPID != l.line.PeerPoint {
+		return g, nil, fmt.Errorf("%w: frame kind %04x, point code %d, want %d", ErrUnexpectedPeer, uint16(f.Kind), f.ASPID, l.line.PeerPoint)
 	}
 	g.ReceivedAt = l.clock.Now()
 	for _, part := range strings.Fields(f.Info) {
@@ -200,8 +200,8 @@
 		}
 		p.heard(l.clock.Now())
 		switch f.Kind {
-		case m3ua.Beat:
-			l.Send(m3ua.Frame{Kind: m3ua.BeatAck, User: f.User})
+		case m3ua.Heartbeat:
+			l.Send(m3ua.Frame{Kind: m3ua.HeartbeatAck, UserData: f.UserData})
 		case m3ua.Data:
 			if err := l.sink.HandleFrame(l.line.Index, f); err != nil {
 				return err
@@ -283,7 +283,7 @@
 			return ErrKeepaliveTimeout
 		}
 		if beat {
-			l.Send(m3ua.Frame{Kind: m3ua.Beat, User: []byte("beat")})
+			l.Send(m3ua.Frame{Kind: m3ua.Heartbeat, UserData: []byte("beat")})
 		}
 		select {
 		case <-stop:
