--- a/internal/circuit/circuit.go
+++ b/internal/circuit/circuit.go
@@ -11,7 +11,7 @@
 	"indigodrift/policy"
 )
 
-// State is the state of one circuit. Only the set method changes it. The transitions are:
+// State is the state of one circuit. Only setState changes it. The transitions are:
 //
 //	Idle      -> Seized (own call), Incoming (neighbour's call), Resetting
 //	Seized    -> Outgoing (backward message), Incoming (yielded in a dual seizure), Releasing, Idle, Resetting
@@ -36,14 +36,14 @@
 	maxRepeatInterval     = policy.Tenths(80000)
 	maxReleases           = 4 // unanswered releases before the circuit is reset (Q.764 2.9.6: T5)
 
-	// guardInterval is the time before this exchange seizes a circuit that the neighbour has released. The answer to the release
-	// takes another link than the next set-up, which could overtake it.
+	// guardInterval is the time before this exchange seizes a circuit that the neighbour has released. The answer to the
+	// release takes another link than the next set-up, which could overtake it.
 	guardInterval = policy.Tenths(3000)
 
-	// A set-up that lost a dual seizure may still wait in a queue of the neighbour's switch and be read after the winning
-	// call has ended. It was then accepted as a second set-up of a call that had been repeated on other circuits. The
-	// release of the winning call therefore carries the Yielded mark: the neighbour ignores set-ups on these circuits for
-	// crossing, and the yielding exchange does not seize them for yieldGuardInterval.
+	// A set-up that lost a dual seizure may wait in a queue of the neighbour's switch until the winning call has ended.
+	// Accepting it then would set up its call twice, as that was repeated on other circuits. The release of the winning
+	// call therefore carries isup.FlagYielded: the neighbour ignores set-ups on these circuits for ignoreInterval, and the
+	// yielding exchange does not seize them for yieldGuardInterval.
 	ignoreInterval     = policy.Tenths(20000)
 	yieldGuardInterval = policy.Tenths(25000)
 )
@@ -51,6 +51,7 @@
 // NoCall is the call id of a circuit without a call.
 const NoCall = 0
 
+// circuit is one circuit of a group.
 type circuit struct {
 	state         State
 	blocked       bool // by the neighbour: no new call
@@ -213,15 +214,15 @@
 
 // Results of a received set-up.
 const (
-	Accepted       SetUpVerdict = iota // accepted: the neighbour's call holds the circuits
+	Accepted       SetUpVerdict = iota // the neighbour's call holds the circuits
 	OwnCallWins                        // dual seizure that the own call won: ignore the set-up
 	NotIdle                            // release or reset in progress: ignore the set-up
 	UnknownCircuit                     // the group has no such circuits: fault of the neighbour
 )
 
-// SetUpReceived handles a set-up of the neighbour. yielded lists the outgoing calls that lost their circuits to it; they may be
-// tried again on other circuits, and nothing is sent for the lost ones. gone lists earlier calls of the neighbour on the
-// same circuits: its messages arrive in order, so that their release must have been lost.
+// SetUpReceived handles a set-up of the neighbour. yielded lists the outgoing calls that lost their circuits to it; they
+// may be tried again on other circuits, and nothing is sent for the lost ones. gone lists earlier calls of the neighbour
+// on the same circuits: its messages arrive in order, so that their release must have been lost.
 func (g *Group) SetUpReceived(now policy.Tenths, call uint32, assigned Assignment, width int) (verdict SetUpVerdict, yielded, gone []uint32) {
 	indices, ok := g.indices(assigned)
 	if !ok || len(indices) != width {
@@ -276,15 +277,15 @@
 	return Accepted, yielded, gone
 }
 
-// Yielded reports whether the neighbour's call on a circuit took it from an own call. The release of that call must say
-// so.
+// Yielded reports whether the neighbour's call on a circuit took it from an own call. The release of that call must carry
+// isup.FlagYielded.
 func (g *Group) Yielded(cic uint16) bool {
 	found := false
 	g.forEachOfCall(cic, func(c *circuit) { found = found || c.yielded })
 	return found
 }
 
-// YieldReceived records that the release of an outgoing call on a circuit carried the Yielded mark.
+// YieldReceived records that the release of an outgoing call on a circuit carried isup.FlagYielded.
 func (g *Group) YieldReceived(now policy.Tenths, cic uint16) {
 	g.forEachOfCall(cic, func(c *circuit) { c.ignoreUntil = now + ignoreInterval })
 }
@@ -303,9 +304,9 @@
 	}
 }
 
-// winsDualSeizure reports whether the own call that holds circuit i wins a dual seizure against a call for the circuits theirs. The
-// call with more circuits wins, as it is harder to place again; with equal numbers, the exchange wins that controls the
-// lowest circuit of both calls. Both exchanges see the same two set-ups and come to the same result.
+// winsDualSeizure reports whether the own call that holds circuit i wins a dual seizure against a call for the contending
+// circuits. The call with more circuits wins, as it is harder to place again; with equal numbers, the exchange wins that
+// controls the lowest circuit that both calls ask for. Both exchanges see the same set-ups and come to the same result.
 func (g *Group) winsDualSeizure(i int, contending []int) bool {
 	var own []int
 	from, to := g.multiplex(i)
@@ -327,7 +328,7 @@
 	return false
 }
 
-// indices returns the indices of the circuits of a bundle in rising order; false if the group lacks one of them.
+// indices returns the indices of the assigned circuits in rising order; false if the group lacks one of them.
 func (g *Group) indices(assigned Assignment) ([]int, bool) {
 	lead, ok := g.index(assigned.CIC)
 	if !ok {
@@ -351,8 +352,8 @@
 	g.setStateOfCall(now, cic, Outgoing, Seized)
 }
 
-// Restore assigns circuits to an established call that was restored after a restart. They stay assigned until the neighbour
-// denies the call. It returns false if the group has no such circuits or they are taken.
+// Restore assigns circuits to an established call that was restored after a restart. They stay assigned until the
+// neighbour denies the call. It returns false if the group has no such circuits or they are taken.
 func (g *Group) Restore(now policy.Tenths, call uint32, assigned Assignment, incoming bool) bool {
 	indices, ok := g.indices(assigned)
 	if !ok {
@@ -458,7 +459,7 @@
 }
 
 // Cleared frees the circuits of a call: the neighbour has answered a release or reset, or this exchange answers its
-// release. In the latter case settling is set, and the circuits are not seized again for the time settle.
+// release. In the latter case guard is set, and the circuits are not seized for guardInterval.
 func (g *Group) Cleared(now policy.Tenths, cic uint16, guard bool) {
 	if i, ok := g.index(cic); ok && guard && g.circuits[i].state != Idle {
 		from, to := g.multiplex(i)
@@ -507,8 +508,8 @@
 	return lost
 }
 
-// ResetReceived handles the neighbour's reset of count circuits, starting at cic: they become idle and unblocked. It returns
-// the calls that held them, and false if the group has no such circuits.
+// ResetReceived handles the neighbour's reset of count circuits, starting at cic: they become idle and unblocked. It
+// returns the calls that held them, and false if the group has no such circuits.
 func (g *Group) ResetReceived(now policy.Tenths, cic uint16, count int) ([]uint32, bool) {
 	i, ok := g.index(cic)
 	if !ok || int(cic)%32+count > 32 || i+count > len(g.circuits) {
@@ -538,8 +539,8 @@
 	}
 }
 
-// SetBlocked marks a circuit as blocked or unblocked by the neighbour. A call on it continues. It returns false if the group
-// has no such circuit.
+// SetBlocked marks a circuit as blocked or unblocked by the neighbour. A call on it continues. It returns false if the
+// group has no such circuit.
 func (g *Group) SetBlocked(cic uint16, blocked bool) bool {
 	i, ok := g.index(cic)
 	if !ok {
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -22,6 +22,7 @@
 	sent     []isup.Message        // in transit to the other exchange; Ref.Identity holds the call
 }
 
+// newNeighbour returns one exchange of a pair with idle circuits.
 func newNeighbour(own, peer uint16, size int) *neighbour {
 	return &neighbour{group: New(own, peer, size), outgoing: map[uint32]Assignment{}, incoming: map[uint32]Assignment{}}
 }
@@ -264,8 +265,8 @@
 	}
 }
 
-// The set-up that lost a dual seizure may be read late, after the winning call has ended. The release with the Yielded mark
-// makes the winner ignore it, while a later set-up is accepted.
+// The set-up that lost a dual seizure may be read late, after the winning call has ended. The release with
+// isup.FlagYielded makes the winner ignore it, while a later set-up is accepted.
 func TestLateSetUpThatLostADualSeizureIsIgnored(t *testing.T) {
 	keeper, loser := New(2, 1, 31), New(1, 2, 31) // only circuit 2 is free; the higher point code controls it
 	const cic = 2
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -8,7 +8,7 @@
 	"indigodrift/policy"
 )
 
-// lastSent is a Carrier that keeps the last message sent to a neighbour.
+// lastSent is an Output that keeps the last message sent to a neighbour.
 type lastSent struct {
 	to  Hop
 	msg isup.Message
--- a/internal/exchange/desk.go
+++ b/internal/exchange/desk.go
@@ -5,8 +5,8 @@
 	"indigodrift/policy"
 )
 
-// actionHandler implements policy.Exchange. It carries out the decider's actions in the order they are made; an ending that
-// follows at once from an action is reported only after the decider has returned.
+// actionHandler implements policy.Exchange. It carries out the decider's actions in the order they are made. The end of a
+// try that follows at once from an action is reported only after the decider has returned.
 type actionHandler Exchange
 
 // Send starts a route try.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
 // Package exchange implements the call control of one exchange, without I/O. It connects subscriber lines and trunk
 // circuits with the routing policy and issues the messages to send.
 //
-// internal/control passes in the time and every received message, sends what the exchange emits through Carrier, and
+// internal/control passes in the time and every received message, sends what the exchange emits through Output, and
 // calls Tick at the time that Next returns. The Decider chooses the route of a call; this package and internal/circuit
 // choose the circuit and handle unexpected messages.
 package exchange
@@ -40,9 +40,9 @@
 const (
 	// Line is the line side of the own switch; Hop.Point names the block of lines.
 	Line Side = iota
-	// Succeeding is the link that this exchange opened to a neighbour's switch. It carries messages about calls sent there.
+	// Succeeding is a neighbour that calls are sent to, reached through the link that this exchange opened to its switch.
 	Succeeding
-	// Preceding is the link from the own switch to a neighbour. It carries messages about calls received from there.
+	// Preceding is a neighbour that calls are received from, reached through the own switch.
 	Preceding
 )
 
@@ -63,10 +63,10 @@
 
 // Outcomes of a call.
 const (
-	Answered  Outcome = iota // answered
-	Refused                  // no capacity or no route
-	Failed                   // fault or time-out
-	Abandoned                // the caller abandoned the call first: no answer is due
+	Answered  Outcome = iota
+	Refused           // no capacity or no route
+	Failed            // fault or time-out
+	Abandoned         // the caller abandoned the call first: no answer is due
 )
 
 // String returns the outcome as the log shows it.
@@ -112,7 +112,7 @@
 	return fmt.Sprintf("%0*d%06d", exchangeDigits, exchange, line)
 }
 
-// State is the state of a call. Only the become method changes it, and only along the transitions of transitions.
+// State is the state of a call. Only setState changes it, as listed in transitions.
 type State uint8
 
 // States of a call.
@@ -125,6 +125,7 @@
 	Ended                    // released, refused or failed
 )
 
+// transitions lists the states that may follow each state of a call.
 var transitions = [...][]State{Analysing: {Offered, Ringing, Established, Ended}, Offered: {Trying, Ended}, Trying: {Offered, Established, Ended},
 	Ringing: {Established, Ended}, Established: {Ended}, Ended: nil}
 
@@ -134,6 +135,7 @@
 	circuits circuit.Assignment
 }
 
+// activeCall is a call in progress.
 type activeCall struct {
 	id             uint32
 	state          State
@@ -159,20 +161,22 @@
 	session        string     // session description of the caller's side, "" if not given
 }
 
+// trunkGroup is the group of circuits to one neighbour, with the state of the neighbour's switch.
 type trunkGroup struct {
 	number        int
 	circuits      *circuit.Group
 	switchID      uint32 // id of the switch that serves the neighbour, from the last list
 	ready         bool   // whether the list gave that switch as ready
 	bootAt        policy.Tenths
-	listed        bool
+	listed        bool // a list has named a switch
 	linkUp        bool
-	lifetime      string
-	changed       bool
+	lifetime      string        // process lifetime of the switch
+	changed       bool          // the decider has not seen the current state of the circuits
 	restored      bool          // this process has restarted and knows only the circuits of stored calls
 	earliestAudit policy.Tenths // earliest time for the next circuit query after a restart
 }
 
+// lineKey addresses a line by its point code and circuit code.
 type lineKey struct {
 	point uint16
 	cic   uint16
@@ -259,7 +263,7 @@
 
 // Next returns the time at which Tick must be called.
 func (x *Exchange) Next() policy.Tenths {
-	at, _ := x.timers.Next() // the audit is always set
+	at, _ := x.timers.Next() // the audit timer is always set
 	return min(at, x.nextNumberingTime())
 }
 
@@ -372,7 +376,7 @@
 	x.decider.TryEnded(x.now, pending.callID, pending.try, pending.switchID, pending.ending, pending.final, pending.reason, pending.wait, report)
 }
 
-// groupReport builds the decider's report about a trunk group and the load of the switch behind it.
+// groupReport returns the report about a trunk group for the decider, with the load of its switch from userInfo.
 func (x *Exchange) groupReport(i int, userInfo isup.UserInfo) policy.LoadReport {
 	group := &x.groups[i]
 	report := policy.LoadReport{Free: group.circuits.Free(), Size: group.circuits.Size(), Wait: -1, HoldBack: -1}
@@ -544,8 +548,8 @@
 // SetAdvice sets the tandem that the centre recommends for each destination.
 func (x *Exchange) SetAdvice(advice map[int]int) { x.advice = advice }
 
-// LinkUp reports that the link to a neighbour's switch is up. life identifies the process lifetime of that switch. If it
-// has changed, the state of the circuits is unknown and all of them are reset.
+// LinkUp reports that the link to a neighbour's switch is up. lifetime identifies the process of that switch. If it has
+// changed, the state of the circuits is unknown and all of them are reset.
 func (x *Exchange) LinkUp(now policy.Tenths, peer int, lifetime string) {
 	x.now = now
 	group := &x.groups[peer]
@@ -580,8 +584,8 @@
 	x.reportPending()
 }
 
-// OwnSwitchUp reports that the link to the own switch is up. A restarted switch, which a changed life shows, has lost all
-// lines and circuits.
+// OwnSwitchUp reports that the link to the own switch is up. A changed lifetime shows that the switch has restarted and
+// has lost all lines and circuits.
 func (x *Exchange) OwnSwitchUp(now policy.Tenths, lifetime string) {
 	x.now = now
 	if x.ownLifetime != "" && x.ownLifetime != lifetime {
@@ -598,8 +602,8 @@
 	x.reportPending()
 }
 
-// OwnSwitchDown reports that the link to the own switch was lost. No answer can reach a caller, so that calls without one end
-// and are released. Established calls continue until the switch returns and turns out to have restarted.
+// OwnSwitchDown reports that the link to the own switch was lost. No answer can reach a caller, so calls without an
+// answer end and are released. Established calls continue unless the switch turns out to have restarted.
 func (x *Exchange) OwnSwitchDown(now policy.Tenths) {
 	x.now = now
 	for _, call := range x.callsByID() {
@@ -628,7 +632,7 @@
 	x.setState(call, Ended)
 }
 
-// endOnLostCircuits ends calls that lost their circuits of a group. The circuits themselves are already in their new state.
+// endOnLostCircuits ends calls that lost their circuits of a group. The circuits are already in their new state.
 func (x *Exchange) endOnLostCircuits(peer int, ids []uint32) {
 	for _, id := range ids {
 		call := x.calls[id]
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 600) }
 
-// testNetwork simulates a network: exchanges, the messages between them, and callers. It records violations of the call rules.
+// testNetwork simulates exchanges, the messages between them, and callers. It records violations of the call rules.
 type testNetwork struct {
 	now        policy.Tenths
 	nodes      []*node
@@ -36,7 +36,7 @@
 	msg  isup.Message
 }
 
-// node is one simulated exchange and its Carrier.
+// node is one simulated exchange and its Output.
 type node struct {
 	net         *testNetwork
 	number      int
@@ -181,7 +181,7 @@
 	return net
 }
 
-// start creates the Exchange of a site.
+// start creates the Exchange of a node.
 func (net *testNetwork) start(s *node, list []policy.Switch, size int) {
 	var near []Neighbour
 	for j := range list {
--- a/internal/exchange/numbering.go
+++ b/internal/exchange/numbering.go
@@ -16,7 +16,7 @@
 	Portability *numbers.Inquirer                  // nil if portability is not queried
 	UnixSecond  func(at policy.Tenths) int64       // converts an instant to Unix seconds
 	Instant     func(second int64) policy.Tenths   // converts Unix seconds to an instant
-	Changed     func(t *numbers.Table, why string) // called when another version takes effect; why is the reason for a rollback, or ""
+	Changed     func(t *numbers.Table, why string) // called when a version takes effect; why: reason for a rollback, or ""
 }
 
 // portReply is a reply of the portability client that has not been handled yet.
@@ -26,8 +26,8 @@
 	known bool
 }
 
-// PortabilityNet implements numbers.Net for an exchange: it sends queries through a function and queues replies for the calls
-// that wait for them.
+// PortabilityNet implements numbers.Net for an exchange. It sends queries through a function, and queues the replies for
+// the calls that wait for them.
 type PortabilityNet struct {
 	x     *Exchange
 	query func(id uint32, server int, number string)
@@ -46,7 +46,7 @@
 	a.x.portReplies = append(a.x.portReplies, portReply{call, port, known})
 }
 
-// SetNumbering makes the exchange analyse called numbers with n.
+// SetNumbering makes the exchange analyse called numbers with the given tables.
 func (x *Exchange) SetNumbering(numbering *Numbering) { x.numbering = numbering }
 
 // UpdateNumbering calls do with the numbering of the exchange, if it has any, and handles what results for its calls.
@@ -103,8 +103,8 @@
 	x.handleAnalysis(call, result)
 }
 
-// handleAnalysis continues a call with the result of its number analysis, and rolls the table back if too many numbers have no
-// route.
+// handleAnalysis continues a call with the result of its number analysis. If too many numbers have no route, it rolls the
+// number table back.
 func (x *Exchange) handleAnalysis(call *activeCall, result numbers.Result) {
 	numbering := x.numbering
 	if reason, rollback := numbering.Versions.Analysed(call.table, result.Outcome != numbers.NoRoute, x.now); rollback {
--- a/internal/exchange/numbering_test.go
+++ b/internal/exchange/numbering_test.go
@@ -34,7 +34,8 @@
 	}
 }
 
-// shiftedTable returns a table version that routes numbers 0NN... to exchange (NN+by) mod n. Numbers of exchange 0 are portable.
+// shiftedTable returns a table version that routes numbers 0NN... to exchange (NN+shift) mod n. Numbers of exchange 0 are
+// portable.
 func shiftedTable(t interface{ Fatal(...any) }, version uint64, shift, n int) *numbers.Table {
 	z, err := numbers.NewZone("UTC")
 	if err != nil {
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -232,7 +232,7 @@
 		return
 	}
 	if timeLeft -= answerMargin; timeLeft <= 0 {
-		// The caller abandoned the call while the set-up waited, and sends a release: not even a refusal may be sent.
+		// The caller abandoned the call while the set-up waited, and sends a release: a line must not even get a refusal.
 		if transit {
 			refuse(isup.Congestion)
 		}
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -21,7 +21,7 @@
 func (nullStore) Drop(uint32)             {}
 func (nullStore) Knows(int, string)       {}
 
-// SetStore makes the exchange store its calls in k from now on. wall converts an instant to tenths of a millisecond since
+// SetStore makes the exchange store its calls from now on. wallClock converts an instant to tenths of a millisecond since
 // 1970.
 func (x *Exchange) SetStore(store CallStore, wallClock func(policy.Tenths) int64) {
 	x.store, x.wallClock = store, wallClock
@@ -122,8 +122,8 @@
 	return true
 }
 
-// releaseLostCallers releases the lines of calls of the previous process that failed or were lost. It runs once the own switch is
-// up and has not restarted.
+// releaseLostCallers releases the lines of calls of the previous process that failed or were lost. It runs once the own
+// switch is up and has not restarted.
 func (x *Exchange) releaseLostCallers() {
 	for _, stored := range x.failedCalls {
 		if x.wallClock(x.now) < stored.Until-int64(answerMargin) {
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -9,7 +9,7 @@
 	"indigodrift/policy"
 )
 
-// memoryStore is a Keeper in memory.
+// memoryStore is a CallStore in memory.
 type memoryStore struct {
 	calls     map[uint32]recovery.StoredCall
 	lifetimes map[int]string
@@ -19,7 +19,7 @@
 func (n *memoryStore) Drop(id uint32)                { delete(n.calls, id) }
 func (n *memoryStore) Knows(number int, life string) { n.lifetimes[number] = life }
 
-// sentMessages is a Carrier that keeps all messages sent.
+// sentMessages is an Output that keeps all messages sent.
 type sentMessages struct {
 	messages []isup.Message
 	hops     []Hop
@@ -42,10 +42,11 @@
 	return n
 }
 
+// wallClock converts an instant to wall-clock time, with the same origin.
 func wallClock(at policy.Tenths) int64 { return int64(at) }
 
-// restart restarts an exchange with its stored calls. own and far identify the process lifetimes of the own switch and of
-// the neighbour's switch after the restart.
+// restart restarts an exchange with its stored calls. own and remote are the lifetimes of the own switch and of the
+// neighbour's switch after the restart.
 func restart(t *testing.T, now policy.Tenths, stored *memoryStore, own, remote string) (*Exchange, *sentMessages, *memoryStore) {
 	t.Helper()
 	out := &sentMessages{}
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -119,7 +119,7 @@
 	IncomingBusy       = 0x04
 	OutgoingBusy       = 0x08
 	CircuitIdle        = 0x0c
-	CallProcessingMask = 0x0c // mask of the call processing state
+	CallProcessingMask = 0x0c // bits of the call processing state
 )
 
 // ErrMessage is wrapped by all errors about malformed messages.
@@ -130,7 +130,7 @@
 	return fmt.Errorf("%w: "+format, append([]any{ErrMessage}, args...)...)
 }
 
-// mediumRequirement returns the transmission medium requirement for n x 64 kbit/s (Q.763, 3.54).
+// mediumRequirement returns the transmission medium requirement for width x 64 kbit/s (Q.763, 3.54).
 func mediumRequirement(width int) (byte, bool) {
 	switch {
 	case width == 1:
--- a/internal/isup/says.go
+++ b/internal/isup/says.go
@@ -2,41 +2,41 @@
 
 import "encoding/binary"
 
-// UserInfo is the content of the user-to-user information parameter (Q.763, 3.60). Durations are in tenths of a millisecond.
-// Has holds a bit for each part that is present.
+// UserInfo is the content of the user-to-user information parameter (Q.763, 3.60). Durations are in tenths of a
+// millisecond.
 type UserInfo struct {
-	Present      PartSet
-	TimeLeft     uint32 // time left until the caller abandons the call, from Stamp on
-	SentAt       uint32 // sender's clock at sending; only differences are meaningful
-	Wait         uint32 // waiting time at the processor
-	HoldBack     uint16 // requested admission hold-back: share of new set-ups, in thousandths
-	RetryAfter   uint32 // time for which the caller should not redial
-	Bearer       uint8  // index of the bearer type in the operator's configuration
-	Flags        uint8  // Redial, FlagDisconnectedBefore, Donor, Yielded
-	Dest         uint16 // destination exchange, as found by the originating exchange
-	TableVersion uint64 // version of the number table that it was found with
-	Session      string // session description of the sender's side (SDP, RFC 4566), for calls between gateways
+	Present      PartSet // parts that the message carries
+	TimeLeft     uint32  // time left until the caller abandons the call, from SentAt on
+	SentAt       uint32  // sender's clock at sending; only differences are meaningful
+	Wait         uint32  // waiting time at the processor
+	HoldBack     uint16  // requested admission hold-back: share of new set-ups, in thousandths
+	RetryAfter   uint32  // time for which the caller should not redial
+	Bearer       uint8   // index of the bearer type in the operator's configuration
+	Flags        uint8   // FlagRedial, FlagDisconnectedBefore, FlagDonorRouted, FlagYielded
+	Dest         uint16  // destination exchange, as found by the originating exchange
+	TableVersion uint64  // version of the number table that it was found with
+	Session      string  // session description of the sender's side (SDP, RFC 4566), for calls between gateways
 }
 
-// PartSet is a set of parts of Says, one bit each.
+// PartSet is a set of parts of UserInfo, one bit each.
 type PartSet uint8
 
-// Parts of Says.
+// Parts of UserInfo.
 const (
-	PartTimeLeft PartSet = 1 << iota
-	PartLoad
-	PartRetryAfter
-	PartCall
-	PartRoute
-	PartSession
+	PartTimeLeft   PartSet = 1 << iota // TimeLeft, SentAt
+	PartLoad                           // Wait, HoldBack
+	PartRetryAfter                     // RetryAfter
+	PartCall                           // Bearer, Flags
+	PartRoute                          // Dest, TableVersion
+	PartSession                        // Session
 )
 
-// Bits of Marks.
+// Bits of Flags.
 const (
 	FlagRedial             = 1 // the caller was refused before and redials
 	FlagDisconnectedBefore = 2 // the call was established, was disconnected and is placed again
 	FlagDonorRouted        = 4 // routed by the donor exchange, as portability was not known in time
-	FlagYielded            = 8 // REL, RLC: the ending call won a dual seizure against a call of the sender, whose set-up may still be unread
+	FlagYielded            = 8 // REL, RLC: the call won a dual seizure against one of the sender, whose set-up may still be unread
 )
 
 const (
@@ -49,8 +49,8 @@
 	elementRoute      = 5
 	elementSession    = 6
 
-	// MaxSessionSize is the greatest length of a session description. The length of the whole parameter is one octet, and the
-	// other parts take up to 41 octets.
+	// MaxSessionSize is the greatest length of a session description. The length field of the parameter is one octet, and
+	// the other parts take up to 41 octets.
 	MaxSessionSize = 200
 )
 
@@ -86,7 +86,7 @@
 		buf = binary.BigEndian.AppendUint16(buf, s.Dest)
 		buf = binary.BigEndian.AppendUint64(buf, s.TableVersion)
 	}
-	if s.Present&PartSession != 0 && len(s.Session) <= MaxSessionSize { // a longer one is left out; the receiver then uses its own default
+	if s.Present&PartSession != 0 && len(s.Session) <= MaxSessionSize { // else the receiver uses its default
 		buf = append(append(buf, elementSession, byte(len(s.Session))), s.Session...)
 	}
 	buf[size] = byte(len(buf) - size - 1)
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -40,12 +40,12 @@
 // Frame is one M3UA message. Fields that its kind does not carry are zero.
 type Frame struct {
 	Kind     Kind
-	ASPID    uint32 // ASP identifier: the point code of the sender (Up, ASPUpAck)
+	ASPID    uint32 // ASP identifier: the point code of the sender (ASPUp, ASPUpAck)
 	Info     string // process lifetime of the switch (ASPUpAck)
 	OPC      uint32 // originating point code (Data)
 	DPC      uint32 // destination point code (Data)
 	SLS      uint8
-	UserData []byte // the ISUP message (Data), the heartbeat's data (Beat, HeartbeatAck)
+	UserData []byte // the ISUP message (Data), the heartbeat's data (Heartbeat, HeartbeatAck)
 }
 
 // ErrFrame is wrapped by all errors about malformed frames.
@@ -104,8 +104,8 @@
 	return buf
 }
 
-// Read reads one frame, using scratch as its buffer if it is large enough, and returns the buffer for the next call. The
-// User octets are valid until the next Read with the same buffer.
+// Read reads one frame, using scratch as its buffer if it is large enough, and returns the buffer for the next call.
+// UserData is valid until the next Read with the same buffer.
 func Read(r io.Reader, scratch []byte) (Frame, []byte, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
