--- a/internal/circuit/circuit.go
+++ b/internal/circuit/circuit.go
@@ -376,8 +376,8 @@
 	return true
 }
 
-// ResetUnconfirmed resets every circuit without a restored call, as its state at the neighbour is unknown.
-func (g *Group) ResetUnconfirmed(now policy.Tenths) {
+// ResetUnrestored resets every circuit without a restored call, as its state at the neighbour is unknown.
+func (g *Group) ResetUnrestored(now policy.Tenths) {
 	for i := range g.circuits {
 		if c := &g.circuits[i]; !c.unconfirmed {
 			g.setState(now, i, Resetting, NoCall, i)
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -28,37 +28,37 @@
 }
 
 // send puts a message in transit.
-func (e *neighbour) send(t isup.Type, call uint32, b Assignment, width int) {
-	e.sent = append(e.sent, isup.Message{Type: t, CIC: b.CIC, Slots: b.Slots, Width: width,
+func (n *neighbour) send(t isup.Type, call uint32, b Assignment, width int) {
+	n.sent = append(n.sent, isup.Message{Type: t, CIC: b.CIC, Slots: b.Slots, Width: width,
 		Ref: isup.Reference{Identity: call}})
 }
 
 // receive handles a received message.
-func (e *neighbour) receive(now policy.Tenths, m isup.Message) {
+func (n *neighbour) receive(now policy.Tenths, m isup.Message) {
 	switch m.Type {
 	case isup.IAM:
 		b := Assignment{m.CIC, m.Slots}
-		v, yielded, _ := e.group.SetUpReceived(now, m.Ref.Identity, b, m.Width)
+		v, yielded, _ := n.group.SetUpReceived(now, m.Ref.Identity, b, m.Width)
 		for _, id := range yielded {
-			delete(e.outgoing, id)
-			e.yielded++
+			delete(n.outgoing, id)
+			n.yielded++
 		}
 		if v == Accepted {
-			e.incoming[m.Ref.Identity] = b
-			e.send(isup.ANM, m.Ref.Identity, b, 0)
+			n.incoming[m.Ref.Identity] = b
+			n.send(isup.ANM, m.Ref.Identity, b, 0)
 		}
 	case isup.ANM:
-		e.group.Acknowledged(now, m.CIC)
+		n.group.Acknowledged(now, m.CIC)
 	case isup.REL:
-		if s, call, _ := e.group.State(m.CIC); s == Outgoing || s == Seized || s == Incoming {
-			delete(e.incoming, call)
-			delete(e.outgoing, call)
-			e.group.Cleared(now, m.CIC, true)
+		if s, call, _ := n.group.State(m.CIC); s == Outgoing || s == Seized || s == Incoming {
+			delete(n.incoming, call)
+			delete(n.outgoing, call)
+			n.group.Cleared(now, m.CIC, true)
 		}
-		e.send(isup.RLC, 0, Assignment{CIC: m.CIC}, 0)
+		n.send(isup.RLC, 0, Assignment{CIC: m.CIC}, 0)
 	case isup.RLC:
-		if s, _, _ := e.group.State(m.CIC); s == Releasing || s == Resetting {
-			e.group.Cleared(now, m.CIC, false)
+		if s, _, _ := n.group.State(m.CIC); s == Releasing || s == Resetting {
+			n.group.Cleared(now, m.CIC, false)
 		}
 	}
 }
@@ -78,40 +78,40 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += policy.Tenths(rapid.IntRange(0, 4000).Draw(t, "later"))
 			who := rapid.IntRange(0, 1).Draw(t, "who")
-			e := neighbours[who]
+			n := neighbours[who]
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				width := rapid.SampledFrom([]int{1, 1, 1, 3}).Draw(t, "width")
-				free := e.group.Free()
-				if b, ok := e.group.Seize(now, next, width); ok {
-					if e.group.Free() != free-width {
-						t.Fatalf("seizing %d circuits left %d of %d free", width, e.group.Free(), free)
+				free := n.group.Free()
+				if b, ok := n.group.Seize(now, next, width); ok {
+					if n.group.Free() != free-width {
+						t.Fatalf("seizing %d circuits left %d of %d free", width, n.group.Free(), free)
 					}
-					e.outgoing[next] = b
-					e.send(isup.IAM, next, b, width)
+					n.outgoing[next] = b
+					n.send(isup.IAM, next, b, width)
 				}
 				next++
 			case 2:
 				ids := make([]uint32, 0)
-				for id, b := range e.outgoing {
-					if s, _, _ := e.group.State(b.CIC); s == Outgoing || s == Seized {
+				for id, b := range n.outgoing {
+					if s, _, _ := n.group.State(b.CIC); s == Outgoing || s == Seized {
 						ids = append(ids, id)
 					}
 				}
 				if len(ids) > 0 {
 					slices.Sort(ids)
-					b := e.outgoing[ids[0]]
-					delete(e.outgoing, ids[0])
-					e.group.Release(now, b.CIC)
-					e.send(isup.REL, ids[0], b, 0)
+					b := n.outgoing[ids[0]]
+					delete(n.outgoing, ids[0])
+					n.group.Release(now, b.CIC)
+					n.send(isup.REL, ids[0], b, 0)
 				}
 			default:
-				if len(e.sent) > 0 {
+				if len(n.sent) > 0 {
 					deliver(who)
 				}
 			}
-			for _, e := range neighbours {
-				if err := e.group.checkInvariants(); err != nil {
+			for _, n := range neighbours {
+				if err := n.group.checkInvariants(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -124,12 +124,12 @@
 					}
 				}
 			}
-			for _, e := range neighbours {
+			for _, n := range neighbours {
 				for i := range size {
-					if s, call, _ := e.group.State(code(i)); s == Seized {
-						delete(e.outgoing, call)
-						e.group.Release(now, code(i))
-						e.send(isup.REL, call, Assignment{CIC: code(i)}, 0)
+					if s, call, _ := n.group.State(code(i)); s == Seized {
+						delete(n.outgoing, call)
+						n.group.Release(now, code(i))
+						n.send(isup.REL, call, Assignment{CIC: code(i)}, 0)
 					}
 				}
 			}
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -219,7 +219,7 @@
 		rlc, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.RLC})
 		spent(&byGateway, func() { j.trunk(ahead, rlc) })
 
-		iam, _ := isup.Append(nil, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: "001000001", Hops: 2, Ref: isup.Reference{Point: 3, Identity: uint32(calls) & 0xffffff},
+		iam, _ := isup.Append(nil, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: "001000001", HopCounter: 2, Ref: isup.Reference{Point: 3, Identity: uint32(calls) & 0xffffff},
 			UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 80000}})
 		behind := exchange.Hop{Side: exchange.Preceding, Peer: 1}
 		j.to = exchange.Hop{}
--- a/internal/day/plant.go
+++ b/internal/day/plant.go
@@ -78,7 +78,7 @@
 		to := exchange.Hop{Side: exchange.Succeeding, Peer: w.burst}
 		w.burst, w.done = -1, true
 		for i := range uint32(600) {
-			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(w.near[to.Peer].Number, i), Hops: 1,
+			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(w.near[to.Peer].Number, i), HopCounter: 1,
 				Ref: isup.Reference{Point: 999, Identity: i + 1}, UserInfo: isup.UserInfo{Present: isup.PartCall}})
 		}
 	}
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -14,14 +14,14 @@
 	msg isup.Message
 }
 
-func (c *lastSent) Transmit(to Hop, m isup.Message) {
+func (s *lastSent) Transmit(to Hop, msg isup.Message) {
 	if to.Side == Succeeding {
-		c.to, c.msg = to, m
+		s.to, s.msg = to, msg
 	}
 }
-func (c *lastSent) Follow()         {}
-func (c *lastSent) Note(string)     {}
-func (c *lastSent) Answered(Answer) {}
+func (s *lastSent) Follow()         {}
+func (s *lastSent) Note(string)     {}
+func (s *lastSent) Answered(Answer) {}
 
 // newTestExchange returns an exchange with one neighbour, links up and all circuits idle.
 func newTestExchange(circuits int) (*Exchange, *lastSent, policy.Tenths) {
--- a/internal/exchange/desk.go
+++ b/internal/exchange/desk.go
@@ -10,7 +10,7 @@
 type actionHandler Exchange
 
 // Send starts a route try.
-func (h *actionHandler) Send(id, to uint32, limit policy.Tenths) {
+func (h *actionHandler) Send(id, switchID uint32, limit policy.Tenths) {
 	x := (*Exchange)(h)
 	call := x.calls[id]
 	if call == nil || call.state != Offered {
@@ -18,11 +18,11 @@
 		return
 	}
 	call.tries++
-	call.switchID = to
+	call.switchID = switchID
 	unsent := func(ending policy.Outcome, reason policy.Reason) {
-		x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: id, try: call.tries - 1, switchID: to, ending: ending, reason: reason})
+		x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: id, try: call.tries - 1, switchID: switchID, ending: ending, reason: reason})
 	}
-	i, ok := x.groupBySwitch[to]
+	i, ok := x.groupBySwitch[switchID]
 	if !ok || !x.groups[i].linkUp {
 		unsent(policy.Unreachable, policy.NoReason)
 		return
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -24,9 +24,9 @@
 type Decider interface {
 	Offer(now policy.Tenths, ask policy.Call) bool
 	Answered(now policy.Tenths, id uint32, try int)
-	TryEnded(now policy.Tenths, id uint32, try int, sw uint32, ending policy.Outcome, final bool, reason policy.Reason,
+	TryEnded(now policy.Tenths, id uint32, try int, switchID uint32, ending policy.Outcome, final bool, reason policy.Reason,
 		wait policy.Tenths, report policy.LoadReport)
-	LoadReported(now policy.Tenths, sw uint32, report policy.LoadReport)
+	LoadReported(now policy.Tenths, switchID uint32, report policy.LoadReport)
 	Abandoned(now policy.Tenths, id uint32)
 	TimerExpired(now policy.Tenths, token uint64)
 	ListReceived(now policy.Tenths, whole bool, list []policy.Switch)
@@ -561,7 +561,7 @@
 		x.store.Knows(group.number, lifetime)
 		x.audit()
 	case group.restored: // the switch still knows the restored calls; all other circuits are reset
-		group.circuits.ResetUnconfirmed(now)
+		group.circuits.ResetUnrestored(now)
 		x.store.Knows(group.number, lifetime)
 		x.audit()
 		x.schedule(group.earliestAudit, dueCircuitQuery, 0)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -18,7 +18,7 @@
 // testNetwork simulates exchanges, the messages between them, and callers. It records violations of the call rules.
 type testNetwork struct {
 	now        policy.Tenths
-	nodes      []*node
+	nodes      []*testNode
 	inTransit  []delivery
 	callers    map[isup.Reference]*caller
 	violations []string
@@ -36,12 +36,12 @@
 	msg  isup.Message
 }
 
-// node is one simulated exchange and its Output.
-type node struct {
+// testNode is one simulated exchange and its Output.
+type testNode struct {
 	net         *testNetwork
 	number      int
 	exchange    *Exchange
-	starts      int
+	connects    int
 	notes       []string
 	lastArrival map[int]policy.Tenths // time of the last message to each exchange, as links keep the order
 }
@@ -58,46 +58,46 @@
 	released               bool
 }
 
-func (s *node) Follow()           {}
-func (s *node) Note(text string)  { s.notes = append(s.notes, text) }
-func (s *node) Answered(a Answer) {}
+func (node *testNode) Follow()           {}
+func (node *testNode) Note(text string)  { node.notes = append(node.notes, text) }
+func (node *testNode) Answered(a Answer) {}
 
 // Transmit sends a message through the simulated network. A called line answers at once.
-func (s *node) Transmit(to Hop, m isup.Message) {
-	net := s.net
+func (node *testNode) Transmit(to Hop, m isup.Message) {
+	net := node.net
 	if to.Side == Line {
 		if m.Type == isup.IAM { // the called line
-			net.send(s.number, s.number, Hop{Side: Line, Point: to.Point}, isup.Message{CIC: m.CIC, Type: isup.ANM})
+			net.send(node.number, node.number, Hop{Side: Line, Point: to.Point}, isup.Message{CIC: m.CIC, Type: isup.ANM})
 		} else if to.Point < FirstCalledPoint {
-			net.checkAnswer(s.number, m)
+			net.checkAnswer(node.number, m)
 		}
 		return
 	}
-	remote := s.exchange.groups[to.Peer].number
-	back := net.nodes[remote].exchange.groupByNumber[s.number]
+	remote := node.exchange.groups[to.Peer].number
+	back := net.nodes[remote].exchange.groupByNumber[node.number]
 	from := Hop{Side: Preceding, Peer: back}
 	if to.Side == Preceding {
 		from.Side = Succeeding
 	}
 	if to.Side == Succeeding && m.Type == isup.IAM {
-		net.checkTry(s.number, remote, m)
+		net.checkTry(node.number, remote, m)
 	}
 	if to.Side == Succeeding && m.Type == isup.REL {
 		for _, c := range net.callers {
-			if key := fmt.Sprint(remote, m.CIC); c.origin == s.number && c.openTries[key].Type == isup.IAM {
+			if key := fmt.Sprint(remote, m.CIC); c.origin == node.number && c.openTries[key].Type == isup.IAM {
 				delete(c.openTries, key)
 				c.released, c.lastRelease = true, net.now
 			}
 		}
 	}
-	net.send(s.number, remote, from, m)
+	net.send(node.number, remote, from, m)
 }
 
 // send puts a message in transit.
 func (net *testNetwork) send(from, to int, hop Hop, m isup.Message) {
-	s := net.nodes[from]
-	at := max(net.now+50, s.lastArrival[to])
-	s.lastArrival[to] = at
+	node := net.nodes[from]
+	at := max(net.now+50, node.lastArrival[to])
+	node.lastArrival[to] = at
 	net.inTransit = append(net.inTransit, delivery{at, to, hop, m})
 }
 
@@ -108,18 +108,18 @@
 
 // checkTry checks a set-up of the originating exchange: one try at a time, none after the end of the call, and none within
 // the release time of the previous try.
-func (net *testNetwork) checkTry(site, remote int, m isup.Message) {
+func (net *testNetwork) checkTry(origin, remote int, m isup.Message) {
 	c := net.callers[m.Ref]
-	if c == nil || c.origin != site {
+	if c == nil || c.origin != origin {
 		return
 	}
 	if len(c.answers) > 0 || c.abandoned {
 		net.violation("call %v sent after its end", m.Ref)
 	}
-	if f := net.delivering; f.msg.Type == isup.IAM && f.to == site && f.from.Side == Preceding {
-		by := net.nodes[site].exchange.groups[f.from.Peer].number
+	if arriving := net.delivering; arriving.msg.Type == isup.IAM && arriving.to == origin && arriving.from.Side == Preceding {
+		neighbour := net.nodes[origin].exchange.groups[arriving.from.Peer].number
 		for key, sent := range c.openTries { // dual seizure won by the neighbour: this try is void
-			if key == fmt.Sprint(by, sent.CIC) && slots(sent)&slots(f.msg) != 0 {
+			if key == fmt.Sprint(neighbour, sent.CIC) && slots(sent)&slots(arriving.msg) != 0 {
 				delete(c.openTries, key)
 			}
 		}
@@ -142,9 +142,9 @@
 }
 
 // checkAnswer checks a message to a subscriber line: one answer per call, in time, and none after its end.
-func (net *testNetwork) checkAnswer(site int, m isup.Message) {
+func (net *testNetwork) checkAnswer(origin int, m isup.Message) {
 	for ref, c := range net.callers {
-		if c.origin != site || c.cic != m.CIC {
+		if c.origin != origin || c.cic != m.CIC {
 			continue
 		}
 		switch {
@@ -170,9 +170,9 @@
 		list = append(list, policy.Switch{ID: uint32(100 + i), Number: i, Ready: true})
 	}
 	for i := range n {
-		s := &node{net: net, number: i, lastArrival: map[int]policy.Tenths{}}
-		net.nodes = append(net.nodes, s)
-		net.start(s, list, size)
+		node := &testNode{net: net, number: i, lastArrival: map[int]policy.Tenths{}}
+		net.nodes = append(net.nodes, node)
+		net.start(node, list, size)
 	}
 	for i := range n {
 		net.connect(i)
@@ -182,40 +182,40 @@
 }
 
 // start creates the Exchange of a node.
-func (net *testNetwork) start(s *node, list []policy.Switch, size int) {
-	var near []Neighbour
+func (net *testNetwork) start(node *testNode, list []policy.Switch, size int) {
+	var neighbours []Neighbour
 	for j := range list {
-		if j != s.number {
-			near = append(near, Neighbour{j, size})
+		if j != node.number {
+			neighbours = append(neighbours, Neighbour{j, size})
 		}
 	}
-	d := policy.Deployment{Seed: uint64(s.number + 7*s.starts), OwnExchange: s.number, MaxTries: 4, ReleaseTime: 3000, CancelsAllowed: true, InitialCapacity: 1,
+	d := policy.Deployment{Seed: uint64(node.number + 7*node.connects), OwnExchange: node.number, MaxTries: 4, ReleaseTime: 3000, CancelsAllowed: true, InitialCapacity: 1,
 		OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
 		Bearers: []policy.Bearer{{Revenue: 1, LateShare: 0.1, GoSTarget: 12000, AbandonTime: 90000},
 			{Revenue: 5, LateShare: 0.1, GoSTarget: 12000, AbandonTime: 90000}}}
-	s.exchange = New(d, near, s, net.now, func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider {
+	node.exchange = New(d, neighbours, node, net.now, func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider {
 		return policy.New(d, e, now)
 	})
-	s.exchange.Listed(net.now, true, list)
+	node.exchange.Listed(net.now, true, list)
 }
 
 // connect brings up the links of an exchange.
 func (net *testNetwork) connect(i int) {
-	s := net.nodes[i]
-	s.starts++
-	s.exchange.OwnSwitchUp(net.now, "1")
-	for j := range s.exchange.groups {
-		s.exchange.LinkUp(net.now, j, "1")
+	node := net.nodes[i]
+	node.connects++
+	node.exchange.OwnSwitchUp(net.now, "1")
+	for j := range node.exchange.groups {
+		node.exchange.LinkUp(net.now, j, "1")
 	}
 }
 
 // call starts a call to a line at another exchange.
-func (net *testNetwork) call(site, dest, bearer, width int, ttl policy.Tenths) isup.Reference {
+func (net *testNetwork) call(origin, dest, bearer, width int, ttl policy.Tenths) isup.Reference {
 	net.nextCall++
-	ref := isup.Reference{Point: PointCode(site), Identity: net.nextCall}
-	c := &caller{origin: site, cic: uint16(net.nextCall & isup.MaxCIC), abandonTime: net.now + ttl, openTries: map[string]isup.Message{}}
+	ref := isup.Reference{Point: PointCode(origin), Identity: net.nextCall}
+	c := &caller{origin: origin, cic: uint16(net.nextCall & isup.MaxCIC), abandonTime: net.now + ttl, openTries: map[string]isup.Message{}}
 	net.callers[ref] = c
-	net.nodes[site].exchange.Receive(net.now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: c.cic, Type: isup.IAM, Width: width,
+	net.nodes[origin].exchange.Receive(net.now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: c.cic, Type: isup.IAM, Width: width,
 		Digits: LineNumber(dest, net.nextCall), Ref: ref, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(ttl),
 			Bearer: uint8(bearer)}}, 0)
 	return ref
@@ -232,16 +232,16 @@
 func (net *testNetwork) advance(by policy.Tenths) {
 	for end := net.now + by; net.now < end; {
 		next := end
-		for _, f := range net.inTransit {
-			next = min(next, f.at)
+		for _, arriving := range net.inTransit {
+			next = min(next, arriving.at)
 		}
-		for _, s := range net.nodes {
-			next = min(next, s.exchange.Next())
+		for _, node := range net.nodes {
+			next = min(next, node.exchange.Next())
 		}
 		net.now = max(net.now, next)
 		for i := 0; i < len(net.inTransit); {
-			f := net.inTransit[i]
-			if f.at > net.now {
+			arriving := net.inTransit[i]
+			if arriving.at > net.now {
 				i++
 				continue
 			}
@@ -249,17 +249,17 @@
 			if net.lose() {
 				continue
 			}
-			if f.msg.Type == isup.ANM || f.msg.Type == isup.REL || f.msg.Type == isup.GRS || f.msg.Type == isup.RSC {
-				net.noteTryEnd(f)
+			if arriving.msg.Type == isup.ANM || arriving.msg.Type == isup.REL || arriving.msg.Type == isup.GRS || arriving.msg.Type == isup.RSC {
+				net.noteTryEnd(arriving)
 			}
-			net.delivering = f
-			net.nodes[f.to].exchange.Receive(net.now, f.from, f.msg, 0)
+			net.delivering = arriving
+			net.nodes[arriving.to].exchange.Receive(net.now, arriving.from, arriving.msg, 0)
 			net.delivering = delivery{}
 			i = 0
 		}
-		for _, s := range net.nodes {
-			if s.exchange.Next() <= net.now {
-				s.exchange.Tick(net.now)
+		for _, node := range net.nodes {
+			if node.exchange.Next() <= net.now {
+				node.exchange.Tick(net.now)
 			}
 		}
 		for ref, c := range net.callers {
@@ -272,12 +272,12 @@
 }
 
 // noteTryEnd notes that a backward message or a reset ends the try on its circuits.
-func (net *testNetwork) noteTryEnd(f delivery) {
-	if f.msg.Type == isup.GRS || f.msg.Type == isup.RSC {
+func (net *testNetwork) noteTryEnd(arriving delivery) {
+	if arriving.msg.Type == isup.GRS || arriving.msg.Type == isup.RSC {
 		for _, c := range net.callers {
-			for cic := f.msg.CIC; cic <= f.msg.CIC+uint16(f.msg.Range); cic++ {
-				key := fmt.Sprint(net.nodes[f.to].exchange.groups[f.from.Peer].number, cic)
-				if c.origin == f.to && c.openTries[key].Type == isup.IAM {
+			for cic := arriving.msg.CIC; cic <= arriving.msg.CIC+uint16(arriving.msg.Range); cic++ {
+				key := fmt.Sprint(net.nodes[arriving.to].exchange.groups[arriving.from.Peer].number, cic)
+				if c.origin == arriving.to && c.openTries[key].Type == isup.IAM {
 					delete(c.openTries, key)
 					c.released, c.lastRelease = true, net.now
 				}
@@ -285,12 +285,12 @@
 		}
 		return
 	}
-	if f.from.Side != Succeeding {
+	if arriving.from.Side != Succeeding {
 		return
 	}
-	key := fmt.Sprint(net.nodes[f.to].exchange.groups[f.from.Peer].number, f.msg.CIC)
+	key := fmt.Sprint(net.nodes[arriving.to].exchange.groups[arriving.from.Peer].number, arriving.msg.CIC)
 	for _, c := range net.callers {
-		if c.origin == f.to {
+		if c.origin == arriving.to {
 			delete(c.openTries, key)
 		}
 	}
@@ -298,15 +298,15 @@
 
 // requireIdle fails the test if any circuit, call or line is still held.
 func (net *testNetwork) requireIdle(t interface{ Fatalf(string, ...any) }) {
-	for _, s := range net.nodes {
-		for i := range s.exchange.groups {
-			if g := s.exchange.groups[i].circuits; g.Free() != g.Size() {
-				t.Fatalf("exchange %d still holds %d of %d circuits to %d; %d calls: %+v", s.number, g.Size()-g.Free(),
-					g.Size(), s.exchange.groups[i].number, len(s.exchange.calls), g)
+	for _, node := range net.nodes {
+		for i := range node.exchange.groups {
+			if g := node.exchange.groups[i].circuits; g.Free() != g.Size() {
+				t.Fatalf("exchange %d still holds %d of %d circuits to %d; %d calls: %+v", node.number, g.Size()-g.Free(),
+					g.Size(), node.exchange.groups[i].number, len(node.exchange.calls), g)
 			}
 		}
-		if len(s.exchange.calls) > 0 || len(s.exchange.callByLine) > 0 || s.exchange.unanswered != 0 {
-			t.Fatalf("exchange %d still holds %d calls, %d lines, %d unanswered", s.number, len(s.exchange.calls), len(s.exchange.callByLine), s.exchange.unanswered)
+		if len(node.exchange.calls) > 0 || len(node.exchange.callByLine) > 0 || node.exchange.unanswered != 0 {
+			t.Fatalf("exchange %d still holds %d calls, %d lines, %d unanswered", node.number, len(node.exchange.calls), len(node.exchange.callByLine), node.exchange.unanswered)
 		}
 	}
 }
@@ -316,10 +316,10 @@
 	if len(net.violations) > 0 {
 		t.Fatalf("%d rule violations: %v", len(net.violations), net.violations[:min(3, len(net.violations))])
 	}
-	for _, s := range net.nodes {
-		for _, n := range s.notes {
+	for _, node := range net.nodes {
+		for _, n := range node.notes {
 			if len(n) > 6 && n[:6] == "fault:" {
-				t.Fatalf("exchange %d: %s", s.number, n)
+				t.Fatalf("exchange %d: %s", node.number, n)
 			}
 		}
 	}
@@ -380,32 +380,32 @@
 			return lossy && chance>>24 < 20
 		}
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			site := rapid.IntRange(0, n-1).Draw(t, "site")
+			origin := rapid.IntRange(0, n-1).Draw(t, "site")
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1, 2, 3, 4:
-				net.call(site, rapid.IntRange(0, n-1).Draw(t, "dest"), rapid.IntRange(0, 1).Draw(t, "bearer"),
+				net.call(origin, rapid.IntRange(0, n-1).Draw(t, "dest"), rapid.IntRange(0, 1).Draw(t, "bearer"),
 					rapid.SampledFrom([]int{1, 1, 2}).Draw(t, "width"), policy.Tenths(rapid.IntRange(500, 30000).Draw(t, "ttl")))
 			case 5, 6:
 				refs := slices.SortedFunc(maps.Keys(net.callers), func(a, b isup.Reference) int { return int(a.Identity) - int(b.Identity) })
 				for _, ref := range refs {
-					if c := net.callers[ref]; !c.abandoned && (c.established || len(c.answers) == 0) && c.origin == site {
+					if c := net.callers[ref]; !c.abandoned && (c.established || len(c.answers) == 0) && c.origin == origin {
 						net.hangUp(ref)
 						break
 					}
 				}
 			case 7:
-				if len(net.nodes[site].exchange.groups) > 0 {
+				if len(net.nodes[origin].exchange.groups) > 0 {
 					peer := rapid.IntRange(0, n-2).Draw(t, "peer")
-					net.nodes[site].exchange.LinkDown(net.now, peer)
+					net.nodes[origin].exchange.LinkDown(net.now, peer)
 					for _, c := range net.callers { // tries through the lost link have ended
 						for key := range c.openTries {
-							if c.origin == site && len(key) > 0 && key[0] == byte('0'+net.nodes[site].exchange.groups[peer].number) {
+							if c.origin == origin && len(key) > 0 && key[0] == byte('0'+net.nodes[origin].exchange.groups[peer].number) {
 								delete(c.openTries, key)
 							}
 						}
 					}
 					net.advance(policy.Tenths(rapid.IntRange(0, 3000).Draw(t, "down")))
-					net.nodes[site].exchange.LinkUp(net.now, peer, rapid.SampledFrom([]string{"1", "2"}).Draw(t, "life"))
+					net.nodes[origin].exchange.LinkUp(net.now, peer, rapid.SampledFrom([]string{"1", "2"}).Draw(t, "life"))
 				}
 			default:
 			}
@@ -429,9 +429,9 @@
 		net.advance(400000)
 		net.requireNoViolations(t)
 		if lossy { // a lost release is only found by the next call on the circuit or by a reset
-			for _, s := range net.nodes {
-				for j := range s.exchange.groups {
-					s.exchange.LinkUp(net.now, j, "3")
+			for _, node := range net.nodes {
+				for j := range node.exchange.groups {
+					node.exchange.LinkUp(net.now, j, "3")
 				}
 			}
 			net.advance(100000)
--- a/internal/exchange/numbering.go
+++ b/internal/exchange/numbering.go
@@ -29,8 +29,8 @@
 // PortabilityNet implements numbers.Net for an exchange. It sends queries through a function, and queues the replies for
 // the calls that wait for them.
 type PortabilityNet struct {
-	x     *Exchange
-	query func(id uint32, server int, number string)
+	exchange *Exchange
+	query    func(id uint32, server int, number string)
 }
 
 // PortabilityNet returns the numbers.Net that the portability client of this exchange is to use.
@@ -39,11 +39,11 @@
 }
 
 // Query sends a query to a portability server.
-func (a *PortabilityNet) Query(id uint32, server int, number string) { a.query(id, server, number) }
+func (n *PortabilityNet) Query(id uint32, server int, number string) { n.query(id, server, number) }
 
 // Told queues the portability result for a call; it is handled after the portability client has returned.
-func (a *PortabilityNet) Told(call uint32, port numbers.Port, known bool) {
-	a.x.portReplies = append(a.x.portReplies, portReply{call, port, known})
+func (n *PortabilityNet) Told(call uint32, port numbers.Port, known bool) {
+	n.exchange.portReplies = append(n.exchange.portReplies, portReply{call, port, known})
 }
 
 // SetNumbering makes the exchange analyse called numbers with the given tables.
--- a/internal/exchange/numbering_test.go
+++ b/internal/exchange/numbering_test.go
@@ -24,71 +24,71 @@
 }
 
 // query queues the reply to a portability query.
-func (b *portabilityServers) query(id uint32, _ int, number string) {
-	if b.delay >= 0 {
-		b.replies = append(b.replies, struct {
+func (s *portabilityServers) query(id uint32, _ int, number string) {
+	if s.delay >= 0 {
+		s.replies = append(s.replies, struct {
 			at     policy.Tenths
 			id     uint32
 			number string
-		}{b.net.now + b.delay, id, number})
+		}{s.net.now + s.delay, id, number})
 	}
 }
 
 // shiftedTable returns a table version that routes numbers 0NN... to exchange (NN+shift) mod n. Numbers of exchange 0 are
 // portable.
 func shiftedTable(t interface{ Fatal(...any) }, version uint64, shift, n int) *numbers.Table {
-	z, err := numbers.NewZone("UTC")
+	zone, err := numbers.NewZone("UTC")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tab := &numbers.Table{Version: version, Zone: z}
+	table := &numbers.Table{Version: version, Zone: zone}
 	var prefixes []numbers.Prefix
-	for e := range n {
-		tab.Entries = append(tab.Entries, numbers.Entry{Name: fmt.Sprint(e), Least: 9, Most: 9, Ported: e == 0,
-			Choices: []numbers.Choice{{Shares: []numbers.Share{{Weight: 1, Exchange: (e + shift) % n}}}}})
-		prefixes = append(prefixes, numbers.Prefix{Digits: fmt.Sprintf("%03d", e), Entry: uint32(e)})
+	for exchange := range n {
+		table.Entries = append(table.Entries, numbers.Entry{Name: fmt.Sprint(exchange), Least: 9, Most: 9, Ported: exchange == 0,
+			Choices: []numbers.Choice{{Shares: []numbers.Share{{Weight: 1, Exchange: (exchange + shift) % n}}}}})
+		prefixes = append(prefixes, numbers.Prefix{Digits: fmt.Sprintf("%03d", exchange), Entry: uint32(exchange)})
 	}
-	if err := tab.Build(prefixes, n); err != nil {
+	if err := table.Build(prefixes, n); err != nil {
 		t.Fatal(err)
 	}
-	return tab
+	return table
 }
 
 // addNumbering gives every exchange the same number table and simulated portability servers.
 func addNumbering(t interface{ Fatal(...any) }, net *testNetwork) []*portabilityServers {
 	var all []*portabilityServers
-	for _, s := range net.nodes {
-		b := &portabilityServers{net: net, delay: 100, ported: map[string]string{}}
-		n := &Numbering{Versions: numbers.NewVersions(shiftedTable(t, 1, 0, len(net.nodes)), numbers.Trial{Window: 100000, Bound: 0.5, Least: 5}),
+	for _, node := range net.nodes {
+		servers := &portabilityServers{net: net, delay: 100, ported: map[string]string{}}
+		numbering := &Numbering{Versions: numbers.NewVersions(shiftedTable(t, 1, 0, len(net.nodes)), numbers.Trial{Window: 100000, Bound: 0.5, Least: 5}),
 			Split: numbers.NewSplit(100), UnixSecond: func(at policy.Tenths) int64 { return int64(at / 10000) },
 			Instant: func(second int64) policy.Tenths { return policy.Tenths(second) * 10000 }, Changed: func(*numbers.Table, string) {}}
 		var err error
-		n.Portability, err = numbers.NewInquirer(numbers.Limits{Known: 50, Unknown: 50, Age: 100000, Out: 8, TimeOut: 10000, RetryShare: 0.1}, 1,
-			s.exchange.PortabilityNet(b.query))
+		numbering.Portability, err = numbers.NewInquirer(numbers.Limits{Known: 50, Unknown: 50, Age: 100000, Out: 8, TimeOut: 10000, RetryShare: 0.1}, 1,
+			node.exchange.PortabilityNet(servers.query))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.exchange.SetNumbering(n)
-		all = append(all, b)
+		node.exchange.SetNumbering(numbering)
+		all = append(all, servers)
 	}
 	return all
 }
 
 // deliverReplies delivers the portability replies that are due.
 func deliverReplies(net *testNetwork, all []*portabilityServers) {
-	for i, b := range all {
-		still := b.replies[:0]
-		for _, f := range b.replies {
-			if f.at > net.now {
-				still = append(still, f)
+	for i, servers := range all {
+		pending := servers.replies[:0]
+		for _, reply := range servers.replies {
+			if reply.at > net.now {
+				pending = append(pending, reply)
 				continue
 			}
-			to, ported := b.ported[f.number]
+			to, ported := servers.ported[reply.number]
 			net.nodes[i].exchange.UpdateNumbering(net.now, func(n *Numbering) {
-				n.Portability.Answered(net.now, f.id, numbers.Port{Ported: ported, Number: to}, true, 0)
+				n.Portability.Answered(net.now, reply.id, numbers.Port{Ported: ported, Number: to}, true, 0)
 			})
 		}
-		b.replies = still
+		servers.replies = pending
 	}
 }
 
@@ -102,9 +102,9 @@
 
 // destinationOf returns the exchange where an established call ends, or -1.
 func destinationOf(net *testNetwork, ref isup.Reference) int {
-	for i, s := range net.nodes {
-		for _, k := range s.exchange.calls {
-			if k.ref == ref && k.out.hop.Side == Line && k.state == Established {
+	for i, node := range net.nodes {
+		for _, call := range node.exchange.calls {
+			if call.ref == ref && call.out.hop.Side == Line && call.state == Established {
 				return i
 			}
 		}
@@ -113,12 +113,12 @@
 }
 
 // loadTable loads a table version at an exchange.
-func loadTable(net *testNetwork, site int, t *numbers.Table) (err error) {
-	net.nodes[site].exchange.UpdateNumbering(net.now, func(n *Numbering) { err = n.Versions.Load(t, 0, 0, net.now) })
+func loadTable(net *testNetwork, origin int, t *numbers.Table) (err error) {
+	net.nodes[origin].exchange.UpdateNumbering(net.now, func(n *Numbering) { err = n.Versions.Load(t, 0, 0, net.now) })
 	return err
 }
 
-func TestTableChangedWhileALookUpIsOut(t *testing.T) {
+func TestTableChangeDuringPortabilityQuery(t *testing.T) {
 	net := newTestNetwork(3, 10)
 	all := addNumbering(t, net)
 	all[1].delay = 1500
@@ -150,7 +150,7 @@
 
 // A late portability reply, received after the call was routed by the donor exchange or has ended, must not affect that
 // call. The next call to the number uses it.
-func TestPortabilityAnswerThatComesTooLate(t *testing.T) {
+func TestLatePortabilityReply(t *testing.T) {
 	for _, over := range []bool{false, true} {
 		net := newTestNetwork(3, 10)
 		all := addNumbering(t, net)
@@ -209,8 +209,8 @@
 	all := addNumbering(t, net)
 	standing := net.call(1, 2, 0, 1, 30000)
 	net.advanceWith(1000, all)
-	z, _ := numbers.NewZone("UTC")
-	bad := &numbers.Table{Version: 2, Zone: z}
+	zone, _ := numbers.NewZone("UTC")
+	bad := &numbers.Table{Version: 2, Zone: zone}
 	if err := bad.Build(nil, 3); err != nil {
 		t.Fatal(err)
 	}
@@ -232,17 +232,17 @@
 func TestChangeAtTheInstantOfATimeRule(t *testing.T) {
 	net := newTestNetwork(3, 20)
 	all := addNumbering(t, net)
-	z, _ := numbers.NewZone("UTC")
+	zone, _ := numbers.NewZone("UTC")
 	turn := net.now/10000/60 + 1 // the next full minute
 	timed := func(version uint64, early, late int) *numbers.Table {
 		minute := int(turn % 1440)
-		tab := &numbers.Table{Version: version, Zone: z, Entries: []numbers.Entry{{Name: "x", Least: 9, Most: 9, Choices: []numbers.Choice{
+		table := &numbers.Table{Version: version, Zone: zone, Entries: []numbers.Entry{{Name: "x", Least: 9, Most: 9, Choices: []numbers.Choice{
 			{When: &numbers.When{From: minute, To: minute + 60}, Shares: []numbers.Share{{Weight: 1, Exchange: late}}},
 			{Shares: []numbers.Share{{Weight: 1, Exchange: early}}}}}}}
-		if err := tab.Build([]numbers.Prefix{{Digits: "001", Entry: 0}}, 3); err != nil {
+		if err := table.Build([]numbers.Prefix{{Digits: "001", Entry: 0}}, 3); err != nil {
 			t.Fatal(err)
 		}
-		return tab
+		return table
 	}
 	net.nodes[1].exchange.UpdateNumbering(net.now, func(n *Numbering) {
 		n.Versions.Load(timed(2, 0, 0), 0, 0, net.now)
@@ -262,20 +262,20 @@
 
 // Runs calls, releases, table changes, rollbacks and portability replies of any delay in random order. The call rules must
 // hold, and in the end no circuit, call or line and no table version but the current one may be held.
-func TestRulesHoldWhileTablesAndLookUpsChange(t *testing.T) {
+func TestRulesHoldDuringTableChangesAndPortabilityQueries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 3
 		net := newTestNetwork(n, 8)
 		all := addNumbering(t, net)
 		version := uint64(1)
 		for range rapid.IntRange(5, 50).Draw(t, "steps") {
-			site := rapid.IntRange(0, n-1).Draw(t, "site")
+			origin := rapid.IntRange(0, n-1).Draw(t, "site")
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1, 2:
-				net.call(site, rapid.IntRange(0, n-1).Draw(t, "dest"), rapid.IntRange(0, 1).Draw(t, "bearer"), 1, policy.Tenths(rapid.IntRange(500, 30000).Draw(t, "ttl")))
+				net.call(origin, rapid.IntRange(0, n-1).Draw(t, "dest"), rapid.IntRange(0, 1).Draw(t, "bearer"), 1, policy.Tenths(rapid.IntRange(500, 30000).Draw(t, "ttl")))
 			case 3:
 				for _, c := range net.callers {
-					if c.origin == site && !c.abandoned && (c.established || len(c.answers) == 0) {
+					if c.origin == origin && !c.abandoned && (c.established || len(c.answers) == 0) {
 						for ref, other := range net.callers {
 							if other == c {
 								net.hangUp(ref)
@@ -286,11 +286,11 @@
 				}
 			case 4:
 				version++
-				loadTable(net, site, shiftedTable(t, version, rapid.IntRange(0, n-1).Draw(t, "by"), n))
+				loadTable(net, origin, shiftedTable(t, version, rapid.IntRange(0, n-1).Draw(t, "by"), n))
 			case 5:
-				all[site].delay = rapid.SampledFrom([]policy.Tenths{20, 2000, 8000, -1}).Draw(t, "delay")
+				all[origin].delay = rapid.SampledFrom([]policy.Tenths{20, 2000, 8000, -1}).Draw(t, "delay")
 			case 6:
-				net.nodes[site].exchange.UpdateNumbering(net.now, func(x *Numbering) { x.Versions.Rollback("test", net.now) })
+				net.nodes[origin].exchange.UpdateNumbering(net.now, func(x *Numbering) { x.Versions.Rollback("test", net.now) })
 			}
 			net.advanceWith(policy.Tenths(rapid.IntRange(0, 3000).Draw(t, "pass")), all)
 		}
@@ -303,9 +303,9 @@
 		net.advanceWith(60000, all)
 		net.requireNoViolations(t)
 		net.requireIdle(t)
-		for _, s := range net.nodes {
-			if held := s.exchange.numbering.Versions.Held(); held != 1 {
-				t.Fatalf("exchange %d holds %d versions without a call", s.number, held)
+		for _, node := range net.nodes {
+			if held := node.exchange.numbering.Versions.Held(); held != 1 {
+				t.Fatalf("exchange %d holds %d versions without a call", node.number, held)
 			}
 		}
 	})
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -219,7 +219,7 @@
 		x.output.Note("fault: call with an unknown bearer type or no circuits")
 		refuse(isup.TemporaryFailure)
 		return
-	case transit && msg.Hops == 0:
+	case transit && msg.HopCounter == 0:
 		refuse(isup.Congestion)
 		return
 	}
@@ -241,7 +241,7 @@
 	call := &activeCall{id: id, in: in, ref: msg.Ref, digits: msg.Digits, caller: msg.Caller, session: msg.UserInfo.Session,
 		donorRouted: msg.UserInfo.Flags&isup.FlagDonorRouted != 0, startTime: x.now, abandonTime: x.now + timeLeft, hopCounter: initialHops}
 	if transit {
-		call.hopCounter = msg.Hops - 1
+		call.hopCounter = msg.HopCounter - 1
 	}
 	call.request = policy.Call{ID: call.id, Number: policyNumber(msg.Digits), Bearer: bearer, Dest: -1, Width: msg.Width, AdvisedTandem: -1, TTL: timeLeft,
 		Redial: msg.UserInfo.Flags&isup.FlagRedial != 0, Disconnected: msg.UserInfo.Flags&isup.FlagDisconnectedBefore != 0, Transit: transit}
@@ -339,7 +339,7 @@
 		userInfo.Session = call.session
 	}
 	x.output.Transmit(call.out.hop, isup.Message{CIC: call.out.circuits.CIC, Type: isup.IAM, Digits: call.digits, Caller: call.caller, Width: call.request.Width,
-		Slots: call.out.circuits.Slots, Hops: call.hopCounter, Ref: call.ref, UserInfo: userInfo})
+		Slots: call.out.circuits.Slots, HopCounter: call.hopCounter, Ref: call.ref, UserInfo: userInfo})
 }
 
 // establish marks a call as established and passes the answer to the caller's side.
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -15,9 +15,9 @@
 	lifetimes map[int]string
 }
 
-func (n *memoryStore) Put(k recovery.StoredCall)     { n.calls[k.ID] = k }
-func (n *memoryStore) Drop(id uint32)                { delete(n.calls, id) }
-func (n *memoryStore) Knows(number int, life string) { n.lifetimes[number] = life }
+func (s *memoryStore) Put(call recovery.StoredCall)      { s.calls[call.ID] = call }
+func (s *memoryStore) Drop(id uint32)                    { delete(s.calls, id) }
+func (s *memoryStore) Knows(number int, lifetime string) { s.lifetimes[number] = lifetime }
 
 // sentMessages is an Output that keeps all messages sent.
 type sentMessages struct {
@@ -25,16 +25,16 @@
 	hops     []Hop
 }
 
-func (c *sentMessages) Transmit(to Hop, m isup.Message) {
-	c.messages, c.hops = append(c.messages, m), append(c.hops, to)
+func (s *sentMessages) Transmit(to Hop, m isup.Message) {
+	s.messages, s.hops = append(s.messages, m), append(s.hops, to)
 }
-func (c *sentMessages) Follow()         {}
-func (c *sentMessages) Note(string)     {}
-func (c *sentMessages) Answered(Answer) {}
+func (s *sentMessages) Follow()         {}
+func (s *sentMessages) Note(string)     {}
+func (s *sentMessages) Answered(Answer) {}
 
 // count returns the number of messages of a type.
-func (c *sentMessages) count(t isup.Type) (n int) {
-	for _, m := range c.messages {
+func (s *sentMessages) count(t isup.Type) (n int) {
+	for _, m := range s.messages {
 		if m.Type == t {
 			n++
 		}
@@ -56,11 +56,11 @@
 	next := &memoryStore{calls: map[uint32]recovery.StoredCall{}, lifetimes: map[int]string{}}
 	x.SetStore(next, wallClock)
 	var all []recovery.StoredCall
-	for _, k := range stored.calls {
-		all = append(all, k)
+	for _, call := range stored.calls {
+		all = append(all, call)
 	}
-	life := recovery.Process{LastHeartbeat: wallClock(now) - 5000, OwnIncarnation: stored.lifetimes[-1], Incarnations: stored.lifetimes}
-	x.Restore(now, life, recovery.Decide(wallClock(now), life, all, recovery.Settings{Circuits: map[int]int{1: 62}, HasLines: func(uint16) bool { return true }}))
+	lifetime := recovery.Process{LastHeartbeat: wallClock(now) - 5000, OwnIncarnation: stored.lifetimes[-1], Incarnations: stored.lifetimes}
+	x.Restore(now, lifetime, recovery.Decide(wallClock(now), lifetime, all, recovery.Settings{Circuits: map[int]int{1: 62}, HasLines: func(uint16) bool { return true }}))
 	x.OwnSwitchUp(now, own)
 	x.LinkUp(now, 0, remote)
 	for range 20 {
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -96,19 +96,19 @@
 
 // Message is one ISUP message. Fields that its type does not carry are zero.
 type Message struct {
-	CIC      uint16
-	Type     Type
-	Digits   string    // called party number (IAM)
-	Caller   string    // calling party number, "" if not given (IAM)
-	Width    int       // N of N x 64 kbit/s (IAM)
-	Slots    uint32    // bit t-1 set: time slot t of the multiplex is part of a multirate call (IAM)
-	Hops     uint8     // hop counter: exchanges that the call may still cross (IAM)
-	Ref      Reference // IAM
-	Cause    Cause     // REL
-	Location Location  // REL
-	Range    uint8     // number of circuits after CIC that a group message covers (GRS, GRA, CQM, CQR)
-	States   string    // circuit state indicators of the Range+1 circuits, one octet each (CQR; Q.763, 3.14)
-	UserInfo UserInfo  // user-to-user information, for data that ISUP has no parameter for
+	CIC        uint16
+	Type       Type
+	Digits     string    // called party number (IAM)
+	Caller     string    // calling party number, "" if not given (IAM)
+	Width      int       // N of N x 64 kbit/s (IAM)
+	Slots      uint32    // bit t-1 set: time slot t of the multiplex is part of a multirate call (IAM)
+	HopCounter uint8     // hop counter: exchanges that the call may still cross (IAM)
+	Ref        Reference // IAM
+	Cause      Cause     // REL
+	Location   Location  // REL
+	Range      uint8     // number of circuits after CIC that a group message covers (GRS, GRA, CQM, CQR)
+	States     string    // circuit state indicators of the Range+1 circuits, one octet each (CQR; Q.763, 3.14)
+	UserInfo   UserInfo  // user-to-user information, for data that ISUP has no parameter for
 }
 
 // Circuit state indicators of a CQR (Q.763, 3.14). Bits D and C hold the call processing state, bits B and A the blocking
@@ -205,8 +205,8 @@
 			buf = append(buf, paramAssignmentMap, 5, mapType2048)
 			buf = binary.LittleEndian.AppendUint32(buf, msg.Slots)
 		}
-		if msg.Hops != 0 {
-			buf = append(buf, paramHopCounter, 1, msg.Hops&31)
+		if msg.HopCounter != 0 {
+			buf = append(buf, paramHopCounter, 1, msg.HopCounter&31)
 		}
 		buf = msg.UserInfo.appendTo(buf)
 		buf = append(buf, 0)
@@ -451,7 +451,7 @@
 			if len(value) != 1 {
 				return malformed("hop counter of %d octets", len(value))
 			}
-			m.Hops = value[0] & 31
+			m.HopCounter = value[0] & 31
 		case paramUserInfo:
 			if err := m.UserInfo.decode(value); err != nil {
 				return err
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -21,7 +21,7 @@
 		m.Caller = rapid.StringMatching(`[0-9BC]{0,24}`).Draw(t, "caller")
 		m.Width = rapid.IntRange(1, MaxWidth).Draw(t, "width")
 		m.Slots = rapid.Uint32Max(1<<CircuitsPerMultiplex-1).Draw(t, "slots")
-		m.Hops = rapid.Uint8Max(31).Draw(t, "hops")
+		m.HopCounter = rapid.Uint8Max(31).Draw(t, "hops")
 		m.Ref = Reference{rapid.Uint16().Draw(t, "point"), rapid.Uint32Max(1<<24-1).Draw(t, "identity")}
 	case REL:
 		m.Cause, m.Location = Cause(rapid.Uint8Max(127).Draw(t, "cause")), Location(rapid.Uint8Max(15).Draw(t, "location"))
@@ -108,7 +108,7 @@
 
 // corpus returns encoded messages for the tests with damaged input.
 func corpus() (all [][]byte) {
-	for _, m := range []Message{{CIC: 1, Type: IAM, Digits: "0031234", Width: 3, Slots: 7, Hops: 3, Ref: Reference{2, 77},
+	for _, m := range []Message{{CIC: 1, Type: IAM, Digits: "0031234", Width: 3, Slots: 7, HopCounter: 3, Ref: Reference{2, 77},
 		UserInfo: UserInfo{Present: PartTimeLeft | PartCall, TimeLeft: 30000}}, {CIC: 9, Type: REL, Cause: Congestion, UserInfo: UserInfo{Present: PartLoad}},
 		{CIC: 9, Type: GRA, Range: 9}, {Type: ACM}, {Type: ANM}} {
 		b, _ := Append(nil, m)
@@ -157,7 +157,7 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	m := Message{CIC: 1, Type: IAM, Digits: "0031234", Width: 1, Hops: 3, Ref: Reference{2, 77},
+	m := Message{CIC: 1, Type: IAM, Digits: "0031234", Width: 1, HopCounter: 3, Ref: Reference{2, 77},
 		UserInfo: UserInfo{Present: PartTimeLeft | PartCall, TimeLeft: 30000}}
 	buf, _ := Append(nil, m)
 	b.ReportAllocs()
@@ -169,7 +169,7 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	m := Message{CIC: 1, Type: IAM, Digits: "0031234", Width: 1, Hops: 3, Ref: Reference{2, 77},
+	m := Message{CIC: 1, Type: IAM, Digits: "0031234", Width: 1, HopCounter: 3, Ref: Reference{2, 77},
 		UserInfo: UserInfo{Present: PartTimeLeft | PartCall, TimeLeft: 30000}}
 	var buf []byte
 	b.ReportAllocs()
--- a/internal/isup/says.go
+++ b/internal/isup/says.go
@@ -55,46 +55,46 @@
 )
 
 // anyPresent reports whether any part is present.
-func (s UserInfo) anyPresent() bool { return s.Present != 0 }
+func (u UserInfo) anyPresent() bool { return u.Present != 0 }
 
 // appendTo appends the user-to-user information parameter to buf, if any part is present.
-func (s UserInfo) appendTo(buf []byte) []byte {
-	if s.Present == 0 {
+func (u UserInfo) appendTo(buf []byte) []byte {
+	if u.Present == 0 {
 		return buf
 	}
 	buf = append(buf, paramUserInfo, 0, discriminator)
 	size := len(buf) - 2
-	if s.Present&PartTimeLeft != 0 {
+	if u.Present&PartTimeLeft != 0 {
 		buf = append(buf, elementTimeLeft, 8)
-		buf = binary.BigEndian.AppendUint32(buf, s.TimeLeft)
-		buf = binary.BigEndian.AppendUint32(buf, s.SentAt)
+		buf = binary.BigEndian.AppendUint32(buf, u.TimeLeft)
+		buf = binary.BigEndian.AppendUint32(buf, u.SentAt)
 	}
-	if s.Present&PartLoad != 0 {
+	if u.Present&PartLoad != 0 {
 		buf = append(buf, elementLoad, 6)
-		buf = binary.BigEndian.AppendUint32(buf, s.Wait)
-		buf = binary.BigEndian.AppendUint16(buf, s.HoldBack)
+		buf = binary.BigEndian.AppendUint32(buf, u.Wait)
+		buf = binary.BigEndian.AppendUint16(buf, u.HoldBack)
 	}
-	if s.Present&PartRetryAfter != 0 {
+	if u.Present&PartRetryAfter != 0 {
 		buf = append(buf, elementRetryAfter, 4)
-		buf = binary.BigEndian.AppendUint32(buf, s.RetryAfter)
+		buf = binary.BigEndian.AppendUint32(buf, u.RetryAfter)
 	}
-	if s.Present&PartCall != 0 {
-		buf = append(buf, elementCall, 2, s.Bearer, s.Flags)
+	if u.Present&PartCall != 0 {
+		buf = append(buf, elementCall, 2, u.Bearer, u.Flags)
 	}
-	if s.Present&PartRoute != 0 {
+	if u.Present&PartRoute != 0 {
 		buf = append(buf, elementRoute, 10)
-		buf = binary.BigEndian.AppendUint16(buf, s.Dest)
-		buf = binary.BigEndian.AppendUint64(buf, s.TableVersion)
+		buf = binary.BigEndian.AppendUint16(buf, u.Dest)
+		buf = binary.BigEndian.AppendUint64(buf, u.TableVersion)
 	}
-	if s.Present&PartSession != 0 && len(s.Session) <= MaxSessionSize { // else the receiver uses its default
-		buf = append(append(buf, elementSession, byte(len(s.Session))), s.Session...)
+	if u.Present&PartSession != 0 && len(u.Session) <= MaxSessionSize { // else the receiver uses its default
+		buf = append(append(buf, elementSession, byte(len(u.Session))), u.Session...)
 	}
 	buf[size] = byte(len(buf) - size - 1)
 	return buf
 }
 
 // decode decodes the parameter value. Information with another protocol discriminator is ignored.
-func (s *UserInfo) decode(value []byte) error {
+func (u *UserInfo) decode(value []byte) error {
 	if len(value) == 0 {
 		return malformed("user-to-user information without a discriminator")
 	}
@@ -108,23 +108,23 @@
 		content := value[2 : 2+int(value[1])]
 		switch name := value[0]; {
 		case name == elementTimeLeft && len(content) == 8:
-			s.Present |= PartTimeLeft
-			s.TimeLeft, s.SentAt = binary.BigEndian.Uint32(content), binary.BigEndian.Uint32(content[4:])
+			u.Present |= PartTimeLeft
+			u.TimeLeft, u.SentAt = binary.BigEndian.Uint32(content), binary.BigEndian.Uint32(content[4:])
 		case name == elementLoad && len(content) == 6:
-			s.Present |= PartLoad
-			s.Wait, s.HoldBack = binary.BigEndian.Uint32(content), binary.BigEndian.Uint16(content[4:])
+			u.Present |= PartLoad
+			u.Wait, u.HoldBack = binary.BigEndian.Uint32(content), binary.BigEndian.Uint16(content[4:])
 		case name == elementRetryAfter && len(content) == 4:
-			s.Present |= PartRetryAfter
-			s.RetryAfter = binary.BigEndian.Uint32(content)
+			u.Present |= PartRetryAfter
+			u.RetryAfter = binary.BigEndian.Uint32(content)
 		case name == elementCall && len(content) == 2:
-			s.Present |= PartCall
-			s.Bearer, s.Flags = content[0], content[1]
+			u.Present |= PartCall
+			u.Bearer, u.Flags = content[0], content[1]
 		case name == elementRoute && len(content) == 10:
-			s.Present |= PartRoute
-			s.Dest, s.TableVersion = binary.BigEndian.Uint16(content), binary.BigEndian.Uint64(content[2:])
+			u.Present |= PartRoute
+			u.Dest, u.TableVersion = binary.BigEndian.Uint16(content), binary.BigEndian.Uint64(content[2:])
 		case name == elementSession && len(content) <= MaxSessionSize:
-			s.Present |= PartSession
-			s.Session = string(content)
+			u.Present |= PartSession
+			u.Session = string(content)
 		case name >= elementTimeLeft && name <= elementSession:
 			return malformed("user-to-user element %d of %d octets", name, len(content))
 		}
