--- a/policy/policy.go
+++ b/policy/policy.go
@@ -16,185 +16,185 @@
 
 // Trunk reservation.
 const (
-	reserveStart = 2 // circuits of a group reserved for the protected bearer types, the best setting in the paper
-	transitExtra = 2 // circuits that must stay free in addition behind a call in transit
-	markShare    = 4 // reserve and transit margin together close at most 1 circuit in markShare to transit calls
+	fullReserve        = 2 // circuits of a group reserved for the protected bearer types, the best setting in the paper
+	transitMargin      = 2 // circuits that must stay free in addition behind a call in transit
+	closedShareDivisor = 4 // reserve and transit margin together close at most 1 circuit in closedShareDivisor to transit calls
 )
 
 // Measurement of answer times and traffic.
 const (
-	answerHalf = Tenths(15000) // half-life of answer times: spans a few answers of one remote switch
-	reportHalf = Tenths(60000) // half-life of a reported processor wait: spans a few report periods
-	offerHalf  = Tenths(80000) // half-life of traffic counts: longer than any burst or gap between two calls
-	emptyPrior = 0.3           // sample weight of the prior, an answer time of 0, which prevails as samples decay
-	spread     = 0.7           // standard deviations from the mean to the upper quartile of answer times
-	newer      = 0.7           // share of their weight that earlier answer times keep after each new one
-
-	heardOf    = 0.2 // minimum sample weight of answer times for a remote switch to count as recently observed
-	commonFrom = 3   // minimum number of recently observed remote switches for their median to count
+	answerHalfLife          = Tenths(15000) // half-life of answer times: spans a few answers of one remote switch
+	reportHalfLife          = Tenths(60000) // half-life of a reported processor wait: spans a few report periods
+	trafficHalfLife         = Tenths(80000) // half-life of traffic counts: longer than any burst or gap between two calls
+	priorWeight             = 0.3           // sample weight of the prior, an answer time of 0, which prevails as samples decay
+	upperQuartileDeviations = 0.7           // standard deviations from the mean to the upper quartile of answer times
+	olderAnswersFactor      = 0.7           // share of their weight that earlier answer times keep after each new one
+
+	minSampleWeight   = 0.2 // minimum sample weight of answer times for a remote switch to count as recently observed
+	minCommonSwitches = 3   // minimum number of recently observed remote switches for their median to count
 )
 
 // Unanswered and lost route tries.
 const (
-	ageWeight = 1.5  // answer time to expect of an unanswered try, in multiples of its age, as it is not done yet
-	eachAdds  = 0.15 // what each further late try at the same switch adds to it, as a share of the tightest GoS target
+	unansweredAgeFactor = 1.5  // answer time to expect of an unanswered try, in multiples of its age, as it is not done yet
+	delayPerLateTry     = 0.15 // what each further late try at the same switch adds to it, as a share of the tightest GoS target
 
-	overdue = 2.0 // multiple of the usual answer time from which an overtaken try is taken as lost
-	lossy   = 0.5 // weight of recently overtaken tries from which a remote switch is taken to lose messages
+	overdueFactor = 2.0 // multiple of the usual answer time from which an overtaken try is taken as lost
+	lossThreshold = 0.5 // weight of recently overtaken tries from which a remote switch is taken to lose messages
 )
 
 // Load shedding, by the expected answer time as a share of the GoS target.
 const (
-	shedFrom   = 0.2 // start of load shedding
-	shedAll    = 1.4 // all calls are shed; a steeper slope oscillates between overload and idleness
-	shedShared = 1.0 // all calls are shed if most remote switches are this late: many answers show it
+	sheddingStart      = 0.2 // start of load shedding
+	sheddingFull       = 1.4 // all calls are shed; a steeper slope oscillates between overload and idleness
+	commonSheddingFull = 1.0 // all calls are shed if most remote switches are this late: many answers show it
 
-	// resends is the wait in resend intervals that sheds all calls. A set-up is sent again after one and after three.
-	resends = 2.5
+	// maxResendIntervals is the wait in resend intervals that sheds all calls. A set-up is sent again after one and after three.
+	maxResendIntervals = 2.5
 
-	// cutAdds is the answer time that each recent disconnection of an established call adds by the work that it
+	// delayPerDisconnect is the answer time that each recent disconnection of an established call adds by the work that it
 	// causes, as a share of the tightest GoS target.
-	cutAdds = 0.01
+	delayPerDisconnect = 0.01
 
-	trickleEvery  = Tenths(7000) // probe interval: how often a shed remote switch gets a call, to detect its recovery
-	comeBackLater = 3            // retry-after time in expected answer times: the queue and earlier redials go first
+	probeInterval    = Tenths(7000) // probe interval: how often a shed remote switch gets a call, to detect its recovery
+	retryAfterFactor = 3            // retry-after time in expected answer times: the queue and earlier redials go first
 )
 
 // Selection of tandems.
 const (
-	// backRest is the retry interval after a turn-back, for the same tandem and destination, where the bearer types
+	// defaultTurnBackRetryInterval is the retry interval after a turn-back, for the same tandem and destination, where the bearer types
 	// have no holding times. Else it is the longest mean holding time: by then circuits have become free.
-	backRest = Tenths(120000)
+	defaultTurnBackRetryInterval = Tenths(120000)
 
-	drawWorth = 0.3 // success rate of randomly selected tandems below which not every call selects one
+	minSelectionSuccessRate = 0.3 // success rate of randomly selected tandems below which not every call selects one
 )
 
 // Slow start of a cold switch.
 const (
-	coldDepth    = 0.5     // share of the overload window whose slow-start budget may be spent at once
-	coldFloor    = 6.0     // set-ups per second from all controllers to a cold switch of unknown traffic
-	carriedLeast = 1.0 / 3 // upper bound of that rate, as a share of what the circuits of the group can carry
+	slowStartBurstShare       = 0.5     // share of the overload window whose slow-start budget may be spent at once
+	minSlowStartRate          = 6.0     // set-ups per second from all controllers to a cold switch of unknown traffic
+	minSlowStartCapacityShare = 1.0 / 3 // upper bound of that rate, as a share of what the circuits of the group can carry
 )
 
 // Timers and log lines.
 const (
-	beatEvery   = Tenths(1000)   // tick interval: short compared to a GoS target, long compared to the input interval
-	followFirst = Tenths(2500)   // initial delay before the list is requested again; it doubles
-	manyCuts    = 20             // disconnections within one or two seconds above which a line is logged
-	noteEvery   = Tenths(300000) // minimum interval between two equal log lines
+	tickInterval          = Tenths(1000)   // tick interval: short compared to a GoS target, long compared to the input interval
+	initialSubscribeDelay = Tenths(2500)   // initial delay before the list is requested again; it doubles
+	manyDisconnects       = 20             // disconnections within one or two seconds above which a line is logged
+	logInterval           = Tenths(300000) // minimum interval between two equal log lines
 )
 
 // callState is the state of a call. Only setState changes it.
 type callState uint8
 
 const (
-	offered  callState = iota // accepted, no route try is out
-	trying                    // one route try is out
-	resting                   // waits for the release time of the last try
-	standing                  // connected
-	over                      // finally answered, released or abandoned
+	offered         callState = iota // accepted, no route try is out
+	trying                           // one route try is out
+	awaitingRelease                  // waits for the release time of the last try
+	established                      // connected
+	ended                            // finally answered, released or abandoned
 )
 
-// call is a call that is not over.
-type call struct {
-	ask       Call
-	state     callState
-	firstAt   Tenths // when the caller first dialled, as far as known
-	gosAt     Tenths // end of the GoS target: route tries are useful until then
-	late      bool   // a redial past its GoS target, which earns only the late share of the revenue
-	again     bool   // the caller was rejected or disconnected before
-	abandonAt Tenths
-	tries     int
-	far       int // index of the remote switch of the latest try
-	tandem    bool
-	drawn     bool // its tandem was selected at random, not remembered
-	noDirect  bool // the direct route has failed
-	lost      bool // the try is taken as lost: a later one to the same switch was answered first
-	sentAt    Tenths
-	readyAt   Tenths // no try before: end of the release time of the last one
-}
-
-// bearerRow holds the parameters of a bearer type.
-type bearerRow struct {
+// activeCall is a call that is not over.
+type activeCall struct {
+	request        Call
+	state          callState
+	firstDialledAt Tenths // when the caller first dialled, as far as known
+	gosDeadline    Tenths // end of the GoS target: route tries are useful until then
+	lateRedial     bool   // a redial past its GoS target, which earns only the late share of the revenue
+	repeated       bool   // the caller was rejected or disconnected before
+	abandonAt      Tenths
+	tries          int
+	remote         int // index of the remote switch of the latest try
+	viaTandem      bool
+	randomTandem   bool // its tandem was selected at random, not remembered
+	directFailed   bool // the direct route has failed
+	lost           bool // the try is taken as lost: a later one to the same switch was answered first
+	sentAt         Tenths
+	retryAt        Tenths // no try before: end of the release time of the last one
+}
+
+// bearerParams holds the parameters of a bearer type.
+type bearerParams struct {
 	protected bool
 	gosTarget Tenths
 	rank      [2]int // position in the order of revenue, of a first call and of a late redial
 	pools     []int
 }
 
-// pending is a route try that was sent and may still be unanswered.
-type pending struct {
+// sentTry is a route try that was sent and may still be unanswered.
+type sentTry struct {
 	id     uint32
 	sentAt Tenths
 }
 
-// farEnd is a remote switch and the circuit group towards it.
-type farEnd struct {
-	id         uint32
-	number     int
-	ready      bool
-	bootAt     Tenths
-	free, size int
-	answers    decaying // answer times of its route tries
-	losses     decaying // tries overtaken by later ones, taken as lost
-	wait       Tenths   // processor wait that it last reported or implied
-	holdBack   float64
-	reportedAt Tenths
-	sends      decaying
-	sentAt     Tenths  // last route try
-	budget     float64 // slow-start budget for first calls, while it is cold
-	chance     float64 // slow-start budget for repeated calls, mostly less than one
-	budgetAt   Tenths
-	waiting    []pending
-	backAt     map[int]Tenths // time of the last turn-back, by destination
+// remoteSwitch is a remote switch and the circuit group towards it.
+type remoteSwitch struct {
+	id                 uint32
+	number             int
+	ready              bool
+	bootAt             Tenths
+	free, size         int
+	answerTimes        decayingStats // answer times of its route tries
+	losses             decayingStats // tries overtaken by later ones, taken as lost
+	reportedWait       Tenths        // processor wait that it last reported or implied
+	admissionHoldBack  float64
+	reportedAt         Tenths
+	sends              decayingStats
+	sentAt             Tenths  // last route try
+	firstCallBudget    float64 // slow-start budget for first calls, while it is cold
+	repeatedCallBudget float64 // slow-start budget for repeated calls, mostly less than one
+	budgetUpdatedAt    Tenths
+	openTries          []sentTry
+	turnedBackAt       map[int]Tenths // time of the last turn-back, by destination
 }
 
 // Controller decides about the calls of one exchange.
 type Controller struct {
-	d        Deployment
-	out      Executor
-	rows     []bearerRow
-	chance   uint64
-	began    Tenths
-	far      []farEnd
-	byID     map[uint32]int
-	serving  map[int]int       // index of the switch in service, by exchange or pool
-	tandems  map[int]int       // index of the tandem last used, by destination
-	asked    map[int]*decaying // rate of first calls, by destination
-	ranks    []decaying        // offered calls, by position in the order of revenue
-	calls    map[uint32]*call
-	turned   map[uint64]Tenths // when a rejected caller first dialled, by number called
-	longest  []Tenths          // longest time to live of a call, by bearer type
-	forget   []uint64          // keys of rejectedNumbers, oldest first
-	patience Tenths            // longest abandon time of the bearer types
-	tightest Tenths            // shortest GoS target of the bearer types
-	rest     Tenths            // retry interval after a turn-back
-	followIn Tenths
-	cuts     decaying
-	draws    decaying // random selections of a tandem: 1 for success, 0 for a turn-back
-	commonAt Tenths
-	commonIs Tenths
-	beatDue  Tenths // when the next tick is due
-	stalled  Tenths // end of the last stall of this controller
-	stallFor Tenths
-	noted    map[string]Tenths // when each log line was last written
+	deployment            Deployment
+	executor              Executor
+	bearers               []bearerParams
+	randomState           uint64
+	startTime             Tenths
+	remotes               []remoteSwitch
+	byID                  map[uint32]int
+	serving               map[int]int            // index of the switch in service, by exchange or pool
+	lastTandem            map[int]int            // index of the tandem last used, by destination
+	traffic               map[int]*decayingStats // rate of first calls, by destination
+	offeredByRank         []decayingStats        // offered calls, by position in the order of revenue
+	calls                 map[uint32]*activeCall
+	rejectedNumbers       map[uint64]Tenths // when a rejected caller first dialled, by number called
+	maxTTL                []Tenths          // longest time to live of a call, by bearer type
+	rejectedOrder         []uint64          // keys of rejectedNumbers, oldest first
+	maxAbandonTime        Tenths            // longest abandon time of the bearer types
+	minGoSTarget          Tenths            // shortest GoS target of the bearer types
+	turnBackRetryInterval Tenths            // retry interval after a turn-back
+	subscribeDelay        Tenths
+	disconnects           decayingStats
+	tandemSelections      decayingStats // random selections of a tandem: 1 for success, 0 for a turn-back
+	cachedCommonAt        Tenths
+	cachedCommon          Tenths
+	nextTickAt            Tenths // when the next tick is due
+	stallEndedAt          Tenths // end of the last stall of this controller
+	stallDuration         Tenths
+	loggedAt              map[string]Tenths // when each log line was last written
 }
 
 const (
-	followToken = math.MaxUint64 // timer tokens that belong to no call
-	beatToken   = math.MaxUint64 - 1
+	subscribeToken = math.MaxUint64 // timer tokens that belong to no call
+	tickToken      = math.MaxUint64 - 1
 )
 
 // New returns a controller whose process starts now.
-func New(d Deployment, out Executor, now Tenths) *Controller {
-	c := &Controller{d: d, out: out, chance: d.Seed%0xfffffffe + 1, began: now, byID: map[uint32]int{},
-		serving: map[int]int{}, tandems: map[int]int{}, asked: map[int]*decaying{},
-		calls: map[uint32]*call{}, turned: map[uint64]Tenths{}, noted: map[string]Tenths{}}
+func New(deployment Deployment, executor Executor, now Tenths) *Controller {
+	c := &Controller{deployment: deployment, executor: executor, randomState: deployment.Seed%0xfffffffe + 1, startTime: now, byID: map[uint32]int{},
+		serving: map[int]int{}, lastTandem: map[int]int{}, traffic: map[int]*decayingStats{},
+		calls: map[uint32]*activeCall{}, rejectedNumbers: map[uint64]Tenths{}, loggedAt: map[string]Tenths{}}
 	c.rankBearers()
-	if d.MustSubscribe {
-		c.out.Subscribe()
+	if deployment.MustSubscribe {
+		c.executor.Subscribe()
 	}
-	c.beat(now)
+	c.scheduleTick(now)
 	return c
 }
 
@@ -202,263 +202,263 @@
 // protects the types of highest revenue. A redial usually comes after the GoS target of its first try, so it
 // counts with the late share of the revenue.
 func (c *Controller) rankBearers() {
-	var values []float64
-	dearest := 0.0
-	for _, b := range c.d.Bearers {
-		values = append(values, b.Revenue, b.Revenue*b.LateShare)
-		dearest = max(dearest, b.Revenue)
-		c.patience, c.rest = max(c.patience, b.AbandonTime), max(c.rest, b.HoldingTime)
-		if c.tightest == 0 || b.GoSTarget < c.tightest {
-			c.tightest = b.GoSTarget
+	var revenues []float64
+	highest := 0.0
+	for _, bearer := range c.deployment.Bearers {
+		revenues = append(revenues, bearer.Revenue, bearer.Revenue*bearer.LateShare)
+		highest = max(highest, bearer.Revenue)
+		c.maxAbandonTime, c.turnBackRetryInterval = max(c.maxAbandonTime, bearer.AbandonTime), max(c.turnBackRetryInterval, bearer.HoldingTime)
+		if c.minGoSTarget == 0 || bearer.GoSTarget < c.minGoSTarget {
+			c.minGoSTarget = bearer.GoSTarget
 		}
 	}
-	if c.rest == 0 {
-		c.rest = backRest
+	if c.turnBackRetryInterval == 0 {
+		c.turnBackRetryInterval = defaultTurnBackRetryInterval
 	}
-	sort.Sort(sort.Reverse(sort.Float64Slice(values)))
-	for _, b := range c.d.Bearers {
-		row := bearerRow{protected: b.Revenue == dearest, gosTarget: b.GoSTarget, pools: b.Pools}
-		for i, v := range []float64{b.Revenue, b.Revenue * b.LateShare} {
-			row.rank[i] = sort.Search(len(values), func(j int) bool { return values[j] <= v })
+	sort.Sort(sort.Reverse(sort.Float64Slice(revenues)))
+	for _, bearer := range c.deployment.Bearers {
+		params := bearerParams{protected: bearer.Revenue == highest, gosTarget: bearer.GoSTarget, pools: bearer.Pools}
+		for i, v := range []float64{bearer.Revenue, bearer.Revenue * bearer.LateShare} {
+			params.rank[i] = sort.Search(len(revenues), func(j int) bool { return revenues[j] <= v })
 		}
-		c.rows = append(c.rows, row)
+		c.bearers = append(c.bearers, params)
 	}
-	c.ranks, c.longest = make([]decaying, len(values)), make([]Tenths, len(c.rows))
+	c.offeredByRank, c.maxTTL = make([]decayingStats, len(revenues)), make([]Tenths, len(c.bearers))
 }
 
 // Offer routes or rejects a new call. It returns false if the deployment lacks its bearer type.
-func (c *Controller) Offer(now Tenths, ask Call) bool {
-	if ask.Bearer < 0 || ask.Bearer >= len(c.rows) {
+func (c *Controller) Offer(now Tenths, request Call) bool {
+	if request.Bearer < 0 || request.Bearer >= len(c.bearers) {
 		return false
 	}
-	c.notice(now)
+	c.detectStall(now)
 	waited := Tenths(0) // calls that arrived during a stall come at its end; the missing time to live is the time waited
-	if c.longest[ask.Bearer] = max(c.longest[ask.Bearer], ask.TTL); c.stalled == now && !ask.Transit {
-		waited = min(c.stallFor, c.longest[ask.Bearer]-ask.TTL)
-	}
-	k := &call{ask: ask, firstAt: now - waited, abandonAt: now + ask.TTL}
-	k.gosAt = k.firstAt + c.rows[ask.Bearer].gosTarget
-	c.calls[ask.ID] = k
-	c.recognise(now, k)
-	if !ask.Transit {
-		c.ranks[c.rank(k)].add(now, offerHalf, 1)
-		if c.asked[ask.Dest] == nil {
-			c.asked[ask.Dest] = &decaying{}
+	if c.maxTTL[request.Bearer] = max(c.maxTTL[request.Bearer], request.TTL); c.stallEndedAt == now && !request.Transit {
+		waited = min(c.stallDuration, c.maxTTL[request.Bearer]-request.TTL)
+	}
+	call := &activeCall{request: request, firstDialledAt: now - waited, abandonAt: now + request.TTL}
+	call.gosDeadline = call.firstDialledAt + c.bearers[request.Bearer].gosTarget
+	c.calls[request.ID] = call
+	c.classifyRedial(now, call)
+	if !request.Transit {
+		c.offeredByRank[c.rank(call)].add(now, trafficHalfLife, 1)
+		if c.traffic[request.Dest] == nil {
+			c.traffic[request.Dest] = &decayingStats{}
 		}
-		if !k.again {
-			c.asked[ask.Dest].add(now, offerHalf, 1)
+		if !call.repeated {
+			c.traffic[request.Dest].add(now, trafficHalfLife, 1)
 		}
 	}
-	c.place(now, k)
+	c.route(now, call)
 	return true
 }
 
-// recognise determines whether a call is a redial that comes too late for the GoS target of its caller's
+// classifyRedial determines whether a call is a redial that comes too late for the GoS target of its caller's
 // first try. Callers may not mark redials, and the mark does not give the time of the first try, so a call to
 // a number that was recently rejected here counts as a redial. This keeps redials from crowding out first
 // calls. Its cost: where many callers dial one number, all but the first of them rank behind first calls.
-func (c *Controller) recognise(now Tenths, k *call) {
-	k.again = k.ask.Redial || k.ask.Disconnected
-	if k.ask.Transit || k.ask.Disconnected {
+func (c *Controller) classifyRedial(now Tenths, call *activeCall) {
+	call.repeated = call.request.Redial || call.request.Disconnected
+	if call.request.Transit || call.request.Disconnected {
 		return
 	}
-	if k.late = now >= k.gosAt; k.late {
-		k.gosAt = now + c.rows[k.ask.Bearer].gosTarget
+	if call.lateRedial = now >= call.gosDeadline; call.lateRedial {
+		call.gosDeadline = now + c.bearers[call.request.Bearer].gosTarget
 		return
 	}
-	for len(c.forget) > 0 && now-c.turned[c.forget[0]] > c.patience {
-		delete(c.turned, c.forget[0])
-		c.forget = c.forget[1:]
+	for len(c.rejectedOrder) > 0 && now-c.rejectedNumbers[c.rejectedOrder[0]] > c.maxAbandonTime {
+		delete(c.rejectedNumbers, c.rejectedOrder[0])
+		c.rejectedOrder = c.rejectedOrder[1:]
 	}
-	first, again := c.turned[k.ask.Number]
-	if again {
-		k.again, k.firstAt = true, first
-		goal := first + c.rows[k.ask.Bearer].gosTarget
-		if dest, ok := c.serving[k.ask.Dest]; ok && now+c.expects(now, &c.far[dest]) < goal {
-			k.gosAt = goal
+	first, repeated := c.rejectedNumbers[call.request.Number]
+	if repeated {
+		call.repeated, call.firstDialledAt = true, first
+		deadline := first + c.bearers[call.request.Bearer].gosTarget
+		if dest, ok := c.serving[call.request.Dest]; ok && now+c.expectedAnswerTime(now, &c.remotes[dest]) < deadline {
+			call.gosDeadline = deadline
 			return
 		}
-		k.late = true
+		call.lateRedial = true
 		return
 	}
-	k.late = k.ask.Redial
+	call.lateRedial = call.request.Redial
 }
 
-// place routes a call directly, else over one tandem, else rejects it.
-func (c *Controller) place(now Tenths, k *call) {
-	dest, known := c.serving[k.ask.Dest]
+// route routes a call directly, else over one tandem, else rejects it.
+func (c *Controller) route(now Tenths, call *activeCall) {
+	dest, known := c.serving[call.request.Dest]
 	if !known { // a pool of second choice may still serve it
 		dest = -1
 	}
-	if now >= k.abandonAt || !known && !c.d.Pools {
-		c.giveUp(now, k, false)
+	if now >= call.abandonAt || !known && !c.deployment.Pools {
+		c.reject(now, call, false)
 		return
 	}
-	if known && !c.worthTheWork(now, k, dest) {
-		c.giveUp(now, k, true)
+	if known && !c.admits(now, call, dest) {
+		c.reject(now, call, true)
 		return
 	}
-	if known && !k.noDirect {
-		spare := c.far[dest].free - k.ask.Width // circuits that would be left in the direct group
-		direct := spare >= c.far[dest].reserve() || spare >= 0 && c.rows[k.ask.Bearer].protected
-		if k.ask.Transit || k.late {
-			direct = c.far[dest].aboveMark(k.ask.Width) >= 0
+	if known && !call.directFailed {
+		spare := c.remotes[dest].free - call.request.Width // circuits that would be left in the direct group
+		direct := spare >= c.remotes[dest].reserve() || spare >= 0 && c.bearers[call.request.Bearer].protected
+		if call.request.Transit || call.lateRedial {
+			direct = c.remotes[dest].transitCircuits(call.request.Width) >= 0
 		}
-		if direct && c.send(now, k, dest, c.patienceWith(now, k, dest)) {
+		if direct && c.send(now, call, dest, c.tryTimeout(now, call, dest)) {
 			return
 		}
 	}
-	if k.ask.Transit { // it may only go directly to its destination
-		c.giveUp(now, k, false)
+	if call.request.Transit { // it may only go directly to its destination
+		c.reject(now, call, false)
 		return
 	}
-	if !k.late && now < k.gosAt {
-		t, ok := c.tandems[k.ask.Dest]
-		k.drawn = false
-		if !ok || !c.tandemFits(now, k, t, dest) {
-			if k.drawn = c.draw()*drawWorth < c.served(now); k.drawn {
-				t, ok = c.drawTandem(now, k, dest)
-			} else if t, ok = c.serving[k.ask.AdvisedTandem]; ok {
-				ok = c.tandemFits(now, k, t, dest)
+	if !call.lateRedial && now < call.gosDeadline {
+		tandem, ok := c.lastTandem[call.request.Dest]
+		call.randomTandem = false
+		if !ok || !c.tandemUsable(now, call, tandem, dest) {
+			if call.randomTandem = c.random()*minSelectionSuccessRate < c.selectionSuccessRate(now); call.randomTandem {
+				tandem, ok = c.selectTandem(now, call, dest)
+			} else if tandem, ok = c.serving[call.request.AdvisedTandem]; ok {
+				ok = c.tandemUsable(now, call, tandem, dest)
 			}
 		}
 		if ok {
-			c.tandems[k.ask.Dest] = t
-			if c.send(now, k, t, c.patienceWith(now, k, t)) {
+			c.lastTandem[call.request.Dest] = tandem
+			if c.send(now, call, tandem, c.tryTimeout(now, call, tandem)) {
 				return
 			}
 		}
 	}
-	c.giveUp(now, k, false)
+	c.reject(now, call, false)
 }
 
 // reserve is the number of circuits reserved for the protected bearer types: 2 if that closes no more than a
 // quarter of the group to transit calls, else 1. Most groups of a large network are so small that a full
 // reserve would close half of each group to transit and leave no tandem. Its cost: where the protected types
 // alone fill small groups, the reserve is too small.
-func (f *farEnd) reserve() int {
-	return min(reserveStart, max(1, f.size/markShare-transitExtra))
+func (r *remoteSwitch) reserve() int {
+	return min(fullReserve, max(1, r.size/closedShareDivisor-transitMargin))
 }
 
-// aboveMark is the number of circuits beyond the reserve and the transit margin that a call over a tandem
+// transitCircuits is the number of circuits beyond the reserve and the transit margin that a call over a tandem
 // finds; negative means that it may not use the group. In a group with the full reserve, all circuits of a
 // wide call count, since a few wide calls would fill the group. In a small group only one counts, or wide
 // calls would never get through.
-func (f *farEnd) aboveMark(width int) int {
-	if f.reserve() < reserveStart && f.free >= width {
+func (r *remoteSwitch) transitCircuits(width int) int {
+	if r.reserve() < fullReserve && r.free >= width {
 		width = 1
 	}
-	return f.free - width - f.reserve() - transitExtra
+	return r.free - width - r.reserve() - transitMargin
 }
 
-// patienceWith is the timeout of a route try. It ends with the GoS target. A first try over a tandem, or to a
+// tryTimeout is the timeout of a route try. It ends with the GoS target. A first try over a tandem, or to a
 // switch that recently lost messages, gets a shorter one that leaves time for the release and one more try,
 // if answers usually come well within it.
-func (c *Controller) patienceWith(now Tenths, k *call, to int) Tenths {
-	f, left := &c.far[to], k.gosAt-now
-	again := (left - c.d.ReleaseTime) / 2
-	risky := f.number != k.ask.Dest || f.losses.read(now, offerHalf) > lossy
-	if risky && k.tries == 0 && again > 2*c.expects(now, f) {
-		return again
+func (c *Controller) tryTimeout(now Tenths, call *activeCall, index int) Tenths {
+	remote, remaining := &c.remotes[index], call.gosDeadline-now
+	shortTimeout := (remaining - c.deployment.ReleaseTime) / 2
+	risky := remote.number != call.request.Dest || remote.losses.weightAt(now, trafficHalfLife) > lossThreshold
+	if risky && call.tries == 0 && shortTimeout > 2*c.expectedAnswerTime(now, remote) {
+		return shortTimeout
 	}
-	return left
+	return remaining
 }
 
-// tandemFits reports whether a switch may serve as tandem: it has circuits for transit, is warm and not overloaded.
-func (c *Controller) tandemFits(now Tenths, k *call, t, dest int) bool {
-	f := &c.far[t]
-	if t == dest || c.serving[f.number] != t || c.cold(now, f) {
+// tandemUsable reports whether a switch may serve as tandem: it has circuits for transit, is warm and not overloaded.
+func (c *Controller) tandemUsable(now Tenths, call *activeCall, tandem, dest int) bool {
+	remote := &c.remotes[tandem]
+	if tandem == dest || c.serving[remote.number] != tandem || c.isCold(now, remote) {
 		return false
 	}
-	if f.aboveMark(k.ask.Width) < 0 {
+	if remote.transitCircuits(call.request.Width) < 0 {
 		return false
 	}
-	if pools := c.rows[k.ask.Bearer].pools; c.d.Pools && len(pools) > 0 && !slices.Contains(pools, f.number) {
+	if pools := c.bearers[call.request.Bearer].pools; c.deployment.Pools && len(pools) > 0 && !slices.Contains(pools, remote.number) {
 		return false
 	}
-	if back, ok := f.backAt[k.ask.Dest]; ok && now < back+c.rest {
+	if at, ok := remote.turnedBackAt[call.request.Dest]; ok && now < at+c.turnBackRetryInterval {
 		return false
 	}
-	return c.held(now, f, k) == 0
+	return c.shedShare(now, remote, call) == 0
 }
 
-// drawTandem selects one of the usable tandems at random, weighted by the square of the circuits that are free
+// selectTandem selects one of the usable tandems at random, weighted by the square of the circuits that are free
 // for transit. A tandem with many circuits to here usually has many to the destination too; with uniform
 // weights and many small groups most selections would be turned back.
-func (c *Controller) drawTandem(now Tenths, k *call, dest int) (int, bool) {
-	pick, room := 0, 0
-	for t := range c.far {
-		if !c.tandemFits(now, k, t, dest) {
+func (c *Controller) selectTandem(now Tenths, call *activeCall, dest int) (int, bool) {
+	selected, totalWeight := 0, 0
+	for tandem := range c.remotes {
+		if !c.tandemUsable(now, call, tandem, dest) {
 			continue
 		}
-		f := &c.far[t]
-		mine := f.aboveMark(k.ask.Width) + 1
-		mine *= mine
-		if room += mine; c.draw()*float64(room) < float64(mine) {
-			pick = t
+		remote := &c.remotes[tandem]
+		weight := remote.transitCircuits(call.request.Width) + 1
+		weight *= weight
+		if totalWeight += weight; c.random()*float64(totalWeight) < float64(weight) {
+			selected = tandem
 		}
 	}
-	return pick, room > 0
+	return selected, totalWeight > 0
 }
 
-// served is the recent success rate of randomly selected tandems; without samples it is high enough to select
+// selectionSuccessRate is the recent success rate of randomly selected tandems; without samples it is high enough to select
 // every time. Where most selections are turned back, as in large networks of small groups or after a loss of
 // circuits, each is wasted work for two processors: then fewer tandems are selected at random, and the
 // tandem that a routing centre advises, if any, is used instead. Its cost: after circuits have come back,
 // random selection stays rare for some seconds.
-func (c *Controller) served(now Tenths) float64 {
-	n := c.draws.read(now, offerHalf)
-	share := (c.draws.x + drawWorth) / (n + 1)
-	if share < drawWorth/8 {
-		c.note(now, "randomly selected tandems mostly turn calls back")
+func (c *Controller) selectionSuccessRate(now Tenths) float64 {
+	n := c.tandemSelections.weightAt(now, trafficHalfLife)
+	share := (c.tandemSelections.sum + minSelectionSuccessRate) / (n + 1)
+	if share < minSelectionSuccessRate/8 {
+		c.logRateLimited(now, "randomly selected tandems mostly turn calls back")
 	}
 	return share
 }
 
-// worthTheWork reports whether a call is admitted. When processors on the way answer late, calls of the lowest
+// admits reports whether a call is admitted. When processors on the way answer late, calls of the lowest
 // revenue are shed first, so that the admitted part of the traffic is the most valuable one and no larger
 // than what the processors can serve in time.
-func (c *Controller) worthTheWork(now Tenths, k *call, dest int) bool {
-	keep := 1 - c.held(now, &c.far[dest], k)
-	if keep >= 1 || c.trickles(now, k, &c.far[dest]) {
+func (c *Controller) admits(now Tenths, call *activeCall, dest int) bool {
+	admitted := 1 - c.shedShare(now, &c.remotes[dest], call)
+	if admitted >= 1 || c.isProbe(now, call, &c.remotes[dest]) {
 		return true
 	}
-	all, above, own := 0.0, 0.0, 0.0
-	for r := range c.ranks {
-		n := c.ranks[r].read(now, offerHalf)
-		all += n
-		if r < c.rank(k) {
-			above += n
-		} else if r == c.rank(k) {
-			own = n
+	total, higher, same := 0.0, 0.0, 0.0
+	for position := range c.offeredByRank {
+		n := c.offeredByRank[position].weightAt(now, trafficHalfLife)
+		total += n
+		if position < c.rank(call) {
+			higher += n
+		} else if position == c.rank(call) {
+			same = n
 		}
 	}
-	keep *= all
-	return above+own <= keep || own > 0 && c.draw() < (keep-above)/own
+	admitted *= total
+	return higher+same <= admitted || same > 0 && c.random() < (admitted-higher)/same
 }
 
-// trickles reports whether a call goes to a shed remote switch as a probe, so that a recovery is detected even
+// isProbe reports whether a call goes to a shed remote switch as a probe, so that a recovery is detected even
 // where all other calls are shed. A probe is of the highest revenue; the switch must have no unanswered try
 // and have had none for the probe interval.
-func (c *Controller) trickles(now Tenths, k *call, f *farEnd) bool {
-	return c.rank(k) == 0 && len(f.waiting) == 0 && now-f.sentAt > trickleEvery
+func (c *Controller) isProbe(now Tenths, call *activeCall, remote *remoteSwitch) bool {
+	return c.rank(call) == 0 && len(remote.openTries) == 0 && now-remote.sentAt > probeInterval
 }
 
-// held is the share of new set-ups to a remote switch that is to be shed now. The slope is steeper if most
+// shedShare is the share of new set-ups to a remote switch that is to be shed now. The slope is steeper if most
 // remote switches are late: a queue that all share settles where arrivals equal the service rate, and on the
 // gentle slope that is so near the GoS target that most tries through the queue are lost.
-func (c *Controller) held(now Tenths, f *farEnd, k *call) float64 {
-	scale := float64(c.rows[k.ask.Bearer].gosTarget)
-	if c.d.ResendInterval > 0 { // a longer wait causes resends, which are further work
-		scale = min(scale, resends*float64(c.d.ResendInterval))
+func (c *Controller) shedShare(now Tenths, remote *remoteSwitch, call *activeCall) float64 {
+	scale := float64(c.bearers[call.request.Bearer].gosTarget)
+	if c.deployment.ResendInterval > 0 { // a longer wait causes resends, which are further work
+		scale = min(scale, maxResendIntervals*float64(c.deployment.ResendInterval))
 	}
-	late := (float64(c.expects(now, f))/scale - shedFrom) / (shedAll - shedFrom)
-	shared := (float64(c.common(now))/scale - shedFrom) / (shedShared - shedFrom)
-	asked := f.holdBack * fade(now-f.reportedAt, reportHalf)
-	return min(1, max(0, late, shared, asked))
+	late := (float64(c.expectedAnswerTime(now, remote))/scale - sheddingStart) / (sheddingFull - sheddingStart)
+	common := (float64(c.commonAnswerTime(now))/scale - sheddingStart) / (commonSheddingFull - sheddingStart)
+	requested := remote.admissionHoldBack * decayFactor(now-remote.reportedAt, reportHalfLife)
+	return min(1, max(0, late, common, requested))
 }
 
-// common is the least answer time to expect of any remote switch: the median of those observed recently. If
+// commonAnswerTime is the least answer time to expect of any remote switch: the median of those observed recently. If
 // most are late together, the own processor or all of theirs are overloaded, and a switch that was not used
 // recently will be no faster. It detects a general slowdown, for which the one or two answers per second and
 // pair of switches come too late. Its cost: where most remote switches are slow, calls to the others are shed
@@ -467,72 +467,72 @@
 // Recent disconnections of established calls count as well, since their releases and redials load the
 // processors before any answer shows it. Where processors handle releases ahead of set-ups, that sheds calls
 // for a moment without need.
-func (c *Controller) common(now Tenths) Tenths {
-	if c.commonAt != now {
-		c.commonAt, c.commonIs = now, 0
-		var seen []Tenths
-		for i := range c.far {
-			if f := &c.far[i]; f.ready && (f.answers.read(now, answerHalf) > heardOf || len(f.waiting) > 0) {
-				seen = append(seen, c.expects(now, f))
+func (c *Controller) commonAnswerTime(now Tenths) Tenths {
+	if c.cachedCommonAt != now {
+		c.cachedCommonAt, c.cachedCommon = now, 0
+		var expected []Tenths
+		for i := range c.remotes {
+			if remote := &c.remotes[i]; remote.ready && (remote.answerTimes.weightAt(now, answerHalfLife) > minSampleWeight || len(remote.openTries) > 0) {
+				expected = append(expected, c.expectedAnswerTime(now, remote))
 			}
 		}
-		if len(seen) >= commonFrom {
-			slices.Sort(seen)
-			if c.commonIs = seen[len(seen)/2]; c.commonIs > c.tightest/2 {
-				c.note(now, "most remote switches answer late")
+		if len(expected) >= minCommonSwitches {
+			slices.Sort(expected)
+			if c.cachedCommon = expected[len(expected)/2]; c.cachedCommon > c.minGoSTarget/2 {
+				c.logRateLimited(now, "most remote switches answer late")
 			}
 		}
 	}
-	return max(c.commonIs, Tenths(c.cuts.read(now, answerHalf)*cutAdds*float64(c.tightest)))
+	return max(c.cachedCommon, Tenths(c.disconnects.weightAt(now, answerHalfLife)*delayPerDisconnect*float64(c.minGoSTarget)))
 }
 
-// expects is the expected answer time of a remote switch, the largest of three estimates: the upper quartile of
+// expectedAnswerTime is the expected answer time of a remote switch, the largest of three estimates: the upper quartile of
 // recent answer times, the processor wait last reported, and one from the age and number of unanswered tries.
 // A hung switch does not answer and a slow one answers seconds late; at one or two calls per second the
 // unanswered tries are the first sign of either. Only tries much older than the usual answer time count by
 // number, since at high rates some tries are always out. The estimate is too high for a moment after a burst.
-func (c *Controller) expects(now Tenths, f *farEnd) Tenths {
-	usual := f.answers.quantile(now)
-	worst := max(usual, float64(f.wait)*fade(now-f.reportedAt, reportHalf))
-	open, late := f.waiting[:0], 0
-	for _, p := range f.waiting {
-		if c.unanswered(f, p) != nil {
-			open = append(open, p)
-			if float64(now-max(c.stalled, p.sentAt)) > overdue*usual {
-				late++
+func (c *Controller) expectedAnswerTime(now Tenths, remote *remoteSwitch) Tenths {
+	usual := remote.answerTimes.upperQuartile(now)
+	worst := max(usual, float64(remote.reportedWait)*decayFactor(now-remote.reportedAt, reportHalfLife))
+	open, overdueTries := remote.openTries[:0], 0
+	for _, try := range remote.openTries {
+		if c.openCall(remote, try) != nil {
+			open = append(open, try)
+			if float64(now-max(c.stallEndedAt, try.sentAt)) > overdueFactor*usual {
+				overdueTries++
 			}
 		}
 	}
-	if f.waiting = open; len(open) > 0 {
-		age, more := now-max(c.stalled, open[0].sentAt), float64(max(0, late-1))
-		worst = max(worst, ageWeight*float64(age)+more*eachAdds*float64(c.tightest))
+	if remote.openTries = open; len(open) > 0 {
+		age, furtherTries := now-max(c.stallEndedAt, open[0].sentAt), float64(max(0, overdueTries-1))
+		worst = max(worst, unansweredAgeFactor*float64(age)+furtherTries*delayPerLateTry*float64(c.minGoSTarget))
 	}
 	return Tenths(worst)
 }
 
-// unanswered returns the call of a route try that is still out to a switch and not taken as lost, else nil.
-func (c *Controller) unanswered(f *farEnd, p pending) *call {
-	k := c.calls[p.id]
-	if k == nil || k.state != trying || k.sentAt != p.sentAt || &c.far[k.far] != f || k.lost {
+// openCall returns the call of a route try that is still out to a switch and not taken as lost, else nil.
+func (c *Controller) openCall(remote *remoteSwitch, try sentTry) *activeCall {
+	call := c.calls[try.id]
+	if call == nil || call.state != trying || call.sentAt != try.sentAt || &c.remotes[call.remote] != remote || call.lost {
 		return nil
 	}
-	return k
+	return call
 }
 
 // rank is the position of a call in the order of revenue.
-func (c *Controller) rank(k *call) int {
-	if k.late {
-		return c.rows[k.ask.Bearer].rank[1]
+func (c *Controller) rank(call *activeCall) int {
+	if call.lateRedial {
+		return c.bearers[call.request.Bearer].rank[1]
 	}
-	return c.rows[k.ask.Bearer].rank[0]
+	return c.bearers[call.request.Bearer].rank[0]
 }
 
-// cold reports whether a switch started so recently that it may not have its full capacity yet.
-func (c *Controller) cold(now Tenths, f *farEnd) bool {
-	return f.bootAt > 0 && now < f.bootAt+c.d.RampTime
+// isCold reports whether a switch started so recently that it may not have its full capacity yet.
+func (c *Controller) isCold(now Tenths, remote *remoteSwitch) bool {
+	return remote.bootAt > 0 && now < remote.bootAt+c.deployment.RampTime
 }
 
-// coldRoom reports whether one more set-up may go to a cold switch and takes it from the slow-start budget.
+// takeSlowStartBudget reports whether one more set-up may go to a cold switch and takes it from the slow-start budget.
 //
 // The budget grows at a rate that starts from this exchange's traffic: the larger of the first calls offered
 // for that switch and the mean sent to a warm switch. That is this exchange's share of the capacity of a
@@ -547,386 +547,388 @@
 // would be sent within one window, and their sum would be the number of controllers instead of the budget.
 // So their budget, far less than one set-up where controllers are many, is the probability that the set-up
 // is sent, and it is spent either way.
-func (c *Controller) coldRoom(now Tenths, f *farEnd, k *call) bool {
-	if !c.cold(now, f) {
+func (c *Controller) takeSlowStartBudget(now Tenths, remote *remoteSwitch, call *activeCall) bool {
+	if !c.isCold(now, remote) {
 		return true
 	}
-	total, fellows := 0.0, 0
-	for i := range c.far {
-		if g := &c.far[i]; g.ready && !c.cold(now, g) {
-			total += g.sends.read(now, offerHalf)
-			fellows++
+	total, warm := 0.0, 0
+	for i := range c.remotes {
+		if other := &c.remotes[i]; other.ready && !c.isCold(now, other) {
+			total += other.sends.weightAt(now, trafficHalfLife)
+			warm++
 		}
 	}
-	all, carries := float64(max(1, c.d.Controllers)), float64(f.size)*10000/float64(c.rest)
-	if c.d.Pools { // all controllers share the group
-		carries /= all
-	}
-	asked := total / float64(max(1, fellows))
-	if a := c.asked[f.number]; a != nil {
-		asked = max(asked, a.read(now, offerHalf))
-	}
-	asked *= math.Ln2 / (1 - fade(max(c.d.OverloadWindow, now-c.began), offerHalf)) / float64(offerHalf) * 10000
-	rate := max(asked, min(carriedLeast*carries, coldFloor/all))
-	rate *= c.d.OverloadMultiple * (c.d.InitialCapacity + (1-c.d.InitialCapacity)*float64(now-f.bootAt)/float64(c.d.RampTime))
-	most, came := rate*coldDepth*float64(c.d.OverloadWindow)/10000, rate*float64(now-f.budgetAt)/10000
-	f.budgetAt = now
-	f.budget = min(max(1, most), f.budget+came)
-	f.chance = min(most, f.chance+came)
-	if k.again || k.tries > 0 || k.ask.Transit {
-		spend := min(1, f.chance)
-		f.chance -= spend
-		return spend == 1 || c.draw() < spend
-	}
-	if f.budget < 1 {
+	controllers, capacity := float64(max(1, c.deployment.Controllers)), float64(remote.size)*10000/float64(c.turnBackRetryInterval)
+	if c.deployment.Pools { // all controllers share the group
+		capacity /= controllers
+	}
+	traffic := total / float64(max(1, warm))
+	if firstCalls := c.traffic[remote.number]; firstCalls != nil {
+		traffic = max(traffic, firstCalls.weightAt(now, trafficHalfLife))
+	}
+	traffic *= math.Ln2 / (1 - decayFactor(max(c.deployment.OverloadWindow, now-c.startTime), trafficHalfLife)) / float64(trafficHalfLife) * 10000
+	rate := max(traffic, min(minSlowStartCapacityShare*capacity, minSlowStartRate/controllers))
+	rate *= c.deployment.OverloadMultiple * (c.deployment.InitialCapacity + (1-c.deployment.InitialCapacity)*float64(now-remote.bootAt)/float64(c.deployment.RampTime))
+	maxBudget, earned := rate*slowStartBurstShare*float64(c.deployment.OverloadWindow)/10000, rate*float64(now-remote.budgetUpdatedAt)/10000
+	remote.budgetUpdatedAt = now
+	remote.firstCallBudget = min(max(1, maxBudget), remote.firstCallBudget+earned)
+	remote.repeatedCallBudget = min(maxBudget, remote.repeatedCallBudget+earned)
+	if call.repeated || call.tries > 0 || call.request.Transit {
+		spent := min(1, remote.repeatedCallBudget)
+		remote.repeatedCallBudget -= spent
+		return spent == 1 || c.random() < spent
+	}
+	if remote.firstCallBudget < 1 {
 		return false
 	}
-	f.budget--
+	remote.firstCallBudget--
 	return true
 }
 
 // send sends a route try unless one of the five rules forbids it, and reports whether it did. Every route try
 // passes through it.
-func (c *Controller) send(now Tenths, k *call, to int, limit Tenths) bool {
-	f := &c.far[to]
-	limit = min(limit, k.abandonAt-now)
+func (c *Controller) send(now Tenths, call *activeCall, index int, timeout Tenths) bool {
+	remote := &c.remotes[index]
+	timeout = min(timeout, call.abandonAt-now)
 	switch {
-	case k.state != offered && k.state != resting: // rules 1 and 2: it is answered or a try is out
+	case call.state != offered && call.state != awaitingRelease: // rules 1 and 2: it is answered or a try is out
 		return false
-	case !f.ready || f.number == c.d.OwnExchange || c.serving[f.number] != to: // rule 3: the list says that it drains or is gone
+	case !remote.ready || remote.number == c.deployment.OwnExchange || c.serving[remote.number] != index: // rule 3: the list says that it drains or is gone
 		return false
-	case k.ask.Transit && f.number != k.ask.Dest:
+	case call.request.Transit && remote.number != call.request.Dest:
 		return false
-	case now < k.readyAt: // rule 5: the release time of the last try has not passed
+	case now < call.retryAt: // rule 5: the release time of the last try has not passed
 		return false
-	case limit <= 0 || k.tries >= c.d.MaxTries || f.free < k.ask.Width:
+	case timeout <= 0 || call.tries >= c.deployment.MaxTries || remote.free < call.request.Width:
 		return false
-	case !c.coldRoom(now, f, k): // rule 4
+	case !c.takeSlowStartBudget(now, remote, call): // rule 4
 		return false
 	}
-	f.sends.add(now, offerHalf, 1)
-	f.free -= k.ask.Width
-	f.sentAt = now
-	f.waiting = append(f.waiting, pending{k.ask.ID, now})
-	k.far, k.sentAt, k.tandem = to, now, f.number != k.ask.Dest
-	k.tries++
-	k.lost = false
-	c.become(k, trying)
-	c.out.Send(k.ask.ID, f.id, limit)
+	remote.sends.add(now, trafficHalfLife, 1)
+	remote.free -= call.request.Width
+	remote.sentAt = now
+	remote.openTries = append(remote.openTries, sentTry{call.request.ID, now})
+	call.remote, call.sentAt, call.viaTandem = index, now, remote.number != call.request.Dest
+	call.tries++
+	call.lost = false
+	c.setState(call, trying)
+	c.executor.Send(call.request.ID, remote.id, timeout)
 	return true
 }
 
-// giveUp gives a call its final answer. If a processor is overloaded, the answer tells the caller to try again
+// reject gives a call its final answer. If a processor is overloaded, the answer tells the caller to try again
 // when the queue there should have been worked off.
-func (c *Controller) giveUp(now Tenths, k *call, pressed bool) {
-	c.become(k, over)
-	if now >= k.abandonAt {
-		c.out.Abort(k.ask.ID)
+func (c *Controller) reject(now Tenths, call *activeCall, overloaded bool) {
+	c.setState(call, ended)
+	if now >= call.abandonAt {
+		c.executor.Abort(call.request.ID)
 		return
 	}
-	comeBack := Tenths(0)
-	if dest, ok := c.serving[k.ask.Dest]; ok && pressed {
-		comeBack = min(c.d.MaxRetryAfter, comeBackLater*c.expects(now, &c.far[dest]))
+	retryAfter := Tenths(0)
+	if dest, ok := c.serving[call.request.Dest]; ok && overloaded {
+		retryAfter = min(c.deployment.MaxRetryAfter, retryAfterFactor*c.expectedAnswerTime(now, &c.remotes[dest]))
 	}
-	c.out.Block(k.ask.ID, comeBack)
+	c.executor.Block(call.request.ID, retryAfter)
 }
 
-// become sets the state of a call. Nothing else does.
-func (c *Controller) become(k *call, s callState) {
-	if s == over {
-		delete(c.calls, k.ask.ID)
-		if k.state != standing && !k.ask.Transit && k.ask.Number != 0 {
-			c.turned[k.ask.Number] = k.firstAt
-			c.forget = append(c.forget, k.ask.Number)
+// setState sets the state of a call. Nothing else does.
+func (c *Controller) setState(call *activeCall, next callState) {
+	if next == ended {
+		delete(c.calls, call.request.ID)
+		if call.state != established && !call.request.Transit && call.request.Number != 0 {
+			c.rejectedNumbers[call.request.Number] = call.firstDialledAt
+			c.rejectedOrder = append(c.rejectedOrder, call.request.Number)
 		}
 	}
-	k.state = s
+	call.state = next
 }
 
-// beat schedules the next tick, by which detectStall notices that this controller itself has stalled.
-func (c *Controller) beat(now Tenths) {
-	c.beatDue = now + beatEvery
-	c.out.SetTimer(c.beatDue, beatToken)
+// scheduleTick schedules the next tick, by which detectStall notices that this controller itself has stalled.
+func (c *Controller) scheduleTick(now Tenths) {
+	c.nextTickAt = now + tickInterval
+	c.executor.SetTimer(c.nextTickAt, tickToken)
 }
 
-// notice detects a stall of this controller: the tick is overdue. Answers that came meanwhile were not late and
+// detectStall detects a stall of this controller: the tick is overdue. Answers that came meanwhile were not late and
 // must not count against any remote switch; otherwise the controller would shed calls for seconds after each
 // stall.
-func (c *Controller) notice(now Tenths) {
-	if now > c.beatDue+beatEvery && c.stalled != now {
-		c.stallFor, c.stalled = now-c.beatDue, now
-		c.note(now, "this call controller stalled")
+func (c *Controller) detectStall(now Tenths) {
+	if now > c.nextTickAt+tickInterval && c.stallEndedAt != now {
+		c.stallDuration, c.stallEndedAt = now-c.nextTickAt, now
+		c.logRateLimited(now, "this call controller stalled")
 	}
 }
 
-// note writes one of the log lines that docs/oncall.md lists, each at most once per minimum interval.
-func (c *Controller) note(now Tenths, line string) {
-	if at, again := c.noted[line]; !again || now > at+noteEvery {
-		c.noted[line] = now
-		c.out.Log(line)
+// logRateLimited writes one of the log lines that docs/oncall.md lists, each at most once per minimum interval.
+func (c *Controller) logRateLimited(now Tenths, line string) {
+	if at, logged := c.loggedAt[line]; !logged || now > at+logInterval {
+		c.loggedAt[line] = now
+		c.executor.Log(line)
 	}
 }
 
 // Answered reports that a route try was answered and the call is established.
-func (c *Controller) Answered(now Tenths, id uint32, try int) {
-	c.notice(now)
-	k := c.calls[id]
-	if k == nil || k.state != trying || try != k.tries-1 {
+func (c *Controller) Answered(now Tenths, callID uint32, try int) {
+	c.detectStall(now)
+	call := c.calls[callID]
+	if call == nil || call.state != trying || try != call.tries-1 {
 		return
 	}
-	c.answered(now, k, now-k.sentAt)
-	if k.tandem && k.drawn {
-		c.draws.add(now, offerHalf, 1)
+	c.recordAnswer(now, call, now-call.sentAt)
+	if call.viaTandem && call.randomTandem {
+		c.tandemSelections.add(now, trafficHalfLife, 1)
 	}
-	c.become(k, standing)
-	c.overtaken(now, k)
+	c.setState(call, established)
+	c.detectLostTries(now, call)
 }
 
-// overtaken detects lost messages on links or at switches that drop some: it looks for direct tries sent to the
+// detectLostTries detects lost messages on links or at switches that drop some: it looks for direct tries sent to the
 // same switch before the one just answered. A processor serves one queue in order, so a try that has waited
 // much longer than the usual answer time has lost its set-up or its answer. Such a try does not count against
 // the processor, and it is cancelled if another try can still meet the GoS target. Younger tries are left
 // alone, since answers within the jitter of the links may overtake each other.
-func (c *Controller) overtaken(now Tenths, k *call) {
-	if k.tandem {
+func (c *Controller) detectLostTries(now Tenths, call *activeCall) {
+	if call.viaTandem {
 		return
 	}
-	usual := overdue * c.far[k.far].answers.quantile(now)
-	for _, p := range c.far[k.far].waiting {
-		o := c.unanswered(&c.far[k.far], p)
-		if o == nil || o.tandem || o.sentAt >= k.sentAt || float64(now-o.sentAt) <= usual {
+	usual := overdueFactor * c.remotes[call.remote].answerTimes.upperQuartile(now)
+	for _, try := range c.remotes[call.remote].openTries {
+		other := c.openCall(&c.remotes[call.remote], try)
+		if other == nil || other.viaTandem || other.sentAt >= call.sentAt || float64(now-other.sentAt) <= usual {
 			continue
 		}
-		o.lost = true
-		c.far[k.far].losses.add(now, offerHalf, 1)
-		if c.d.CancelsAllowed && now+c.d.ReleaseTime < o.gosAt {
-			c.out.Cancel(o.ask.ID, o.tries-1)
+		other.lost = true
+		c.remotes[call.remote].losses.add(now, trafficHalfLife, 1)
+		if c.deployment.CancelsAllowed && now+c.deployment.ReleaseTime < other.gosDeadline {
+			c.executor.Cancel(other.request.ID, other.tries-1)
 		}
 	}
 }
 
 // TryEnded reports the outcome of a route try, with its reason, the wait that the switch hinted at and its load
 // report. final means that the call is over as well.
-func (c *Controller) TryEnded(now Tenths, id uint32, try int, sw uint32, end Outcome, final bool,
-	why Reason, wait Tenths, rep LoadReport) {
-	c.notice(now)
-	i, ok := c.byID[sw]
+func (c *Controller) TryEnded(now Tenths, callID uint32, try int, switchID uint32, outcome Outcome, final bool,
+	reason Reason, reportedWait Tenths, report LoadReport) {
+	c.detectStall(now)
+	i, ok := c.byID[switchID]
 	if !ok {
 		return
 	}
-	f := &c.far[i]
-	c.heard(now, f, rep)
-	k := c.calls[id]
-	if k == nil || try != k.tries-1 {
+	remote := &c.remotes[i]
+	c.recordReport(now, remote, report)
+	call := c.calls[callID]
+	if call == nil || try != call.tries-1 {
 		return
 	}
-	if k.state == trying && !k.lost && end != Unsent && end != Released {
-		c.judge(now, k, f, end, why, wait)
+	if call.state == trying && !call.lost && outcome != Unsent && outcome != Released {
+		c.recordFailure(now, call, remote, outcome, reason, reportedWait)
 	}
-	if k.state == standing && end == Disconnected {
-		c.cuts.add(now, answerHalf, 1)
-		if c.cuts.n > manyCuts {
-			c.note(now, "many established calls disconnected")
+	if call.state == established && outcome == Disconnected {
+		c.disconnects.add(now, answerHalfLife, 1)
+		if c.disconnects.weight > manyDisconnects {
+			c.logRateLimited(now, "many established calls disconnected")
 		}
 	}
-	if final || k.state == standing {
-		c.become(k, over)
+	if final || call.state == established {
+		c.setState(call, ended)
 		return
 	}
-	if k.state != trying {
+	if call.state != trying {
 		return
 	}
-	c.become(k, offered)
-	switch end {
+	c.setState(call, offered)
+	switch outcome {
 	case TimedOut, Disconnected, Cancelled:
-		k.readyAt = now + c.d.ReleaseTime + 1 // times are rounded down to whole tenths: one more makes the full wait
-		if k.tandem {
-			delete(c.tandems, k.ask.Dest)
+		call.retryAt = now + c.deployment.ReleaseTime + 1 // times are rounded down to whole tenths: one more makes the full wait
+		if call.viaTandem {
+			delete(c.lastTandem, call.request.Dest)
 		}
-		if k.readyAt >= min(k.abandonAt, k.gosAt) { // no further try can meet the GoS target
-			c.giveUp(now, k, false)
+		if call.retryAt >= min(call.abandonAt, call.gosDeadline) { // no further try can meet the GoS target
+			c.reject(now, call, false)
 			return
 		}
-		c.become(k, resting)
-		c.out.SetTimer(k.readyAt, uint64(id))
+		c.setState(call, awaitingRelease)
+		c.executor.SetTimer(call.retryAt, uint64(callID))
 	case Faulted:
-		c.giveUp(now, k, false)
+		c.reject(now, call, false)
 	default: // it was blocked, or never reached the switch
-		if why == ProcessorOverloaded || why == DestOverloaded {
-			c.giveUp(now, k, true)
+		if reason == ProcessorOverloaded || reason == DestOverloaded {
+			c.reject(now, call, true)
 			return
 		}
-		if k.tandem {
-			delete(c.tandems, k.ask.Dest)
-			f.backAt[k.ask.Dest] = now
-			if k.drawn {
-				c.draws.add(now, offerHalf, 0)
+		if call.viaTandem {
+			delete(c.lastTandem, call.request.Dest)
+			remote.turnedBackAt[call.request.Dest] = now
+			if call.randomTandem {
+				c.tandemSelections.add(now, trafficHalfLife, 0)
 			}
 		} else {
-			k.noDirect = true
+			call.directFailed = true
 		}
-		c.place(now, k)
+		c.route(now, call)
 	}
 }
 
-// judge records what a failed try shows about the load of the processors on its way.
-func (c *Controller) judge(now Tenths, k *call, f *farEnd, end Outcome, why Reason, wait Tenths) {
-	full := max(wait, c.rows[k.ask.Bearer].gosTarget)
+// recordFailure records what a failed try shows about the load of the processors on its way.
+func (c *Controller) recordFailure(now Tenths, call *activeCall, remote *remoteSwitch, outcome Outcome, reason Reason, reportedWait Tenths) {
+	overloadWait := max(reportedWait, c.bearers[call.request.Bearer].gosTarget)
 	switch {
-	case why == ProcessorOverloaded:
-		f.wait, f.reportedAt = full, now
-	case why == DestOverloaded:
-		if d, ok := c.serving[k.ask.Dest]; ok {
-			c.far[d].wait, c.far[d].reportedAt = full, now
+	case reason == ProcessorOverloaded:
+		remote.reportedWait, remote.reportedAt = overloadWait, now
+	case reason == DestOverloaded:
+		if dest, ok := c.serving[call.request.Dest]; ok {
+			c.remotes[dest].reportedWait, c.remotes[dest].reportedAt = overloadWait, now
 		}
-	case end == Unreachable:
-		f.answers.add(now, answerHalf, float64(full))
+	case outcome == Unreachable:
+		remote.answerTimes.add(now, answerHalfLife, float64(overloadWait))
 	default:
-		c.answered(now, k, now-k.sentAt)
+		c.recordAnswer(now, call, now-call.sentAt)
 	}
 }
 
-// answered records the answer time of a try, unless this controller stalled while it was out. Over a tandem it
+// recordAnswer records the answer time of a try, unless this controller stalled while it was out. Over a tandem it
 // covers two legs and two processors, so half of it counts.
-func (c *Controller) answered(now Tenths, k *call, took Tenths) {
-	if k.sentAt >= c.stalled {
-		if k.tandem {
-			took /= 2
+func (c *Controller) recordAnswer(now Tenths, call *activeCall, answerTime Tenths) {
+	if call.sentAt >= c.stallEndedAt {
+		if call.viaTandem {
+			answerTime /= 2
 		}
-		a := &c.far[k.far].answers
-		a.lessen(newer)
-		a.add(now, answerHalf, float64(took))
+		times := &c.remotes[call.remote].answerTimes
+		times.scale(olderAnswersFactor)
+		times.add(now, answerHalfLife, float64(answerTime))
 	}
 }
 
-// heard records a load report.
-func (c *Controller) heard(now Tenths, f *farEnd, rep LoadReport) {
-	if rep.Size >= 0 {
-		f.free, f.size = max(0, rep.Free), rep.Size
+// recordReport records a load report.
+func (c *Controller) recordReport(now Tenths, remote *remoteSwitch, report LoadReport) {
+	if report.Size >= 0 {
+		remote.free, remote.size = max(0, report.Free), report.Size
 	}
-	if rep.Wait >= 0 || rep.HoldBack >= 0 {
-		f.wait, f.holdBack, f.reportedAt = max(0, rep.Wait), max(0, rep.HoldBack), now
+	if report.Wait >= 0 || report.HoldBack >= 0 {
+		remote.reportedWait, remote.admissionHoldBack, remote.reportedAt = max(0, report.Wait), max(0, report.HoldBack), now
 	}
 }
 
 // LoadReported reports the free circuits and the size of the group towards a switch.
-func (c *Controller) LoadReported(now Tenths, sw uint32, rep LoadReport) {
-	c.heard(now, &c.far[c.index(sw)], rep)
+func (c *Controller) LoadReported(now Tenths, switchID uint32, report LoadReport) {
+	c.recordReport(now, &c.remotes[c.remoteIndex(switchID)], report)
 }
 
 // Abandoned reports that the caller has abandoned the call, which needs no answer any more. A try that is older
 // than the usual answer time, or late enough for shedding, then counts as answered after the GoS target.
 // Otherwise the latest answers would never count where callers abandon early, and the remote switches would
 // look fast and be overloaded. A younger try shows nothing: its caller left for another reason.
-func (c *Controller) Abandoned(now Tenths, id uint32) {
-	if k := c.calls[id]; k != nil {
-		goal := c.rows[k.ask.Bearer].gosTarget
-		usual := min(overdue*c.far[k.far].answers.quantile(now), shedFrom*float64(goal))
-		if k.state == trying && !k.lost && float64(now-k.sentAt) > usual {
-			c.answered(now, k, goal)
+func (c *Controller) Abandoned(now Tenths, callID uint32) {
+	if call := c.calls[callID]; call != nil {
+		gosTarget := c.bearers[call.request.Bearer].gosTarget
+		minAge := min(overdueFactor*c.remotes[call.remote].answerTimes.upperQuartile(now), sheddingStart*float64(gosTarget))
+		if call.state == trying && !call.lost && float64(now-call.sentAt) > minAge {
+			c.recordAnswer(now, call, gosTarget)
 		}
-		c.become(k, over)
+		c.setState(call, ended)
 	}
 }
 
 // TimerExpired reports that a timer that was set with Executor.SetTimer has expired.
 func (c *Controller) TimerExpired(now Tenths, token uint64) {
-	c.notice(now)
+	c.detectStall(now)
 	switch token {
-	case followToken:
-		c.out.Subscribe()
+	case subscribeToken:
+		c.executor.Subscribe()
 		return
-	case beatToken:
-		c.beat(now)
+	case tickToken:
+		c.scheduleTick(now)
 		return
 	}
-	if k := c.calls[uint32(token)]; k != nil && k.state == resting && now >= k.readyAt {
-		c.place(now, k)
+	if call := c.calls[uint32(token)]; call != nil && call.state == awaitingRelease && now >= call.retryAt {
+		c.route(now, call)
 	}
 }
 
 // ListLost reports that the list of switches could not be fetched or that its subscription broke. It is requested
 // again after an exponential delay with jitter.
 func (c *Controller) ListLost(now Tenths) {
-	c.followIn = min(max(2*c.followIn, followFirst), max(followFirst, c.d.MaxSubscribeInterval/4))
-	c.out.SetTimer(now+c.followIn+Tenths(c.draw()*float64(c.followIn)), followToken)
+	c.subscribeDelay = min(max(2*c.subscribeDelay, initialSubscribeDelay), max(initialSubscribeDelay, c.deployment.MaxSubscribeInterval/4))
+	c.executor.SetTimer(now+c.subscribeDelay+Tenths(c.random()*float64(c.subscribeDelay)), subscribeToken)
 }
 
 // ListReceived reports the list of switches: all of them if whole is set, else those that changed.
 func (c *Controller) ListReceived(now Tenths, whole bool, list []Switch) {
-	c.followIn = 0
+	c.subscribeDelay = 0
 	if whole {
-		for i := range c.far {
-			c.far[i].ready = false
+		for i := range c.remotes {
+			c.remotes[i].ready = false
 		}
 	}
-	for _, s := range list {
-		f := &c.far[c.index(s.ID)]
-		if s.BootAt != f.bootAt { // a new process: what was measured of the old one is void
-			f.answers, f.wait, f.holdBack, f.budget, f.chance, f.budgetAt = decaying{}, 0, 0, 1, 0, now
+	for _, sw := range list {
+		remote := &c.remotes[c.remoteIndex(sw.ID)]
+		if sw.BootAt != remote.bootAt { // a new process: what was measured of the old one is void
+			remote.answerTimes, remote.reportedWait, remote.admissionHoldBack, remote.firstCallBudget, remote.repeatedCallBudget, remote.budgetUpdatedAt = decayingStats{}, 0, 0, 1, 0, now
 		}
-		f.number, f.bootAt, f.ready = s.Number, s.BootAt, s.Ready
+		remote.number, remote.bootAt, remote.ready = sw.Number, sw.BootAt, sw.Ready
 	}
 	clear(c.serving)
-	for i := range c.far {
-		f := &c.far[i]
-		if old, taken := c.serving[f.number]; f.ready && (!taken || c.far[old].bootAt <= f.bootAt) {
-			c.serving[f.number] = i
+	for i := range c.remotes {
+		remote := &c.remotes[i]
+		if other, taken := c.serving[remote.number]; remote.ready && (!taken || c.remotes[other].bootAt <= remote.bootAt) {
+			c.serving[remote.number] = i
 		}
 	}
 }
 
-// index returns the index of a remote switch in remotes and adds the switch if it is unknown.
-func (c *Controller) index(id uint32) int {
+// remoteIndex returns the index of a remote switch in remotes and adds the switch if it is unknown.
+func (c *Controller) remoteIndex(id uint32) int {
 	i, ok := c.byID[id]
 	if !ok {
-		i = len(c.far)
-		c.far = append(c.far, farEnd{id: id, number: -1, backAt: map[int]Tenths{}})
+		i = len(c.remotes)
+		c.remotes = append(c.remotes, remoteSwitch{id: id, number: -1, turnedBackAt: map[int]Tenths{}})
 		c.byID[id] = i
 	}
 	return i
 }
 
-// draw returns a random number in [0, 1) from a multiply-with-carry generator.
-func (c *Controller) draw() float64 {
-	c.chance = 4294957665*(c.chance&0xffffffff) + c.chance>>32
-	return float64(c.chance&0xffffffff) / (1 << 32)
+// random returns a random number in [0, 1) from a multiply-with-carry generator.
+func (c *Controller) random() float64 {
+	c.randomState = 4294957665*(c.randomState&0xffffffff) + c.randomState>>32
+	return float64(c.randomState&0xffffffff) / (1 << 32)
 }
 
-// decaying holds the weight, sum and sum of squares of samples that decay exponentially.
-type decaying struct {
-	n, x, xx float64
-	at       Tenths
+// decayingStats holds the weight, sum and sum of squares of samples that decay exponentially.
+type decayingStats struct {
+	weight, sum, sumSquares float64
+	updatedAt               Tenths
 }
 
-// read decays the sums to the given time and returns the weight of the samples.
-func (s *decaying) read(now, half Tenths) float64 {
-	if now > s.at {
-		s.lessen(fade(now-s.at, half))
-		s.at = now
+// weightAt decays the sums to the given time and returns the weight of the samples.
+func (s *decayingStats) weightAt(now, halfLife Tenths) float64 {
+	if now > s.updatedAt {
+		s.scale(decayFactor(now-s.updatedAt, halfLife))
+		s.updatedAt = now
 	}
-	return s.n
+	return s.weight
 }
 
-// lessen multiplies the weight of all samples.
-func (s *decaying) lessen(by float64) { s.n, s.x, s.xx = s.n*by, s.x*by, s.xx*by }
+// scale multiplies the weight of all samples.
+func (s *decayingStats) scale(factor float64) {
+	s.weight, s.sum, s.sumSquares = s.weight*factor, s.sum*factor, s.sumSquares*factor
+}
 
 // add decays the sums to the given time and adds a sample of weight 1.
-func (s *decaying) add(now, half Tenths, x float64) {
-	s.read(now, half)
-	s.n, s.x, s.xx = s.n+1, s.x+x, s.xx+x*x
+func (s *decayingStats) add(now, halfLife Tenths, value float64) {
+	s.weightAt(now, halfLife)
+	s.weight, s.sum, s.sumSquares = s.weight+1, s.sum+value, s.sumSquares+value*value
 }
 
-// quantile estimates the upper quartile from mean and standard deviation. As the samples decay, it tends to the
+// upperQuartile estimates the upper quartile from mean and standard deviation. As the samples decay, it tends to the
 // prior, zero.
-func (s *decaying) quantile(now Tenths) float64 {
-	n := s.read(now, answerHalf)
-	if n <= 0 {
+func (s *decayingStats) upperQuartile(now Tenths) float64 {
+	weight := s.weightAt(now, answerHalfLife)
+	if weight <= 0 {
 		return 0
 	}
-	mean := s.x / n
-	return (mean + spread*math.Sqrt(max(0, s.xx/n-mean*mean))) * n / (n + emptyPrior)
+	mean := s.sum / weight
+	return (mean + upperQuartileDeviations*math.Sqrt(max(0, s.sumSquares/weight-mean*mean))) * weight / (weight + priorWeight)
 }
 
-// fade is the factor by which a weight decays within the given age.
-func fade(age, half Tenths) float64 { return math.Exp2(-float64(age) / float64(half)) }
+// decayFactor is the factor by which a weight decays within the given age.
+func decayFactor(age, halfLife Tenths) float64 { return math.Exp2(-float64(age) / float64(halfLife)) }
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -16,216 +16,216 @@
 	seeded.Main(m, 3000)
 }
 
-// try is an open route try, as the harness sees it.
-type try struct {
-	to    uint32
-	no    int
-	until Tenths
-}
-
-// held is a call as the harness sees it.
-type held struct {
-	ask       Call
-	leaves    Tenths
-	out       *try
-	tries     int
-	releaseAt Tenths
-	stands    bool
-	done      bool
-	told      bool // its end was reported to the controller or decided by it
-}
-
-// wake is a timer that the controller has set.
-type wake struct {
+// routeTry is an open route try, as the harness sees it.
+type routeTry struct {
+	switchID  uint32
+	number    int
+	expiresAt Tenths
+}
+
+// testCall is a call as the harness sees it.
+type testCall struct {
+	request     Call
+	abandonAt   Tenths
+	openTry     *routeTry
+	tries       int
+	retryAt     Tenths
+	established bool
+	done        bool
+	reported    bool // its end was reported to the controller or decided by it
+}
+
+// timer is a timer that the controller has set.
+type timer struct {
 	at    Tenths
 	token uint64
 }
 
-// rig is a simulated exchange: it carries out what the controller decides and records every violated rule.
-type rig struct {
-	d       Deployment
-	c       *Controller
-	now     Tenths
-	calls   map[uint32]*held
-	order   []uint32
-	off     map[uint32]Tenths // when a switch was first listed as draining or gone
-	named   map[uint32]int    // numbers of all switches ever listed
-	wakes   []wake
-	sent    []pending // every route try: switch and time
-	last    string
-	follows int
-	cancels int
-	notes   []string
-	broken  []string
+// harness is a simulated exchange: it carries out what the controller decides and records every violated rule.
+type harness struct {
+	deployment    Deployment
+	controller    *Controller
+	now           Tenths
+	calls         map[uint32]*testCall
+	order         []uint32
+	unavailable   map[uint32]Tenths // when a switch was first listed as draining or gone
+	exchangeOf    map[uint32]int    // numbers of all switches ever listed
+	timers        []timer
+	sent          []sentTry // every route try: switch and time
+	lastAction    string
+	subscriptions int
+	cancellations int
+	logLines      []string
+	violations    []string
 }
 
-func newRig(d Deployment) *rig {
-	r := &rig{d: d, now: 1_000_000, calls: map[uint32]*held{}, off: map[uint32]Tenths{}, named: map[uint32]int{}}
-	r.c = New(d, r, r.now)
-	return r
+func newHarness(deployment Deployment) *harness {
+	h := &harness{deployment: deployment, now: 1_000_000, calls: map[uint32]*testCall{}, unavailable: map[uint32]Tenths{}, exchangeOf: map[uint32]int{}}
+	h.controller = New(deployment, h, h.now)
+	return h
 }
 
-// fault records a violated rule.
-func (r *rig) fault(format string, args ...any) {
-	r.broken = append(r.broken, fmt.Sprintf(format, args...))
+// violation records a violated rule.
+func (h *harness) violation(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-func (r *rig) Send(id, to uint32, limit Tenths) {
-	h := r.calls[id]
-	r.last = fmt.Sprintf("send %d", to)
+func (h *harness) Send(id, switchID uint32, timeout Tenths) {
+	call := h.calls[id]
+	h.lastAction = fmt.Sprintf("send %d", switchID)
 	switch {
-	case h == nil || h.done:
-		r.fault("route try for call %d, which is over", id)
+	case call == nil || call.done:
+		h.violation("route try for call %d, which is over", id)
 		return
-	case h.out != nil || h.stands:
-		r.fault("second route try for call %d", id)
-	case r.now < h.releaseAt:
-		r.fault("route try for call %d before its release", id)
-	case h.tries >= r.d.MaxTries:
-		r.fault("too many route tries for call %d", id)
+	case call.openTry != nil || call.established:
+		h.violation("second route try for call %d", id)
+	case h.now < call.retryAt:
+		h.violation("route try for call %d before its release", id)
+	case call.tries >= h.deployment.MaxTries:
+		h.violation("too many route tries for call %d", id)
 	}
-	if at, off := r.off[to]; off && r.now > at+r.d.DrainGrace {
-		r.fault("route try to switch %d, which drains or is gone", to)
+	if at, unavailable := h.unavailable[switchID]; unavailable && h.now > at+h.deployment.DrainGrace {
+		h.violation("route try to switch %d, which drains or is gone", switchID)
 	}
-	if n, ok := r.named[to]; !ok || n == r.d.OwnExchange || h.ask.Transit && n != h.ask.Dest {
-		r.fault("call %d routed to forbidden switch %d", id, to)
+	if n, ok := h.exchangeOf[switchID]; !ok || n == h.deployment.OwnExchange || call.request.Transit && n != call.request.Dest {
+		h.violation("call %d routed to forbidden switch %d", id, switchID)
 	}
-	until := h.leaves
-	if limit > 0 {
-		until = min(until, r.now+limit)
+	expiresAt := call.abandonAt
+	if timeout > 0 {
+		expiresAt = min(expiresAt, h.now+timeout)
 	}
-	h.out = &try{to, h.tries, until}
-	h.tries++
-	r.sent = append(r.sent, pending{to, r.now})
+	call.openTry = &routeTry{switchID, call.tries, expiresAt}
+	call.tries++
+	h.sent = append(h.sent, sentTry{switchID, h.now})
 }
 
-// answer records a final answer.
-func (r *rig) answer(id uint32, kind string) {
-	r.last = kind
-	h := r.calls[id]
-	if h == nil || h.done || h.stands {
-		r.fault("%s for call %d, which is over", kind, id)
+// finalAnswer records a final answer.
+func (h *harness) finalAnswer(id uint32, action string) {
+	h.lastAction = action
+	call := h.calls[id]
+	if call == nil || call.done || call.established {
+		h.violation("%s for call %d, which is over", action, id)
 		return
 	}
-	if h.out != nil {
-		r.fault("%s for call %d while a route try is out", kind, id)
+	if call.openTry != nil {
+		h.violation("%s for call %d while a route try is out", action, id)
 	}
-	h.done = true
+	call.done = true
 }
 
-func (r *rig) Block(id uint32, comeBack Tenths) {
-	if comeBack > r.d.MaxRetryAfter {
-		r.fault("retry-after time of %d", comeBack)
+func (h *harness) Block(id uint32, retryAfter Tenths) {
+	if retryAfter > h.deployment.MaxRetryAfter {
+		h.violation("retry-after time of %d", retryAfter)
 	}
-	r.answer(id, "block")
-}
-func (r *rig) Abort(id uint32) { r.answer(id, "abort") }
-func (r *rig) Cancel(id uint32, no int) {
-	r.last = fmt.Sprintf("cancel %d", no)
-	r.cancels++
-	if h := r.calls[id]; h == nil || no >= h.tries || !r.c.d.CancelsAllowed {
-		r.fault("cancel of try %d of call %d", no, id)
+	h.finalAnswer(id, "block")
+}
+func (h *harness) Abort(id uint32) { h.finalAnswer(id, "abort") }
+func (h *harness) Cancel(id uint32, try int) {
+	h.lastAction = fmt.Sprintf("cancel %d", try)
+	h.cancellations++
+	if call := h.calls[id]; call == nil || try >= call.tries || !h.controller.deployment.CancelsAllowed {
+		h.violation("cancel of try %d of call %d", try, id)
 	}
 }
-func (r *rig) Subscribe()      { r.follows++ }
-func (r *rig) Log(line string) { r.notes = append(r.notes, line) }
-func (r *rig) SetTimer(at Tenths, token uint64) {
-	r.wakes = append(r.wakes, wake{at, token})
+func (h *harness) Subscribe()      { h.subscriptions++ }
+func (h *harness) Log(line string) { h.logLines = append(h.logLines, line) }
+func (h *harness) SetTimer(at Tenths, token uint64) {
+	h.timers = append(h.timers, timer{at, token})
 }
 
 // offer offers a call to the controller and returns the last action that it took.
-func (r *rig) offer(ask Call) string {
-	r.calls[ask.ID] = &held{ask: ask, leaves: r.now + ask.TTL}
-	r.order = append(r.order, ask.ID)
-	r.last = "nothing"
-	r.c.Offer(r.now, ask)
-	return r.last
+func (h *harness) offer(request Call) string {
+	h.calls[request.ID] = &testCall{request: request, abandonAt: h.now + request.TTL}
+	h.order = append(h.order, request.ID)
+	h.lastAction = "nothing"
+	h.controller.Offer(h.now, request)
+	return h.lastAction
 }
 
 // end reports the outcome of the open route try or of the established call and returns the last action.
-func (r *rig) end(id uint32, e Outcome, why Reason) string {
-	h := r.calls[id]
-	t := h.out
-	h.out = nil
-	if e == TimedOut || e == Disconnected || e == Cancelled {
-		h.releaseAt = r.now + r.d.ReleaseTime
+func (h *harness) end(id uint32, outcome Outcome, reason Reason) string {
+	call := h.calls[id]
+	try := call.openTry
+	call.openTry = nil
+	if outcome == TimedOut || outcome == Disconnected || outcome == Cancelled {
+		call.retryAt = h.now + h.deployment.ReleaseTime
 	}
-	if h.stands {
-		h.done = true
+	if call.established {
+		call.done = true
 	}
-	r.last = "nothing"
-	r.c.TryEnded(r.now, id, t.no, t.to, e, h.done, why, 0, LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1})
-	return r.last
+	h.lastAction = "nothing"
+	h.controller.TryEnded(h.now, id, try.number, try.switchID, outcome, call.done, reason, 0, LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1})
+	return h.lastAction
 }
 
-// stand reports that the open route try is answered.
-func (r *rig) stand(id uint32) {
-	h := r.calls[id]
-	h.stands = true
-	r.c.Answered(r.now, id, h.out.no)
+// answerTry reports that the open route try is answered.
+func (h *harness) answerTry(id uint32) {
+	call := h.calls[id]
+	call.established = true
+	h.controller.Answered(h.now, id, call.openTry.number)
 }
 
 // list delivers a list of switches and records which of them drain or are gone.
-func (r *rig) list(whole bool, sw ...Switch) {
+func (h *harness) list(whole bool, switches ...Switch) {
 	if whole {
-		for id := range r.named {
-			if _, off := r.off[id]; !off {
-				r.off[id] = r.now
+		for id := range h.exchangeOf {
+			if _, unavailable := h.unavailable[id]; !unavailable {
+				h.unavailable[id] = h.now
 			}
 		}
 	}
-	for _, s := range sw {
-		r.named[s.ID] = s.Number
-		if _, off := r.off[s.ID]; s.Ready {
-			delete(r.off, s.ID)
-		} else if !off {
-			r.off[s.ID] = r.now
+	for _, s := range switches {
+		h.exchangeOf[s.ID] = s.Number
+		if _, unavailable := h.unavailable[s.ID]; s.Ready {
+			delete(h.unavailable, s.ID)
+		} else if !unavailable {
+			h.unavailable[s.ID] = h.now
 		}
 	}
-	r.c.ListReceived(r.now, whole, sw)
+	h.controller.ListReceived(h.now, whole, switches)
 }
 
-// group reports the circuits towards a switch.
-func (r *rig) group(sw uint32, free, size int) {
-	r.c.LoadReported(r.now, sw, LoadReport{Free: free, Size: size, Wait: -1, HoldBack: -1})
+// reportGroup reports the circuits towards a switch.
+func (h *harness) reportGroup(switchID uint32, free, size int) {
+	h.controller.LoadReported(h.now, switchID, LoadReport{Free: free, Size: size, Wait: -1, HoldBack: -1})
 }
 
-// pass advances the time. Route tries and timers expire, and callers whose time to live is over must have been
+// advance advances the time. Route tries and timers expire, and callers whose time to live is over must have been
 // answered.
-func (r *rig) pass(by Tenths) {
-	for end := r.now + by; r.now < end; {
-		r.now = min(end, r.now+50)
-		for _, id := range r.order {
-			h := r.calls[id]
-			if h.out != nil && !h.stands && r.now >= h.out.until {
-				r.end(id, TimedOut, NoReason)
+func (h *harness) advance(by Tenths) {
+	for end := h.now + by; h.now < end; {
+		h.now = min(end, h.now+50)
+		for _, id := range h.order {
+			call := h.calls[id]
+			if call.openTry != nil && !call.established && h.now >= call.openTry.expiresAt {
+				h.end(id, TimedOut, NoReason)
 			}
-			if !h.done && !h.stands && r.now > h.leaves+200 {
-				r.fault("call %d got no answer in time", id)
-				h.done = true
+			if !call.done && !call.established && h.now > call.abandonAt+200 {
+				h.violation("call %d got no answer in time", id)
+				call.done = true
 			}
 		}
-		asked := r.wakes
-		r.wakes = nil
+		pending := h.timers
+		h.timers = nil
 		var due []uint64 // expired after all are sorted out, since each may set another timer
-		for _, w := range asked {
-			if w.at <= r.now {
+		for _, w := range pending {
+			if w.at <= h.now {
 				due = append(due, w.token)
 			} else {
-				r.wakes = append(r.wakes, w)
+				h.timers = append(h.timers, w)
 			}
 		}
 		for _, token := range due {
-			r.c.TimerExpired(r.now, token)
+			h.controller.TimerExpired(h.now, token)
 		}
 	}
 }
 
-// open returns the calls with an open route try, in the order offered.
-func (r *rig) open() []uint32 {
+// openCalls returns the calls with an open route try, in the order offered.
+func (h *harness) openCalls() []uint32 {
 	var ids []uint32
-	for _, id := range r.order {
-		if r.calls[id].out != nil {
+	for _, id := range h.order {
+		if h.calls[id].openTry != nil {
 			ids = append(ids, id)
 		}
 	}
