--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -77,9 +77,9 @@
 	instances   map[uint32]*instance
 	lists       [maxLists][]policy.Switch
 	listDefined [maxLists]bool
-	actions     []byte // action records, tail and record count of the reply
+	actions     []byte // action records of the reply
 	tail        []byte
-	count       uint32
+	count       uint32    // of action records
 	selected    *instance // instance of the latest action record
 }
 
@@ -256,7 +256,8 @@
 		ctrl.ListReceived(now, record[1] == listFull || record[1] == listCached, in.host.lists[list])
 	case eventOffer:
 		request := policy.Call{ID: subjectID, Number: binary.LittleEndian.Uint64(record[8:]), Bearer: int(record[5]),
-			TTL: deployment.TenthsFromMillis(getFloat64(record[16:])), Dest: getCount(record[32:]), Width: max(1, getCount(record[36:])), AdvisedTandem: getCount(record[40:]),
+			TTL: deployment.TenthsFromMillis(getFloat64(record[16:])), Dest: getCount(record[32:]),
+			Width: max(1, getCount(record[36:])), AdvisedTandem: getCount(record[40:]),
 			Redial: record[44]&flagRedial != 0, Transit: record[44]&flagTransit != 0, Disconnected: record[44]&flagDisconnected != 0}
 		if !ctrl.Offer(now, request) {
 			return fmt.Errorf("call %d: unknown bearer type %d", subjectID, request.Bearer)
@@ -296,7 +297,7 @@
 	return nil
 }
 
-// readReason splits a reason code into the reason and the wait that it hints at, in milliseconds.
+// readReason splits a reason code into a reason and the processor wait that is encoded with it in milliseconds.
 func readReason(code uint32) (policy.Reason, policy.Tenths) {
 	reasons := [...]policy.Reason{policy.NoReason, policy.NoCircuit, policy.TurnedBack, policy.ProcessorOverloaded,
 		policy.NumberBusy}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -77,8 +77,8 @@
 	return int(math.Ceil(f.shares[i] * f.callsPerSecond * circuitFactor * float64(f.deployment.Bearers[0].HoldingTime) / 10000))
 }
 
-// offer offers controller i a call to an exchange and records the arrival if it goes to the cold switch. The call is answered at
-// once and released, so that the circuits never limit the traffic.
+// offer offers controller i a call to an exchange and records the arrival if it goes to the cold switch. The call is
+// answered at once and released, so that the circuits never limit the traffic.
 func (f *fleet) offer(i, dest int, repeated bool) {
 	h := f.harnesses[i]
 	f.lastID++
@@ -119,7 +119,8 @@
 func (f *fleet) replaceSwitch() {
 	f.bootAt = f.now
 	for i, h := range f.harnesses {
-		h.list(false, Switch{ID: newSwitch, Number: replacedExchange, Ready: true, BootAt: f.bootAt}, Switch{ID: oldSwitch, Number: replacedExchange, Draining: true})
+		h.list(false, Switch{ID: newSwitch, Number: replacedExchange, Ready: true, BootAt: f.bootAt},
+			Switch{ID: oldSwitch, Number: replacedExchange, Draining: true})
 		h.reportGroup(newSwitch, f.groupSize(i), f.groupSize(i))
 	}
 }
@@ -151,8 +152,8 @@
 	return len(f.shares) - 1
 }
 
-// worstWindow returns the largest load of an overload window, as a share of what the switch can bear (N), the largest excess of arrivals
-// over N and random variation, and a description of that window.
+// worstWindow returns the largest load of an overload window, as a share of what the switch can bear (N), the largest
+// excess of arrivals over N and random variation, and a description of that window.
 func (f *fleet) worstWindow() (load, excess float64, description string) {
 	excess = math.Inf(-1)
 	for i, last := range f.arrivals {
@@ -162,20 +163,24 @@
 				n++
 			}
 		}
-		strength := f.deployment.InitialCapacity + (1-f.deployment.InitialCapacity)*float64(last-f.deployment.OverloadWindow-f.bootAt)/float64(f.deployment.RampTime)
-		bearable := f.deployment.OverloadMultiple * max(f.deployment.InitialCapacity, strength) * 2 * f.callsPerSecond / usualLoad * float64(f.deployment.OverloadWindow) / 10000
+		strength := f.deployment.InitialCapacity + (1-f.deployment.InitialCapacity)*
+			float64(last-f.deployment.OverloadWindow-f.bootAt)/float64(f.deployment.RampTime)
+		bearable := f.deployment.OverloadMultiple * max(f.deployment.InitialCapacity, strength) * 2 *
+			f.callsPerSecond / usualLoad * float64(f.deployment.OverloadWindow) / 10000
 		load = max(load, float64(n)/bearable)
 		if windowExcess := float64(n) - bearable - 2*math.Sqrt(bearable) - 2; windowExcess > excess {
-			excess, description = windowExcess, fmt.Sprintf("%d in an overload window %.1f s after the start, N is %.1f", n, float64(last-f.bootAt)/10000, bearable)
+			excess, description = windowExcess, fmt.Sprintf("%d in an overload window %.1f s after the start, N is %.1f",
+				n, float64(last-f.bootAt)/10000, bearable)
 		}
 	}
 	return load, excess, description
 }
 
-// TestSlowStartBudgetOfFleetAfterSwitchReplacement replaces a switch and has the calls that were disconnected there come again within half a
-// second: at once, or after the controllers have saved up their budgets, or after most of them have restarted. The budgets of all
-// controllers must not add up to more than the switch can bear (N) on the mean of the seeds, nor exceed it by more than random
-// variation for any seed. First calls of a usual hour must still get through, or rejecting everything would pass.
+// TestSlowStartBudgetOfFleetAfterSwitchReplacement replaces a switch and has the calls that were disconnected there
+// come again within half a second: at once, after the controllers have saved up their budgets, or after most of them
+// have restarted. The set-ups of all controllers must not add up to more than the switch can bear (N) on the mean of
+// the seeds, nor exceed it by more than random variation for any seed. First calls of a usual hour must still get
+// through, or rejecting everything would pass.
 func TestSlowStartBudgetOfFleetAfterSwitchReplacement(t *testing.T) {
 	const seeds = 4
 	for _, callsPerSecond := range []float64{1.5, 5} {
@@ -209,10 +214,12 @@
 					sent += len(f.arrivals)
 				}
 				if meanLoad > 1 {
-					t.Errorf("%d controllers, %.1f calls/s, %s: mean load is %.2f of what the switch can bear", n, callsPerSecond, scenario, meanLoad)
+					t.Errorf("%d controllers, %.1f calls/s, %s: mean load is %.2f of what the switch can bear",
+						n, callsPerSecond, scenario, meanLoad)
 				}
 				if offered := callsPerSecond * 6 * seeds; scenario == "usual" && float64(sent) < offered/2 {
-					t.Errorf("%d controllers, %.1f calls/s: %d of about %.0f first calls went to the cold switch", n, callsPerSecond, sent, offered)
+					t.Errorf("%d controllers, %.1f calls/s: %d of about %.0f first calls went to the cold switch",
+						n, callsPerSecond, sent, offered)
 				}
 			}
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -16,28 +16,29 @@
 
 // Trunk reservation.
 const (
-	fullReserve        = 2 // circuits of a group reserved for the protected bearer types, the best setting in the paper
+	fullReserve        = 2 // circuits of a group for the protected bearer types, the best setting in the paper
 	transitMargin      = 2 // circuits that must stay free in addition behind a call in transit
-	closedShareDivisor = 4 // reserve and transit margin together close at most 1 circuit in closedShareDivisor to transit calls
+	closedShareDivisor = 4 // the two together close at most a quarter of a group to transit calls
 )
 
 // Measurement of answer times and traffic.
 const (
-	answerHalfLife          = Tenths(15000) // half-life of answer times: spans a few answers of one remote switch
-	reportHalfLife          = Tenths(60000) // half-life of a reported processor wait: spans a few report periods
-	trafficHalfLife         = Tenths(80000) // half-life of traffic counts: longer than any burst or gap between two calls
-	priorWeight             = 0.3           // sample weight of the prior, an answer time of 0, which prevails as samples decay
-	upperQuartileDeviations = 0.7           // standard deviations from the mean to the upper quartile of answer times
-	olderAnswersFactor      = 0.7           // share of their weight that earlier answer times keep after each new one
-
-	minSampleWeight   = 0.2 // minimum sample weight of answer times for a remote switch to count as recently observed
-	minCommonSwitches = 3   // minimum number of recently observed remote switches for their median to count
+	answerHalfLife  = Tenths(15000) // of answer times: spans a few answers of one remote switch
+	reportHalfLife  = Tenths(60000) // of a reported processor wait: spans a few report periods
+	trafficHalfLife = Tenths(80000) // of traffic counts: longer than any burst or gap between two calls
+
+	priorWeight             = 0.3 // sample weight of the prior, an answer time of 0, which prevails as samples decay
+	upperQuartileDeviations = 0.7 // standard deviations from the mean to the upper quartile of answer times
+	olderAnswersFactor      = 0.7 // share of its weight that an answer time keeps after each later one
+
+	minSampleWeight   = 0.2 // of answer times, for a remote switch to count as recently observed
+	minCommonSwitches = 3   // recently observed remote switches needed for their median to count
 )
 
 // Unanswered and lost route tries.
 const (
-	unansweredAgeFactor = 1.5  // answer time to expect of an unanswered try, in multiples of its age, as it is not done yet
-	delayPerLateTry     = 0.15 // what each further late try at the same switch adds to it, as a share of the tightest GoS target
+	unansweredAgeFactor = 1.5  // expected answer time of an unanswered try by its age: it is not done yet
+	delayPerLateTry     = 0.15 // added by each further late try at the switch, as a share of the tightest GoS target
 
 	overdueFactor = 2.0 // multiple of the usual answer time from which an overtaken try is taken as lost
 	lossThreshold = 0.5 // weight of recently overtaken tries from which a remote switch is taken to lose messages
@@ -49,39 +50,39 @@
 	sheddingFull       = 1.4 // all calls are shed; a steeper slope oscillates between overload and idleness
 	commonSheddingFull = 1.0 // all calls are shed if most remote switches are this late: many answers show it
 
-	// maxResendIntervals is the wait in resend intervals that sheds all calls. A set-up is sent again after one and after three.
+	// maxResendIntervals is the longest useful wait of a set-up, which is sent again after one interval and after three.
 	maxResendIntervals = 2.5
 
-	// delayPerDisconnect is the answer time that each recent disconnection of an established call adds by the work that it
-	// causes, as a share of the tightest GoS target.
+	// delayPerDisconnect is the answer time that each recent disconnection of an established call adds, by the work
+	// that it causes, as a share of the tightest GoS target.
 	delayPerDisconnect = 0.01
 
-	probeInterval    = Tenths(7000) // probe interval: how often a shed remote switch gets a call, to detect its recovery
-	retryAfterFactor = 3            // retry-after time in expected answer times: the queue and earlier redials go first
+	probeInterval    = Tenths(7000) // a shed remote switch gets a call this often, to detect its recovery
+	retryAfterFactor = 3            // retry-after time by the expected answer time: the queue and earlier redials go first
 )
 
 // Selection of tandems.
 const (
-	// defaultTurnBackRetryInterval is the retry interval after a turn-back, for the same tandem and destination, where the bearer types
-	// have no holding times. Else it is the longest mean holding time: by then circuits have become free.
+	// defaultTurnBackRetryInterval applies if the bearer types have no holding times. Else the interval is the longest
+	// mean holding time: by then circuits have become free.
 	defaultTurnBackRetryInterval = Tenths(120000)
 
-	minSelectionSuccessRate = 0.3 // success rate of randomly selected tandems below which not every call selects one
+	minSelectionSuccessRate = 0.3 // of randomly selected tandems; below it not every call selects one
 )
 
 // Slow start of a cold switch.
 const (
 	slowStartBurstShare       = 0.5     // share of the overload window whose slow-start budget may be spent at once
-	minSlowStartRate          = 6.0     // set-ups per second from all controllers to a cold switch of unknown traffic
-	minSlowStartCapacityShare = 1.0 / 3 // upper bound of that rate, as a share of what the circuits of the group can carry
+	minSlowStartRate          = 6.0     // set-ups per second from all controllers while the traffic is unknown
+	minSlowStartCapacityShare = 1.0 / 3 // bounds that rate by the calls that the circuits of the group can carry
 )
 
 // Timers and log lines.
 const (
-	tickInterval          = Tenths(1000)   // tick interval: short compared to a GoS target, long compared to the input interval
-	initialSubscribeDelay = Tenths(2500)   // initial delay before the list is requested again; it doubles
-	manyDisconnects       = 20             // disconnections within one or two seconds above which a line is logged
-	logInterval           = Tenths(300000) // minimum interval between two equal log lines
+	tickInterval          = Tenths(1000)   // short compared to any GoS target, long compared to the input interval
+	initialSubscribeDelay = Tenths(2500)   // before the list of switches is requested again; it doubles
+	manyDisconnects       = 20             // within one or two seconds, above which a line is logged
+	logInterval           = Tenths(300000) // minimum time between two equal log lines
 )
 
 // callState is the state of a call. Only setState changes it.
@@ -95,7 +96,7 @@
 	ended                            // finally answered, released or abandoned
 )
 
-// activeCall is a call that is not over.
+// activeCall is a call that has not ended.
 type activeCall struct {
 	request        Call
 	state          callState
@@ -131,7 +132,7 @@
 // remoteSwitch is a remote switch and the circuit group towards it.
 type remoteSwitch struct {
 	id                 uint32
-	number             int
+	number             int // of the exchange or pool that it serves
 	ready              bool
 	bootAt             Tenths
 	free, size         int
@@ -187,9 +188,19 @@
 
 // New returns a controller whose process starts now.
 func New(deployment Deployment, executor Executor, now Tenths) *Controller {
-	c := &Controller{deployment: deployment, executor: executor, randomState: deployment.Seed%0xfffffffe + 1, startTime: now, byID: map[uint32]int{},
-		serving: map[int]int{}, lastTandem: map[int]int{}, traffic: map[int]*decayingStats{},
-		calls: map[uint32]*activeCall{}, rejectedNumbers: map[uint64]Tenths{}, loggedAt: map[string]Tenths{}}
+	c := &Controller{
+		deployment:      deployment,
+		executor:        executor,
+		randomState:     deployment.Seed%0xfffffffe + 1,
+		startTime:       now,
+		byID:            map[uint32]int{},
+		serving:         map[int]int{},
+		lastTandem:      map[int]int{},
+		traffic:         map[int]*decayingStats{},
+		calls:           map[uint32]*activeCall{},
+		rejectedNumbers: map[uint64]Tenths{},
+		loggedAt:        map[string]Tenths{},
+	}
 	c.rankBearers()
 	if deployment.MustSubscribe {
 		c.executor.Subscribe()
@@ -207,7 +218,8 @@
 	for _, bearer := range c.deployment.Bearers {
 		revenues = append(revenues, bearer.Revenue, bearer.Revenue*bearer.LateShare)
 		highest = max(highest, bearer.Revenue)
-		c.maxAbandonTime, c.turnBackRetryInterval = max(c.maxAbandonTime, bearer.AbandonTime), max(c.turnBackRetryInterval, bearer.HoldingTime)
+		c.maxAbandonTime, c.turnBackRetryInterval =
+			max(c.maxAbandonTime, bearer.AbandonTime), max(c.turnBackRetryInterval, bearer.HoldingTime)
 		if c.minGoSTarget == 0 || bearer.GoSTarget < c.minGoSTarget {
 			c.minGoSTarget = bearer.GoSTarget
 		}
@@ -373,7 +385,8 @@
 	if remote.transitCircuits(call.request.Width) < 0 {
 		return false
 	}
-	if pools := c.bearers[call.request.Bearer].pools; c.deployment.Pools && len(pools) > 0 && !slices.Contains(pools, remote.number) {
+	if pools := c.bearers[call.request.Bearer].pools; c.deployment.Pools && len(pools) > 0 &&
+		!slices.Contains(pools, remote.number) {
 		return false
 	}
 	if at, ok := remote.turnedBackAt[call.request.Dest]; ok && now < at+c.turnBackRetryInterval {
@@ -438,8 +451,8 @@
 }
 
 // isProbe reports whether a call goes to a shed remote switch as a probe, so that a recovery is detected even
-// where all other calls are shed. A probe is of the highest revenue; the switch must have no unanswered try
-// and have had none for the probe interval.
+// where all other calls are shed. A probe is a call of the highest revenue, to a switch that has no unanswered
+// try and got none within the probe interval.
 func (c *Controller) isProbe(now Tenths, call *activeCall, remote *remoteSwitch) bool {
 	return c.rank(call) == 0 && len(remote.openTries) == 0 && now-remote.sentAt > probeInterval
 }
@@ -472,7 +485,8 @@
 		c.cachedCommonAt, c.cachedCommon = now, 0
 		var expected []Tenths
 		for i := range c.remotes {
-			if remote := &c.remotes[i]; remote.ready && (remote.answerTimes.weightAt(now, answerHalfLife) > minSampleWeight || len(remote.openTries) > 0) {
+			if remote := &c.remotes[i]; remote.ready &&
+				(remote.answerTimes.weightAt(now, answerHalfLife) > minSampleWeight || len(remote.openTries) > 0) {
 				expected = append(expected, c.expectedAnswerTime(now, remote))
 			}
 		}
@@ -558,7 +572,8 @@
 			warm++
 		}
 	}
-	controllers, capacity := float64(max(1, c.deployment.Controllers)), float64(remote.size)*10000/float64(c.turnBackRetryInterval)
+	controllers, capacity :=
+		float64(max(1, c.deployment.Controllers)), float64(remote.size)*10000/float64(c.turnBackRetryInterval)
 	if c.deployment.Pools { // all controllers share the group
 		capacity /= controllers
 	}
@@ -566,10 +581,13 @@
 	if firstCalls := c.traffic[remote.number]; firstCalls != nil {
 		traffic = max(traffic, firstCalls.weightAt(now, trafficHalfLife))
 	}
-	traffic *= math.Ln2 / (1 - decayFactor(max(c.deployment.OverloadWindow, now-c.startTime), trafficHalfLife)) / float64(trafficHalfLife) * 10000
+	traffic *= math.Ln2 / (1 - decayFactor(max(c.deployment.OverloadWindow, now-c.startTime), trafficHalfLife)) /
+		float64(trafficHalfLife) * 10000
 	rate := max(traffic, min(minSlowStartCapacityShare*capacity, minSlowStartRate/controllers))
-	rate *= c.deployment.OverloadMultiple * (c.deployment.InitialCapacity + (1-c.deployment.InitialCapacity)*float64(now-remote.bootAt)/float64(c.deployment.RampTime))
-	maxBudget, earned := rate*slowStartBurstShare*float64(c.deployment.OverloadWindow)/10000, rate*float64(now-remote.budgetUpdatedAt)/10000
+	rate *= c.deployment.OverloadMultiple * (c.deployment.InitialCapacity +
+		(1-c.deployment.InitialCapacity)*float64(now-remote.bootAt)/float64(c.deployment.RampTime))
+	maxBudget, earned :=
+		rate*slowStartBurstShare*float64(c.deployment.OverloadWindow)/10000, rate*float64(now-remote.budgetUpdatedAt)/10000
 	remote.budgetUpdatedAt = now
 	remote.firstCallBudget = min(max(1, maxBudget), remote.firstCallBudget+earned)
 	remote.repeatedCallBudget = min(maxBudget, remote.repeatedCallBudget+earned)
@@ -593,7 +611,8 @@
 	switch {
 	case call.state != offered && call.state != awaitingRelease: // rules 1 and 2: it is answered or a try is out
 		return false
-	case !remote.ready || remote.number == c.deployment.OwnExchange || c.serving[remote.number] != index: // rule 3: the list says that it drains or is gone
+	case !remote.ready || remote.number == c.deployment.OwnExchange ||
+		c.serving[remote.number] != index: // rule 3: the list says that it drains or is gone
 		return false
 	case call.request.Transit && remote.number != call.request.Dest:
 		return false
@@ -770,7 +789,8 @@
 }
 
 // recordFailure records what a failed try shows about the load of the processors on its way.
-func (c *Controller) recordFailure(now Tenths, call *activeCall, remote *remoteSwitch, outcome Outcome, reason Reason, reportedWait Tenths) {
+func (c *Controller) recordFailure(now Tenths, call *activeCall, remote *remoteSwitch, outcome Outcome, reason Reason,
+	reportedWait Tenths) {
 	overloadWait := max(reportedWait, c.bearers[call.request.Bearer].gosTarget)
 	switch {
 	case reason == ProcessorOverloaded:
@@ -848,7 +868,8 @@
 // ListLost reports that the list of switches could not be fetched or that its subscription broke. It is requested
 // again after an exponential delay with jitter.
 func (c *Controller) ListLost(now Tenths) {
-	c.subscribeDelay = min(max(2*c.subscribeDelay, initialSubscribeDelay), max(initialSubscribeDelay, c.deployment.MaxSubscribeInterval/4))
+	c.subscribeDelay = min(max(2*c.subscribeDelay, initialSubscribeDelay),
+		max(initialSubscribeDelay, c.deployment.MaxSubscribeInterval/4))
 	c.executor.SetTimer(now+c.subscribeDelay+Tenths(c.random()*float64(c.subscribeDelay)), subscribeToken)
 }
 
@@ -863,7 +884,9 @@
 	for _, sw := range list {
 		remote := &c.remotes[c.remoteIndex(sw.ID)]
 		if sw.BootAt != remote.bootAt { // a new process: what was measured of the old one is void
-			remote.answerTimes, remote.reportedWait, remote.admissionHoldBack, remote.firstCallBudget, remote.repeatedCallBudget, remote.budgetUpdatedAt = decayingStats{}, 0, 0, 1, 0, now
+			remote.answerTimes, remote.reportedWait, remote.admissionHoldBack,
+				remote.firstCallBudget, remote.repeatedCallBudget, remote.budgetUpdatedAt =
+				decayingStats{}, 0, 0, 1, 0, now
 		}
 		remote.number, remote.bootAt, remote.ready = sw.Number, sw.BootAt, sw.Ready
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -136,7 +136,8 @@
 		}
 	}
 	if sent < 8 || len(h.violations) > 0 {
-		t.Fatalf("%d of 10 calls sent over the advised tandem after random selections that all failed; violations: %v", sent, h.violations)
+		t.Fatalf("%d of 10 calls sent over the advised tandem after random selections that all failed; violations: %v",
+			sent, h.violations)
 	}
 }
 
@@ -442,7 +443,8 @@
 	return deployment
 }
 
-// TestRulesHoldInRandomHistories drives the controller through random valid histories; the harness checks the rules at every step.
+// TestRulesHoldInRandomHistories drives the controller through random valid histories; the harness checks the rules at
+// every step.
 func TestRulesHoldInRandomHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		deployment := drawDeployment(t)
--- a/policy/rig_test.go
+++ b/policy/rig_test.go
@@ -49,7 +49,7 @@
 	calls         map[uint32]*testCall
 	order         []uint32
 	unavailable   map[uint32]Tenths // when a switch was first listed as draining or gone
-	exchangeOf    map[uint32]int    // numbers of all switches ever listed
+	exchangeOf    map[uint32]int    // exchange of every switch ever listed
 	timers        []timer
 	sent          []sentTry // every route try: switch and time
 	lastAction    string
@@ -60,7 +60,8 @@
 }
 
 func newHarness(deployment Deployment) *harness {
-	h := &harness{deployment: deployment, now: 1_000_000, calls: map[uint32]*testCall{}, unavailable: map[uint32]Tenths{}, exchangeOf: map[uint32]int{}}
+	h := &harness{deployment: deployment, now: 1_000_000, calls: map[uint32]*testCall{},
+		unavailable: map[uint32]Tenths{}, exchangeOf: map[uint32]int{}}
 	h.controller = New(deployment, h, h.now)
 	return h
 }
@@ -154,7 +155,8 @@
 		call.done = true
 	}
 	h.lastAction = "nothing"
-	h.controller.TryEnded(h.now, id, try.number, try.switchID, outcome, call.done, reason, 0, LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1})
+	h.controller.TryEnded(h.now, id, try.number, try.switchID, outcome, call.done, reason, 0,
+		LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1})
 	return h.lastAction
 }
 
