--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,11 +1,11 @@
-// Package policy makes every decision about the calls of one exchange: admission, routing, further route
-// tries and rejection.
+// Package policy makes every decision about the calls of one exchange: admission, routing, further route tries and
+// rejection.
 //
-// The owner creates a Controller with New and reports events to it: Offer for a new call, Answered and TryEnded
-// for its route tries, Abandoned, LoadReported, ListReceived, ListLost and TimerExpired. While it handles an
-// event, the Controller acts through the Executor that it was given. types.go declares what both sides exchange.
-// The package does no input or output and reads no clock: every method takes the current time.
-// docs/design.md lists each departure from the design page.
+// The owner creates a Controller with New and reports events to it: Offer for a new call, Answered and TryEnded for
+// its route tries, Abandoned, LoadReported, ListReceived, ListLost and TimerExpired. While it handles an event, the
+// Controller acts through the Executor that it was given. types.go declares what both sides exchange. The package
+// does no input or output and reads no clock: every method takes the current time. docs/design.md lists each
+// departure from the design page.
 package policy
 
 import (
@@ -161,7 +161,7 @@
 	byID                  map[uint32]int
 	serving               map[int]int            // index of the switch in service, by exchange or pool
 	lastTandem            map[int]int            // index of the tandem last used, by destination
-	traffic               map[int]*decayingStats // rate of first calls, by destination
+	traffic               map[int]*decayingStats // first calls offered, by destination
 	offeredByRank         []decayingStats        // offered calls, by position in the order of revenue
 	calls                 map[uint32]*activeCall
 	rejectedNumbers       map[uint64]Tenths // when a rejected caller first dialled, by number called
@@ -210,8 +210,8 @@
 }
 
 // rankBearers orders first calls and redials of all bearer types by the revenue that a call still earns and
-// protects the types of highest revenue. A redial usually comes after the GoS target of its first try, so it
-// counts with the late share of the revenue.
+// protects the types of highest revenue. A redial usually comes after the GoS target of its first try, so it counts
+// with the late share of the revenue.
 func (c *Controller) rankBearers() {
 	var revenues []float64
 	highest := 0.0
@@ -265,10 +265,10 @@
 	return true
 }
 
-// classifyRedial determines whether a call is a redial that comes too late for the GoS target of its caller's
-// first try. Callers may not mark redials, and the mark does not give the time of the first try, so a call to
-// a number that was recently rejected here counts as a redial. This keeps redials from crowding out first
-// calls. Its cost: where many callers dial one number, all but the first of them rank behind first calls.
+// classifyRedial determines whether a call is a redial that comes too late for the GoS target of its caller's first
+// try. Callers may not mark redials, and the mark does not give the time of the first try, so a call to a number
+// that was recently rejected here counts as a redial. This keeps redials from crowding out first calls. Its cost:
+// where many callers dial one number, all but the first of them rank behind first calls.
 func (c *Controller) classifyRedial(now Tenths, call *activeCall) {
 	call.repeated = call.request.Redial || call.request.Disconnected
 	if call.request.Transit || call.request.Disconnected {
@@ -345,17 +345,17 @@
 }
 
 // reserve is the number of circuits reserved for the protected bearer types: 2 if that closes no more than a
-// quarter of the group to transit calls, else 1. Most groups of a large network are so small that a full
-// reserve would close half of each group to transit and leave no tandem. Its cost: where the protected types
-// alone fill small groups, the reserve is too small.
+// quarter of the group to transit calls, else 1. Most groups of a large network are so small that a full reserve
+// would close half of each group to transit and leave no tandem. Its cost: where the protected types alone fill
+// small groups, the reserve is too small.
 func (r *remoteSwitch) reserve() int {
 	return min(fullReserve, max(1, r.size/closedShareDivisor-transitMargin))
 }
 
 // transitCircuits is the number of circuits beyond the reserve and the transit margin that a call over a tandem
-// finds; negative means that it may not use the group. In a group with the full reserve, all circuits of a
-// wide call count, since a few wide calls would fill the group. In a small group only one counts, or wide
-// calls would never get through.
+// finds; negative means that it may not use the group. In a group with the full reserve, all circuits of a wide
+// call count, since a few wide calls would fill the group. In a small group only one counts, or wide calls would
+// never get through.
 func (r *remoteSwitch) transitCircuits(width int) int {
 	if r.reserve() < fullReserve && r.free >= width {
 		width = 1
@@ -363,9 +363,9 @@
 	return r.free - width - r.reserve() - transitMargin
 }
 
-// tryTimeout is the timeout of a route try. It ends with the GoS target. A first try over a tandem, or to a
-// switch that recently lost messages, gets a shorter one that leaves time for the release and one more try,
-// if answers usually come well within it.
+// tryTimeout is the timeout of a route try. It ends with the GoS target. A first try over a tandem, or to a switch
+// that recently lost messages, gets a shorter one that leaves time for the release and one more try, if answers
+// usually come well within it.
 func (c *Controller) tryTimeout(now Tenths, call *activeCall, index int) Tenths {
 	remote, remaining := &c.remotes[index], call.gosDeadline-now
 	shortTimeout := (remaining - c.deployment.ReleaseTime) / 2
@@ -376,7 +376,8 @@
 	return remaining
 }
 
-// tandemUsable reports whether a switch may serve as tandem: it has circuits for transit, is warm and not overloaded.
+// tandemUsable reports whether a switch may serve as tandem: it has circuits for transit, is warm and not
+// overloaded.
 func (c *Controller) tandemUsable(now Tenths, call *activeCall, tandem, dest int) bool {
 	remote := &c.remotes[tandem]
 	if tandem == dest || c.serving[remote.number] != tandem || c.isCold(now, remote) {
@@ -396,8 +397,8 @@
 }
 
 // selectTandem selects one of the usable tandems at random, weighted by the square of the circuits that are free
-// for transit. A tandem with many circuits to here usually has many to the destination too; with uniform
-// weights and many small groups most selections would be turned back.
+// for transit. A tandem with many circuits to here usually has many to the destination too; with uniform weights
+// and many small groups most selections would be turned back.
 func (c *Controller) selectTandem(now Tenths, call *activeCall, dest int) (int, bool) {
 	selected, totalWeight := 0, 0
 	for tandem := range c.remotes {
@@ -414,11 +415,11 @@
 	return selected, totalWeight > 0
 }
 
-// selectionSuccessRate is the recent success rate of randomly selected tandems; without samples it is high enough to select
-// every time. Where most selections are turned back, as in large networks of small groups or after a loss of
-// circuits, each is wasted work for two processors: then fewer tandems are selected at random, and the
-// tandem that a routing centre advises, if any, is used instead. Its cost: after circuits have come back,
-// random selection stays rare for some seconds.
+// selectionSuccessRate is the recent success rate of randomly selected tandems; without samples it is high enough
+// to select every time. Where most selections are turned back, as in large networks of small groups or after a loss
+// of circuits, each is wasted work for two processors: then fewer tandems are selected at random, and the tandem
+// that a routing centre advises, if any, is used instead. Its cost: after circuits have come back, random selection
+// stays rare for some seconds.
 func (c *Controller) selectionSuccessRate(now Tenths) float64 {
 	n := c.tandemSelections.weightAt(now, trafficHalfLife)
 	share := (c.tandemSelections.sum + minSelectionSuccessRate) / (n + 1)
@@ -428,9 +429,9 @@
 	return share
 }
 
-// admits reports whether a call is admitted. When processors on the way answer late, calls of the lowest
-// revenue are shed first, so that the admitted part of the traffic is the most valuable one and no larger
-// than what the processors can serve in time.
+// admits reports whether a call is admitted. When processors on the way answer late, calls of the lowest revenue
+// are shed first, so that the admitted part of the traffic is the most valuable one and no larger than what the
+// processors can serve in time.
 func (c *Controller) admits(now Tenths, call *activeCall, dest int) bool {
 	admitted := 1 - c.shedShare(now, &c.remotes[dest], call)
 	if admitted >= 1 || c.isProbe(now, call, &c.remotes[dest]) {
@@ -450,16 +451,16 @@
 	return higher+same <= admitted || same > 0 && c.random() < (admitted-higher)/same
 }
 
-// isProbe reports whether a call goes to a shed remote switch as a probe, so that a recovery is detected even
-// where all other calls are shed. A probe is a call of the highest revenue, to a switch that has no unanswered
-// try and got none within the probe interval.
+// isProbe reports whether a call goes to a shed remote switch as a probe, so that a recovery is detected even where
+// all other calls are shed. A probe is a call of the highest revenue, to a switch that has no unanswered try and
+// got none within the probe interval.
 func (c *Controller) isProbe(now Tenths, call *activeCall, remote *remoteSwitch) bool {
 	return c.rank(call) == 0 && len(remote.openTries) == 0 && now-remote.sentAt > probeInterval
 }
 
 // shedShare is the share of new set-ups to a remote switch that is to be shed now. The slope is steeper if most
-// remote switches are late: a queue that all share settles where arrivals equal the service rate, and on the
-// gentle slope that is so near the GoS target that most tries through the queue are lost.
+// remote switches are late: a queue that all share settles where arrivals equal the service rate, and on the gentle
+// slope that is so near the GoS target that most tries through the queue are lost.
 func (c *Controller) shedShare(now Tenths, remote *remoteSwitch, call *activeCall) float64 {
 	scale := float64(c.bearers[call.request.Bearer].gosTarget)
 	if c.deployment.ResendInterval > 0 { // a longer wait causes resends, which are further work
@@ -471,15 +472,14 @@
 	return min(1, max(0, late, common, requested))
 }
 
-// commonAnswerTime is the least answer time to expect of any remote switch: the median of those observed recently. If
-// most are late together, the own processor or all of theirs are overloaded, and a switch that was not used
-// recently will be no faster. It detects a general slowdown, for which the one or two answers per second and
-// pair of switches come too late. Its cost: where most remote switches are slow, calls to the others are shed
-// too.
+// commonAnswerTime is the least answer time to expect of any remote switch: the median of those observed recently.
+// If most are late together, the own processor or all of theirs are overloaded, and a switch that was not used
+// recently will be no faster. It detects a general slowdown, for which the one or two answers per second and pair
+// of switches come too late. Its cost: where most remote switches are slow, calls to the others are shed too.
 //
-// Recent disconnections of established calls count as well, since their releases and redials load the
-// processors before any answer shows it. Where processors handle releases ahead of set-ups, that sheds calls
-// for a moment without need.
+// Recent disconnections of established calls count as well, since their releases and redials load the processors
+// before any answer shows it. Where processors handle releases ahead of set-ups, that sheds calls for a moment
+// without need.
 func (c *Controller) commonAnswerTime(now Tenths) Tenths {
 	if c.cachedCommonAt != now {
 		c.cachedCommonAt, c.cachedCommon = now, 0
@@ -500,11 +500,11 @@
 	return max(c.cachedCommon, Tenths(c.disconnects.weightAt(now, answerHalfLife)*delayPerDisconnect*float64(c.minGoSTarget)))
 }
 
-// expectedAnswerTime is the expected answer time of a remote switch, the largest of three estimates: the upper quartile of
-// recent answer times, the processor wait last reported, and one from the age and number of unanswered tries.
-// A hung switch does not answer and a slow one answers seconds late; at one or two calls per second the
-// unanswered tries are the first sign of either. Only tries much older than the usual answer time count by
-// number, since at high rates some tries are always out. The estimate is too high for a moment after a burst.
+// expectedAnswerTime is the expected answer time of a remote switch, the largest of three estimates: the upper
+// quartile of recent answer times, the processor wait last reported, and one from the age and number of unanswered
+// tries. A hung switch does not answer and a slow one answers seconds late; at one or two calls per second the
+// unanswered tries are the first sign of either. Only tries much older than the usual answer time count by number,
+// since at high rates some tries are always out. The estimate is too high for a moment after a burst.
 func (c *Controller) expectedAnswerTime(now Tenths, remote *remoteSwitch) Tenths {
 	usual := remote.answerTimes.upperQuartile(now)
 	worst := max(usual, float64(remote.reportedWait)*decayFactor(now-remote.reportedAt, reportHalfLife))
@@ -546,21 +546,20 @@
 	return remote.bootAt > 0 && now < remote.bootAt+c.deployment.RampTime
 }
 
-// takeSlowStartBudget reports whether one more set-up may go to a cold switch and takes it from the slow-start budget.
+// takeSlowStartBudget reports whether one more set-up may go to a cold switch and takes it from the slow-start
+// budget.
 //
-// The budget grows at a rate that starts from this exchange's traffic: the larger of the first calls offered
-// for that switch and the mean sent to a warm switch. That is this exchange's share of the capacity of a
-// switch, with a margin, since half of a processor's work is for calls of its own exchange. While little
-// traffic is known, part of what the circuit group can carry is the lower bound. The rate is this traffic
-// times the overload multiple, times the capacity that the switch has reached. Set-ups that are rejected
-// count as well, since sends are counted.
+// The budget grows at a rate that starts from this exchange's traffic: the larger of the first calls offered for
+// that switch and the mean sent to a warm switch. That is this exchange's share of the capacity of a switch, with a
+// margin, since half of a processor's work is for calls of its own exchange. While little traffic is known, part of
+// what the circuit group can carry is the lower bound. The rate is this traffic times the overload multiple, times
+// the capacity that the switch has reached. Set-ups that are rejected count as well, since sends are counted.
 //
-// First calls reach the controllers independently of one another, so each controller may save up one whole
-// set-up, and the sum varies about its mean. Repeated calls and further tries reach all controllers at the
-// same time, since they have a common cause. If each controller had saved up a whole set-up for these, all
-// would be sent within one window, and their sum would be the number of controllers instead of the budget.
-// So their budget, far less than one set-up where controllers are many, is the probability that the set-up
-// is sent, and it is spent either way.
+// First calls reach the controllers independently of one another, so each controller may save up one whole set-up,
+// and the sum varies about its mean. Repeated calls and further tries reach all controllers at the same time, since
+// they have a common cause. If each controller had saved up a whole set-up for these, all would be sent within one
+// window, and their sum would be the number of controllers instead of the budget. So their budget, far less than
+// one set-up where controllers are many, is the probability that the set-up is sent, and it is spent either way.
 func (c *Controller) takeSlowStartBudget(now Tenths, remote *remoteSwitch, call *activeCall) bool {
 	if !c.isCold(now, remote) {
 		return true
@@ -635,8 +634,8 @@
 	return true
 }
 
-// reject gives a call its final answer. If a processor is overloaded, the answer tells the caller to try again
-// when the queue there should have been worked off.
+// reject gives a call its final answer. If a processor is overloaded, the answer tells the caller to try again when
+// the queue there should have been worked off.
 func (c *Controller) reject(now Tenths, call *activeCall, overloaded bool) {
 	c.setState(call, ended)
 	if now >= call.abandonAt {
@@ -668,8 +667,8 @@
 	c.executor.SetTimer(c.nextTickAt, tickToken)
 }
 
-// detectStall detects a stall of this controller: the tick is overdue. Answers that came meanwhile were not late and
-// must not count against any remote switch; otherwise the controller would shed calls for seconds after each
+// detectStall detects a stall of this controller: the tick is overdue. Answers that came meanwhile were not late
+// and must not count against any remote switch; otherwise the controller would shed calls for seconds after each
 // stall.
 func (c *Controller) detectStall(now Tenths) {
 	if now > c.nextTickAt+tickInterval && c.stallEndedAt != now {
@@ -701,11 +700,11 @@
 	c.detectLostTries(now, call)
 }
 
-// detectLostTries detects lost messages on links or at switches that drop some: it looks for direct tries sent to the
-// same switch before the one just answered. A processor serves one queue in order, so a try that has waited
-// much longer than the usual answer time has lost its set-up or its answer. Such a try does not count against
-// the processor, and it is cancelled if another try can still meet the GoS target. Younger tries are left
-// alone, since answers within the jitter of the links may overtake each other.
+// detectLostTries detects lost messages on links or at switches that drop some: it looks for direct tries sent to
+// the same switch before the one just answered. A processor serves one queue in order, so a try that has waited
+// much longer than the usual answer time has lost its set-up or its answer. Such a try does not count against the
+// processor, and it is cancelled if another try can still meet the GoS target. Younger tries are left alone, since
+// answers within the jitter of the links may overtake each other.
 func (c *Controller) detectLostTries(now Tenths, call *activeCall) {
 	if call.viaTandem {
 		return
@@ -835,9 +834,9 @@
 }
 
 // Abandoned reports that the caller has abandoned the call, which needs no answer any more. A try that is older
-// than the usual answer time, or late enough for shedding, then counts as answered after the GoS target.
-// Otherwise the latest answers would never count where callers abandon early, and the remote switches would
-// look fast and be overloaded. A younger try shows nothing: its caller left for another reason.
+// than the usual answer time, or late enough for shedding, then counts as answered after the GoS target. Otherwise
+// the latest answers would never count where callers abandon early, and the remote switches would look fast and be
+// overloaded. A younger try shows nothing: its caller left for another reason.
 func (c *Controller) Abandoned(now Tenths, callID uint32) {
 	if call := c.calls[callID]; call != nil {
 		gosTarget := c.bearers[call.request.Bearer].gosTarget
@@ -942,8 +941,8 @@
 	s.weight, s.sum, s.sumSquares = s.weight+1, s.sum+value, s.sumSquares+value*value
 }
 
-// upperQuartile estimates the upper quartile from mean and standard deviation. As the samples decay, it tends to the
-// prior, zero.
+// upperQuartile estimates the upper quartile from mean and standard deviation. As the samples decay, it tends to
+// the prior, zero.
 func (s *decayingStats) upperQuartile(now Tenths) float64 {
 	weight := s.weightAt(now, answerHalfLife)
 	if weight <= 0 {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -203,8 +203,10 @@
 	expectAction(t, h, h.lastAction, "cancel 0")
 	expectAction(t, h, h.end(1, Cancelled, NoReason), "nothing")
 	h.advance(3100)
-	if h.calls[1].openTry == nil || h.controller.expectedAnswerTime(h.now, &h.controller.remotes[h.controller.byID[101]]) > 1500 || len(h.violations) > 0 {
-		t.Fatalf("call %+v, expected answer time %d, violations: %v", h.calls[1], h.controller.expectedAnswerTime(h.now, &h.controller.remotes[h.controller.byID[101]]), h.violations)
+	if h.calls[1].openTry == nil ||
+		h.controller.expectedAnswerTime(h.now, &h.controller.remotes[h.controller.byID[101]]) > 1500 || len(h.violations) > 0 {
+		t.Fatalf("call %+v, expected answer time %d, violations: %v", h.calls[1],
+			h.controller.expectedAnswerTime(h.now, &h.controller.remotes[h.controller.byID[101]]), h.violations)
 	}
 }
 
@@ -293,7 +295,8 @@
 func TestCommonLatenessCountsForUnobservedSwitches(t *testing.T) {
 	h := newMesh(6, 200)
 	late := func(dest int) Tenths {
-		return max(h.controller.expectedAnswerTime(h.now, &h.controller.remotes[h.controller.byID[uint32(100+dest)]]), h.controller.commonAnswerTime(h.now))
+		return max(h.controller.expectedAnswerTime(h.now, &h.controller.remotes[h.controller.byID[uint32(100+dest)]]),
+			h.controller.commonAnswerTime(h.now))
 	}
 	for dest := 1; dest < 3; dest++ {
 		h.offer(newCall(uint32(dest), 1, dest))
@@ -338,7 +341,8 @@
 	h := newMesh(3, 200)
 	sent := [2]int{}
 	for id := uint32(0); id < 300; id++ {
-		h.controller.recordReport(h.now, &h.controller.remotes[h.controller.byID[101]], LoadReport{Free: 200, Size: 200, Wait: 7000, HoldBack: -1})
+		h.controller.recordReport(h.now, &h.controller.remotes[h.controller.byID[101]],
+			LoadReport{Free: 200, Size: 200, Wait: 7000, HoldBack: -1})
 		b := 0
 		if id%5 == 0 {
 			b = 1
