--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -66,8 +66,8 @@
 	return h
 }
 
-// violation records a violated rule.
-func (h *harness) violation(format string, args ...any) {
+// addViolation records a violated rule.
+func (h *harness) addViolation(format string, args ...any) {
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
@@ -76,20 +76,20 @@
 	h.lastAction = fmt.Sprintf("send %d", switchID)
 	switch {
 	case call == nil || call.done:
-		h.violation("route try for call %d, which is over", id)
+		h.addViolation("route try for call %d, which is over", id)
 		return
 	case call.openTry != nil || call.established:
-		h.violation("second route try for call %d", id)
+		h.addViolation("second route try for call %d", id)
 	case h.now < call.retryAt:
-		h.violation("route try for call %d before its release", id)
+		h.addViolation("route try for call %d before its release", id)
 	case call.tries >= h.deployment.MaxTries:
-		h.violation("too many route tries for call %d", id)
+		h.addViolation("too many route tries for call %d", id)
 	}
 	if at, unavailable := h.unavailable[switchID]; unavailable && h.now > at+h.deployment.DrainGrace {
-		h.violation("route try to switch %d, which drains or is gone", switchID)
+		h.addViolation("route try to switch %d, which drains or is gone", switchID)
 	}
 	if n, ok := h.exchangeOf[switchID]; !ok || n == h.deployment.OwnExchange || call.request.Transit && n != call.request.Dest {
-		h.violation("call %d routed to forbidden switch %d", id, switchID)
+		h.addViolation("call %d routed to forbidden switch %d", id, switchID)
 	}
 	expiresAt := call.abandonAt
 	if timeout > 0 {
@@ -105,18 +105,18 @@
 	h.lastAction = action
 	call := h.calls[id]
 	if call == nil || call.done || call.established {
-		h.violation("%s for call %d, which is over", action, id)
+		h.addViolation("%s for call %d, which is over", action, id)
 		return
 	}
 	if call.openTry != nil {
-		h.violation("%s for call %d while a route try is out", action, id)
+		h.addViolation("%s for call %d while a route try is out", action, id)
 	}
 	call.done = true
 }
 
 func (h *harness) Block(id uint32, retryAfter Tenths) {
 	if retryAfter > h.deployment.MaxRetryAfter {
-		h.violation("retry-after time of %d", retryAfter)
+		h.addViolation("retry-after time of %d", retryAfter)
 	}
 	h.finalAnswer(id, "block")
 }
@@ -125,7 +125,7 @@
 	h.lastAction = fmt.Sprintf("cancel %d", try)
 	h.cancellations++
 	if call := h.calls[id]; call == nil || try >= call.tries || !h.controller.deployment.CancelsAllowed {
-		h.violation("cancel of try %d of call %d", try, id)
+		h.addViolation("cancel of try %d of call %d", try, id)
 	}
 }
 func (h *harness) Subscribe()      { h.subscriptions++ }
@@ -203,18 +203,18 @@
 				h.end(id, TimedOut, NoReason)
 			}
 			if !call.done && !call.established && h.now > call.abandonAt+200 {
-				h.violation("call %d got no answer in time", id)
+				h.addViolation("call %d got no answer in time", id)
 				call.done = true
 			}
 		}
 		pending := h.timers
 		h.timers = nil
 		var due []uint64 // expired after all are sorted out, since each may set another timer
-		for _, w := range pending {
-			if w.at <= h.now {
-				due = append(due, w.token)
+		for _, timer := range pending {
+			if timer.at <= h.now {
+				due = append(due, timer.token)
 			} else {
-				h.timers = append(h.timers, w)
+				h.timers = append(h.timers, timer)
 			}
 		}
 		for _, token := range due {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -294,7 +294,7 @@
 
 func TestCommonLatenessCountsForUnobservedSwitches(t *testing.T) {
 	h := newMesh(6, 200)
-	late := func(dest int) Tenths {
+	expected := func(dest int) Tenths {
 		return max(h.controller.expectedAnswerTime(h.now, &h.controller.remotes[h.controller.byID[uint32(100+dest)]]),
 			h.controller.commonAnswerTime(h.now))
 	}
@@ -302,15 +302,15 @@
 		h.offer(newCall(uint32(dest), 1, dest))
 	}
 	h.advance(6000)
-	if late(5) > 0 {
-		t.Fatalf("two late remote switches add %d to the expected answer time of another", late(5))
+	if expected(5) > 0 {
+		t.Fatalf("two late remote switches add %d to the expected answer time of another", expected(5))
 	}
 	for dest := 3; dest < 5; dest++ {
 		h.offer(newCall(uint32(dest), 1, dest))
 	}
 	h.advance(5000)
-	if late(5) < 7000 {
-		t.Fatalf("four late remote switches add %d to the expected answer time of another", late(5))
+	if expected(5) < 7000 {
+		t.Fatalf("four late remote switches add %d to the expected answer time of another", expected(5))
 	}
 	h.advance(5000) // past the GoS target all calls are shed, whereas a single late switch would still get some
 	expectAction(t, h, h.offer(newCall(9, 0, 5)), "block")
@@ -360,7 +360,7 @@
 
 func TestSlowStartBudgetOfColdSwitch(t *testing.T) {
 	h := newMesh(4, 5000)
-	call := func(id uint32, redial bool, gap Tenths) {
+	offerCall := func(id uint32, redial bool, gap Tenths) {
 		request := newCall(id, 1, 1)
 		request.Redial = redial
 		if h.offer(request) != "block" {
@@ -369,12 +369,12 @@
 		h.advance(gap)
 	}
 	for id := uint32(0); id < 80; id++ {
-		call(id, false, 2500) // four calls a second
+		offerCall(id, false, 2500) // four calls a second
 	}
-	boot, warm := h.now, len(h.sent)
-	h.list(false, Switch{ID: 101, Number: 1, Ready: true, BootAt: boot})
+	bootAt, warm := h.now, len(h.sent)
+	h.list(false, Switch{ID: 101, Number: 1, Ready: true, BootAt: bootAt})
 	for id := uint32(100); id < 300; id++ {
-		call(id, true, 250) // and then forty redials a second
+		offerCall(id, true, 250) // and then forty redials a second
 	}
 	cold := h.sent[warm:]
 	for i, last := range cold {
@@ -384,9 +384,9 @@
 				n++
 			}
 		}
-		strength := h.deployment.InitialCapacity + (1-h.deployment.InitialCapacity)*float64(last.sentAt-boot)/float64(h.deployment.RampTime)
-		if most := 1 + 4.2*h.deployment.OverloadMultiple*strength*1.5*(1+slowStartBurstShare); float64(n) > most {
-			t.Fatalf("%d set-ups in an overload window, %.1f allowed", n, most)
+		strength := h.deployment.InitialCapacity + (1-h.deployment.InitialCapacity)*float64(last.sentAt-bootAt)/float64(h.deployment.RampTime)
+		if allowed := 1 + 4.2*h.deployment.OverloadMultiple*strength*1.5*(1+slowStartBurstShare); float64(n) > allowed {
+			t.Fatalf("%d set-ups in an overload window, %.1f allowed", n, allowed)
 		}
 	}
 	if len(cold) < 10 || len(h.violations) > 0 {
@@ -453,7 +453,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		deployment := drawDeployment(t)
 		h := newHarness(deployment)
-		next := uint32(0)
+		lastID := uint32(0)
 		anySwitch := func(label string) Switch {
 			n := rapid.IntRange(0, 5).Draw(t, label)
 			life := rapid.IntRange(0, 9).Draw(t, "life") // mostly ready
@@ -472,8 +472,8 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
-				next++
-				c := Call{ID: next, Bearer: rapid.IntRange(0, len(deployment.Bearers)-1).Draw(t, "bearer"),
+				lastID++
+				c := Call{ID: lastID, Bearer: rapid.IntRange(0, len(deployment.Bearers)-1).Draw(t, "bearer"),
 					Dest: rapid.IntRange(0, 6).Draw(t, "dest"), AdvisedTandem: rapid.IntRange(-1, 6).Draw(t, "advice"),
 					TTL: Tenths(rapid.IntRange(0, 36000).Draw(t, "ttl")), Redial: rapid.Bool().Draw(t, "redial"),
 					Transit: !deployment.Pools && rapid.Bool().Draw(t, "transit"), Disconnected: rapid.Bool().Draw(t, "cut")}
@@ -481,15 +481,15 @@
 				h.offer(c)
 			},
 			"list": func(t *rapid.T) {
-				var l []Switch
+				var list []Switch
 				seen := map[uint32]bool{}
 				for range rapid.IntRange(0, 8).Draw(t, "entries") {
 					if s := anySwitch("number"); !seen[s.ID] {
 						seen[s.ID] = true
-						l = append(l, s)
+						list = append(list, s)
 					}
 				}
-				h.list(rapid.Bool().Draw(t, "whole"), l...)
+				h.list(rapid.Bool().Draw(t, "whole"), list...)
 			},
 			"lost": func(*rapid.T) { h.controller.ListLost(h.now) },
 			"group": func(t *rapid.T) {
@@ -510,8 +510,8 @@
 					h.end(id, rapid.SampledFrom([]Outcome{Released, Disconnected}).Draw(t, "ending"), NoReason)
 					return
 				}
-				e := rapid.SampledFrom([]Outcome{Faulted, Blocked, Unreachable, Disconnected, Cancelled, Unsent}).Draw(t, "ending")
-				h.end(id, e, Reason(rapid.IntRange(0, 5).Draw(t, "reason")))
+				outcome := rapid.SampledFrom([]Outcome{Faulted, Blocked, Unreachable, Disconnected, Cancelled, Unsent}).Draw(t, "ending")
+				h.end(id, outcome, Reason(rapid.IntRange(0, 5).Draw(t, "reason")))
 			},
 			"caller abandons": func(*rapid.T) {
 				if id, ok := pick(); ok && !h.calls[id].established {
