--- a/policy/types.go
+++ b/policy/types.go
@@ -83,8 +83,8 @@
 	DrainGrace           Tenths  // tries to a switch that drains are allowed for this long
 	InitialCapacity      float64 // share of its full capacity that a switch has when it starts
 	RampTime             Tenths  // time until it has its full capacity
-	OverloadMultiple     float64 // a cold switch collapses under this multiple of its capacity
-	OverloadWindow       Tenths  // within this time
+	OverloadMultiple     float64 // a cold switch collapses if it gets more than this multiple of its capacity
+	OverloadWindow       Tenths  // within this window
 	MustSubscribe        bool    // the list of switches is only sent to subscribers
 	MaxSubscribeInterval Tenths  // longest interval allowed between subscriptions
 	CancelsAllowed       bool    // the controller may cancel route tries
