--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -70,8 +70,8 @@
 	return uint32(v), nil
 }
 
-// ReadFrame reads one frame; something is false for the keepalive frame that the board sends each second. The length is
-// checked before memory is allocated for it.
+// ReadFrame reads one frame. isEvent is false for the keepalive frame that the board sends each second. The length is checked
+// before memory is allocated for it.
 func ReadFrame(r io.Reader) (e Event, isEvent bool, err error) {
 	var header [4 + headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -117,7 +117,8 @@
 	f.Fuzz(checkReadFrame)
 }
 
-// scriptedBoard is a scripted board in virtual time: each function serves one connection of the client, given the requested number.
+// scriptedBoard is a notice board in virtual time. Each of its handlers serves one connection of the client and gets the requested
+// number.
 type scriptedBoard struct {
 	t        *testing.T
 	network  *memnet.Net
--- a/internal/board/client.go
+++ b/internal/board/client.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// silenceTimeout closes a connection on which nothing arrived for this long. The board sends a keepalive frame each second, and
-	// controllers are expected to know its events 4 s after it fell silent, so a dead connection is closed at about half of that.
+	// silenceTimeout ends a connection without input. The board sends a keepalive frame each second. Its events count as known
+	// 4 s after it fell silent, so a dead connection is closed at about half of that.
 	silenceTimeout = 2200 * time.Millisecond
 
 	dialTimeout       = time.Second
@@ -55,7 +55,7 @@
 		}
 		c.OnStatus(false, err)
 		pause := jitter(delay)
-		if conn != nil && time.Since(start) > maxRetryDelay { // reconnect fast, but spread the load: all clients of the board may have lost it
+		if conn != nil && time.Since(start) > maxRetryDelay { // retries soon but at random times, since all clients of the board may have lost it
 			delay, pause = initialRetryDelay, jitter(initialRetryDelay/2)
 		} else {
 			delay = min(2*delay, maxRetryDelay)
@@ -69,7 +69,7 @@
 	}
 }
 
-// connect connects to the board and requests its events. A new address cancels the attempt: the old board may no longer accept
+// connect dials the board and requests its events. A new address cancels the attempt: the old board may no longer accept
 // connections, and the events of the new one must not wait for that.
 func (c *Client) connect(ctx context.Context, address string) (conn net.Conn, next string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -115,8 +115,8 @@
 	err     error
 }
 
-// receive receives events from a connection until it fails or the address changes, and returns the address to connect to next.
-// Events that the old board had yet to send come from the new one: the numbering is continuous.
+// receive delivers the events of a connection until it fails or the address changes, and returns the address to connect to next.
+// Events that the old board had yet to send come from the new one, which continues the numbering.
 func (c *Client) receive(ctx context.Context, conn net.Conn, address string) (string, error) {
 	stop := make(chan struct{})
 	defer close(stop)
@@ -163,7 +163,7 @@
 	}
 }
 
-// deliver passes on each event once. It ignores repeated events. Only an event with the complete list may skip numbers.
+// deliver passes on each event once and ignores repeated ones. Only an event with the complete list may skip numbers.
 func (c *Client) deliver(e Event) error {
 	switch {
 	case e.Number <= c.lastNumber:
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -12,7 +12,7 @@
 	"indigodrift/policy"
 )
 
-// Settings is a parsed settings object: the policy's part, and settings for the programs around it.
+// Settings are the parsed settings: those of the policy, and those of the program around it.
 type Settings struct {
 	Policy          policy.Deployment
 	BearerNames     []string      // names of the bearer types, in the order of the policy's list
@@ -22,7 +22,7 @@
 	MaxTriesPerConn int           // limit of concurrent route tries on one connection, 0 if not set
 }
 
-// wholeNumber is a whole number, which may be written with a point or an exponent.
+// wholeNumber is a whole number in JSON. It may be written with a point or an exponent, such as 3.0 or 2e4.
 type wholeNumber int
 
 // UnmarshalJSON parses a whole number within the limits of a count.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// settingsObject is the settings object; other keys are ignored.
+// settingsObject has the keys of the settings object that are read; all others are ignored.
 type settingsObject struct {
 	Grades []struct {
 		Name                 string
@@ -80,7 +80,7 @@
 	maxSpan  = 1e12 // ms, about 30 years; sums of several spans can't overflow
 )
 
-// ErrSettings reports settings that are invalid.
+// ErrSettings reports invalid settings.
 var ErrSettings = errors.New("settings")
 
 // validate returns an error that names the first invalid setting.
@@ -174,7 +174,7 @@
 	return settings, nil
 }
 
-// tenthsRoundedUp converts a span in milliseconds and rounds up, so that no wait is too short.
+// tenthsRoundedUp converts a duration in milliseconds and rounds up, so that no wait is too short.
 func tenthsRoundedUp(ms float64) policy.Tenths { return policy.Tenths(math.Ceil(ms*10 - 1e-6)) }
 
 // LoadReport converts the values of a load report, in the order of the names in the settings. An absent, negative or non-numeric
@@ -200,5 +200,5 @@
 	return report
 }
 
-// TenthsFromMillis converts a time or span in milliseconds and rounds down.
+// TenthsFromMillis converts a time or duration in milliseconds and rounds down.
 func TenthsFromMillis(ms float64) policy.Tenths { return policy.Tenths(math.Floor(ms*10 + 1e-6)) }
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -28,7 +28,7 @@
 	Jitter             time.Duration // maximum random addition to the one-way delay
 	MaxChunk           int           // data is written in chunks of at most this many octets, 0 for no splitting
 	MaxChunkDelay      time.Duration // maximum random delay between two chunks
-	MaxTotalChunkDelay time.Duration // maximum sum of these delays per read; 0 while more data waits, so that a flood is not held up
+	MaxTotalChunkDelay time.Duration // maximum sum of these delays per read; none while more data is queued, so that a flood is not held up
 }
 
 // Proxy forwards connections from its address to a target.
@@ -36,8 +36,8 @@
 	address string
 	shape   Shape
 
-	// OnClientClosed is called when the client has closed a connection, with the proxy's local address of the connection to the target. It
-	// must be set before the first connection.
+	// OnClientClosed, if set, is called when the client has closed a connection, with the proxy's local address of the connection
+	// to the target. It must be set before the first connection.
 	OnClientClosed func(from string)
 
 	mu          sync.Mutex
@@ -56,7 +56,7 @@
 	silent         atomic.Bool
 }
 
-// Listen starts a proxy at an address that forwards connections to target. seed is of the random delays and chunk sizes.
+// Listen starts a proxy at an address that forwards connections to target. seed determines the random delays and chunk sizes.
 func Listen(address, target string, shape Shape, seed uint64) (*Proxy, error) {
 	p := &Proxy{shape: shape, random: rand.New(rand.NewPCG(seed, 0x50)), target: target, connections: map[*Connection]struct{}{}}
 	ln, err := net.Listen("tcp", address)
@@ -78,7 +78,7 @@
 	p.target = target
 }
 
-// CloseListener closes the listener, so that new connections are refused until Accept is called. Open connections stay.
+// CloseListener closes the listener, so that new connections are refused until ReopenListener is called. Open connections stay.
 func (p *Proxy) CloseListener() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// ReopenListener reopens the listener after Refuse.
+// ReopenListener listens again after CloseListener.
 func (p *Proxy) ReopenListener() error {
 	p.mu.Lock()
 	open := p.ln != nil || p.closed
@@ -121,8 +121,8 @@
 // "" if none is open.
 func (p *Proxy) ResetOne() string { return p.applyToOne((*Connection).reset) }
 
-// HalfCloseOne closes the direction to the client on one of the connections that are open now. The other direction stays open until the
-// client closes it.
+// HalfCloseOne closes the direction to the client on one of the connections that are open now. The other direction stays open
+// until the client closes it.
 func (p *Proxy) HalfCloseOne() {
 	p.applyToOne(func(l *Connection) {
 		if conn, ok := l.client.(*net.TCPConn); ok {
@@ -203,7 +203,7 @@
 	})
 }
 
-// randomDelay returns a random duration up to most.
+// randomDelay returns a random duration from 0 to limit.
 func (p *Proxy) randomDelay(limit time.Duration) time.Duration {
 	if limit <= 0 {
 		return 0
@@ -213,7 +213,7 @@
 	return time.Duration(p.random.Int64N(int64(limit) + 1))
 }
 
-// forward forwards one connection until both directions have ended.
+// forward connects to the target and copies both directions of a connection until they have ended.
 func (p *Proxy) forward(client net.Conn) {
 	l := &Connection{client: client}
 	p.mu.Lock()
@@ -305,7 +305,7 @@
 	remaining []byte
 }
 
-// newDelayLine returns a reader of a connection with the delay of the proxy's shape. It calls ended at the end of the stream, before
+// newDelayLine returns a reader of a connection with the delay of the proxy's shape. It calls onEnd when the stream ends, without
 // the delay.
 func (p *Proxy) newDelayLine(from io.Reader, onEnd func()) io.Reader {
 	line := &delayLine{reads: make(chan delayedRead, maxQueuedReads)}
@@ -363,8 +363,8 @@
 	}
 }
 
-// copyOneWay forwards one direction of a connection. It forwards the end of the stream as a half-close and an error as a reset. A silent
-// connection forwards neither, and stays open for the side that has not closed it.
+// copyOneWay forwards one direction of a connection, the end of the stream as a half-close and an error as a reset. On a silent
+// connection it forwards nothing, and the side that has not closed it sees it open.
 func (p *Proxy) copyOneWay(l *Connection, from io.Reader, to net.Conn) {
 	defer drain(from)
 	buf := make([]byte, readSize)
@@ -388,7 +388,7 @@
 	}
 }
 
-// write writes b in chunks with random delays between them.
+// write writes b, in chunks with random delays if the proxy's shape says so.
 func (p *Proxy) write(l *Connection, to net.Conn, b []byte, moreQueued bool) {
 	remaining := p.shape.MaxTotalChunkDelay
 	if moreQueued {
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -137,7 +137,7 @@
 	c.waitUntil(t, func() bool { return c.inputEnded })
 }
 
-// gatedHarness is a test harness: a controller with one switch, whose event loop can be stopped.
+// gatedHarness runs a controller with one switch over TCP. Its event loop can be stopped.
 type gatedHarness struct {
 	t              *testing.T
 	listener       *gatedListener
@@ -209,7 +209,7 @@
 	h.t.Cleanup(func() { c.Close() })
 }
 
-// stopEventLoop stops the event loop.
+// stopEventLoop makes the event loop block when it logs a malformed message.
 func (h *gatedHarness) stopEventLoop() {
 	h.log.Shut()
 	h.sendMalformed()
@@ -286,9 +286,9 @@
 	time.Sleep(20 * time.Millisecond)
 }
 
-// departWhileStopped makes a caller leave while the event loop is stopped. A malformed message is queued between the event that would
-// begin a try and the one that reports the departure, and the event loop is stopped there again, so that writers have enough
-// time to send a set-up by mistake.
+// departWhileStopped makes a caller leave while the event loop is stopped. A malformed message is queued between the event that
+// would begin a try and the event of the departure. The event loop is stopped there again, so that a set-up sent by mistake has
+// time to be written.
 func (h *gatedHarness) departWhileStopped(leave func(), sw *siptest.Peer) {
 	h.t.Helper()
 	time.Sleep(20 * time.Millisecond)
--- a/internal/platform/loopback_test.go
+++ b/internal/platform/loopback_test.go
@@ -29,7 +29,7 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// newOnLoopback returns a controller with one switch and a notice board; deadline is the callers' abandon time in milliseconds.
+// newOnLoopback returns a controller with one switch and a notice board. abandonTime is its callers' in milliseconds.
 func newOnLoopback(t *testing.T, switchAddress, boardAddress, abandonTime string, dial Dialer, log io.Writer) *Server {
 	text := strings.NewReplacer("10.0.0.2:1", switchAddress, `"board":"board"`, fmt.Sprintf("%q:%q", "board", boardAddress), "3000.0", abandonTime).Replace(fmt.Sprintf(configTemplate, 256))
 	m, err := ParseConfig([]byte(text))
@@ -39,7 +39,7 @@
 	return New(m, newPolicy, dial, slog.New(slog.NewTextHandler(log, nil)))
 }
 
-// runOnLoopback runs a controller that listens at here, with one switch and a notice board. The returned function shuts it down.
+// runOnLoopback runs a controller with one switch and a notice board. The returned function shuts it down.
 func runOnLoopback(t *testing.T, ln net.Listener, switchAddress, boardAddress string) func() {
 	terminate, waitEnded := runServer(t, newOnLoopback(t, switchAddress, boardAddress, "3000.0", dialLoopback, io.Discard), ln)
 	return func() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// runServer runs a controller. term makes it drain, ended waits for its end.
+// runServer runs a controller. terminate makes it drain, waitEnded waits for its end.
 func runServer(t *testing.T, s *Server, ln net.Listener) (terminate, waitEnded func()) {
 	ctx, terminate := context.WithCancel(t.Context())
 	result := make(chan error, 1)
@@ -61,8 +61,8 @@
 	}
 }
 
-// closeWatcher reports the remote address of each accepted connection that the controller closes. A client that reads nothing cannot
-// observe the close itself: its kernel drops incoming segments, the reset among them, for seconds.
+// closeWatcher is a listener that reports the remote address of each connection that the controller closes. A client that reads
+// nothing can't observe the close itself: its kernel drops incoming segments, the reset among them, for seconds.
 type closeWatcher struct {
 	net.Listener
 	closedPeers chan string
--- a/internal/platform/plant.go
+++ b/internal/platform/plant.go
@@ -23,7 +23,8 @@
 // faultInterval sets the share of affected calls: one in faultInterval.
 const faultInterval = 5
 
-// InjectFault sets the fault to inject, "" for none. FaultEarlyRetry changes the settings; the others act in the server made of this configuration.
+// InjectFault sets the fault to inject, "" for none. FaultEarlyRetry changes the settings; the others act in the server that gets
+// this configuration.
 func (c *Config) InjectFault(fault string) error {
 	switch fault {
 	case "", FaultMissingRelease, FaultDuplicateAnswer, FaultMissingSwitchRelease, FaultCrossedRelease:
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -32,7 +32,7 @@
 "settings":{"family_info":{"self_no":0,"shape":"mesh","release_guard":150.0},"grades":[{"name":"voice","aim":300.0,"deadline":3000.0,"worth":1.0}],
 "policy_limits":{"cancel":true,"dial_timeout":500.0,"max_attempts":4,"retry_after":true,"max_retry_after":2000.0}}}`
 
-// harness is a test harness: a call controller whose network is in memory.
+// harness runs a call controller on an in-memory network.
 type harness struct {
 	t            *testing.T
 	network      *memnet.Net
@@ -46,7 +46,7 @@
 	switches     chan *siptest.Peer
 	listeners    []net.Listener
 	openConns    int // connections that the controller holds now
-	maxOpenConns int // highest value of held
+	maxOpenConns int // highest value of openConns
 }
 
 // countedConn is a connection of the controller that is counted until it is closed.
@@ -162,7 +162,7 @@
 	return siptest.New(h.t, c)
 }
 
-// shutDown shuts the controller down and returns how long that took.
+// shutDown ends the controller and returns how long that took.
 func (h *harness) shutDown() time.Duration {
 	h.t.Helper()
 	start := time.Now()
@@ -292,6 +292,7 @@
 	return s.Conn.Close()
 }
 
+// Guards against a slow reader that blocks the controller: enqueue must return at once and close the connection at the limit.
 func TestEnqueueNeverBlocks(t *testing.T) {
 	local, remote := net.Pipe()
 	defer remote.Close()
@@ -301,7 +302,7 @@
 	go func() { conn.writeLoop(); close(done) }()
 	m := setUp(callID1, 1000)
 	queued := 0
-	for queued < 1000 && conn.enqueue(&m) { // put must never block
+	for queued < 1000 && conn.enqueue(&m) { // must never block
 		queued++
 	}
 	if queued == 0 || queued > 100 {
--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -74,7 +74,7 @@
 	connID     b2bua.ConnID
 	conn       *connection
 	message    sip.Message
-	readAt     policy.Tenths // when the message was read
+	readAt     policy.Tenths // when the message, or the first part of it, was read
 	err        error
 	switchID   uint32
 	ticket     uint32
@@ -99,7 +99,7 @@
 	switchSlots    chan struct{} // holds one token per switch connection, from its dial on
 	callerConns    map[b2bua.ConnID]*connection
 	switchConns    map[b2bua.ConnID]*connection
-	mu             sync.Mutex   // guards names and open
+	mu             sync.Mutex   // guards lastConnID and openConns
 	lastConnID     b2bua.ConnID // last identifier given to a connection
 	openConns      map[*connection]struct{}
 	boardAddresses chan string   // new addresses of the notice board
@@ -109,9 +109,9 @@
 	stall          lag.StallDetector
 	stalls         int // stalls since the last summary
 	noteCount      int // log lines since the last summary
-	// recordCounts counts the records of each kind since the last summary, unsaid the log lines that were suppressed.
+	// recordCounts counts the records of each kind since the last summary.
 	recordCounts map[b2bua.RecordKind]int
-	suppressed   int
+	suppressed   int // log lines left out since the last summary
 }
 
 // New returns a call controller; build creates its policy module.
@@ -145,7 +145,6 @@
 	return policy.Tenths(s.startTime.UnixMicro()/100) + policy.Tenths(time.Since(s.startTime)/(100*time.Microsecond))
 }
 
-// timeUntil returns the time left to an instant.
 func (s *Server) timeUntil(deadline policy.Tenths) time.Duration {
 	return trunk.Duration(deadline - s.now())
 }
@@ -238,7 +237,7 @@
 	}
 }
 
-// eventLoop is the event loop. Only its goroutine uses the agent.
+// eventLoop handles events until the drain is complete. Only its goroutine uses the agent.
 func (s *Server) eventLoop(ctx context.Context, ln net.Listener, reload <-chan Config) {
 	summaryTicker := time.NewTicker(summaryInterval)
 	defer summaryTicker.Stop()
@@ -322,13 +321,14 @@
 	}
 }
 
-// noteWake counts a stall if the event loop woke too late.
+// noteWake counts a stall if the event loop woke too long after due.
 func (s *Server) noteWake(due policy.Tenths) {
 	if s.stall.Woke(s.now(), due) {
 		s.stalls++
 	}
 }
 
+// handle passes one event on to the agent.
 func (s *Server) handle(e event) {
 	now := s.now()
 	switch e.kind {
@@ -386,7 +386,7 @@
 	}
 }
 
-// acceptCallers accepts callers' connections. While all tokens are taken, further connections wait in the kernel's queue.
+// acceptCallers accepts connections of callers until the listener closes. While all tokens are taken, further connections wait in the kernel's queue.
 func (s *Server) acceptCallers(ln net.Listener) {
 	for {
 		select {
@@ -428,6 +428,7 @@
 	})
 }
 
+// readCaller reads a caller's messages until its connection ends.
 func (s *Server) readCaller(conn *connection) {
 	reader := sip.NewReader(conn.netConn)
 	reader.OnPartial = func() { s.post(event{kind: callerPartialMessage, connID: conn.id, readAt: s.now()}) }
@@ -455,6 +456,7 @@
 	}
 }
 
+// readSwitch reads a switch's messages until its connection ends.
 func (s *Server) readSwitch(conn *connection) {
 	reader := sip.NewReader(conn.netConn)
 	reader.OnPartial = func() { s.post(event{kind: switchPartialMessage, connID: conn.id, readAt: s.now()}) }
@@ -519,10 +521,10 @@
 	clear(s.recordCounts)
 }
 
-// hands is the output of the agent, carried out by the server.
+// hands carries out what the agent requests: it is the server with the agent's output methods.
 type hands Server
 
-// conn returns a connection of a caller or to a switch, nil when it is gone.
+// conn returns the connection with an identifier, of a caller or to a switch, nil if it is closed.
 func (h *hands) conn(id b2bua.ConnID) *connection {
 	if conn := h.callerConns[id]; conn != nil {
 		return conn
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -23,8 +23,8 @@
 	maxUnhandledCancels = 1024 // CANCELs read on one connection and not yet handled by the event loop
 )
 
-// connection is one connection with its write queue. Queueing never blocks: a peer that reads too slowly loses its
-// connection.
+// connection is a connection to a caller or switch with its write queue. Queueing never blocks: a peer that reads too slowly
+// loses its connection.
 type connection struct {
 	id         b2bua.ConnID
 	netConn    net.Conn
@@ -34,7 +34,7 @@
 
 	mu               sync.Mutex
 	queue            []byte
-	queuedSetUps     []queuedSetUp // set-ups in pending
+	queuedSetUps     []queuedSetUp // positions of the set-ups in queue
 	unhandledCancels map[string]struct{}
 	closing          bool
 	wrote            bool
@@ -72,7 +72,7 @@
 	return true
 }
 
-// removeSetUp removes the set-up that a CANCEL names from the queue.
+// removeSetUp removes the set-up of a CANCEL from the queue. It returns false if the set-up is not in the queue.
 func (c *connection) removeSetUp(m *sip.Message) bool {
 	i := slices.IndexFunc(c.queuedSetUps, func(s queuedSetUp) bool { return s.callID == m.CallID && s.cseq == m.CSeq })
 	if i < 0 {
@@ -102,7 +102,7 @@
 	return c.closing
 }
 
-// addCancel records a CANCEL as soon as it is read: it may wait in the inbox, and no try may begin meanwhile.
+// addCancel records a CANCEL as soon as it is read: it may wait in the inbox, and no try may begin in the meantime.
 func (c *connection) addCancel(callID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +132,6 @@
 	return ok
 }
 
-// wakeWriter wakes the writer.
 func (c *connection) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
@@ -140,8 +139,8 @@
 	}
 }
 
-// writeLoop is the writer: it writes until the connection fails or finish is called, and closes the connection or, after a half-close,
-// leaves that to the reader.
+// writeLoop writes the queue until the connection fails or closeAfterWrite is called. It then closes the connection or, after a
+// half-close, leaves that to the reader.
 func (c *connection) writeLoop() {
 	var buf []byte
 	for range c.wake {
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -101,7 +101,7 @@
 	return user
 }
 
-// Response returns a response to the request m.
+// Response returns a response to the request m, without header fields or body.
 func (m *Message) Response(status int) Message {
 	return Message{Status: status, CallID: m.CallID, CSeq: m.CSeq, CSeqMethod: m.Method}
 }
@@ -213,7 +213,7 @@
 	return len(line) == 0 || bytes.HasPrefix(line, []byte("SIP/2.0 ")) || bytes.HasSuffix(line, []byte(" SIP/2.0"))
 }
 
-// fill reads more octets into the buffer.
+// fill reads more octets into the buffer, which it enlarges if necessary.
 func (r *Reader) fill() error {
 	if len(r.buf) > 0 && !r.partialReported && r.OnPartial != nil {
 		r.partialReported = true
--- a/internal/sip/siptest/peer.go
+++ b/internal/sip/siptest/peer.go
@@ -21,7 +21,7 @@
 	received chan sip.Message // closed with the connection
 }
 
-// New returns a peer at the end c of a connection and starts reading it.
+// New returns a peer that uses and reads a connection.
 func New(t *testing.T, conn net.Conn) *Peer {
 	p := &Peer{t: t, conn: conn, received: make(chan sip.Message, maxQueuedMessages)}
 	go func() {
@@ -38,13 +38,11 @@
 	return p
 }
 
-// Send sends a message.
 func (p *Peer) Send(m sip.Message) { p.SendRaw(string(sip.Append(nil, &m))) }
 
 // SendRaw sends a text that need not be a valid message.
 func (p *Peer) SendRaw(text string) { p.conn.Write([]byte(text)) }
 
-// Close closes the connection.
 func (p *Peer) Close() { p.conn.Close() }
 
 // Answer accepts the set-up m with a 200 response and a session description.
@@ -72,7 +70,7 @@
 	}
 }
 
-// Expect returns the next message, which must have the given method or status.
+// Expect returns the next message and fails the test if that has another method or status.
 func (p *Peer) Expect(what string) sip.Message {
 	p.t.Helper()
 	m, ok := p.Receive(3 * time.Second)
@@ -82,7 +80,7 @@
 	return m
 }
 
-// ExpectRelease expects the release of a call as the next message and answers it.
+// ExpectRelease answers the next message, which must be the release of a call.
 func (p *Peer) ExpectRelease(id string) {
 	p.t.Helper()
 	m := p.Expect(sip.Bye)
