--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -119,7 +119,7 @@
 	for _, s := range e.Switches {
 		addrPort, err := netip.ParseAddrPort(s.Address)
 		if err != nil || !addrPort.Addr().Is4() {
-			return b, fmt.Errorf("%w: address %q is no IPv4 address and port", ErrMalformed, s.Address)
+			return b, fmt.Errorf("%w: address %q is not an IPv4 address and port", ErrMalformed, s.Address)
 		}
 		b = binary.BigEndian.AppendUint32(b, s.ID)
 		b = append(b, addrPort.Addr().AsSlice()...)
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// nobody is a policy.Executor that counts the calls sent or answered and does nothing else.
+// nobody counts the calls that the policy sends or answers, and does nothing else.
 type nobody struct{ answered int }
 
 func (n *nobody) Send(uint32, uint32, policy.Tenths) { n.answered++ }
--- a/internal/due/due.go
+++ b/internal/due/due.go
@@ -46,6 +46,7 @@
 	return heap.Pop(&q.items).(Item), true
 }
 
+// items implements heap.Interface.
 type items []Item
 
 func (d items) Len() int { return len(d) }
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -241,7 +241,7 @@
 		client.Close()
 		return
 	}
-	if PeerClosed(client) { // the client has given up during the delay
+	if PeerClosed(client) { // the client closed the connection during the delay
 		client.Close()
 		return
 	}
--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -95,8 +95,8 @@
 	runCtx         context.Context
 	cancelRun      context.CancelFunc
 	goroutines     sync.WaitGroup
-	callerSlots    chan struct{} // holds one token per caller connection
-	switchSlots    chan struct{} // holds one token per switch connection, from its dial on
+	callerSlots    chan struct{} // bounds the caller connections: one entry each
+	switchSlots    chan struct{} // bounds the switch connections: one entry each, from the dial on
 	callerConns    map[b2bua.ConnID]*connection
 	switchConns    map[b2bua.ConnID]*connection
 	mu             sync.Mutex   // guards lastConnID and openConns
@@ -386,7 +386,8 @@
 	}
 }
 
-// acceptCallers accepts connections of callers until the listener closes. While all tokens are taken, further connections wait in the kernel's queue.
+// acceptCallers accepts connections of callers until the listener closes. While no slot is free, further connections wait in the
+// kernel's queue.
 func (s *Server) acceptCallers(ln net.Listener) {
 	for {
 		select {
@@ -418,7 +419,7 @@
 	}
 }
 
-// serveConn starts the writer and the reader of a connection. Its token is returned once the connection is closed.
+// serveConn starts the writer and the reader of a connection. Its slot is free again once the connection is closed.
 func (s *Server) serveConn(conn *connection, read func(*connection), slots <-chan struct{}) {
 	s.goroutines.Go(conn.writeLoop)
 	s.goroutines.Go(func() {
