--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -144,8 +144,8 @@
 
 var lifecycleStates = map[string]State{"in_service": Ready, "terminating": Draining, "terminated": Gone}
 
-// ParseKnown parses the events in the start configuration. They must be in order.
-func ParseKnown(text []byte) ([]Event, error) {
+// ParseInitialEvents parses the events in the start configuration. They must be in order.
+func ParseInitialEvents(text []byte) ([]Event, error) {
 	var known struct {
 		Rev     uint64
 		Notices []struct {
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-func TestParseKnown(t *testing.T) {
-	events, err := ParseKnown([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":true,"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:5060",
+func TestParseInitialEvents(t *testing.T) {
+	events, err := ParseInitialEvents([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":true,"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:5060",
 "cell":2,"lifecycle":"in_service","startedAtMs":0,"weight":1.0}]}},{"rev":2,"pool":{"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:5060",
 "cell":2,"lifecycle":"terminating","startedAtMs":7}]}}]}`))
 	one := Switch{ID: 0xc41f7a, Address: "10.1.0.9:5060", Cell: 2}
@@ -63,7 +63,7 @@
 		`{"notices":[{"rev":1,"pool":{"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9","lifecycle":"in_service"}]}}]}`,
 		`{"notices":[{"rev":1,"pool":{"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:1","lifecycle":"asleep"}]}}]}`,
 		`{"notices":[{"rev":2},{"rev":1}]}`} {
-		if _, err := ParseKnown([]byte(bad)); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseInitialEvents([]byte(bad)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", bad, err)
 		}
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -88,34 +88,34 @@
 	if len(o.Grades) == 0 {
 		return fmt.Errorf("%w: grades: no bearer type is defined", ErrSettings)
 	}
-	type bounded struct {
-		place       string
-		v           float64
-		least, most float64
+	type bound struct {
+		key          string
+		value        float64
+		lower, upper float64
 	}
 	limits, rules, familyInfo := o.Limits, o.Rules, o.FamilyInfo
-	all := []bounded{{"policy_limits.dial_timeout", limits.DialTimeout, 0, maxSpan}, {"policy_limits.max_attempts", float64(limits.MaxAttempts), 0, maxCount},
+	bounds := []bound{{"policy_limits.dial_timeout", limits.DialTimeout, 0, maxSpan}, {"policy_limits.max_attempts", float64(limits.MaxAttempts), 0, maxCount},
 		{"policy_limits.max_open", float64(limits.MaxOpen), 0, maxCount}, {"policy_limits.max_retry_after", limits.MaxRetryAfter, 0, maxSpan},
 		{"policy_limits.streams_per_conn", float64(limits.StreamsPerConn), 0, maxCount}, {"replicas_of_me", float64(o.Replicas), 0, maxCount},
 		{"rules.cold_from", rules.ColdFrom, 0, 1}, {"rules.ramp_time", rules.RampTime, 0, maxSpan}, {"rules.stop_sending_within", rules.StopSendingWithin, 0, maxSpan},
 		{"rules.tip_after", rules.TipAfter, 0, maxSpan}, {"rules.tip_multiple", rules.TipMultiple, 0, maxCount}, {"rules.ask_within", rules.AskWithin, 0, maxSpan},
 		{"family_info.release_guard", familyInfo.ReleaseGuard, 0, maxSpan}, {"family_info.retransmit", familyInfo.Retransmit, 0, maxSpan}}
-	for i, h := range familyInfo.Holding {
-		all = append(all, bounded{fmt.Sprintf("family_info.holding[%d]", i), h, 0, maxSpan})
+	for i, holding := range familyInfo.Holding {
+		bounds = append(bounds, bound{fmt.Sprintf("family_info.holding[%d]", i), holding, 0, maxSpan})
 	}
 	seen := map[string]bool{}
 	for i, grade := range o.Grades {
-		place := fmt.Sprintf("grades[%d].", i)
+		key := fmt.Sprintf("grades[%d].", i)
 		if grade.Name != "" && seen[grade.Name] {
-			return fmt.Errorf("%w: %sname: %q is defined twice", ErrSettings, place, grade.Name)
+			return fmt.Errorf("%w: %sname: %q is defined twice", ErrSettings, key, grade.Name)
 		}
 		seen[grade.Name] = true
-		all = append(all, bounded{place + "aim", grade.Aim, minSpan, maxSpan}, bounded{place + "deadline", grade.Deadline, minSpan, maxSpan},
-			bounded{place + "worth", grade.Worth, 0, maxCount}, bounded{place + "late_worth", grade.LateWorth, 0, maxCount})
+		bounds = append(bounds, bound{key + "aim", grade.Aim, minSpan, maxSpan}, bound{key + "deadline", grade.Deadline, minSpan, maxSpan},
+			bound{key + "worth", grade.Worth, 0, maxCount}, bound{key + "late_worth", grade.LateWorth, 0, maxCount})
 	}
-	for _, b := range all {
-		if !(b.v >= b.least && b.v <= b.most) {
-			return fmt.Errorf("%w: %s: %g is not between %g and %g", ErrSettings, b.place, b.v, b.least, b.most)
+	for _, b := range bounds {
+		if !(b.value >= b.lower && b.value <= b.upper) {
+			return fmt.Errorf("%w: %s: %g is not between %g and %g", ErrSettings, b.key, b.value, b.lower, b.upper)
 		}
 	}
 	return nil
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -12,7 +12,7 @@
 const minimalSettings = `{"grades":[{"name":"voice","aim":10,"deadline":100,"worth":1}]}`
 
 func TestInvalidSettingsNameTheKey(t *testing.T) {
-	for _, c := range []struct{ text, place string }{
+	for _, test := range []struct{ text, place string }{
 		{`{`, "parse"},
 		{`[]`, "parse"},
 		{`{}`, "grades"},
@@ -32,9 +32,9 @@
 		{`{"family_info":{"release_guard":-1},` + minimalSettings[1:], "family_info.release_guard"},
 		{`{"family_info":{"holding":[5,-1]},` + minimalSettings[1:], "family_info.holding[1]"},
 	} {
-		_, err := Parse([]byte(c.text))
-		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), c.place) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want one line that names %s", c.text, err, c.place)
+		_, err := Parse([]byte(test.text))
+		if !errors.Is(err, ErrSettings) || !strings.Contains(err.Error(), test.place) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v, want one line that names %s", test.text, err, test.place)
 		}
 	}
 }
@@ -54,16 +54,16 @@
 	}
 }
 
-// nobody counts the calls that the policy sends or answers, and does nothing else.
-type nobody struct{ answered int }
+// decisionCounter counts the calls that the policy sends or answers, and does nothing else.
+type decisionCounter struct{ answered int }
 
-func (n *nobody) Send(uint32, uint32, policy.Tenths) { n.answered++ }
-func (n *nobody) Block(uint32, policy.Tenths)        { n.answered++ }
-func (n *nobody) Abort(uint32)                       { n.answered++ }
-func (n *nobody) Cancel(uint32, int)                 {}
-func (n *nobody) SetTimer(policy.Tenths, uint64)     {}
-func (n *nobody) Subscribe()                         {}
-func (n *nobody) Log(string)                         {}
+func (n *decisionCounter) Send(uint32, uint32, policy.Tenths) { n.answered++ }
+func (n *decisionCounter) Block(uint32, policy.Tenths)        { n.answered++ }
+func (n *decisionCounter) Abort(uint32)                       { n.answered++ }
+func (n *decisionCounter) Cancel(uint32, int)                 {}
+func (n *decisionCounter) SetTimer(policy.Tenths, uint64)     {}
+func (n *decisionCounter) Subscribe()                         {}
+func (n *decisionCounter) Log(string)                         {}
 
 // The policy must work with the extreme values of the settings, and without the optional ones.
 func TestPolicyWorksWithExtremeSettings(t *testing.T) {
@@ -71,22 +71,22 @@
 		`{"grades":[{"name":"a","aim":0.1,"deadline":0.1,"worth":0}],"rules":{"cold_from":0,"ramp_time":1e12,"tip_after":0.1,"tip_multiple":2e9},"replicas_of_me":2e9}`,
 		`{"grades":[{"name":"a","aim":1e12,"deadline":1e12,"worth":2e9,"late_worth":2e9}],"rules":{"cold_from":1,"ramp_time":0.1,"tip_after":1e12,"tip_multiple":1e-9},
 		"family_info":{"shape":"pools","release_guard":1e12,"retransmit":1e12,"holding":[1e12]},"policy_limits":{"max_attempts":1,"cancel":true}}`} {
-		s, err := Parse([]byte(text))
+		settings, err := Parse([]byte(text))
 		if err != nil {
 			t.Fatal(text, err)
 		}
-		n, now := &nobody{}, policy.Tenths(17e12)
-		c := policy.New(s.Policy, n, now)
-		c.ListReceived(now, true, []policy.Switch{{ID: 1, Number: 1, Ready: true, BootAt: now - 1}, {ID: 2, Number: 2, Ready: true}})
+		counter, now := &decisionCounter{}, policy.Tenths(17e12)
+		controller := policy.New(settings.Policy, counter, now)
+		controller.ListReceived(now, true, []policy.Switch{{ID: 1, Number: 1, Ready: true, BootAt: now - 1}, {ID: 2, Number: 2, Ready: true}})
 		for _, sw := range []uint32{1, 2} {
-			c.LoadReported(now, sw, policy.LoadReport{Free: 5, Size: 5, Wait: -1, HoldBack: -1})
+			controller.LoadReported(now, sw, policy.LoadReport{Free: 5, Size: 5, Wait: -1, HoldBack: -1})
 		}
 		for id := range uint32(20) {
 			now += 100
-			c.Offer(now, policy.Call{ID: id + 1, Dest: 1 + int(id%2), Width: 1, AdvisedTandem: -1, TTL: s.Policy.Bearers[0].AbandonTime})
+			controller.Offer(now, policy.Call{ID: id + 1, Dest: 1 + int(id%2), Width: 1, AdvisedTandem: -1, TTL: settings.Policy.Bearers[0].AbandonTime})
 		}
-		if n.answered < 20 {
-			t.Errorf("%s: %d of 20 calls sent or answered", text, n.answered)
+		if counter.answered < 20 {
+			t.Errorf("%s: %d of 20 calls sent or answered", text, counter.answered)
 		}
 	}
 	if math.MaxInt64/2 < float64(tenthsRoundedUp(maxSpan))*3 {
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -112,7 +112,7 @@
 }
 
 // Silence stops all data, in both directions and for good, on the connections that are open now. They stay open.
-func (p *Proxy) Silence() { p.applyToAll(func(l *Connection) { l.silent.Store(true) }) }
+func (p *Proxy) Silence() { p.applyToAll(func(c *Connection) { c.silent.Store(true) }) }
 
 // Reset resets the connections that are open now towards client and target.
 func (p *Proxy) Reset() { p.applyToAll((*Connection).reset) }
@@ -124,8 +124,8 @@
 // HalfCloseOne closes the direction to the client on one of the connections that are open now. The other direction stays open
 // until the client closes it.
 func (p *Proxy) HalfCloseOne() {
-	p.applyToOne(func(l *Connection) {
-		if conn, ok := l.client.(*net.TCPConn); ok {
+	p.applyToOne(func(c *Connection) {
+		if conn, ok := c.client.(*net.TCPConn); ok {
 			_ = conn.CloseWrite() // fails only if the connection is closed already
 		}
 	})
@@ -134,17 +134,17 @@
 // SilenceOne stops all data on one of the connections that are open now. It returns the proxy's local address of the connection
 // to the target, "" if none is open.
 func (p *Proxy) SilenceOne() string {
-	return p.applyToOne(func(l *Connection) { l.silent.Store(true) })
+	return p.applyToOne(func(c *Connection) { c.silent.Store(true) })
 }
 
 // applyToOne applies an action to one connection that is open to the target and not silent.
 func (p *Proxy) applyToOne(do func(*Connection)) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.connections {
-		if l.server != nil && !l.silent.Load() {
-			do(l)
-			return l.server.LocalAddr().String()
+	for c := range p.connections {
+		if c.server != nil && !c.silent.Load() {
+			do(c)
+			return c.server.LocalAddr().String()
 		}
 	}
 	return ""
@@ -153,8 +153,8 @@
 func (p *Proxy) applyToAll(do func(*Connection)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for l := range p.connections {
-		do(l)
+	for c := range p.connections {
+		do(c)
 	}
 }
 
@@ -168,20 +168,20 @@
 	p.goroutines.Wait()
 }
 
-func (l *Connection) close() {
-	l.client.Close()
-	if l.server != nil {
-		l.server.Close()
+func (c *Connection) close() {
+	c.client.Close()
+	if c.server != nil {
+		c.server.Close()
 	}
 }
 
-func (l *Connection) reset() {
-	for _, c := range []net.Conn{l.client, l.server} {
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // fails only if the connection is closed already
+func (c *Connection) reset() {
+	for _, netConn := range []net.Conn{c.client, c.server} {
+		if tcpConn, ok := netConn.(*net.TCPConn); ok {
+			_ = tcpConn.SetLinger(0) // fails only if the connection is closed already
 		}
 	}
-	l.close()
+	c.close()
 }
 
 func (p *Proxy) serve(ln net.Listener) {
@@ -215,16 +215,16 @@
 
 // forward connects to the target and copies both directions of a connection until they have ended.
 func (p *Proxy) forward(client net.Conn) {
-	l := &Connection{client: client}
+	c := &Connection{client: client}
 	p.mu.Lock()
 	target, hanging, closed := p.target, p.hanging, p.closed
 	if !closed {
-		p.connections[l] = struct{}{}
+		p.connections[c] = struct{}{}
 	}
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.connections, l)
+		delete(p.connections, c)
 		p.mu.Unlock()
 	}()
 	if closed {
@@ -232,12 +232,12 @@
 		return
 	}
 	if hanging {
-		l.silent.Store(true)
+		c.silent.Store(true)
 	} else {
 		time.Sleep(p.randomDelay(p.shape.MaxConnectDelay))
 	}
-	if l.silent.Load() { // also if it became silent during the delay: it is never connected to the target
-		p.copyOneWay(l, client, nil)
+	if c.silent.Load() { // also if it became silent during the delay: it is never connected to the target
+		p.copyOneWay(c, client, nil)
 		client.Close()
 		return
 	}
@@ -247,27 +247,27 @@
 	}
 	server, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
-		l.reset()
+		c.reset()
 		return
 	}
 	p.mu.Lock()
-	l.server = server
+	c.server = server
 	closed = p.closed
 	p.mu.Unlock()
 	if closed {
-		l.close()
+		c.close()
 	}
 	var directions sync.WaitGroup
 	directions.Go(func() {
-		p.copyOneWay(l, p.newDelayLine(client, func() {
+		p.copyOneWay(c, p.newDelayLine(client, func() {
 			if p.OnClientClosed != nil {
 				p.OnClientClosed(server.LocalAddr().String())
 			}
 		}), server)
 	})
-	directions.Go(func() { p.copyOneWay(l, p.newDelayLine(server, func() {}), client) })
+	directions.Go(func() { p.copyOneWay(c, p.newDelayLine(server, func() {}), client) })
 	directions.Wait()
-	l.close()
+	c.close()
 }
 
 // PeerClosed reports whether the peer of a TCP connection has closed it, even if input is still unread.
@@ -335,13 +335,13 @@
 // Read returns the next data once its delay has passed.
 func (d *delayLine) Read(b []byte) (int, error) {
 	if len(d.remaining) == 0 {
-		next, ok := <-d.reads
+		read, ok := <-d.reads
 		if !ok {
 			return 0, io.EOF
 		}
-		time.Sleep(time.Until(next.due))
-		if d.remaining = next.octets; next.err != nil {
-			return copy(b, next.octets), next.err
+		time.Sleep(time.Until(read.due))
+		if d.remaining = read.octets; read.err != nil {
+			return copy(b, read.octets), read.err
 		}
 	}
 	n := copy(b, d.remaining)
@@ -365,36 +365,36 @@
 
 // copyOneWay forwards one direction of a connection, the end of the stream as a half-close and an error as a reset. On a silent
 // connection it forwards nothing, and the side that has not closed it sees it open.
-func (p *Proxy) copyOneWay(l *Connection, from io.Reader, to net.Conn) {
+func (p *Proxy) copyOneWay(c *Connection, from io.Reader, to net.Conn) {
 	defer drain(from)
 	buf := make([]byte, readSize)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !l.silent.Load() && to != nil {
-			p.write(l, to, buf[:n], hasMore(from))
+		if n > 0 && !c.silent.Load() && to != nil {
+			p.write(c, to, buf[:n], hasMore(from))
 		}
 		if err == nil {
 			continue
 		}
-		if l.silent.Load() {
+		if c.silent.Load() {
 			return
 		}
 		if conn, ok := to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
 			_ = conn.CloseWrite() // fails only if the connection is closed already
 			return
 		}
-		l.reset()
+		c.reset()
 		return
 	}
 }
 
 // write writes b, in chunks with random delays if the proxy's shape says so.
-func (p *Proxy) write(l *Connection, to net.Conn, b []byte, moreQueued bool) {
+func (p *Proxy) write(c *Connection, to net.Conn, b []byte, moreQueued bool) {
 	remaining := p.shape.MaxTotalChunkDelay
 	if moreQueued {
 		remaining = 0
 	}
-	for len(b) > 0 && !l.silent.Load() {
+	for len(b) > 0 && !c.silent.Load() {
 		n := len(b)
 		if p.shape.MaxChunk > 0 {
 			n = min(n, 1+int(p.randomDelay(time.Duration(p.shape.MaxChunk-1))))
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -126,9 +126,9 @@
 }
 
 // waitRead waits until the input contains some octets, however the reads divide it.
-func (c *gatedConn) waitRead(t *testing.T, text []byte) {
+func (c *gatedConn) waitRead(t *testing.T, octets []byte) {
 	t.Helper()
-	c.waitUntil(t, func() bool { return bytes.Contains(c.input, text) })
+	c.waitUntil(t, func() bool { return bytes.Contains(c.input, octets) })
 }
 
 // waitEnded waits until the end of the stream or an error was read.
@@ -152,23 +152,23 @@
 	bad            int
 }
 
-func newGatedHarness(t *testing.T, deadline string) *gatedHarness {
+func newGatedHarness(t *testing.T, abandonTime string) *gatedHarness {
 	h := &gatedHarness{t: t, listener: listenGated(t), switchListener: listenOnLoopback(t), boardListener: listenOnLoopback(t)}
 	h.log.blocked, h.log.letThrough = make(chan struct{}), make(chan struct{})
-	links := make(chan *gatedConn, 10)
+	switchConns := make(chan *gatedConn, 10)
 	dial := func(ctx context.Context, address string) (net.Conn, error) {
 		c, err := dialLoopback(ctx, address)
 		if err != nil || address != h.switchListener.Addr().String() {
 			return c, err
 		}
 		gated := &gatedConn{TCPConn: c.(*net.TCPConn)}
-		links <- gated
+		switchConns <- gated
 		h.dialGate.Pass()
 		return gated, nil
 	}
-	s := newOnLoopback(t, h.switchListener.Addr().String(), h.boardListener.Addr().String(), deadline, dial, &h.log)
+	s := newOnLoopback(t, h.switchListener.Addr().String(), h.boardListener.Addr().String(), abandonTime, dial, &h.log)
 	h.terminate, h.waitEnded = runServer(t, s, h.listener)
-	h.switchConn, h.sw = <-links, h.acceptSwitch()
+	h.switchConn, h.sw = <-switchConns, h.acceptSwitch()
 	time.Sleep(20 * time.Millisecond)
 	return h
 }
--- a/internal/platform/machine.go
+++ b/internal/platform/machine.go
@@ -23,7 +23,7 @@
 type Config struct {
 	Name, Listen, Board string
 	Limits              Limits
-	Known               []board.Event // the list of switches at the start
+	InitialEvents       []board.Event // the list of switches at the start
 	Settings            deployment.Settings
 	injectedFault       string // fault to inject, "" for none
 }
@@ -84,7 +84,7 @@
 	if config.Settings.Policy.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
 		return config, fmt.Errorf("%w: seed: %w", ErrConfig, err)
 	}
-	if config.Known, err = board.ParseKnown(file.Known); err != nil {
+	if config.InitialEvents, err = board.ParseInitialEvents(file.Known); err != nil {
 		return config, fmt.Errorf("%w: known: %w", ErrConfig, err)
 	}
 	return config, nil
--- a/internal/platform/record.go
+++ b/internal/platform/record.go
@@ -23,14 +23,14 @@
 }
 
 // Record logs an event of a call or a connection.
-func (h *hands) Record(r b2bua.Record) {
-	level, ctx := recordLevel(r.Kind), context.Background()
-	if !h.log.Enabled(ctx, level) {
+func (t *transport) Record(record b2bua.Record) {
+	level, ctx := recordLevel(record.Kind), context.Background()
+	if !t.log.Enabled(ctx, level) {
 		return
 	}
-	if !h.log.Enabled(ctx, slog.LevelDebug) {
-		if h.recordCounts[r.Kind]++; h.recordCounts[r.Kind] > maxRecordsPerSummary {
-			h.suppressed++
+	if !t.log.Enabled(ctx, slog.LevelDebug) {
+		if t.recordCounts[record.Kind]++; t.recordCounts[record.Kind] > maxRecordsPerSummary {
+			t.suppressed++
 			return
 		}
 	}
@@ -40,20 +40,20 @@
 			attrs = append(attrs, a)
 		}
 	}
-	add(r.CallID != "", slog.String("call", r.CallID))
-	add(r.Conn != 0, slog.Uint64("conn", uint64(r.Conn)))
-	if conn := h.conn(r.Conn); conn != nil {
+	add(record.CallID != "", slog.String("call", record.CallID))
+	add(record.Conn != 0, slog.Uint64("conn", uint64(record.Conn)))
+	if conn := t.conn(record.Conn); conn != nil {
 		add(true, slog.String("peer", conn.netConn.RemoteAddr().String()))
 	}
-	if r.Switch != 0 {
-		add(true, slog.String("switch", board.FormatID(r.Switch)))
+	if record.Switch != 0 {
+		add(true, slog.String("switch", board.FormatID(record.Switch)))
 	}
-	add(r.Try != 0, slog.Int("try", r.Try))
-	add(r.Kind == b2bua.CallState, slog.String("from", r.From.String()))
-	add(r.Kind == b2bua.CallState || r.Kind == b2bua.ReleaseIgnored || r.Kind == b2bua.AnswerIgnored, slog.String("to", r.To.String()))
-	add(r.Cause != 0, slog.Int("cause", r.Cause))
-	add(r.Copies != 0, slog.Int("copies", r.Copies))
-	add(r.Waited != 0, slog.Float64("waited_ms", float64(r.Waited)/10))
-	add(r.Reason != "", slog.String("why", r.Reason))
-	h.log.LogAttrs(ctx, level, r.Kind.String(), attrs...)
+	add(record.Try != 0, slog.Int("try", record.Try))
+	add(record.Kind == b2bua.CallState, slog.String("from", record.From.String()))
+	add(record.Kind == b2bua.CallState || record.Kind == b2bua.ReleaseIgnored || record.Kind == b2bua.AnswerIgnored, slog.String("to", record.To.String()))
+	add(record.Cause != 0, slog.Int("cause", record.Cause))
+	add(record.Copies != 0, slog.Int("copies", record.Copies))
+	add(record.Waited != 0, slog.Float64("waited_ms", float64(record.Waited)/10))
+	add(record.Reason != "", slog.String("why", record.Reason))
+	t.log.LogAttrs(ctx, level, record.Kind.String(), attrs...)
 }
--- a/internal/platform/station.go
+++ b/internal/platform/station.go
@@ -127,10 +127,10 @@
 	if maxOpen := config.Settings.MaxOpenCalls; maxOpen > 0 {
 		bounds.Calls = min(bounds.Calls, maxOpen)
 	}
-	s.agent = b2bua.New(config.Settings, bounds, (*hands)(s), s.now(), build)
-	s.agent.Bootstrap(s.now(), config.Known)
-	if n := len(config.Known); n > 0 {
-		s.lastBoardEvent = config.Known[n-1].Number
+	s.agent = b2bua.New(config.Settings, bounds, (*transport)(s), s.now(), build)
+	s.agent.Bootstrap(s.now(), config.InitialEvents)
+	if n := len(config.InitialEvents); n > 0 {
+		s.lastBoardEvent = config.InitialEvents[n-1].Number
 	}
 	return s
 }
@@ -522,60 +522,60 @@
 	clear(s.recordCounts)
 }
 
-// hands carries out what the agent requests: it is the server with the agent's output methods.
-type hands Server
+// transport carries out what the agent requests: it is the server with the agent's output methods.
+type transport Server
 
 // conn returns the connection with an identifier, of a caller or to a switch, nil if it is closed.
-func (h *hands) conn(id b2bua.ConnID) *connection {
-	if conn := h.callerConns[id]; conn != nil {
+func (t *transport) conn(id b2bua.ConnID) *connection {
+	if conn := t.callerConns[id]; conn != nil {
 		return conn
 	}
-	return h.switchConns[id]
+	return t.switchConns[id]
 }
 
 // Write queues a message on a connection.
-func (h *hands) Write(to b2bua.ConnID, m *sip.Message) {
-	conn, copies := h.conn(to), 1
-	if h.config.injectedFault != "" {
-		copies = h.config.copies(h.callerConns[to] != nil, m)
+func (t *transport) Write(to b2bua.ConnID, m *sip.Message) {
+	conn, copies := t.conn(to), 1
+	if t.config.injectedFault != "" {
+		copies = t.config.copies(t.callerConns[to] != nil, m)
 	}
 	for range copies {
 		if conn != nil && !conn.enqueue(m) {
-			(*Server)(h).warn("connection closed: the peer reads too slowly")
+			(*Server)(t).warn("connection closed: the peer reads too slowly")
 		}
 	}
 }
 
 // Close closes a connection after writing what is queued for it.
-func (h *hands) Close(id b2bua.ConnID, why string) {
-	if conn := h.conn(id); conn != nil {
+func (t *transport) Close(id b2bua.ConnID, why string) {
+	if conn := t.conn(id); conn != nil {
 		conn.closeAfterWrite()
-		delete(h.callerConns, id)
-		delete(h.switchConns, id)
-		if s := (*Server)(h); s.allowNote() {
+		delete(t.callerConns, id)
+		delete(t.switchConns, id)
+		if s := (*Server)(t); s.allowNote() {
 			s.log.Warn("connection closed: "+why, "conn", id, "peer", conn.netConn.RemoteAddr())
 		}
 	}
 }
 
 // Dial opens a connection to a switch.
-func (h *hands) Dial(sw, ticket uint32, address string) {
-	s := (*Server)(h)
+func (t *transport) Dial(switchID, ticket uint32, address string) {
+	s := (*Server)(t)
 	timeout := defaultDialTimeout
-	if t := s.config.Settings.DialTimeout; t > 0 {
-		timeout = trunk.Duration(t)
+	if configured := s.config.Settings.DialTimeout; configured > 0 {
+		timeout = trunk.Duration(configured)
 	}
 	select {
 	case s.switchSlots <- struct{}{}:
 	default: // many connections are being closed; their descriptors are free shortly
-		s.goroutines.Go(func() { s.post(event{kind: dialFinished, switchID: sw, ticket: ticket}) })
+		s.goroutines.Go(func() { s.post(event{kind: dialFinished, switchID: switchID, ticket: ticket}) })
 		return
 	}
 	s.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(s.runCtx, timeout)
 		defer cancel()
 		netConn, err := s.dial(ctx, address)
-		e := event{kind: dialFinished, switchID: sw, ticket: ticket, refused: errors.Is(err, syscall.ECONNREFUSED)}
+		e := event{kind: dialFinished, switchID: switchID, ticket: ticket, refused: errors.Is(err, syscall.ECONNREFUSED)}
 		if err == nil {
 			e.conn = s.addConn(netConn, maxSwitchQueue)
 			e.connID = e.conn.id
@@ -591,10 +591,10 @@
 }
 
 // Abandoned reports whether a caller has closed its connection or cancelled its call, even if that event is still in the inbox.
-func (h *hands) Abandoned(caller b2bua.ConnID, callID string) bool {
-	conn := h.callerConns[caller]
+func (t *transport) Abandoned(caller b2bua.ConnID, callID string) bool {
+	conn := t.callerConns[caller]
 	return conn == nil || conn.callerLeft(callID)
 }
 
 // Note logs a line for operators.
-func (h *hands) Note(text string) { (*Server)(h).warn(text) }
+func (t *transport) Note(text string) { (*Server)(t).warn(text) }
--- a/internal/sip/siptest/peer.go
+++ b/internal/sip/siptest/peer.go
@@ -71,11 +71,11 @@
 }
 
 // Expect returns the next message and fails the test if that has another method or status.
-func (p *Peer) Expect(what string) sip.Message {
+func (p *Peer) Expect(methodOrStatus string) sip.Message {
 	p.t.Helper()
 	m, ok := p.Receive(3 * time.Second)
-	if got := m.Method; !ok || got != what && fmt.Sprint(m.Status) != what {
-		p.t.Fatalf("received %v %+v, want %s", ok, m, what)
+	if got := m.Method; !ok || got != methodOrStatus && fmt.Sprint(m.Status) != methodOrStatus {
+		p.t.Fatalf("received %v %+v, want %s", ok, m, methodOrStatus)
 	}
 	return m
 }
