--- /dev/null
+++ b/internal/platform/transport.go
@@ -0,0 +1,88 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"syscall"
+
+	"indigodrift/internal/b2bua"
+	"indigodrift/internal/sip"
+	"indigodrift/internal/trunk"
+)
+
+// transport carries out what the agent requests: it is the server with the agent's output methods.
+type transport Server
+
+// conn returns the connection with an identifier, of a caller or to a switch, nil if it is closed.
+func (t *transport) conn(id b2bua.ConnID) *connection {
+	if conn := t.callerConns[id]; conn != nil {
+		return conn
+	}
+	return t.switchConns[id]
+}
+
+// Write queues a message on a connection.
+func (t *transport) Write(to b2bua.ConnID, m *sip.Message) {
+	conn, copies := t.conn(to), 1
+	if t.config.injectedFault != "" {
+		copies = t.config.copies(t.callerConns[to] != nil, m)
+	}
+	for range copies {
+		if conn != nil && !conn.enqueue(m) {
+			(*Server)(t).warn("connection closed: the peer reads too slowly")
+		}
+	}
+}
+
+// Close closes a connection after writing what is queued for it.
+func (t *transport) Close(id b2bua.ConnID, why string) {
+	if conn := t.conn(id); conn != nil {
+		conn.closeAfterWrite()
+		delete(t.callerConns, id)
+		delete(t.switchConns, id)
+		if s := (*Server)(t); s.allowNote() {
+			s.log.Warn("connection closed: "+why, "conn", id, "peer", conn.netConn.RemoteAddr())
+		}
+	}
+}
+
+// Dial opens a connection to a switch.
+func (t *transport) Dial(switchID, ticket uint32, address string) {
+	s := (*Server)(t)
+	timeout := defaultDialTimeout
+	if configured := s.config.Settings.DialTimeout; configured > 0 {
+		timeout = trunk.Duration(configured)
+	}
+	select {
+	case s.switchSlots <- struct{}{}:
+	default: // many connections are being closed; their descriptors are free shortly
+		s.goroutines.Go(func() { s.post(event{kind: dialFinished, switchID: switchID, ticket: ticket}) })
+		return
+	}
+	s.goroutines.Go(func() {
+		ctx, cancel := context.WithTimeout(s.runCtx, timeout)
+		defer cancel()
+		netConn, err := s.dial(ctx, address)
+		e := event{kind: dialFinished, switchID: switchID, ticket: ticket, refused: errors.Is(err, syscall.ECONNREFUSED)}
+		if err == nil {
+			e.conn = s.addConn(netConn, maxSwitchQueue)
+			e.connID = e.conn.id
+		}
+		posted := s.post(e)
+		if !posted && e.conn != nil {
+			s.removeConn(e.conn)
+		}
+		if !posted || e.conn == nil {
+			<-s.switchSlots
+		}
+	})
+}
+
+// Abandoned reports whether a caller has closed its connection or cancelled its call, even if that event is still in the inbox.
+func (t *transport) Abandoned(caller b2bua.ConnID, callID string) bool {
+	conn := t.callerConns[caller]
+	return conn == nil || conn.callerLeft(callID)
+}
+
+// Note logs a line for operators.
+func (t *transport) Note(text string) { (*Server)(t).warn(text) }
