--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -23,72 +23,72 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// asker makes calls from the line side of a switch and waits for each answer.
-type asker struct {
+// caller makes calls from the line side of a switch and waits for each answer.
+type caller struct {
 	conn    net.Conn
 	buf     []byte
 	scratch []byte
-	n       uint32
+	calls   uint32
 }
 
-// newAsker connects to a switch as a block of lines.
-func newAsker(b *testing.B, address string, block uint32) *asker {
-	c, err := net.Dial("tcp", address)
+// newCaller connects to a switch as a block of lines.
+func newCaller(b *testing.B, address string, block uint32) *caller {
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Fatal(err)
 	}
-	hello, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: exchange.FirstSubscriberPoint + block})
-	c.Write(hello)
-	a := &asker{conn: c}
-	a.read(b)
-	return a
+	handshake, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: exchange.FirstSubscriberPoint + block})
+	conn.Write(handshake)
+	c := &caller{conn: conn}
+	c.read(b)
+	return c
 }
 
-func (a *asker) read(b *testing.B) m3ua.Frame {
-	f, s, err := m3ua.Read(a.conn, a.scratch)
+func (c *caller) read(b *testing.B) m3ua.Frame {
+	f, s, err := m3ua.Read(c.conn, c.scratch)
 	if err != nil {
 		b.Fatal(err)
 	}
-	a.scratch = s
+	c.scratch = s
 	return f
 }
 
-func (a *asker) send(b *testing.B, m isup.Message) {
+func (c *caller) send(b *testing.B, m isup.Message) {
 	user, err := isup.Append(nil, m)
 	if err != nil {
 		b.Fatal(err)
 	}
-	a.buf, _ = m3ua.Append(a.buf[:0], m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: user})
-	if _, err := a.conn.Write(a.buf); err != nil {
+	c.buf, _ = m3ua.Append(c.buf[:0], m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: user})
+	if _, err := c.conn.Write(c.buf); err != nil {
 		b.Fatal(err)
 	}
 }
 
 // call makes one call and releases it. It returns how long the answer took and whether the call was established.
-func (a *asker) call(b *testing.B, dest int) (took time.Duration, stood bool) {
-	a.n++
-	cic := uint16(a.n & isup.MaxCIC)
-	from := time.Now()
-	a.send(b, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(dest, a.n), Ref: isup.Reference{Point: 1, Identity: a.n & 0xffffff},
+func (c *caller) call(b *testing.B, dest int) (took time.Duration, established bool) {
+	c.calls++
+	cic := uint16(c.calls & isup.MaxCIC)
+	start := time.Now()
+	c.send(b, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(dest, c.calls), Ref: isup.Reference{Point: 1, Identity: c.calls & 0xffffff},
 		UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 50000, SentAt: uint32(time.Now().UnixMicro() / 100)}})
 	for {
-		m, err := isup.Decode(a.read(b).UserData)
+		m, err := isup.Decode(c.read(b).UserData)
 		if err != nil {
 			b.Fatal(err)
 		}
 		if m.CIC == cic && (m.Type == isup.ANM || m.Type == isup.REL) {
-			took, stood = time.Since(from), m.Type == isup.ANM
+			took, established = time.Since(start), m.Type == isup.ANM
 			break
 		}
 	}
-	if stood {
-		a.send(b, isup.Message{CIC: cic, Type: isup.REL, Cause: isup.NormalClearing})
+	if established {
+		c.send(b, isup.Message{CIC: cic, Type: isup.REL, Cause: isup.NormalClearing})
 	}
-	return took, stood
+	return took, established
 }
 
-// echo starts a peer that answers every set-up at once, with the same codec, as a baseline. It returns its address.
-func echo(b *testing.B) string {
+// startEcho starts a peer that answers every set-up at once, with the same codec, as a baseline. It returns its address.
+func startEcho(b *testing.B) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -123,66 +123,66 @@
 	return ln.Addr().String()
 }
 
-// network starts exchanges on loopback whose switches process messages in no time. It returns the address of the first one's
+// startNetwork starts exchanges on loopback whose switches process messages in no time. It returns the address of the first one's
 // switch and the servers.
-func network(b *testing.B, n int, change func(i int, s *Config)) (string, []*Server) {
-	quick := standin.Work{SetUp: time.Nanosecond, Finish: time.Nanosecond, RefuseAfter: time.Hour, ReportEvery: time.Second, Reuse: true,
+func startNetwork(b *testing.B, n int, change func(i int, s *Config)) (string, []*Server) {
+	work := standin.Work{SetUp: time.Nanosecond, Finish: time.Nanosecond, RefuseAfter: time.Hour, ReportEvery: time.Second, Reuse: true,
 		ColdFrom: 1, Ramp: 1, FallMultiple: 1e9, FallWindow: time.Second}
 	log := audit.NewLog(discard{})
 	var switches []*standin.Switch
-	var at []string
+	var addresses []string
 	sizes := make([][]int, n)
 	for i := range n {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
-		s := standin.NewSwitch(i, quick, 1, log)
-		if err := s.Start(func() (net.Listener, error) { return ln, nil }); err != nil {
+		s := standin.NewSwitch(i, work, 1, log)
+		if err := s.Start(func() (net.Listener, error) { return listener, nil }); err != nil {
 			b.Fatal(err)
 		}
-		switches, at = append(switches, s), append(at, ln.Addr().String())
+		switches, addresses = append(switches, s), append(addresses, listener.Addr().String())
 		for range n {
 			sizes[i] = append(sizes[i], 100)
 		}
 		b.Cleanup(s.Stop)
 	}
-	rl, err := net.Listen("tcp", "127.0.0.1:0")
+	registerListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	reg := standin.NewRegister(switches, sizes, 0, 100*time.Millisecond, log)
-	reg.Start(rl)
+	reg.Start(registerListener)
 	b.Cleanup(reg.Stop)
 	var d net.Dialer
-	var stations []*Server
+	var servers []*Server
 	for i := range n {
 		s := Config{Deployment: policy.Deployment{OwnExchange: i, Seed: uint64(i), MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
-			Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, ExchangeCount: n, OwnSwitchAddress: at[i], RegisterAddress: rl.Addr().String(),
+			Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, ExchangeCount: n, OwnSwitchAddress: addresses[i], RegisterAddress: registerListener.Addr().String(),
 			InboxSize: 16384, MaxLinkOctets: 1 << 24}
 		for j := range n {
 			if j != i {
-				s.Neighbours = append(s.Neighbours, Neighbour{exchange.Neighbour{Number: j, Circuits: 100}, at[j]})
+				s.Neighbours = append(s.Neighbours, Neighbour{exchange.Neighbour{Number: j, Circuits: 100}, addresses[j]})
 			}
 		}
 		if change != nil {
 			change(i, &s)
 		}
-		st, err := New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
+		server, err := New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
 			func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) }, slog.New(slog.DiscardHandler))
 		if err != nil {
 			b.Fatal(err)
 		}
-		stations = append(stations, st)
+		servers = append(servers, server)
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- st.Run(ctx) }()
+		go func() { ended <- server.Run(ctx) }()
 		b.Cleanup(func() { cancel(); <-ended })
 	}
 	time.Sleep(3 * time.Second)
-	return at[0], stations
+	return addresses[0], servers
 }
 
 // discard is a writer that drops what is written to it.
@@ -192,61 +192,61 @@
 
 // BenchmarkAnswer times, in turn, calls over two switches and two controllers and calls answered by the baseline peer.
 func BenchmarkAnswer(b *testing.B) {
-	at, _ := network(b, 2, nil)
-	whole, bare := newAsker(b, at, 0), newAsker(b, echo(b), 0)
-	defer whole.conn.Close()
-	defer bare.conn.Close()
-	through, least := hdrhistogram.New(1, 1e9, 3), hdrhistogram.New(1, 1e9, 3)
-	stood := 0
+	at, _ := startNetwork(b, 2, nil)
+	fullPath, baseline := newCaller(b, at, 0), newCaller(b, startEcho(b), 0)
+	defer fullPath.conn.Close()
+	defer baseline.conn.Close()
+	fullTimes, baselineTimes := hdrhistogram.New(1, 1e9, 3), hdrhistogram.New(1, 1e9, 3)
+	established := 0
 	for b.Loop() {
-		if took, ok := whole.call(b, 1); ok {
-			stood++
-			through.RecordValue(took.Nanoseconds())
+		if took, ok := fullPath.call(b, 1); ok {
+			established++
+			fullTimes.RecordValue(took.Nanoseconds())
 		}
-		took, _ := bare.call(b, 1)
-		least.RecordValue(took.Nanoseconds())
+		took, _ := baseline.call(b, 1)
+		baselineTimes.RecordValue(took.Nanoseconds())
 	}
-	if stood == 0 {
+	if established == 0 {
 		b.Fatal("no call was established")
 	}
 	for _, q := range []struct {
 		name string
 		at   float64
 	}{{"median", 50}, {"99th", 99}} {
-		t, l := float64(through.ValueAtQuantile(q.at)), float64(least.ValueAtQuantile(q.at))
+		t, l := float64(fullTimes.ValueAtQuantile(q.at)), float64(baselineTimes.ValueAtQuantile(q.at))
 		b.ReportMetric(t/1e3, q.name+"-µs")
 		b.ReportMetric(t/l, q.name+"-over-bare")
 	}
-	b.ReportMetric(float64(stood)/float64(b.N), "stood")
+	b.ReportMetric(float64(established)/float64(b.N), "stood")
 }
 
 // BenchmarkQueue times ten thousand calls offered at once, until the last one has its answer.
 func BenchmarkQueue(b *testing.B) {
 	const calls = 10000
-	at, _ := network(b, 2, nil)
+	at, _ := startNetwork(b, 2, nil)
 	b.ResetTimer()
 	for n := range b.N {
 		b.StopTimer()
 		answered := make(chan int)
-		var all []*asker
+		var callers []*caller
 		for block := uint32(n%50) * 4; block < uint32(n%50)*4+4; block++ {
-			a := newAsker(b, at, block)
-			all = append(all, a)
+			caller := newCaller(b, at, block)
+			callers = append(callers, caller)
 			var stream []byte
 			for i := range uint32(calls / 4) {
 				user, _ := isup.Append(nil, isup.Message{CIC: uint16(i), Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(1, i),
 					Ref: isup.Reference{Point: 1, Identity: block<<16 + i + 1}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 50000}})
 				stream, _ = m3ua.Append(stream, m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint + block, DPC: 1, UserData: user})
 			}
-			go a.conn.Write(stream)
+			go caller.conn.Write(stream)
 			go func() {
 				n := 0
 				for n < calls/4 {
-					f, s, err := m3ua.Read(a.conn, a.scratch)
+					f, s, err := m3ua.Read(caller.conn, caller.scratch)
 					if err != nil {
 						break
 					}
-					a.scratch = s
+					caller.scratch = s
 					if m, err := isup.Decode(f.UserData); err == nil && (m.Type == isup.ANM || m.Type == isup.REL) {
 						n++
 					}
@@ -263,16 +263,16 @@
 		if total != calls {
 			b.Fatalf("%d of %d calls were answered", total, calls)
 		}
-		for k, a := range all { // release the established calls
+		for k, caller := range callers { // release the established calls
 			for i := range uint16(calls / 4) {
 				user, _ := isup.Append(nil, isup.Message{CIC: i, Type: isup.REL, Cause: isup.NormalClearing})
 				frame, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint + uint32(n%50*4+k), DPC: 1, UserData: user})
-				a.conn.Write(frame)
+				caller.conn.Write(frame)
 			}
 		}
 		time.Sleep(500 * time.Millisecond)
-		for _, a := range all {
-			a.conn.Close()
+		for _, caller := range callers {
+			caller.conn.Close()
 		}
 		b.StartTimer()
 	}
@@ -299,16 +299,16 @@
 		return name
 	}
 	first := write(1, 1000)
-	at, stations := network(b, 2, func(i int, s *Config) {
+	at, servers := startNetwork(b, 2, func(i int, s *Config) {
 		s.NumberAnalysis = &NumberAnalysis{StoreFolder: filepath.Join(dir, fmt.Sprint("store", i)), InitialTable: first, MaxCallers: 1000}
 	})
 	name := write(2, prefixes)
-	a := newAsker(b, at, 0)
-	defer a.conn.Close()
+	caller := newCaller(b, at, 0)
+	defer caller.conn.Close()
 	measure := func(until func() bool) (int64, int64) {
 		h := hdrhistogram.New(1, 1e10, 3)
 		for !until() {
-			took, ok := a.call(b, 1)
+			took, ok := caller.call(b, 1)
 			if !ok {
 				b.Fatal("a call was not established")
 			}
@@ -321,15 +321,15 @@
 		end := time.Now().Add(5 * time.Second)
 		before, _ := measure(func() bool { return time.Now().After(end) })
 		var loaded atomic.Int64
-		from := time.Now()
+		start := time.Now()
 		go func() {
-			if _, err := stations[0].Load(name, time.Now()); err != nil {
+			if _, err := servers[0].Load(name, time.Now()); err != nil {
 				b.Error(err)
 			}
 			loaded.Store(time.Now().UnixNano())
 		}()
 		during, calls := measure(func() bool { return loaded.Load() != 0 })
-		took := time.Since(from)
+		took := time.Since(start)
 		end = time.Now().Add(5 * time.Second)
 		after, _ := measure(func() bool { return time.Now().After(end) })
 		b.ReportMetric(float64(during)/float64(before), "99th-during-over-before")
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -21,103 +21,103 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is a running server whose own switch is played by the test.
-type bench struct {
-	t       *testing.T
-	station *Server
-	own     net.Conn
-	log     strings.Builder
-	mu      sync.Mutex
-	got     []isup.Message
-	drain   context.CancelFunc
-	ended   chan error
+// harness is a running server whose own switch is played by the test.
+type harness struct {
+	t          *testing.T
+	server     *Server
+	switchConn net.Conn
+	log        strings.Builder
+	mu         sync.Mutex
+	received   []isup.Message
+	drain      context.CancelFunc
+	ended      chan error
 }
 
-func (b *bench) Write(p []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.log.Write(p)
+func (h *harness) Write(p []byte) (int, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.log.Write(p)
 }
 
-// start runs a server with an event queue of the given capacity and accepts its link.
-func start(t *testing.T, inbox int) *bench {
-	m := memnet.New()
-	ln, err := m.Listen("own")
+// startHarness runs a server with an event queue of the given capacity and accepts its link.
+func startHarness(t *testing.T, inbox int) *harness {
+	memNet := memnet.New()
+	ln, err := memNet.Listen("own")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, ended: make(chan error, 1)}
-	s := Config{Deployment: policy.Deployment{OwnExchange: 0, Seed: 1, MaxTries: 4, ReleaseTime: 3000,
+	h := &harness{t: t, ended: make(chan error, 1)}
+	config := Config{Deployment: policy.Deployment{OwnExchange: 0, Seed: 1, MaxTries: 4, ReleaseTime: 3000,
 		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none",
 		Neighbours: []Neighbour{{exchange.Neighbour{Number: 1, Circuits: 4}, "away"}}, InboxSize: inbox, MaxLinkOctets: 1 << 16}
-	b.station, err = New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
+	h.server, err = New(config, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
 	},
-		func(_ context.Context, address string) (net.Conn, error) { return m.Dial(address) }, slog.New(slog.NewTextHandler(b, nil)))
+		func(_ context.Context, address string) (net.Conn, error) { return memNet.Dial(address) }, slog.New(slog.NewTextHandler(h, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b.drain = cancel
-	go func() { b.ended <- b.station.Run(ctx) }()
-	b.accept(ln)
+	h.drain = cancel
+	go func() { h.ended <- h.server.Run(ctx) }()
+	h.accept(ln)
 	t.Cleanup(func() { ln.Close() })
-	return b
+	return h
 }
 
 // accept answers the handshake of the server's link and collects the messages that it sends.
-func (b *bench) accept(ln net.Listener) {
-	c, err := ln.Accept()
+func (h *harness) accept(ln net.Listener) {
+	conn, err := ln.Accept()
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	f, _, err := m3ua.Read(c, nil)
-	if err != nil || f.Kind != m3ua.ASPUp || f.ASPID != 1 {
-		b.t.Fatal(f, err)
+	frame, _, err := m3ua.Read(conn, nil)
+	if err != nil || frame.Kind != m3ua.ASPUp || frame.ASPID != 1 {
+		h.t.Fatal(frame, err)
 	}
-	b.own = c
-	b.frame(m3ua.Frame{Kind: m3ua.ASPUpAck, ASPID: 1, Info: "life=1"})
+	h.switchConn = conn
+	h.sendFrame(m3ua.Frame{Kind: m3ua.ASPUpAck, ASPID: 1, Info: "life=1"})
 	go func() {
 		var scratch []byte
 		for {
-			f, s, err := m3ua.Read(c, scratch)
+			frame, s, err := m3ua.Read(conn, scratch)
 			if err != nil {
 				return
 			}
-			if scratch = s; f.Kind == m3ua.Data {
-				if m, err := isup.Decode(f.UserData); err == nil {
-					b.mu.Lock()
-					b.got = append(b.got, m)
-					b.mu.Unlock()
+			if scratch = s; frame.Kind == m3ua.Data {
+				if message, err := isup.Decode(frame.UserData); err == nil {
+					h.mu.Lock()
+					h.received = append(h.received, message)
+					h.mu.Unlock()
 				}
 			}
 		}
 	}()
 }
 
-func (b *bench) frame(f m3ua.Frame) {
+func (h *harness) sendFrame(f m3ua.Frame) {
 	buf, err := m3ua.Append(nil, f)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	b.own.Write(buf)
+	h.switchConn.Write(buf)
 }
 
-// dial sends a set-up from a line, with the time left for its caller and the stamp of the switch's clock.
-func (b *bench) dial(cic uint16, dest int, left policy.Tenths, stamp uint32) {
+// sendSetUp sends a set-up from a line, with the time left for its caller and the stamp of the switch's clock.
+func (h *harness) sendSetUp(cic uint16, dest int, left policy.Tenths, stamp uint32) {
 	buf, err := isup.Append(nil, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(dest, 1),
 		Ref: isup.Reference{Point: 1, Identity: uint32(cic) + 1}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(left), SentAt: stamp}})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	b.frame(m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: buf})
+	h.sendFrame(m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: buf})
 }
 
-// released counts the releases received for a circuit.
-func (b *bench) released(cic uint16) (n int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, m := range b.got {
+// releaseCount counts the releases received for a circuit.
+func (h *harness) releaseCount(cic uint16) (n int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, m := range h.received {
 		if m.CIC == cic && m.Type == isup.REL {
 			n++
 		}
@@ -125,119 +125,119 @@
 	return n
 }
 
-// end drains the server and returns what Run returned.
-func (b *bench) end() error {
-	b.drain()
-	err := <-b.ended
-	b.own.Close()
+// stop drains the server and returns what Run returned.
+func (h *harness) stop() error {
+	h.drain()
+	err := <-h.ended
+	h.switchConn.Close()
 	return err
 }
 
 func TestFullInboxAnswersAtOnceAndDropsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, 16)
+		h := startHarness(t, 16)
 		stop := make(chan struct{})
-		go b.station.Do(func() { <-stop }) // blocks the event loop
+		go h.server.Do(func() { <-stop }) // blocks the event loop
 		time.Sleep(time.Millisecond)
 		for cic := range uint16(200) {
-			b.dial(cic, 1, 30000, 0)
+			h.sendSetUp(cic, 1, 30000, 0)
 		}
 		time.Sleep(time.Millisecond)
-		at := 0
+		answered := 0
 		for cic := range uint16(200) {
-			at += b.released(cic)
+			answered += h.releaseCount(cic)
 		}
-		if at < 180 {
-			t.Fatalf("%d of 200 calls were answered at once with a full event queue", at)
+		if answered < 180 {
+			t.Fatalf("%d of 200 calls were answered at once with a full event queue", answered)
 		}
 		close(stop)
 		time.Sleep(time.Second)
 		for cic := range uint16(200) {
-			if n := b.released(cic); n != 1 {
+			if n := h.releaseCount(cic); n != 1 {
 				t.Fatalf("call %d got %d answers", cic, n)
 			}
 		}
-		if err := b.end(); err != nil {
+		if err := h.stop(); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-func TestMalformedMessageCostsItsOwnLinkAlone(t *testing.T) {
+func TestMalformedMessageClosesOnlyItsLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, 64)
-		b.frame(m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: []byte{1, 0, 0x7f}})
+		h := startHarness(t, 64)
+		h.sendFrame(m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: 1, UserData: []byte{1, 0, 0x7f}})
 		time.Sleep(10 * time.Millisecond)
-		b.mu.Lock()
-		told := b.log.String()
-		b.mu.Unlock()
-		if !strings.Contains(told, "malformed ISUP message: type 7f is not known") {
-			t.Fatalf("log: %s", told)
+		h.mu.Lock()
+		logged := h.log.String()
+		h.mu.Unlock()
+		if !strings.Contains(logged, "malformed ISUP message: type 7f is not known") {
+			t.Fatalf("log: %s", logged)
 		}
-		if !b.station.Do(func() {}) {
+		if !h.server.Do(func() {}) {
 			t.Fatal("the server ended")
 		}
-		b.end()
+		h.stop()
 	})
 }
 
-func TestDrainAnswersWhatWasTakenAndRefusesTheRest(t *testing.T) {
+func TestDrainAnswersAcceptedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, 64)
-		b.dial(1, 0, 30000, 0) // to a line of this exchange, which rings
+		h := startHarness(t, 64)
+		h.sendSetUp(1, 0, 30000, 0) // to a line of this exchange, which rings
 		time.Sleep(time.Millisecond)
-		b.drain()
+		h.drain()
 		time.Sleep(time.Millisecond)
-		if err := <-b.ended; err != nil {
+		if err := <-h.ended; err != nil {
 			t.Fatal(err)
 		}
-		b.own.Close()
+		h.switchConn.Close()
 	})
 }
 
-func TestCallReadTooLateIsNotTouched(t *testing.T) {
+func TestCallOfDepartedCallerIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := start(t, 64)
-		b.dial(1, 2, 30000, 100000) // sets the transmission time; refused, as there is no route
+		h := startHarness(t, 64)
+		h.sendSetUp(1, 2, 30000, 100000) // sets the transmission time; refused, as there is no route
 		time.Sleep(time.Millisecond)
-		b.dial(2, 2, 5000, 90000) // stamped 1 s earlier: the caller abandoned it 0.5 s ago
-		b.dial(3, 2, 5000, 100000)
+		h.sendSetUp(2, 2, 5000, 90000) // stamped 1 s earlier: the caller abandoned it 0.5 s ago
+		h.sendSetUp(3, 2, 5000, 100000)
 		time.Sleep(time.Millisecond)
-		if b.released(1) != 1 || b.released(2) != 0 || b.released(3) != 1 {
-			t.Fatalf("answers %d, %d, %d", b.released(1), b.released(2), b.released(3))
+		if h.releaseCount(1) != 1 || h.releaseCount(2) != 0 || h.releaseCount(3) != 1 {
+			t.Fatalf("answers %d, %d, %d", h.releaseCount(1), h.releaseCount(2), h.releaseCount(3))
 		}
-		b.end()
+		h.stop()
 	})
 }
 
 // Guards against refusing all calls after the own switch restarts with a new clock: measured against the old clock, every call
 // seemed to have waited for as long as the switch had run before.
-func TestNewLifeOfTheOwnSwitchHasANewClock(t *testing.T) {
+func TestRestartedOwnSwitchHasANewClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := memnet.New()
 		ln, _ := m.Listen("own")
-		b := &bench{t: t, ended: make(chan error, 1)}
-		s := Config{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
+		h := &harness{t: t, ended: make(chan error, 1)}
+		config := Config{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
 			ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none", InboxSize: 64, MaxLinkOctets: 1 << 16}
-		b.station, _ = New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
+		h.server, _ = New(config, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
 			func(_ context.Context, address string) (net.Conn, error) { return m.Dial(address) }, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(context.Background())
-		b.drain = cancel
-		go func() { b.ended <- b.station.Run(ctx) }()
-		b.accept(ln)
+		h.drain = cancel
+		go func() { h.ended <- h.server.Run(ctx) }()
+		h.accept(ln)
 		time.Sleep(time.Second)
-		b.dial(1, 2, 30000, 1000000)
+		h.sendSetUp(1, 2, 30000, 1000000)
 		time.Sleep(time.Millisecond)
-		b.own.Close()
-		b.accept(ln)
-		b.dial(2, 2, 30000, 10)
+		h.switchConn.Close()
+		h.accept(ln)
+		h.sendSetUp(2, 2, 30000, 10)
 		time.Sleep(time.Millisecond)
-		if b.released(1) != 1 || b.released(2) != 1 {
-			t.Fatalf("answers %d, %d", b.released(1), b.released(2))
+		if h.releaseCount(1) != 1 || h.releaseCount(2) != 1 {
+			t.Fatalf("answers %d, %d", h.releaseCount(1), h.releaseCount(2))
 		}
-		b.end()
+		h.stop()
 		ln.Close()
 	})
 }
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -24,155 +24,155 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// oneSession is a session description.
-const oneSession = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 4000 RTP/AVP 0\r\n"
+// sessionDescription is a session description.
+const sessionDescription = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 4000 RTP/AVP 0\r\n"
 
-// gatewaySite returns settings with gateways of so many endpoints; rate is how many gateways a second may be brought into service.
-func gatewaySite(own, gateways, endpoints int, rate float64) *Gateways {
+// gatewaySettings returns settings with gateways of so many endpoints; rate is how many gateways a second may be brought into service.
+func gatewaySettings(own, gateways, endpoints int, rate float64) *Gateways {
 	m, _ := mgcp.ParseMap("(xxxxxxxxx)")
-	g := &Gateways{Site: callagent.Site{Own: own, Point: exchange.PointCode(own), Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
+	settings := &Gateways{Site: callagent.Site{Own: own, Point: exchange.PointCode(own), Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
 		RingMost: 600000, Media: "127.0.0.1", Rate: rate, Queue: 1 << 15}}
 	for n := range gateways {
-		g.Gateways = append(g.Gateways, callagent.Gateway{Name: fmt.Sprintf("gw%d", n), Endpoints: endpoints, FirstLine: 100 + n*endpoints, Width: 1})
+		settings.Gateways = append(settings.Gateways, callagent.Gateway{Name: fmt.Sprintf("gw%d", n), Endpoints: endpoints, FirstLine: 100 + n*endpoints, Width: 1})
 	}
-	return g
+	return settings
 }
 
-// joined is a call agent and an exchange connected without sockets. Messages that they send are encoded and recorded.
-type joined struct {
-	x    *exchange.Exchange
-	a    *callagent.Agent
-	now  policy.Tenths
-	text [][]byte
-	isup []byte
-	to   exchange.Hop
-	m    isup.Message
-	x1   string // ID of the last notification request
+// agentHarness is a call agent and an exchange connected without sockets. Messages that they send are encoded and recorded.
+type agentHarness struct {
+	exchange  *exchange.Exchange
+	agent     *callagent.Agent
+	now       policy.Tenths
+	datagrams [][]byte
+	encoded   []byte
+	setUpHop  exchange.Hop
+	setUp     isup.Message
+	requestID string // ID of the last notification request
 }
 
-func (j *joined) Follow()                  {}
-func (j *joined) Note(string)              {}
-func (j *joined) Told(int, string)         {}
-func (j *joined) Answered(exchange.Answer) {}
-func (j *joined) Transmit(to exchange.Hop, m isup.Message) {
-	if to.Side == exchange.Line && j.a != nil && j.a.Hear(to.Point, m.CIC, m) {
+func (h *agentHarness) Follow()                  {}
+func (h *agentHarness) Note(string)              {}
+func (h *agentHarness) Told(int, string)         {}
+func (h *agentHarness) Answered(exchange.Answer) {}
+func (h *agentHarness) Transmit(to exchange.Hop, m isup.Message) {
+	if to.Side == exchange.Line && h.agent != nil && h.agent.Hear(to.Point, m.CIC, m) {
 		return
 	}
-	j.isup, _ = isup.Append(j.isup[:0], m)
+	h.encoded, _ = isup.Append(h.encoded[:0], m)
 	if m.Type == isup.IAM {
-		j.to, j.m = to, m
+		h.setUpHop, h.setUp = to, m
 	}
 }
-func (j *joined) Send(_ netip.AddrPort, m mgcp.Message) {
+func (h *agentHarness) Send(_ netip.AddrPort, m mgcp.Message) {
 	b, err := mgcp.Append(nil, m)
 	if err != nil {
 		panic(err)
 	}
-	j.text = append(j.text, b)
+	h.datagrams = append(h.datagrams, b)
 }
-func (j *joined) Offer(point, _ uint16, m isup.Message) {
-	j.x.Receive(j.now, exchange.Hop{Side: exchange.Line, Point: point}, m, 0)
+func (h *agentHarness) Offer(point, _ uint16, m isup.Message) {
+	h.exchange.Receive(h.now, exchange.Hop{Side: exchange.Line, Point: point}, m, 0)
 }
 
-// datagram passes a datagram of the gateway to the agent.
-func (j *joined) datagram(text []byte) {
+// receiveDatagram passes a datagram of the gateway to the agent.
+func (h *agentHarness) receiveDatagram(text []byte) {
 	all, err := mgcp.Decode(text)
 	if err != nil {
 		panic(err)
 	}
 	for _, m := range all {
-		j.a.Datagram(j.now, benchFrom, m, 0)
+		h.agent.Datagram(h.now, gatewayAddress, m, 0)
 	}
-	j.a.Settle(j.now)
+	h.agent.Settle(h.now)
 }
 
-// trunk passes a message from a trunk to the exchange.
-func (j *joined) trunk(from exchange.Hop, b []byte) {
+// receiveTrunk passes a message from a trunk to the exchange.
+func (h *agentHarness) receiveTrunk(from exchange.Hop, b []byte) {
 	m, err := isup.Decode(b)
 	if err != nil {
 		panic(err)
 	}
-	j.x.Receive(j.now, from, m, 0)
-	if j.a != nil {
-		j.a.Settle(j.now)
+	h.exchange.Receive(h.now, from, m, 0)
+	if h.agent != nil {
+		h.agent.Settle(h.now)
 	}
 }
 
-var benchFrom = netip.MustParseAddrPort("127.0.0.1:2427")
+var gatewayAddress = netip.MustParseAddrPort("127.0.0.1:2427")
 
-// replies returns the gateway's responses to all commands sent to it.
-func (j *joined) replies() (all [][]byte) {
-	for _, b := range j.text {
+// responses returns the gateway's responses to all commands sent to it.
+func (h *agentHarness) responses() (all [][]byte) {
+	for _, b := range h.datagrams {
 		m, _ := mgcp.Decode(b)
 		if m[0].Verb == "" {
 			continue
 		}
 		if x, ok := m[0].Param("X"); ok {
-			j.x1 = x
+			h.requestID = x
 		}
 		r := mgcp.Message{Transaction: m[0].Transaction, Code: 200, Comment: "OK"}
 		switch m[0].Verb {
 		case mgcp.AuditEndpoint: // sent only between calls
 			r.Params = []mgcp.Param{{Name: "I", Value: ""}, {Name: "ES", Value: "L/hu"}}
 		case mgcp.CreateConnection:
-			r.Params, r.Session = []mgcp.Param{{Name: "I", Value: "A1"}}, []byte(oneSession)
+			r.Params, r.Session = []mgcp.Param{{Name: "I", Value: "A1"}}, []byte(sessionDescription)
 		}
 		text, _ := mgcp.Append(nil, r)
 		all = append(all, text)
 	}
-	j.text = nil
+	h.datagrams = nil
 	return all
 }
 
-// newJoined connects an agent and an exchange with two neighbours and brings the gateways into service.
-func newJoined(gateways, endpoints int) *joined {
-	j := &joined{now: 1 << 32}
-	j.x = exchange.New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
-		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []exchange.Neighbour{{Number: 1, Circuits: 248}, {Number: 2, Circuits: 248}}, j, j.now,
+// newAgentHarness connects an agent and an exchange with two neighbours and brings the gateways into service.
+func newAgentHarness(gateways, endpoints int) *agentHarness {
+	h := &agentHarness{now: 1 << 32}
+	h.exchange = exchange.New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
+		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []exchange.Neighbour{{Number: 1, Circuits: 248}, {Number: 2, Circuits: 248}}, h, h.now,
 		func(d policy.Deployment, e policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, e, now)
 		})
-	j.x.OwnSwitchUp(j.now, "1")
+	h.exchange.OwnSwitchUp(h.now, "1")
 	for peer := range 2 {
-		j.x.LinkUp(j.now, peer, "1")
+		h.exchange.LinkUp(h.now, peer, "1")
 		for first := 0; first < 248; first += isup.CircuitsPerMultiplex {
-			j.x.Receive(j.now, exchange.Hop{Side: exchange.Succeeding, Peer: peer}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1), Range: isup.CircuitsPerMultiplex - 1}, 0)
+			h.exchange.Receive(h.now, exchange.Hop{Side: exchange.Succeeding, Peer: peer}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1), Range: isup.CircuitsPerMultiplex - 1}, 0)
 		}
 	}
-	j.x.Listed(j.now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}, {ID: 6, Number: 2, Ready: true}})
-	site := gatewaySite(0, gateways, endpoints, 1e6).Site
+	h.exchange.Listed(h.now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}, {ID: 6, Number: 2, Ready: true}})
+	site := gatewaySettings(0, gateways, endpoints, 1e6).Site
 	for i := range site.Gateways {
-		site.Gateways[i].Addresses = []netip.AddrPort{benchFrom}
+		site.Gateways[i].Addresses = []netip.AddrPort{gatewayAddress}
 	}
-	j.a = callagent.New(site, j, j.now)
+	h.agent = callagent.New(site, h, h.now)
 	for range 4 * gateways {
-		for _, r := range j.replies() {
-			j.datagram(r)
+		for _, r := range h.responses() {
+			h.receiveDatagram(r)
 		}
-		if at, ok := j.a.Next(); ok {
-			j.now = max(j.now, min(at, j.now+100))
-			j.a.Tick(j.now)
+		if at, ok := h.agent.Next(); ok {
+			h.now = max(h.now, min(at, h.now+100))
+			h.agent.Tick(h.now)
 		}
-		if j.a.Lines(callagent.Idle) == gateways*endpoints {
+		if h.agent.Lines(callagent.Idle) == gateways*endpoints {
 			break
 		}
 	}
-	return j
+	return h
 }
 
 // BenchmarkCallByGatewayAndByTrunk times, in turn, the CPU work of a call from a telephone at a gateway to another exchange (off
 // hook, dial tone, number, connection, answer, hang-up) and of a transit call from trunk to trunk: decoding, call agent,
 // exchange, decision module, encoding.
 func BenchmarkCallByGatewayAndByTrunk(b *testing.B) {
-	j := newJoined(1, 24)
-	if j.a.Lines(callagent.Idle) != 24 {
+	h := newAgentHarness(1, 24)
+	if h.agent.Lines(callagent.Idle) != 24 {
 		b.Fatal("the gateway did not come into service")
 	}
 	var byGateway, byTrunk time.Duration
 	spent := func(sum *time.Duration, do func()) {
-		from := time.Now()
+		start := time.Now()
 		do()
-		*sum += time.Since(from)
+		*sum += time.Since(start)
 	}
 	notify := func(id int, x, o string) []byte {
 		return fmt.Appendf(nil, "NTFY %d aaln/1@gw0 MGCP 1.0\r\nX: %s\r\nO: %s\r\n", id, x, o)
@@ -182,55 +182,55 @@
 	id, calls := 0, 0
 	for b.Loop() {
 		calls++
-		j.now += 400
+		h.now += 400
 		spent(&byGateway, func() { // counts the timers, the exchange's too, as part of the gateway call
-			for j.x.Next() <= j.now {
-				j.x.Tick(j.now)
+			for h.exchange.Next() <= h.now {
+				h.exchange.Tick(h.now)
 			}
-			if at, ok := j.a.Next(); ok && at <= j.now {
-				j.a.Tick(j.now)
+			if at, ok := h.agent.Next(); ok && at <= h.now {
+				h.agent.Tick(h.now)
 			}
 		})
-		for len(j.text) > 0 {
-			for _, r := range j.replies() {
-				j.datagram(r)
+		for len(h.datagrams) > 0 {
+			for _, r := range h.responses() {
+				h.receiveDatagram(r)
 			}
 		}
 		step := func(text []byte) {
-			spent(&byGateway, func() { j.datagram(text) })
-			for _, r := range j.replies() {
-				spent(&byGateway, func() { j.datagram(r) })
+			spent(&byGateway, func() { h.receiveDatagram(text) })
+			for _, r := range h.responses() {
+				spent(&byGateway, func() { h.receiveDatagram(r) })
 			}
 		}
 		id += 3
-		j.to = exchange.Hop{}
-		step(notify(id, j.x1, "L/hd"))
-		step(notify(id+1, j.x1, "D/0, D/0, D/1, D/0, D/0, D/0, D/0, D/0, D/1"))
-		if j.to.Side != exchange.Succeeding {
+		h.setUpHop = exchange.Hop{}
+		step(notify(id, h.requestID, "L/hd"))
+		step(notify(id+1, h.requestID, "D/0, D/0, D/1, D/0, D/0, D/0, D/0, D/0, D/1"))
+		if h.setUpHop.Side != exchange.Succeeding {
 			b.Fatal("no set-up was sent")
 		}
-		cic := j.m.CIC
-		anm, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: oneSession}})
-		spent(&byGateway, func() { j.trunk(ahead, anm) })
-		for _, r := range j.replies() {
-			spent(&byGateway, func() { j.datagram(r) })
+		cic := h.setUp.CIC
+		anm, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: sessionDescription}})
+		spent(&byGateway, func() { h.receiveTrunk(ahead, anm) })
+		for _, r := range h.responses() {
+			spent(&byGateway, func() { h.receiveDatagram(r) })
 		}
-		step(notify(id+2, j.x1, "L/hu"))
+		step(notify(id+2, h.requestID, "L/hu"))
 		rlc, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.RLC})
-		spent(&byGateway, func() { j.trunk(ahead, rlc) })
+		spent(&byGateway, func() { h.receiveTrunk(ahead, rlc) })
 
 		iam, _ := isup.Append(nil, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: "001000001", HopCounter: 2, Ref: isup.Reference{Point: 3, Identity: uint32(calls) & 0xffffff},
 			UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 80000}})
 		behind := exchange.Hop{Side: exchange.Preceding, Peer: 1}
-		j.to = exchange.Hop{}
-		spent(&byTrunk, func() { j.trunk(behind, iam) })
-		if j.to.Side != exchange.Succeeding {
+		h.setUpHop = exchange.Hop{}
+		spent(&byTrunk, func() { h.receiveTrunk(behind, iam) })
+		if h.setUpHop.Side != exchange.Succeeding {
 			b.Fatal("no set-up was sent on")
 		}
-		cic = j.m.CIC
+		cic = h.setUp.CIC
 		anm, _ = isup.Append(nil, isup.Message{CIC: cic, Type: isup.ANM})
 		rlc, _ = isup.Append(nil, isup.Message{CIC: cic, Type: isup.RLC})
-		spent(&byTrunk, func() { j.trunk(ahead, anm); j.trunk(behind, trunkREL); j.trunk(ahead, rlc) })
+		spent(&byTrunk, func() { h.receiveTrunk(ahead, anm); h.receiveTrunk(behind, trunkREL); h.receiveTrunk(ahead, rlc) })
 	}
 	g, t := byGateway.Seconds()/float64(calls), byTrunk.Seconds()/float64(calls)
 	b.ReportMetric(g*1e6, "µs/call-by-gateway")
@@ -245,94 +245,94 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		j := newJoined(4167, 24)
-		j.text = nil
+		h := newAgentHarness(4167, 24)
+		h.datagrams = nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		if n := j.a.Lines(callagent.Idle); n != 4167*24 {
+		if n := h.agent.Lines(callagent.Idle); n != 4167*24 {
 			b.Fatalf("%d lines are idle", n)
 		}
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(4167*24), "B/endpoint")
-		runtime.KeepAlive(j)
+		runtime.KeepAlive(h)
 	}
 }
 
-// district is a set of gateways behind one socket. They answer every command and repeat their restart reports until these are
+// gatewayFleet is a set of gateways behind one socket. They answer every command and repeat their restart reports until these are
 // answered.
-type district struct {
-	conn  *net.UDPConn
-	agent *net.UDPAddr
-	mu    sync.Mutex
-	back  map[string]bool      // transactions whose report was answered
-	wait  map[string]time.Time // when a report may be repeated after a provisional response
-	armed map[string]bool      // endpoints that were asked to report off hook
-	sent  int                  // reports sent
+type gatewayFleet struct {
+	conn         *net.UDPConn
+	agentAddress *net.UDPAddr
+	mu           sync.Mutex
+	answered     map[string]bool      // transactions whose report was answered
+	retryAt      map[string]time.Time // when a report may be repeated after a provisional response
+	armed        map[string]bool      // endpoints that were asked to report off hook
+	sent         int                  // reports sent
 }
 
 // serve answers the agent's commands until the socket is closed.
-func (d *district) serve() {
+func (f *gatewayFleet) serve() {
 	buf := make([]byte, 8192)
 	for {
-		n, _, err := d.conn.ReadFromUDP(buf)
+		n, _, err := f.conn.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
 		all, _ := mgcp.Decode(buf[:n])
 		for _, m := range all {
 			if m.Verb == "" {
-				d.mu.Lock()
+				f.mu.Lock()
 				if m.Code == 200 {
-					d.back[fmt.Sprint(m.Transaction)] = true
+					f.answered[fmt.Sprint(m.Transaction)] = true
 				} else if m.IsProvisional() { // repeated after at least 5 s (RFC 3435, 3.5.6)
-					d.wait[fmt.Sprint(m.Transaction)] = time.Now().Add(5 * time.Second)
+					f.retryAt[fmt.Sprint(m.Transaction)] = time.Now().Add(5 * time.Second)
 				}
-				d.mu.Unlock()
+				f.mu.Unlock()
 				continue
 			}
 			text, _ := mgcp.Append(nil, mgcp.Message{Transaction: m.Transaction, Code: 200})
-			d.conn.WriteToUDP(text, d.agent)
+			f.conn.WriteToUDP(text, f.agentAddress)
 			if r, _ := m.Param("R"); strings.Contains(r, "L/hd") {
-				d.mu.Lock()
-				d.armed[m.Endpoint] = true
-				d.mu.Unlock()
+				f.mu.Lock()
+				f.armed[m.Endpoint] = true
+				f.mu.Unlock()
 			}
 		}
 	}
 }
 
-// storm makes all gateways report a restart within a second and repeat it about every second until it is answered. It returns the
+// restartAll makes all gateways report a restart within a second and repeat it about every second until it is answered. It returns the
 // time until all are in service.
-func (d *district) storm(gateways, life int) time.Duration {
-	d.mu.Lock()
-	d.back, d.wait, d.armed, d.sent = map[string]bool{}, map[string]time.Time{}, map[string]bool{}, 0
-	d.mu.Unlock()
-	from := time.Now()
+func (f *gatewayFleet) restartAll(gateways, life int) time.Duration {
+	f.mu.Lock()
+	f.answered, f.retryAt, f.armed, f.sent = map[string]bool{}, map[string]time.Time{}, map[string]bool{}, 0
+	f.mu.Unlock()
+	start := time.Now()
 	for round := 0; round < 240; round++ {
-		d.mu.Lock()
-		left := []int{}
+		f.mu.Lock()
+		unanswered := []int{}
 		for n := range gateways {
-			if id := fmt.Sprint(life*gateways + n + 1); !d.back[id] && time.Now().After(d.wait[id]) {
-				left = append(left, n)
+			if id := fmt.Sprint(life*gateways + n + 1); !f.answered[id] && time.Now().After(f.retryAt[id]) {
+				unanswered = append(unanswered, n)
 			}
 		}
-		done := len(d.armed) >= gateways
-		d.mu.Unlock()
+		done := len(f.armed) >= gateways
+		f.mu.Unlock()
 		if done {
 			break
 		}
-		for i, n := range left {
+		for i, n := range unanswered {
 			text := fmt.Appendf(nil, "RSIP %d aaln/*@gw%d MGCP 1.0\r\nRM: restart\r\n", life*gateways+n+1, n)
-			d.conn.WriteToUDP(text, d.agent)
-			d.sent++
+			f.conn.WriteToUDP(text, f.agentAddress)
+			f.sent++
 			if i%20 == 19 {
 				time.Sleep(time.Duration(20*1e9/int64(gateways)) * time.Nanosecond)
 			}
 		}
-		if len(left) == 0 {
+		if len(unanswered) == 0 {
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	return time.Since(from)
+	return time.Since(start)
 }
 
 // BenchmarkStorm restarts ten thousand gateways within a second while calls go on by trunk: first with the rate limit on bringing
@@ -342,9 +342,9 @@
 	for range b.N {
 		for life, rate := range []float64{200, 1e6} {
 			agentAt := freeUDP(b)
-			at, _ := network(b, 2, func(i int, s *Config) {
+			at, _ := startNetwork(b, 2, func(i int, s *Config) {
 				if i == 0 {
-					s.Gateways = gatewaySite(0, gateways, 4, rate)
+					s.Gateways = gatewaySettings(0, gateways, 4, rate)
 					s.Gateways.Listen = agentAt
 				}
 			})
@@ -354,13 +354,13 @@
 			}
 			conn.SetReadBuffer(1 << 22)
 			agent, _ := net.ResolveUDPAddr("udp", agentAt)
-			r := &district{conn: conn, agent: agent}
-			go r.serve()
-			a := newAsker(b, at, 0)
+			fleet := &gatewayFleet{conn: conn, agentAddress: agent}
+			go fleet.serve()
+			caller := newCaller(b, at, 0)
 			measure := func(until func() bool) (int64, int, int) {
 				h, failed, n := hdrhistogram.New(1, 1e11, 3), 0, 0
 				for !until() {
-					took, ok := a.call(b, 1)
+					took, ok := caller.call(b, 1)
 					h.RecordValue(took.Nanoseconds())
 					if n++; !ok {
 						failed++
@@ -371,12 +371,12 @@
 			}
 			end := time.Now().Add(2 * time.Second)
 			before, _, _ := measure(func() bool { return time.Now().After(end) })
-			over := make(chan time.Duration, 1)
-			go func() { over <- r.storm(gateways, life+1) }()
+			finished := make(chan time.Duration, 1)
+			go func() { finished <- fleet.restartAll(gateways, life+1) }()
 			var took time.Duration
 			during, failed, n := measure(func() bool {
 				select {
-				case took = <-over:
+				case took = <-finished:
 					return true
 				default:
 					return false
@@ -386,8 +386,8 @@
 			b.ReportMetric(float64(during)/float64(before), name+"-99th-over-before")
 			b.ReportMetric(took.Seconds(), name+"-s-until-all-serve")
 			b.ReportMetric(float64(failed)/float64(n), name+"-calls-failed")
-			b.ReportMetric(float64(r.sent)/gateways, name+"-reports-each")
-			a.conn.Close()
+			b.ReportMetric(float64(fleet.sent)/gateways, name+"-reports-each")
+			caller.conn.Close()
 			conn.Close()
 		}
 	}
@@ -403,49 +403,49 @@
 	return c.LocalAddr().String()
 }
 
-// patch is the baseline: a call agent whose exchange connects its lines at once, without a decision module, circuits or switches.
-type patch struct {
-	a    *callagent.Agent
-	conn net.PacketConn
-	now  policy.Tenths
-	far  map[[2]uint16][2]uint16 // the other side of each connected call, as point code and CIC
-	next uint16
-	todo []func()
+// directExchange is the baseline: a call agent whose exchange connects its lines at once, without a decision module, circuits or switches.
+type directExchange struct {
+	agent     *callagent.Agent
+	conn      net.PacketConn
+	now       policy.Tenths
+	otherSide map[[2]uint16][2]uint16 // the other side of each connected call, as point code and CIC
+	lastCIC   uint16
+	pending   []func()
 }
 
-func (p *patch) Note(string)      {}
-func (p *patch) Told(int, string) {}
-func (p *patch) Send(to netip.AddrPort, m mgcp.Message) {
+func (e *directExchange) Note(string)      {}
+func (e *directExchange) Told(int, string) {}
+func (e *directExchange) Send(to netip.AddrPort, m mgcp.Message) {
 	b, _ := mgcp.Append(nil, m)
-	p.conn.WriteTo(b, net.UDPAddrFromAddrPort(to))
+	e.conn.WriteTo(b, net.UDPAddrFromAddrPort(to))
 }
-func (p *patch) Offer(point, cic uint16, m isup.Message) {
+func (e *directExchange) Offer(point, cic uint16, m isup.Message) {
 	here := [2]uint16{point, cic}
-	there, ok := p.far[here]
+	there, ok := e.otherSide[here]
 	if m.Type == isup.IAM {
-		p.next++
-		there = [2]uint16{exchange.FirstCalledPoint, p.next}
-		p.far[here], p.far[there] = there, here
+		e.lastCIC++
+		there = [2]uint16{exchange.FirstCalledPoint, e.lastCIC}
+		e.otherSide[here], e.otherSide[there] = there, here
 	} else if !ok {
 		return
 	}
 	if m.Type == isup.REL {
-		delete(p.far, here)
-		delete(p.far, there)
+		delete(e.otherSide, here)
+		delete(e.otherSide, there)
 	}
 	m.CIC = there[1]
-	p.a.Hear(there[0], there[1], m)
+	e.agent.Hear(there[0], there[1], m)
 }
 
 // run serves the agent's socket and timers until ctx ends.
-func (p *patch) run(ctx context.Context) {
+func (e *directExchange) run(ctx context.Context) {
 	base := time.Now()
 	in := make(chan []byte, 4096)
 	from := make(chan netip.AddrPort, 4096)
 	go func() {
 		buf := make([]byte, 8192)
 		for {
-			n, at, err := p.conn.ReadFrom(buf)
+			n, at, err := e.conn.ReadFrom(buf)
 			if err != nil {
 				return
 			}
@@ -455,28 +455,28 @@
 		}
 	}()
 	for {
-		p.now = 1<<32 + policy.Tenths(time.Since(base)/(100*time.Microsecond))
+		e.now = 1<<32 + policy.Tenths(time.Since(base)/(100*time.Microsecond))
 		wait := time.Hour
-		if at, ok := p.a.Next(); ok {
-			if at <= p.now {
-				p.a.Tick(p.now)
+		if at, ok := e.agent.Next(); ok {
+			if at <= e.now {
+				e.agent.Tick(e.now)
 				continue
 			}
-			wait = time.Duration(at-p.now) * 100 * time.Microsecond
+			wait = time.Duration(at-e.now) * 100 * time.Microsecond
 		}
 		select {
 		case <-ctx.Done():
-			p.conn.Close()
+			e.conn.Close()
 			return
 		case <-time.After(wait):
 		case text := <-in:
-			p.now = 1<<32 + policy.Tenths(time.Since(base)/(100*time.Microsecond))
+			e.now = 1<<32 + policy.Tenths(time.Since(base)/(100*time.Microsecond))
 			all, _ := mgcp.Decode(text)
 			at := <-from
 			for _, m := range all {
-				p.a.Datagram(p.now, at, m, 0)
+				e.agent.Datagram(e.now, at, m, 0)
 			}
-			p.a.Settle(p.now)
+			e.agent.Settle(e.now)
 		}
 	}
 }
@@ -488,25 +488,25 @@
 	for range b.N {
 		for _, loss := range []float64{0, 0.01, 0.05, 0.2} {
 			agents := []string{freeUDP(b), freeUDP(b)}
-			network(b, 2, func(i int, s *Config) {
-				s.Gateways = gatewaySite(i, 1, phones, 1e6)
+			startNetwork(b, 2, func(i int, s *Config) {
+				s.Gateways = gatewaySettings(i, 1, phones, 1e6)
 				s.Gateways.Listen = agents[i]
 			})
 			conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
 			}
-			bare := &patch{conn: conn, now: 1 << 32, far: map[[2]uint16][2]uint16{}}
-			site := gatewaySite(0, 2, phones, 1e6).Site
-			bare.a = callagent.New(site, bare, bare.now)
+			baseline := &directExchange{conn: conn, now: 1 << 32, otherSide: map[[2]uint16][2]uint16{}}
+			site := gatewaySettings(0, 2, phones, 1e6).Site
+			baseline.agent = callagent.New(site, baseline, baseline.now)
 			ctx, cancel := context.WithCancel(context.Background())
-			go bare.run(ctx)
+			go baseline.run(ctx)
 			log := audit.NewLog(discard{})
 			var rows [2][]*standin.PhoneCall
 			var all []*standin.Gateway
 			for path := range 2 {
 				for e := range 2 {
-					var mine []*standin.PhoneCall
+					var calledHere []*standin.PhoneCall
 					agent, name := agents[e], "gw0"
 					if path == 1 {
 						agent, name = conn.LocalAddr().String(), fmt.Sprintf("gw%d", e)
@@ -518,14 +518,14 @@
 							if path == 1 {
 								to = exchange.LineNumber(0, line+phones)
 							}
-							mine = append(mine, &standin.PhoneCall{At: 2*time.Second + time.Duration(n)*40*time.Millisecond, Phone: n % phones, Digits: to,
+							calledHere = append(calledHere, &standin.PhoneCall{At: 2*time.Second + time.Duration(n)*40*time.Millisecond, Phone: n % phones, Digits: to,
 								Patience: 9 * time.Second, Holding: 50 * time.Millisecond})
 						}
-						rows[path] = mine
+						rows[path] = calledHere
 					}
 					at, _ := netip.ParseAddrPort(agent)
 					g := standin.NewGateway(standin.Plant{Exchange: e, Number: path, Name: name, Phones: phones, Agents: []netip.AddrPort{at}, Digit: time.Millisecond,
-						PickUp: 20 * time.Millisecond, RestartWait: 100 * time.Millisecond, Disconnected: time.Second}, mine, uint64(path+1),
+						PickUp: 20 * time.Millisecond, RestartWait: 100 * time.Millisecond, Disconnected: time.Second}, calledHere, uint64(path+1),
 						func() (net.PacketConn, error) { return net.ListenPacket("udp", "127.0.0.1:0") }, log)
 					if err := g.Start(); err != nil {
 						b.Fatal(err)
--- a/internal/control/keep.go
+++ b/internal/control/keep.go
@@ -12,66 +12,66 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keeper stores the calls of the exchange in a ledger. A call with a side at a gateway is not stored: the call agent restarts
+// callStore stores the calls of the exchange in a ledger. A call with a side at a gateway is not stored: the call agent restarts
 // with no connections, so the call could not continue.
-type keeper struct {
+type callStore struct {
 	*ledger.Ledger
-	a *agent
+	agent *agentAdapter
 }
 
-func (k keeper) Put(c recovery.StoredCall) {
-	if k.a.takes(c.In) || k.a.takes(c.Out) {
+func (s callStore) Put(call recovery.StoredCall) {
+	if s.agent.hasLine(call.In) || s.agent.hasLine(call.Out) {
 		return
 	}
-	k.Ledger.Put(c)
+	s.Ledger.Put(call)
 }
 
-// wall converts a clock reading to tenths of a millisecond since 1970.
-func (c *clock) wall(at policy.Tenths) int64 {
-	return c.base.UnixNano()/100_000 + int64(at-epoch)
+// wallTime converts a clock reading to tenths of a millisecond since 1970.
+func (c *clock) wallTime(t policy.Tenths) int64 {
+	return c.startTime.UnixNano()/100_000 + int64(t-clockAtStart)
 }
 
 // openLedger reads the calls that the previous process stored, restores them in the exchange, and stores its calls from then
 // on.
 func (s *Server) openLedger(name string) error {
-	disk := s.site.Disk
+	disk := s.config.Disk
 	if disk == nil {
 		disk = ledger.OSDisk{}
 	}
-	digest := xxhash.Sum64String(fmt.Sprintf("indigodrift exchange %d of %d", s.site.Deployment.OwnExchange, s.site.ExchangeCount))
-	l, c, err := ledger.Open(name, digest, disk, func(text string) { s.log.Warn(text) })
+	digest := xxhash.Sum64String(fmt.Sprintf("indigodrift exchange %d of %d", s.config.Deployment.OwnExchange, s.config.ExchangeCount))
+	opened, contents, err := ledger.Open(name, digest, disk, func(text string) { s.log.Warn(text) })
 	if err != nil {
 		return err
 	}
-	s.ledger = l
-	s.x.SetStore(keeper{l, s.agent}, s.clock.wall)
-	if len(c.Calls) == 0 && len(c.Process.Incarnations) == 0 {
+	s.ledger = opened
+	s.exchange.SetStore(callStore{opened, s.agent}, s.clock.wallTime)
+	if len(contents.Calls) == 0 && len(contents.Process.Incarnations) == 0 {
 		return nil
 	}
-	sites := recovery.Settings{SiteDigest: digest, Circuits: map[int]int{}, HasLines: func(point uint16) bool {
+	settings := recovery.Settings{SiteDigest: digest, Circuits: map[int]int{}, HasLines: func(point uint16) bool {
 		return point >= exchange.FirstSubscriberPoint && point < exchange.FirstGatewayPoint || point >= exchange.FirstCalledPoint && point < 1<<14
 	}}
-	for _, n := range s.site.Neighbours {
-		sites.Circuits[n.Number] = n.Circuits
+	for _, n := range s.config.Neighbours {
+		settings.Circuits[n.Number] = n.Circuits
 	}
-	kept := make([]recovery.StoredCall, 0, len(c.Calls))
-	for _, k := range c.Calls {
-		kept = append(kept, k)
+	stored := make([]recovery.StoredCall, 0, len(contents.Calls))
+	for _, call := range contents.Calls {
+		stored = append(stored, call)
 	}
 	now := s.clock.Now()
-	verdicts := recovery.Decide(s.clock.wall(now), c.Process, kept, sites)
-	count := map[recovery.Outcome]int{}
-	for _, v := range verdicts {
-		if count[v.Outcome]++; v.Outcome == recovery.Continue || v.Outcome == recovery.AnswerFailed {
-			l.Put(v.StoredCall)
+	decisions := recovery.Decide(s.clock.wallTime(now), contents.Process, stored, settings)
+	counts := map[recovery.Outcome]int{}
+	for _, decision := range decisions {
+		if counts[decision.Outcome]++; decision.Outcome == recovery.Continue || decision.Outcome == recovery.AnswerFailed {
+			opened.Put(decision.StoredCall)
 		}
 	}
-	for n, life := range c.Process.Incarnations {
-		l.Knows(n, life)
+	for n, incarnation := range contents.Process.Incarnations {
+		opened.Knows(n, incarnation)
 	}
-	l.Knows(-1, c.Process.OwnIncarnation)
-	standing := s.x.Restore(now, c.Process, verdicts)
-	s.log.Info("restored calls of the previous process", "stand on", standing, "answered failed", count[recovery.AnswerFailed], "cut", count[recovery.Release],
-		"forgotten", count[recovery.Discard], "dead for", time.Duration(s.clock.wall(now)-c.Process.LastHeartbeat)*100*time.Microsecond)
+	opened.Knows(-1, contents.Process.OwnIncarnation)
+	restored := s.exchange.Restore(now, contents.Process, decisions)
+	s.log.Info("restored calls of the previous process", "stand on", restored, "answered failed", counts[recovery.AnswerFailed], "cut", counts[recovery.Release],
+		"forgotten", counts[recovery.Discard], "dead for", time.Duration(s.clock.wallTime(now)-contents.Process.LastHeartbeat)*100*time.Microsecond)
 	return nil
 }
--- a/internal/control/keep_bench_test.go
+++ b/internal/control/keep_bench_test.go
@@ -27,11 +27,11 @@
 // BenchmarkAnswerKept times calls in turn through three networks: without a ledger, with one, and with one on a disk on which a
 // sync takes two seconds.
 func BenchmarkAnswerKept(b *testing.B) {
-	var all []*asker
-	var keeps []*Server
+	var callers []*caller
+	var servers []*Server
 	for _, kind := range []string{"none", "kept", "slow"} {
 		dir := b.TempDir()
-		at, stations := network(b, 2, func(i int, s *Config) {
+		at, started := startNetwork(b, 2, func(i int, s *Config) {
 			if kind != "none" {
 				s.LedgerFile = filepath.Join(dir, string(rune('a'+i)))
 			}
@@ -39,14 +39,14 @@
 				s.Disk = slowDisk{}
 			}
 		})
-		a := newAsker(b, at, 0)
-		defer a.conn.Close()
-		all, keeps = append(all, a), append(keeps, stations[0])
+		caller := newCaller(b, at, 0)
+		defer caller.conn.Close()
+		callers, servers = append(callers, caller), append(servers, started[0])
 	}
 	took := []*hdrhistogram.Histogram{hdrhistogram.New(1, 1e10, 3), hdrhistogram.New(1, 1e10, 3), hdrhistogram.New(1, 1e10, 3)}
 	for b.Loop() {
-		for i, a := range all {
-			d, ok := a.call(b, 1)
+		for i, caller := range callers {
+			d, ok := caller.call(b, 1)
 			if !ok {
 				b.Fatal("a call was not answered")
 			}
@@ -60,7 +60,7 @@
 			b.ReportMetric(float64(took[i].ValueAtQuantile(99))/float64(took[0].ValueAtQuantile(99)), name+"-99th-over-none")
 		}
 	}
-	b.ReportMetric(float64(keeps[1].ledger.WrittenOctets())/float64(b.N), "octets-a-call")
+	b.ReportMetric(float64(servers[1].ledger.WrittenOctets())/float64(b.N), "octets-a-call")
 }
 
 // BenchmarkTakeUp times reading a ledger and deciding on its calls.
@@ -68,38 +68,38 @@
 	for _, calls := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(calls), func(b *testing.B) {
 			name := filepath.Join(b.TempDir(), "ledger")
-			l, _, err := ledger.Open(name, 7, ledger.OSDisk{}, func(string) {})
+			opened, _, err := ledger.Open(name, 7, ledger.OSDisk{}, func(string) {})
 			if err != nil {
 				b.Fatal(err)
 			}
-			go l.Run()
+			go opened.Run()
 			now := time.Now().UnixNano() / 100_000
 			for i := range calls {
-				l.Put(recovery.StoredCall{ID: uint32(i + 1), Phase: recovery.Established, In: recovery.Place{Point: 0x2000 + uint16(i>>12), CIC: uint16(i & 4095)},
+				opened.Put(recovery.StoredCall{ID: uint32(i + 1), Phase: recovery.Established, In: recovery.Place{Point: 0x2000 + uint16(i>>12), CIC: uint16(i & 4095)},
 					Out: recovery.Place{Trunk: true, Number: i / 3900, CIC: uint16(i%3900/31*32 + i%31 + 1)}, Since: now})
 			}
-			l.Close()
-			sites := recovery.Settings{SiteDigest: 7, Circuits: map[int]int{}, HasLines: func(uint16) bool { return true }}
+			opened.Close()
+			settings := recovery.Settings{SiteDigest: 7, Circuits: map[int]int{}, HasLines: func(uint16) bool { return true }}
 			for n := range 30 {
-				sites.Circuits[n] = 3968
+				settings.Circuits[n] = 3968
 			}
 			for b.Loop() {
-				_, c, err := ledger.Open(name, 7, ledger.OSDisk{}, func(string) {})
-				if err != nil || len(c.Calls) != calls {
-					b.Fatal(err, len(c.Calls))
+				_, contents, err := ledger.Open(name, 7, ledger.OSDisk{}, func(string) {})
+				if err != nil || len(contents.Calls) != calls {
+					b.Fatal(err, len(contents.Calls))
 				}
-				kept := make([]recovery.StoredCall, 0, calls)
-				for _, k := range c.Calls {
-					kept = append(kept, k)
+				stored := make([]recovery.StoredCall, 0, calls)
+				for _, call := range contents.Calls {
+					stored = append(stored, call)
 				}
-				stand := 0
-				for _, v := range recovery.Decide(now+20000, c.Process, kept, sites) {
-					if v.Outcome == recovery.Continue {
-						stand++
+				established := 0
+				for _, decision := range recovery.Decide(now+20000, contents.Process, stored, settings) {
+					if decision.Outcome == recovery.Continue {
+						established++
 					}
 				}
-				if stand != calls {
-					b.Fatalf("%d of %d continue", stand, calls)
+				if established != calls {
+					b.Fatalf("%d of %d continue", established, calls)
 				}
 			}
 		})
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -26,116 +26,116 @@
 	Limits       numbers.Limits
 }
 
-// tables does the file access and the ENUM queries of number analysis, outside the event loop.
-type tables struct {
-	s       *Server
-	store   *numberfile.Store
-	keep    chan numberfile.Record // records to be written to the history, in order
-	client  *enum.Client
-	asking  sync.WaitGroup
-	ctx     context.Context
-	cancel  context.CancelFunc
-	loading sync.Mutex // serializes Load
+// tableManager does the file access and the ENUM queries of number analysis, outside the event loop.
+type tableManager struct {
+	server         *Server
+	store          *numberfile.Store
+	history        chan numberfile.Record // records to be written to the history, in order
+	enumClient     *enum.Client
+	pendingQueries sync.WaitGroup
+	ctx            context.Context
+	cancel         context.CancelFunc
+	loadMutex      sync.Mutex // serializes Load
 }
 
 // openTables loads the table version to start with and sets up number analysis in the exchange.
-func (s *Server) openTables(n *NumberAnalysis, seed uint64) error {
-	t := &tables{s: s, keep: make(chan numberfile.Record, 64)}
+func (s *Server) openTables(settings *NumberAnalysis, seed uint64) error {
+	t := &tableManager{server: s, history: make(chan numberfile.Record, 64)}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	var err error
-	if t.store, err = numberfile.OpenStore(n.StoreFolder); err != nil {
+	if t.store, err = numberfile.OpenStore(settings.StoreFolder); err != nil {
 		return err
 	}
-	table, doubts, err := t.store.InForce(s.site.ExchangeCount)
+	table, remarks, err := t.store.InForce(s.config.ExchangeCount)
 	if err != nil {
 		return err
 	}
-	for _, d := range doubts {
-		s.log.Warn("tables", "doubt", d)
+	for _, remark := range remarks {
+		s.log.Warn("tables", "doubt", remark)
 	}
 	if table == nil {
-		if table, err = t.first(n.InitialTable); err != nil {
+		if table, err = t.loadInitial(settings.InitialTable); err != nil {
 			return err
 		}
 	}
 	s.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
-	x := &exchange.Numbering{Versions: numbers.NewVersions(table, n.Trial), Split: numbers.NewSplit(n.MaxCallers),
+	numbering := &exchange.Numbering{Versions: numbers.NewVersions(table, settings.Trial), Split: numbers.NewSplit(settings.MaxCallers),
 		UnixSecond: func(at policy.Tenths) int64 { return time.Now().Add(trunk.Duration(at - s.clock.Now())).Unix() },
 		Instant: func(second int64) policy.Tenths {
 			return s.clock.Now() + policy.Tenths(time.Until(time.Unix(second, 0))/(100*time.Microsecond))
 		},
-		Changed: t.changed}
-	if len(n.ENUMServers) == 2 {
-		t.client = &enum.Client{Servers: [2]string{n.ENUMServers[0], n.ENUMServers[1]}, Zone: n.ENUMZone, Most: trunk.Duration(n.Limits.TimeOut)}
-		if x.Portability, err = numbers.NewInquirer(n.Limits, seed, s.x.PortabilityNet(t.query)); err != nil {
+		Changed: t.versionChanged}
+	if len(settings.ENUMServers) == 2 {
+		t.enumClient = &enum.Client{Servers: [2]string{settings.ENUMServers[0], settings.ENUMServers[1]}, Zone: settings.ENUMZone, Most: trunk.Duration(settings.Limits.TimeOut)}
+		if numbering.Portability, err = numbers.NewInquirer(settings.Limits, seed, s.exchange.PortabilityNet(t.query)); err != nil {
 			return fmt.Errorf("portability: %w", err)
 		}
 	}
-	s.x.SetNumbering(x)
+	s.exchange.SetNumbering(numbering)
 	s.tables = t
 	return nil
 }
 
-// first reads the initial table and puts it in the store.
-func (t *tables) first(name string) (*numbers.Table, error) {
+// loadInitial reads the initial table and puts it in the store.
+func (t *tableManager) loadInitial(name string) (*numbers.Table, error) {
 	if name == "" {
 		return nil, errors.New("the table store is empty and no initial table is configured")
 	}
-	src, table, err := t.read(name)
+	source, table, err := t.readTable(name)
 	if err != nil {
 		return nil, err
 	}
-	return table, errors.Join(t.store.Keep(table.Version, src), t.store.Note(numberfile.Record{Version: table.Version, Name: table.Name,
+	return table, errors.Join(t.store.Keep(table.Version, source), t.store.Note(numberfile.Record{Version: table.Version, Name: table.Name,
 		At: time.Now(), What: "in force"}))
 }
 
-func (t *tables) read(name string) (numberfile.Source, *numbers.Table, error) {
-	src, err := numberfile.ReadSource(name)
+func (t *tableManager) readTable(name string) (numberfile.Source, *numbers.Table, error) {
+	source, err := numberfile.ReadSource(name)
 	if err != nil {
-		return src, nil, err
+		return source, nil, err
 	}
-	table, err := src.Table(t.s.site.ExchangeCount)
-	return src, table, err
+	table, err := source.Table(t.server.config.ExchangeCount)
+	return source, table, err
 }
 
 // query looks up a number on a goroutine of its own. The inquirer limits how many queries are pending.
-func (t *tables) query(id uint32, server int, number string) {
-	t.asking.Go(func() {
-		a, err := t.client.Ask(t.ctx, server, number)
+func (t *tableManager) query(id uint32, server int, number string) {
+	t.pendingQueries.Go(func() {
+		answer, err := t.enumClient.Ask(t.ctx, server, number)
 		if err != nil {
-			t.s.log.Debug("portability", "server", server, "why", err)
+			t.server.log.Debug("portability", "server", server, "why", err)
 		}
-		(*reader)(t.s).put(event{kind: evPort, port: a, id: id, err: err})
+		(*inputHandler)(t.server).enqueue(event{kind: evPortability, portability: answer, queryID: id, err: err})
 	})
 }
 
-// changed is called on the event loop when another version comes into force. A reason means that it was a rollback.
-func (t *tables) changed(table *numbers.Table, why string) {
-	r := numberfile.Record{Version: table.Version, Name: table.Name, At: time.Now(), What: "in force", Why: why}
+// versionChanged is called on the event loop when another version comes into force. A reason means that it was a rollback.
+func (t *tableManager) versionChanged(table *numbers.Table, why string) {
+	record := numberfile.Record{Version: table.Version, Name: table.Name, At: time.Now(), What: "in force", Why: why}
 	if why != "" {
-		r.What = "in force again"
-		t.s.log.Warn("table rolled back", "version", table.Version, "why", why)
+		record.What = "in force again"
+		t.server.log.Warn("table rolled back", "version", table.Version, "why", why)
 	} else {
-		t.s.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
+		t.server.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
 	}
 	select {
-	case t.keep <- r:
+	case t.history <- record:
 	default: // the disk has not accepted a record for 64 changes
-		t.s.log.Error("table change not written to history: queue is full", "version", r.Version)
+		t.server.log.Error("table change not written to history: queue is full", "version", record.Version)
 	}
 }
 
-// run writes the history until ctx ends.
-func (t *tables) run(ctx context.Context) {
+// writeHistory writes the history until ctx ends.
+func (t *tableManager) writeHistory(ctx context.Context) {
 	for {
 		select {
-		case r := <-t.keep:
-			if err := t.store.Note(r); err != nil {
-				t.s.log.Error("table change not written to history", "version", r.Version, "why", err)
+		case record := <-t.history:
+			if err := t.store.Note(record); err != nil {
+				t.server.log.Error("table change not written to history", "version", record.Version, "why", err)
 			}
 		case <-ctx.Done():
 			t.cancel()
-			t.asking.Wait()
+			t.pendingQueries.Wait()
 			return
 		}
 	}
@@ -151,19 +151,19 @@
 	if t == nil {
 		return nil, ErrNoNumberAnalysis
 	}
-	t.loading.Lock()
-	defer t.loading.Unlock()
-	src, table, err := t.read(name)
+	t.loadMutex.Lock()
+	defer t.loadMutex.Unlock()
+	source, table, err := t.readTable(name)
 	if err != nil {
 		return nil, err
 	}
-	if have := s.versions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil }); have >= table.Version {
-		return nil, fmt.Errorf("version %d: %w (%d)", table.Version, numbers.ErrOld, have)
+	if current := s.readVersions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil }); current >= table.Version {
+		return nil, fmt.Errorf("version %d: %w (%d)", table.Version, numbers.ErrOld, current)
 	}
-	if err := t.store.Keep(table.Version, src); err != nil {
+	if err := t.store.Keep(table.Version, source); err != nil {
 		return nil, err
 	}
-	return table, s.change(func(n *exchange.Numbering, now policy.Tenths) error {
+	return table, s.changeNumbering(func(n *exchange.Numbering, now policy.Tenths) error {
 		before := n.Versions.Current()
 		err := n.Versions.Load(table, at.Unix(), time.Now().Unix(), now)
 		if err == nil && n.Versions.Current() != before {
@@ -173,38 +173,38 @@
 	})
 }
 
-// versions reads a number from the table versions on the event loop.
-func (s *Server) versions(get func(*numbers.Versions) (uint64, error)) (got uint64) {
-	s.change(func(n *exchange.Numbering, _ policy.Tenths) (err error) {
-		got, err = get(n.Versions)
+// readVersions reads a number from the table versions on the event loop.
+func (s *Server) readVersions(get func(*numbers.Versions) (uint64, error)) (value uint64) {
+	s.changeNumbering(func(n *exchange.Numbering, _ policy.Tenths) (err error) {
+		value, err = get(n.Versions)
 		return err
 	})
-	return got
+	return value
 }
 
 // Rollback puts the previous version into force.
-func (s *Server) Rollback(why string) (back *numbers.Table, err error) {
-	err = s.change(func(n *exchange.Numbering, now policy.Tenths) (err error) {
-		if back, err = n.Versions.Rollback(why, now); err == nil {
-			n.Changed(back, why)
+func (s *Server) Rollback(why string) (previous *numbers.Table, err error) {
+	err = s.changeNumbering(func(n *exchange.Numbering, now policy.Tenths) (err error) {
+		if previous, err = n.Versions.Rollback(why, now); err == nil {
+			n.Changed(previous, why)
 		}
 		return err
 	})
-	return back, err
+	return previous, err
 }
 
 // ErrShuttingDown is returned to a command that arrives while the server ends.
 var ErrShuttingDown = errors.New("the exchange is shutting down")
 
-// change runs a function on the number analysis, on the event loop.
-func (s *Server) change(do func(n *exchange.Numbering, now policy.Tenths) error) error {
+// changeNumbering runs a function on the number analysis, on the event loop.
+func (s *Server) changeNumbering(change func(n *exchange.Numbering, now policy.Tenths) error) error {
 	if s.tables == nil {
 		return ErrNoNumberAnalysis
 	}
 	var err error
 	if !s.Do(func() {
 		now := s.clock.Now()
-		s.x.UpdateNumbering(now, func(n *exchange.Numbering) { err = do(n, now) })
+		s.exchange.UpdateNumbering(now, func(n *exchange.Numbering) { err = change(n, now) })
 	}) {
 		return ErrShuttingDown
 	}
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -19,12 +19,12 @@
 	"indigodrift/policy"
 )
 
-// withTables runs a server whose table store is in dir, until stop is called.
-func withTables(t *testing.T, dir string) (s *Server, stop func()) {
+// startWithTables runs a server whose table store is in dir, until stop is called.
+func startWithTables(t *testing.T, dir string) (s *Server, stop func()) {
 	m := memnet.New()
 	s, err := New(Config{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
 		ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none", InboxSize: 64, MaxLinkOctets: 1 << 16,
-		NumberAnalysis: &NumberAnalysis{StoreFolder: filepath.Join(dir, "store"), InitialTable: tableAt(t, dir, 1, 1), MaxCallers: 10, Trial: numbers.Trial{Window: 600000, Bound: 0.2, Least: 5}}},
+		NumberAnalysis: &NumberAnalysis{StoreFolder: filepath.Join(dir, "store"), InitialTable: writeTable(t, dir, 1, 1), MaxCallers: 10, Trial: numbers.Trial{Window: 600000, Bound: 0.2, Least: 5}}},
 		func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
@@ -43,8 +43,8 @@
 	}
 }
 
-// tableAt writes a table version that routes all numbers to one exchange.
-func tableAt(t *testing.T, dir string, version, to int) string {
+// writeTable writes a table version that routes all numbers to one exchange.
+func writeTable(t *testing.T, dir string, version, to int) string {
 	t.Helper()
 	name := filepath.Join(dir, fmt.Sprintf("v%d.hcl", version))
 	text := fmt.Sprintf("version = %d\nroute \"all\" {\n  prefixes = [\"1\"]\n  choice {\n    to \"%d\" {}\n  }\n}\n", version, to)
@@ -56,15 +56,15 @@
 
 // inForce returns the version in force.
 func inForce(s *Server) uint64 {
-	return s.versions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil })
+	return s.readVersions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil })
 }
 
 func TestTableComesIntoForceAtItsInstantAndSurvivesARestart(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		s, stop := withTables(t, dir)
+		s, stop := startWithTables(t, dir)
 		instant := time.Now().Add(30 * time.Second).Truncate(time.Second)
-		if _, err := s.Load(tableAt(t, dir, 2, 2), instant); err != nil {
+		if _, err := s.Load(writeTable(t, dir, 2, 2), instant); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Until(instant) - time.Millisecond)
@@ -77,7 +77,7 @@
 		}
 		time.Sleep(time.Second) // for the history to be written
 		stop()
-		s, stop = withTables(t, dir)
+		s, stop = startWithTables(t, dir)
 		if v := inForce(s); v != 2 {
 			t.Fatalf("version %d after a restart", v)
 		}
@@ -91,13 +91,13 @@
 func TestLoadThatCannotBeKeptChangesNothing(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		s, stop := withTables(t, dir)
+		s, stop := startWithTables(t, dir)
 		defer stop()
 		store := filepath.Join(dir, "store")
 		if err := errors.Join(os.Rename(store, store+"-away"), os.WriteFile(store, nil, 0o644)); err != nil { // a store that accepts no file
 			t.Fatal(err)
 		}
-		if _, err := s.Load(tableAt(t, dir, 2, 2), time.Now()); err == nil || inForce(s) != 1 {
+		if _, err := s.Load(writeTable(t, dir, 2, 2), time.Now()); err == nil || inForce(s) != 1 {
 			t.Fatalf("%v, version %d", err, inForce(s))
 		}
 		bad := filepath.Join(dir, "bad.hcl")
@@ -111,11 +111,11 @@
 func TestTwoChangesAtOnceEndWithTheNewer(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		s, stop := withTables(t, dir)
+		s, stop := startWithTables(t, dir)
 		defer stop()
 		errs := make(chan error, 2)
 		for _, v := range []int{2, 3} {
-			name := tableAt(t, dir, v, 2)
+			name := writeTable(t, dir, v, 2)
 			go func() {
 				_, err := s.Load(name, time.Now())
 				errs <- err
@@ -132,9 +132,9 @@
 	})
 }
 
-func TestOrdersOverTheSocket(t *testing.T) {
+func TestCommandsOverTheSocket(t *testing.T) {
 	dir := t.TempDir()
-	s, stop := withTables(t, dir)
+	s, stop := startWithTables(t, dir)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		s.takeOrders(ctx, ln)
+		s.serveCommands(ctx, ln)
 		close(ended)
 	}()
 	defer func() { cancel(); <-ended; stop() }()
@@ -152,9 +152,9 @@
 		version uint64
 		fault   string
 	}{
-		{Command{Name: "versions"}, 1, ""}, {Command{Name: "load", File: tableAt(t, dir, 2, 2)}, 2, ""}, {Command{Name: "load", File: tableAt(t, dir, 2, 2)}, 2, "not newer"},
+		{Command{Name: "versions"}, 1, ""}, {Command{Name: "load", File: writeTable(t, dir, 2, 2)}, 2, ""}, {Command{Name: "load", File: writeTable(t, dir, 2, 2)}, 2, "not newer"},
 		{Command{Name: "load", File: filepath.Join(dir, "none")}, 2, "no such file"}, {Command{Name: "rollback"}, 1, ""},
-		{Command{Name: "load", File: tableAt(t, dir, 2, 2)}, 1, "taken back before: by order"}, {Command{Name: "dance"}, 1, "there are load, rollback, versions"},
+		{Command{Name: "load", File: writeTable(t, dir, 2, 2)}, 1, "taken back before: by order"}, {Command{Name: "dance"}, 1, "there are load, rollback, versions"},
 	} {
 		r, err := SendCommand(at, c.o)
 		if err != nil || r.Version != c.version || (c.fault == "") != (r.Error == "") || !strings.Contains(r.Error, c.fault) {
--- a/internal/control/orders.go
+++ b/internal/control/orders.go
@@ -32,36 +32,36 @@
 	HeldVersions   int    `json:"held"`              // versions in memory
 }
 
-// orderMost is the maximum length of a command, in octets.
-const orderMost = 1 << 16
+// maxCommandLength is the maximum length of a command, in octets.
+const maxCommandLength = 1 << 16
 
-// takeOrders serves commands on the control socket until ctx ends.
-func (s *Server) takeOrders(ctx context.Context, ln net.Listener) {
-	var all sync.WaitGroup
-	defer all.Wait()
-	stop := context.AfterFunc(ctx, func() { ln.Close() })
+// serveCommands serves commands on the control socket until ctx ends.
+func (s *Server) serveCommands(ctx context.Context, listener net.Listener) {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		all.Go(func() {
-			defer c.Close()
-			stop := context.AfterFunc(ctx, func() { c.Close() })
+		wg.Go(func() {
+			defer conn.Close()
+			stop := context.AfterFunc(ctx, func() { conn.Close() })
 			defer stop()
-			in := bufio.NewScanner(c)
-			in.Buffer(nil, orderMost)
-			out := json.NewEncoder(c)
-			for in.Scan() {
-				var o Command
-				var r Reply
-				if err := json.Unmarshal(in.Bytes(), &o); err != nil {
-					r.Error = "read command: " + err.Error()
+			scanner := bufio.NewScanner(conn)
+			scanner.Buffer(nil, maxCommandLength)
+			encoder := json.NewEncoder(conn)
+			for scanner.Scan() {
+				var command Command
+				var reply Reply
+				if err := json.Unmarshal(scanner.Bytes(), &command); err != nil {
+					reply.Error = "read command: " + err.Error()
 				} else {
-					r = s.obey(o)
+					reply = s.execute(command)
 				}
-				if out.Encode(r) != nil {
+				if encoder.Encode(reply) != nil {
 					return
 				}
 			}
@@ -69,58 +69,58 @@
 	}
 }
 
-// obey runs a command.
-func (s *Server) obey(o Command) Reply {
+// execute runs a command.
+func (s *Server) execute(command Command) Reply {
 	var err error
-	switch o.Name {
+	switch command.Name {
 	case "load":
 		at := time.Now()
-		if o.ActivationTime != 0 {
-			at = time.Unix(o.ActivationTime, 0)
+		if command.ActivationTime != 0 {
+			at = time.Unix(command.ActivationTime, 0)
 		}
-		_, err = s.Load(o.File, at)
+		_, err = s.Load(command.File, at)
 	case "rollback":
-		why := o.Reason
-		if why == "" {
-			why = "by order"
+		reason := command.Reason
+		if reason == "" {
+			reason = "by order"
 		}
-		_, err = s.Rollback(why)
+		_, err = s.Rollback(reason)
 	case "versions":
 	default:
-		err = fmt.Errorf("unknown command %q; there are load, rollback, versions", o.Name)
+		err = fmt.Errorf("unknown command %q; there are load, rollback, versions", command.Name)
 	}
-	r := Reply{Exchange: s.site.Deployment.OwnExchange}
-	if asked := s.change(func(n *exchange.Numbering, _ policy.Tenths) error {
-		r.Version, r.Name, r.HeldVersions = n.Versions.Current().Version, n.Versions.Current().Name, n.Versions.Held()
+	reply := Reply{Exchange: s.config.Deployment.OwnExchange}
+	if readErr := s.changeNumbering(func(n *exchange.Numbering, _ policy.Tenths) error {
+		reply.Version, reply.Name, reply.HeldVersions = n.Versions.Current().Version, n.Versions.Current().Name, n.Versions.Held()
 		if t, at := n.Versions.Waiting(); t != nil {
-			r.PendingVersion, r.ActivationTime = t.Version, at
+			reply.PendingVersion, reply.ActivationTime = t.Version, at
 		}
 		return nil
 	}); err == nil {
-		err = asked
+		err = readErr
 	}
 	if err != nil {
-		r.Error = err.Error()
+		reply.Error = err.Error()
 	}
-	return r
+	return reply
 }
 
 // SendCommand sends a command to a running exchange and returns its reply.
-func SendCommand(address string, o Command) (Reply, error) {
-	c, err := net.DialTimeout("tcp", address, 3*time.Second)
+func SendCommand(address string, command Command) (Reply, error) {
+	conn, err := net.DialTimeout("tcp", address, 3*time.Second)
 	if err != nil {
 		return Reply{}, fmt.Errorf("connect to exchange: %w", err)
 	}
-	defer c.Close()
-	if err := c.SetDeadline(time.Now().Add(5 * time.Minute)); err != nil { // loading ten million prefixes takes time
+	defer conn.Close()
+	if err := conn.SetDeadline(time.Now().Add(5 * time.Minute)); err != nil { // loading ten million prefixes takes time
 		return Reply{}, fmt.Errorf("set deadline: %w", err)
 	}
-	if err := json.NewEncoder(c).Encode(o); err != nil {
+	if err := json.NewEncoder(conn).Encode(command); err != nil {
 		return Reply{}, fmt.Errorf("send command: %w", err)
 	}
-	var r Reply
-	if err := json.NewDecoder(c).Decode(&r); err != nil {
-		return r, fmt.Errorf("read reply of %s: %w", address, err)
+	var reply Reply
+	if err := json.NewDecoder(conn).Decode(&reply); err != nil {
+		return reply, fmt.Errorf("read reply of %s: %w", address, err)
 	}
-	return r, nil
+	return reply, nil
 }
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -12,39 +12,39 @@
 
 // Estimator estimates the waiting time of messages on one link. The zero value takes the first message as one that did not wait.
 type Estimator struct {
-	now, before int32         // minimum differences in this window and in the last one
-	since       policy.Tenths // start of this window
-	known       bool          // a stamp has been read
+	currentMin, previousMin int32         // minimum differences in this window and in the last one
+	windowStart             policy.Tenths // start of this window
+	hasStamp                bool          // a stamp has been read
 }
 
 // Age returns how long a message with the given stamp, read at the given time, has waited. Differences are computed in 32 bits
 // like the stamps, so the origins of the two clocks do not matter.
-func (l *Estimator) Age(at policy.Tenths, stamp uint32) policy.Tenths {
-	d := int32(uint32(at) - stamp)
+func (e *Estimator) Age(readAt policy.Tenths, stamp uint32) policy.Tenths {
+	difference := int32(uint32(readAt) - stamp)
 	switch {
-	case !l.known:
-		l.known, l.now, l.before, l.since = true, d, d, at
-	case at-l.since > window:
-		l.before, l.now, l.since = l.now, d, at
-	case d-l.now < 0:
-		l.now = d
+	case !e.hasStamp:
+		e.hasStamp, e.currentMin, e.previousMin, e.windowStart = true, difference, difference, readAt
+	case readAt-e.windowStart > window:
+		e.previousMin, e.currentMin, e.windowStart = e.currentMin, difference, readAt
+	case difference-e.currentMin < 0:
+		e.currentMin = difference
 	}
-	least := l.now
-	if l.before-least < 0 {
-		least = l.before
+	minimum := e.currentMin
+	if e.previousMin-minimum < 0 {
+		minimum = e.previousMin
 	}
-	return max(0, policy.Tenths(d-least))
+	return max(0, policy.Tenths(difference-minimum))
 }
 
 // NewEstimator returns an estimator that knows the clock of the remote switch from the handshake, which was sent at asked and whose
 // answer was read at read. If the two are as far apart as a stall, the answer may have waited, and the remote clock reading is
 // attributed to the time of asking. Without this, the first messages of a link that came up during a stall all seemed new, and
 // callers were answered after they had abandoned their calls.
-func NewEstimator(asked, read policy.Tenths, stamp uint32) Estimator {
-	at := read
-	if read-asked >= stallMin {
-		at = asked
+func NewEstimator(sentAt, receivedAt policy.Tenths, stamp uint32) Estimator {
+	clockTime := receivedAt
+	if receivedAt-sentAt >= minStall {
+		clockTime = sentAt
 	}
-	d := int32(uint32(at) - stamp)
-	return Estimator{now: d, before: d, since: read, known: true}
+	difference := int32(uint32(clockTime) - stamp)
+	return Estimator{currentMin: difference, previousMin: difference, windowStart: receivedAt, hasStamp: true}
 }
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -11,23 +11,23 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-func TestWaitIsFoundWhateverTheClocks(t *testing.T) {
+func TestWaitIsIndependentOfClockOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Estimator
 		offset := rapid.Uint32().Draw(t, "offset") // the stamps may wrap at any point
-		now, way := policy.Tenths(rapid.Uint32().Draw(t, "start")), policy.Tenths(20)
-		l.Age(now+way, uint32(now)+offset)
+		now, transmission := policy.Tenths(rapid.Uint32().Draw(t, "start")), policy.Tenths(20)
+		l.Age(now+transmission, uint32(now)+offset)
 		for range 50 {
 			now += policy.Tenths(rapid.IntRange(0, 20000).Draw(t, "gap"))
 			waited := policy.Tenths(rapid.IntRange(0, 30000).Draw(t, "waited"))
-			if got := l.Age(now+way+waited, uint32(now)+offset); got != waited {
+			if got := l.Age(now+transmission+waited, uint32(now)+offset); got != waited {
 				t.Fatalf("message waited %d, got %d", waited, got)
 			}
 		}
 	})
 }
 
-func TestLongerWayIsLearned(t *testing.T) {
+func TestLongerPathIsLearned(t *testing.T) {
 	var l Estimator
 	l.Age(10, 0)
 	for now := policy.Tenths(0); now < 3*window; now += 1000 {
--- a/internal/ledger/format_test.go
+++ b/internal/ledger/format_test.go
@@ -10,10 +10,10 @@
 )
 
 // Guards against misreading files of format 1, whose calls have no slots. What is read from one is written in the current format.
-func TestFileOfTheFormatBeforeIsRead(t *testing.T) {
+func TestFileOfVersion1IsRead(t *testing.T) {
 	frame := func(b []byte, body ...byte) []byte {
 		b = binary.BigEndian.AppendUint16(b, uint16(len(body)))
-		b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, table))
+		b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, crcTable))
 		return append(b, body...)
 	}
 	old := append([]byte(magic), 1)
@@ -31,10 +31,10 @@
 		t.Fatalf("%+v", c)
 	}
 	again := Read(appendFrame(header(), Record{Kind: CallFrame, Call: c.Calls[9]}))
-	if again.Version != version || again.Calls[9] != want {
+	if again.Version != currentVersion || again.Calls[9] != want {
 		t.Fatalf("%+v", again)
 	}
-	old[len(magic)] = version // in the current format the same octets are not valid calls
+	old[len(magic)] = currentVersion // in the current format the same octets are not valid calls
 	if c := Read(old); c.UnreadReason == "" || len(c.Calls) != 0 {
 		t.Fatalf("%+v", c)
 	}
--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -37,132 +37,132 @@
 }
 
 const (
-	magic   = "indigoledger"
-	version = 2       // version 1 has calls without Slots
-	lenMost = 1 << 12 // octets of a payload
+	magic          = "indigoledger"
+	currentVersion = 2       // version 1 has calls without Slots
+	maxPayloadSize = 1 << 12 // octets of a payload
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // ErrDamaged is wrapped by every error about a damaged file.
 var ErrDamaged = errors.New("ledger is damaged")
 
 // appendFrame appends a record as a frame: length, checksum, payload.
-func appendFrame(b []byte, r Record) []byte {
-	at := len(b)
-	b = append(b, 0, 0, 0, 0, 0, 0)
-	b = append(b, byte(r.Kind))
-	switch r.Kind {
+func appendFrame(buf []byte, record Record) []byte {
+	start := len(buf)
+	buf = append(buf, 0, 0, 0, 0, 0, 0)
+	buf = append(buf, byte(record.Kind))
+	switch record.Kind {
 	case HeaderFrame:
-		b = binary.BigEndian.AppendUint64(b, r.SiteDigest)
+		buf = binary.BigEndian.AppendUint64(buf, record.SiteDigest)
 	case IncarnationFrame:
-		b = binary.BigEndian.AppendUint32(b, uint32(int32(r.Exchange)))
-		b = append(b, r.Incarnation[:min(len(r.Incarnation), 255)]...)
+		buf = binary.BigEndian.AppendUint32(buf, uint32(int32(record.Exchange)))
+		buf = append(buf, record.Incarnation[:min(len(record.Incarnation), 255)]...)
 	case HeartbeatFrame:
-		b = binary.BigEndian.AppendUint64(b, uint64(r.Time))
+		buf = binary.BigEndian.AppendUint64(buf, uint64(record.Time))
 	case CallEndFrame:
-		b = binary.BigEndian.AppendUint32(b, r.Call.ID)
+		buf = binary.BigEndian.AppendUint32(buf, record.Call.ID)
 	case CallFrame:
-		k := r.Call
-		b = binary.BigEndian.AppendUint32(b, k.ID)
-		flags := byte(k.Phase) << 4
-		for i, set := range []bool{k.Transit, k.In.Trunk, k.Out.Trunk} {
+		call := record.Call
+		buf = binary.BigEndian.AppendUint32(buf, call.ID)
+		flags := byte(call.Phase) << 4
+		for i, set := range []bool{call.Transit, call.In.Trunk, call.Out.Trunk} {
 			if set {
 				flags |= 1 << i
 			}
 		}
-		b = append(b, flags)
-		for _, p := range []recovery.Place{k.In, k.Out} {
-			b = binary.BigEndian.AppendUint16(b, uint16(p.Number))
-			b = binary.BigEndian.AppendUint16(b, p.Point)
-			b = binary.BigEndian.AppendUint16(b, p.CIC)
-			b = binary.BigEndian.AppendUint32(b, p.Slots)
+		buf = append(buf, flags)
+		for _, place := range []recovery.Place{call.In, call.Out} {
+			buf = binary.BigEndian.AppendUint16(buf, uint16(place.Number))
+			buf = binary.BigEndian.AppendUint16(buf, place.Point)
+			buf = binary.BigEndian.AppendUint16(buf, place.CIC)
+			buf = binary.BigEndian.AppendUint32(buf, place.Slots)
 		}
-		b = binary.BigEndian.AppendUint16(b, k.Ref.Point)
-		b = binary.BigEndian.AppendUint32(b, k.Ref.Identity)
-		b = binary.BigEndian.AppendUint64(b, uint64(k.Since))
-		b = binary.BigEndian.AppendUint64(b, uint64(k.Until))
+		buf = binary.BigEndian.AppendUint16(buf, call.Ref.Point)
+		buf = binary.BigEndian.AppendUint32(buf, call.Ref.Identity)
+		buf = binary.BigEndian.AppendUint64(buf, uint64(call.Since))
+		buf = binary.BigEndian.AppendUint64(buf, uint64(call.Until))
 	}
-	body := b[at+6:]
-	binary.BigEndian.PutUint16(b[at:], uint16(len(body)))
-	binary.BigEndian.PutUint32(b[at+2:], crc32.Checksum(body, table))
-	return b
+	body := buf[start+6:]
+	binary.BigEndian.PutUint16(buf[start:], uint16(len(body)))
+	binary.BigEndian.PutUint32(buf[start+2:], crc32.Checksum(body, crcTable))
+	return buf
 }
 
 // Payload sizes of a call in the current format and in version 1, in octets without the kind.
 const (
-	callSize   = 4 + 1 + 2*10 + 6 + 16
-	callSizeV1 = 4 + 1 + 2*6 + 6 + 16
+	callPayloadSize   = 4 + 1 + 2*10 + 6 + 16
+	callPayloadSizeV1 = 4 + 1 + 2*6 + 6 + 16
 )
 
 // readFrame decodes the first frame of b; n is its size.
-func readFrame(b []byte, version byte) (r Record, n int, err error) {
-	if len(b) < 7 {
-		return r, 0, fmt.Errorf("%w: frame header is cut off after %d octets", ErrDamaged, len(b))
+func readFrame(data []byte, version byte) (record Record, n int, err error) {
+	if len(data) < 7 {
+		return record, 0, fmt.Errorf("%w: frame header is cut off after %d octets", ErrDamaged, len(data))
 	}
-	size := int(binary.BigEndian.Uint16(b))
-	if size == 0 || size > lenMost || len(b) < 6+size {
-		return r, 0, fmt.Errorf("%w: frame of %d octets, %d available", ErrDamaged, size, len(b)-6)
+	size := int(binary.BigEndian.Uint16(data))
+	if size == 0 || size > maxPayloadSize || len(data) < 6+size {
+		return record, 0, fmt.Errorf("%w: frame of %d octets, %d available", ErrDamaged, size, len(data)-6)
 	}
-	body := b[6 : 6+size]
-	if crc32.Checksum(body, table) != binary.BigEndian.Uint32(b[2:]) {
-		return r, 0, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
+	body := data[6 : 6+size]
+	if crc32.Checksum(body, crcTable) != binary.BigEndian.Uint32(data[2:]) {
+		return record, 0, fmt.Errorf("%w: checksum mismatch", ErrDamaged)
 	}
-	r.Kind, n = Kind(body[0]), 6+size
-	wrong := fmt.Errorf("%w: invalid frame %q of %d octets", ErrDamaged, r.Kind, size)
-	p := body[1:]
-	switch r.Kind {
+	record.Kind, n = Kind(body[0]), 6+size
+	invalid := fmt.Errorf("%w: invalid frame %q of %d octets", ErrDamaged, record.Kind, size)
+	payload := body[1:]
+	switch record.Kind {
 	case HeaderFrame:
-		if len(p) != 8 {
-			return r, 0, wrong
+		if len(payload) != 8 {
+			return record, 0, invalid
 		}
-		r.SiteDigest = binary.BigEndian.Uint64(p)
+		record.SiteDigest = binary.BigEndian.Uint64(payload)
 	case IncarnationFrame:
-		if len(p) < 4 {
-			return r, 0, wrong
+		if len(payload) < 4 {
+			return record, 0, invalid
 		}
-		r.Exchange, r.Incarnation = int(int32(binary.BigEndian.Uint32(p))), string(p[4:])
+		record.Exchange, record.Incarnation = int(int32(binary.BigEndian.Uint32(payload))), string(payload[4:])
 	case HeartbeatFrame:
-		if len(p) != 8 {
-			return r, 0, wrong
+		if len(payload) != 8 {
+			return record, 0, invalid
 		}
-		r.Time = int64(binary.BigEndian.Uint64(p))
+		record.Time = int64(binary.BigEndian.Uint64(payload))
 	case CallEndFrame:
-		if len(p) != 4 {
-			return r, 0, wrong
+		if len(payload) != 4 {
+			return record, 0, invalid
 		}
-		r.Call.ID = binary.BigEndian.Uint32(p)
+		record.Call.ID = binary.BigEndian.Uint32(payload)
 	case SnapshotEndFrame:
-		if len(p) != 0 {
-			return r, 0, wrong
+		if len(payload) != 0 {
+			return record, 0, invalid
 		}
 	case CallFrame:
-		if version == 1 && len(p) != callSizeV1 || version != 1 && len(p) != callSize {
-			return r, 0, wrong
+		if version == 1 && len(payload) != callPayloadSizeV1 || version != 1 && len(payload) != callPayloadSize {
+			return record, 0, invalid
 		}
-		k := &r.Call
-		k.ID = binary.BigEndian.Uint32(p)
-		flags := p[4]
-		k.Phase, k.Transit = recovery.Phase(flags>>4), flags&1 != 0
-		k.In.Trunk, k.Out.Trunk = flags&2 != 0, flags&4 != 0
-		p = p[5:]
-		for _, to := range []*recovery.Place{&k.In, &k.Out} {
-			to.Number, to.Point, to.CIC = int(binary.BigEndian.Uint16(p)), binary.BigEndian.Uint16(p[2:]), binary.BigEndian.Uint16(p[4:])
-			if p = p[6:]; version != 1 {
-				to.Slots = binary.BigEndian.Uint32(p)
-				p = p[4:]
+		call := &record.Call
+		call.ID = binary.BigEndian.Uint32(payload)
+		flags := payload[4]
+		call.Phase, call.Transit = recovery.Phase(flags>>4), flags&1 != 0
+		call.In.Trunk, call.Out.Trunk = flags&2 != 0, flags&4 != 0
+		payload = payload[5:]
+		for _, place := range []*recovery.Place{&call.In, &call.Out} {
+			place.Number, place.Point, place.CIC = int(binary.BigEndian.Uint16(payload)), binary.BigEndian.Uint16(payload[2:]), binary.BigEndian.Uint16(payload[4:])
+			if payload = payload[6:]; version != 1 {
+				place.Slots = binary.BigEndian.Uint32(payload)
+				payload = payload[4:]
 			}
 		}
-		k.Ref = isup.Reference{Point: binary.BigEndian.Uint16(p), Identity: binary.BigEndian.Uint32(p[2:])}
-		k.Since, k.Until = int64(binary.BigEndian.Uint64(p[6:])), int64(binary.BigEndian.Uint64(p[14:]))
+		call.Ref = isup.Reference{Point: binary.BigEndian.Uint16(payload), Identity: binary.BigEndian.Uint32(payload[2:])}
+		call.Since, call.Until = int64(binary.BigEndian.Uint64(payload[6:])), int64(binary.BigEndian.Uint64(payload[14:]))
 	default:
-		return r, 0, wrong
+		return record, 0, invalid
 	}
-	return r, n, nil
+	return record, n, nil
 }
 
 // header returns the first octets of a file.
-func header() []byte { return append([]byte(magic), version) }
+func header() []byte { return append([]byte(magic), currentVersion) }
 
 // Contents is the state that a file describes, and how much of the file was read.
 type Contents struct {
@@ -176,48 +176,48 @@
 }
 
 // Read decodes the contents of a file up to the first damaged frame.
-func Read(b []byte) Contents {
-	c := Contents{Calls: map[uint32]recovery.StoredCall{}, Process: recovery.Process{Incarnations: map[int]string{}}}
-	stop := func(at int, why string) Contents {
-		c.ReadOctets, c.UnreadOctets, c.UnreadReason = at, len(b)-at, why
-		return c
+func Read(data []byte) Contents {
+	contents := Contents{Calls: map[uint32]recovery.StoredCall{}, Process: recovery.Process{Incarnations: map[int]string{}}}
+	stop := func(offset int, reason string) Contents {
+		contents.ReadOctets, contents.UnreadOctets, contents.UnreadReason = offset, len(data)-offset, reason
+		return contents
 	}
-	if len(b) < len(magic)+1 || string(b[:len(magic)]) != magic {
+	if len(data) < len(magic)+1 || string(data[:len(magic)]) != magic {
 		return stop(0, "not a ledger file")
 	}
-	if c.Version = b[len(magic)]; c.Version == 0 || c.Version > version {
-		return stop(0, fmt.Sprintf("format %d is not supported; the latest known is %d", c.Version, version))
+	if contents.Version = data[len(magic)]; contents.Version == 0 || contents.Version > currentVersion {
+		return stop(0, fmt.Sprintf("format %d is not supported; the latest known is %d", contents.Version, currentVersion))
 	}
-	for at := len(magic) + 1; ; {
-		if at == len(b) {
-			return stop(at, "")
+	for offset := len(magic) + 1; ; {
+		if offset == len(data) {
+			return stop(offset, "")
 		}
-		r, n, err := readFrame(b[at:], c.Version)
+		r, n, err := readFrame(data[offset:], contents.Version)
 		if err != nil {
-			return stop(at, err.Error())
+			return stop(offset, err.Error())
 		}
-		at += n
-		c.Frames++
-		c.take(r)
+		offset += n
+		contents.Frames++
+		contents.apply(r)
 	}
 }
 
-// take applies a record.
-func (c *Contents) take(r Record) {
-	switch r.Kind {
+// apply applies a record.
+func (c *Contents) apply(record Record) {
+	switch record.Kind {
 	case HeaderFrame:
-		c.Process.SiteDigest = r.SiteDigest
+		c.Process.SiteDigest = record.SiteDigest
 	case CallFrame:
-		c.Calls[r.Call.ID] = r.Call
+		c.Calls[record.Call.ID] = record.Call
 	case CallEndFrame:
-		delete(c.Calls, r.Call.ID)
+		delete(c.Calls, record.Call.ID)
 	case IncarnationFrame:
-		if r.Exchange < 0 {
-			c.Process.OwnIncarnation = r.Incarnation
+		if record.Exchange < 0 {
+			c.Process.OwnIncarnation = record.Incarnation
 		} else {
-			c.Process.Incarnations[r.Exchange] = r.Incarnation
+			c.Process.Incarnations[record.Exchange] = record.Incarnation
 		}
 	case HeartbeatFrame:
-		c.Process.LastHeartbeat = r.Time
+		c.Process.LastHeartbeat = record.Time
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -29,143 +29,143 @@
 }
 
 const (
-	gather      = 5 * time.Millisecond // changes within it are written together
-	beatEvery   = time.Second
-	compactFrom = 1 << 20 // octets; a smaller file is not compacted
-	compactOver = 4       // size of the file in snapshots at which it is compacted
-	retryFirst  = 200 * time.Millisecond
-	retryMost   = 5 * time.Second
+	batchDelay        = 5 * time.Millisecond // changes within it are written together
+	heartbeatInterval = time.Second
+	minCompactSize    = 1 << 20 // octets; a smaller file is not compacted
+	compactRatio      = 4       // size of the file in snapshots at which it is compacted
+	initialRetryDelay = 200 * time.Millisecond
+	maxRetryDelay     = 5 * time.Second
 )
 
 // Ledger accepts changes without blocking the caller and writes them in the background. Only the latest state of a call is
 // written, so the pending changes are bounded by the number of calls, however slow the disk is.
 type Ledger struct {
-	name string
-	disk Disk
-	site uint64
-	note func(text string) // logs a message
-	mu   sync.Mutex
-	live map[uint32]recovery.StoredCall // current state
-	far  map[int]string                 // incarnations of switches, by exchange; -1: the own one
-	todo map[uint32]bool                // calls that changed since they were last written
-	onto map[uint32]bool                // calls in the file
-	farT map[int]bool                   // incarnations that changed since they were last written
-	kick chan struct{}
-	stop chan struct{}
-	done chan struct{}
+	name                string
+	disk                Disk
+	siteDigest          uint64
+	log                 func(text string) // logs a message
+	mu                  sync.Mutex
+	calls               map[uint32]recovery.StoredCall // current state
+	incarnations        map[int]string                 // incarnations of switches, by exchange; -1: the own one
+	changedCalls        map[uint32]bool                // calls that changed since they were last written
+	fileCalls           map[uint32]bool                // calls in the file
+	changedIncarnations map[int]bool                   // incarnations that changed since they were last written
+	wake                chan struct{}
+	stop                chan struct{}
+	done                chan struct{}
 
-	wrote int64 // octets, over all files
-	size  int64 // octets of the present file
-	bad   bool  // the last write failed
+	writtenOctets int64 // octets, over all files
+	fileSize      int64 // octets of the present file
+	failing       bool  // the last write failed
 }
 
 // Open reads a ledger file and returns its contents and a ledger that replaces it. A file of which nothing can be read is renamed
 // to NAME.damaged.
-func Open(name string, site uint64, disk Disk, note func(string)) (*Ledger, Contents, error) {
-	b, err := disk.Read(name)
+func Open(name string, siteDigest uint64, disk Disk, log func(string)) (*Ledger, Contents, error) {
+	data, err := disk.Read(name)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, Contents{}, fmt.Errorf("read ledger: %w", err)
 	}
-	c := Contents{Calls: map[uint32]recovery.StoredCall{}, Process: recovery.Process{Incarnations: map[int]string{}}}
-	if len(b) > 0 {
-		if c = Read(b); c.UnreadReason != "" {
-			note(fmt.Sprintf("ledger %s: read %d octets, skipped the remaining %d: %s", name, c.ReadOctets, c.UnreadOctets, c.UnreadReason))
-			if c.ReadOctets == 0 {
+	contents := Contents{Calls: map[uint32]recovery.StoredCall{}, Process: recovery.Process{Incarnations: map[int]string{}}}
+	if len(data) > 0 {
+		if contents = Read(data); contents.UnreadReason != "" {
+			log(fmt.Sprintf("ledger %s: read %d octets, skipped the remaining %d: %s", name, contents.ReadOctets, contents.UnreadOctets, contents.UnreadReason))
+			if contents.ReadOctets == 0 {
 				if err := disk.Rename(name, name+".damaged"); err != nil {
-					return nil, c, fmt.Errorf("rename damaged ledger: %w", err)
+					return nil, contents, fmt.Errorf("rename damaged ledger: %w", err)
 				}
 			}
 		}
 	}
-	l := &Ledger{name: name, disk: disk, site: site, note: note, live: map[uint32]recovery.StoredCall{}, far: map[int]string{}, todo: map[uint32]bool{},
-		onto: map[uint32]bool{}, farT: map[int]bool{}, kick: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
-	return l, c, nil
+	l := &Ledger{name: name, disk: disk, siteDigest: siteDigest, log: log, calls: map[uint32]recovery.StoredCall{}, incarnations: map[int]string{}, changedCalls: map[uint32]bool{},
+		fileCalls: map[uint32]bool{}, changedIncarnations: map[int]bool{}, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
+	return l, contents, nil
 }
 
 // Put stores the present state of a call. It does not block.
-func (l *Ledger) Put(k recovery.StoredCall) {
+func (l *Ledger) Put(call recovery.StoredCall) {
 	l.mu.Lock()
-	l.live[k.ID] = k
-	l.todo[k.ID] = true
+	l.calls[call.ID] = call
+	l.changedCalls[call.ID] = true
 	l.mu.Unlock()
-	l.nudge()
+	l.wakeWriter()
 }
 
 // Drop removes a call. It does not block.
 func (l *Ledger) Drop(id uint32) {
 	l.mu.Lock()
-	delete(l.live, id)
-	if l.onto[id] {
-		l.todo[id] = true
+	delete(l.calls, id)
+	if l.fileCalls[id] {
+		l.changedCalls[id] = true
 	} else {
-		delete(l.todo, id)
+		delete(l.changedCalls, id)
 	}
 	l.mu.Unlock()
-	l.nudge()
+	l.wakeWriter()
 }
 
 // Knows stores the incarnation of a neighbour's switch, or of the own switch for number -1. It does not block.
-func (l *Ledger) Knows(number int, life string) {
+func (l *Ledger) Knows(number int, incarnation string) {
 	l.mu.Lock()
-	if l.far[number] != life {
-		l.far[number], l.farT[number] = life, true
+	if l.incarnations[number] != incarnation {
+		l.incarnations[number], l.changedIncarnations[number] = incarnation, true
 	}
 	l.mu.Unlock()
-	l.nudge()
+	l.wakeWriter()
 }
 
-// nudge wakes the writer.
-func (l *Ledger) nudge() {
+// wakeWriter wakes the writer.
+func (l *Ledger) wakeWriter() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
 // WrittenOctets returns how many octets have been written to disk.
-func (l *Ledger) WrittenOctets() int64 { l.mu.Lock(); defer l.mu.Unlock(); return l.wrote }
+func (l *Ledger) WrittenOctets() int64 { l.mu.Lock(); defer l.mu.Unlock(); return l.writtenOctets }
 
 // Run writes changes until Close. It starts with a snapshot in a new file, so that it never appends to a file of an older format.
 func (l *Ledger) Run() {
 	defer close(l.done)
-	var f File
+	var file File
 	retry := time.Duration(0)
-	beat := time.Now()
+	lastHeartbeat := time.Now()
 	for ending := false; ; {
 		err := error(nil)
-		if f == nil {
-			if f, err = l.snapshot(); err == nil && l.bad {
-				l.bad = false
-				l.note("ledger: writing works again, all calls are stored")
+		if file == nil {
+			if file, err = l.writeSnapshot(); err == nil && l.failing {
+				l.failing = false
+				l.log("ledger: writing works again, all calls are stored")
 			}
-		} else if err = l.write(f, time.Since(beat) >= beatEvery); err == nil && time.Since(beat) >= beatEvery {
-			beat = time.Now()
+		} else if err = l.writeChanges(file, time.Since(lastHeartbeat) >= heartbeatInterval); err == nil && time.Since(lastHeartbeat) >= heartbeatInterval {
+			lastHeartbeat = time.Now()
 		}
-		if err == nil && l.large() {
-			f.Close()
-			f = nil
+		if err == nil && l.needsCompaction() {
+			file.Close()
+			file = nil
 			continue
 		}
 		if err != nil {
-			if f != nil {
-				f.Close()
-				f = nil
+			if file != nil {
+				file.Close()
+				file = nil
 			}
-			if !l.bad {
-				l.bad = true
-				l.note("ledger: calls continue but are not stored: " + err.Error())
+			if !l.failing {
+				l.failing = true
+				l.log("ledger: calls continue but are not stored: " + err.Error())
 			}
-			retry = min(retryMost, max(retryFirst, 2*retry))
+			retry = min(maxRetryDelay, max(initialRetryDelay, 2*retry))
 		} else {
 			retry = 0
 		}
 		if ending {
-			if f != nil {
-				f.Close()
+			if file != nil {
+				file.Close()
 			}
 			return
 		}
-		wait := time.After(max(gather, retry))
+		wait := time.After(max(batchDelay, retry))
 		select {
 		case <-l.stop:
 			ending = true
@@ -176,8 +176,8 @@
 			select {
 			case <-l.stop:
 				ending = true
-			case <-l.kick:
-			case <-time.After(beatEvery):
+			case <-l.wake:
+			case <-time.After(heartbeatInterval):
 			}
 		}
 	}
@@ -189,112 +189,112 @@
 	<-l.done
 }
 
-// now is the wall time in tenths of a millisecond since 1970.
-func now() int64 { return time.Now().UnixNano() / 100_000 }
+// wallTime is the wall time in tenths of a millisecond since 1970.
+func wallTime() int64 { return time.Now().UnixNano() / 100_000 }
 
-// snapshot writes the current state to a new file and renames it over the old one, so that a crash leaves one complete file.
-func (l *Ledger) snapshot() (File, error) {
+// writeSnapshot writes the current state to a new file and renames it over the old one, so that a crash leaves one complete file.
+func (l *Ledger) writeSnapshot() (File, error) {
 	l.mu.Lock()
-	b := appendFrame(header(), Record{Kind: HeaderFrame, SiteDigest: l.site})
-	for _, n := range slices.Sorted(maps.Keys(l.far)) {
-		b = appendFrame(b, Record{Kind: IncarnationFrame, Exchange: n, Incarnation: l.far[n]})
+	buf := appendFrame(header(), Record{Kind: HeaderFrame, SiteDigest: l.siteDigest})
+	for _, n := range slices.Sorted(maps.Keys(l.incarnations)) {
+		buf = appendFrame(buf, Record{Kind: IncarnationFrame, Exchange: n, Incarnation: l.incarnations[n]})
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.live)) {
-		b = appendFrame(b, Record{Kind: CallFrame, Call: l.live[id]})
+	for _, id := range slices.Sorted(maps.Keys(l.calls)) {
+		buf = appendFrame(buf, Record{Kind: CallFrame, Call: l.calls[id]})
 	}
-	b = appendFrame(appendFrame(b, Record{Kind: SnapshotEndFrame}), Record{Kind: HeartbeatFrame, Time: now()})
-	taken := maps.Clone(l.live)
-	todo, farT := l.todo, l.farT
-	l.todo, l.farT = map[uint32]bool{}, map[int]bool{}
+	buf = appendFrame(appendFrame(buf, Record{Kind: SnapshotEndFrame}), Record{Kind: HeartbeatFrame, Time: wallTime()})
+	snapshotCalls := maps.Clone(l.calls)
+	changedCalls, changedIncarnations := l.changedCalls, l.changedIncarnations
+	l.changedCalls, l.changedIncarnations = map[uint32]bool{}, map[int]bool{}
 	l.mu.Unlock()
-	again := func(err error) (File, error) { // nothing was stored: mark the changes as pending again
+	restorePending := func(err error) (File, error) { // nothing was stored: mark the changes as pending again
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for id := range todo {
-			l.todo[id] = true
+		for id := range changedCalls {
+			l.changedCalls[id] = true
 		}
-		maps.Copy(l.farT, farT)
+		maps.Copy(l.changedIncarnations, changedIncarnations)
 		return nil, err
 	}
-	next := l.name + ".next"
-	f, err := l.disk.Create(next)
+	nextName := l.name + ".next"
+	file, err := l.disk.Create(nextName)
 	if err != nil {
-		return again(fmt.Errorf("create: %w", err))
+		return restorePending(fmt.Errorf("create: %w", err))
 	}
-	if _, err = f.Write(b); err == nil {
-		err = f.Sync()
+	if _, err = file.Write(buf); err == nil {
+		err = file.Sync()
 	}
 	if err == nil {
-		err = l.disk.Rename(next, l.name)
+		err = l.disk.Rename(nextName, l.name)
 	}
 	if err != nil {
-		f.Close()
-		return again(fmt.Errorf("snapshot: %w", err))
+		file.Close()
+		return restorePending(fmt.Errorf("snapshot: %w", err))
 	}
 	l.mu.Lock()
-	l.onto = map[uint32]bool{}
-	for id := range taken {
-		l.onto[id] = true
+	l.fileCalls = map[uint32]bool{}
+	for id := range snapshotCalls {
+		l.fileCalls[id] = true
 	}
-	for id := range l.todo { // changed meanwhile: a call that ended needs a record only if the file has it
-		if _, live := l.live[id]; !live && !l.onto[id] {
-			delete(l.todo, id)
+	for id := range l.changedCalls { // changed meanwhile: a call that ended needs a record only if the file has it
+		if _, present := l.calls[id]; !present && !l.fileCalls[id] {
+			delete(l.changedCalls, id)
 		}
 	}
-	for id := range l.onto {
-		if _, live := l.live[id]; !live {
-			l.todo[id] = true
+	for id := range l.fileCalls {
+		if _, present := l.calls[id]; !present {
+			l.changedCalls[id] = true
 		}
 	}
-	l.size = int64(len(b))
-	l.wrote += l.size
+	l.fileSize = int64(len(buf))
+	l.writtenOctets += l.fileSize
 	l.mu.Unlock()
-	return f, nil
+	return file, nil
 }
 
-// write appends the pending changes, and a heartbeat with them or when one is due.
-func (l *Ledger) write(f File, beat bool) error {
+// writeChanges appends the pending changes, and a heartbeat with them or when one is due.
+func (l *Ledger) writeChanges(file File, heartbeatDue bool) error {
 	l.mu.Lock()
-	var b []byte
-	for _, n := range slices.Sorted(maps.Keys(l.farT)) {
-		b = appendFrame(b, Record{Kind: IncarnationFrame, Exchange: n, Incarnation: l.far[n]})
+	var buf []byte
+	for _, n := range slices.Sorted(maps.Keys(l.changedIncarnations)) {
+		buf = appendFrame(buf, Record{Kind: IncarnationFrame, Exchange: n, Incarnation: l.incarnations[n]})
 	}
-	for _, id := range slices.Sorted(maps.Keys(l.todo)) {
-		if k, live := l.live[id]; live {
-			b = appendFrame(b, Record{Kind: CallFrame, Call: k})
-			l.onto[id] = true
+	for _, id := range slices.Sorted(maps.Keys(l.changedCalls)) {
+		if call, present := l.calls[id]; present {
+			buf = appendFrame(buf, Record{Kind: CallFrame, Call: call})
+			l.fileCalls[id] = true
 		} else {
-			b = appendFrame(b, Record{Kind: CallEndFrame, Call: recovery.StoredCall{ID: id}})
-			delete(l.onto, id)
+			buf = appendFrame(buf, Record{Kind: CallEndFrame, Call: recovery.StoredCall{ID: id}})
+			delete(l.fileCalls, id)
 		}
 	}
-	clear(l.todo)
-	clear(l.farT)
+	clear(l.changedCalls)
+	clear(l.changedIncarnations)
 	l.mu.Unlock()
-	if beat || len(b) > 0 {
-		b = appendFrame(b, Record{Kind: HeartbeatFrame, Time: now()})
+	if heartbeatDue || len(buf) > 0 {
+		buf = appendFrame(buf, Record{Kind: HeartbeatFrame, Time: wallTime()})
 	}
-	if len(b) == 0 {
+	if len(buf) == 0 {
 		return nil
 	}
-	if _, err := f.Write(b); err != nil { // the file may end in a partial frame and is replaced by a snapshot
+	if _, err := file.Write(buf); err != nil { // the file may end in a partial frame and is replaced by a snapshot
 		return fmt.Errorf("write: %w", err)
 	}
-	if err := f.Sync(); err != nil {
+	if err := file.Sync(); err != nil {
 		return fmt.Errorf("sync: %w", err)
 	}
 	l.mu.Lock()
-	l.size += int64(len(b))
-	l.wrote += int64(len(b))
+	l.fileSize += int64(len(buf))
+	l.writtenOctets += int64(len(buf))
 	l.mu.Unlock()
 	return nil
 }
 
-// large reports whether the file should be compacted into a snapshot.
-func (l *Ledger) large() bool {
+// needsCompaction reports whether the file should be compacted into a snapshot.
+func (l *Ledger) needsCompaction() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.size > compactFrom && l.size > compactOver*int64((len(l.live)+16)*(callSize+7))
+	return l.fileSize > minCompactSize && l.fileSize > compactRatio*int64((len(l.calls)+16)*(callPayloadSize+7))
 }
 
 // OSDisk is the local file system.
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-func anyKept(t *rapid.T, id uint32) recovery.StoredCall {
+func randomCall(t *rapid.T, id uint32) recovery.StoredCall {
 	place := func(name string) recovery.Place {
 		return recovery.Place{Trunk: rapid.Bool().Draw(t, name), Number: rapid.IntRange(0, 998).Draw(t, name), Point: rapid.Uint16().Draw(t, name),
 			CIC: rapid.Uint16().Draw(t, name), Slots: rapid.Uint32().Draw(t, name)}
@@ -27,28 +27,28 @@
 		Ref: isup.Reference{Point: rapid.Uint16().Draw(t, "point"), Identity: rapid.Uint32().Draw(t, "identity")}, Since: rapid.Int64().Draw(t, "since"), Until: rapid.Int64().Draw(t, "until")}
 }
 
-// kept runs a ledger on an in-memory disk with random changes. It returns the calls at the end and the file.
-func kept(t *rapid.T, disk *memnet.Disk, steps int) (map[uint32]recovery.StoredCall, []byte) {
-	l, _, err := ledger.Open("l", 7, disk, func(string) {})
+// runLedger runs a ledger on an in-memory disk with random changes. It returns the calls at the end and the file.
+func runLedger(t *rapid.T, disk *memnet.Disk, steps int) (map[uint32]recovery.StoredCall, []byte) {
+	opened, _, err := ledger.Open("l", 7, disk, func(string) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go l.Run()
+	go opened.Run()
 	live := map[uint32]recovery.StoredCall{}
 	for range steps {
 		id := rapid.Uint32Range(1, 20).Draw(t, "id")
 		if rapid.Bool().Draw(t, "put") {
-			live[id] = anyKept(t, id)
-			l.Put(live[id])
+			live[id] = randomCall(t, id)
+			opened.Put(live[id])
 		} else {
 			delete(live, id)
-			l.Drop(id)
+			opened.Drop(id)
 		}
 		time.Sleep(time.Duration(rapid.IntRange(0, 8).Draw(t, "ms")) * time.Millisecond)
 	}
-	l.Knows(3, "4")
-	l.Knows(-1, "2")
-	l.Close()
+	opened.Knows(3, "4")
+	opened.Knows(-1, "2")
+	opened.Close()
 	return live, disk.Get("l")
 }
 
@@ -59,9 +59,9 @@
 }
 
 // Guards against calls or incarnations that are lost or left over in the file, however the changes were batched.
-func TestWhatIsLiveIsRead(t *testing.T) {
+func TestStoredCallsAreRead(t *testing.T) {
 	inBubble(t, func(t *rapid.T) {
-		live, file := kept(t, memnet.NewDisk(), rapid.IntRange(0, 60).Draw(t, "steps"))
+		live, file := runLedger(t, memnet.NewDisk(), rapid.IntRange(0, 60).Draw(t, "steps"))
 		c := ledger.Read(file)
 		if c.UnreadReason != "" || c.UnreadOctets != 0 || !maps.Equal(c.Calls, live) || c.Process.SiteDigest != 7 || c.Process.OwnIncarnation != "2" || c.Process.Incarnations[3] != "4" || c.Process.LastHeartbeat == 0 {
 			t.Fatalf("read %+v\nwant %+v", c, live)
@@ -71,9 +71,9 @@
 
 // Guards against damaged files that are read as valid: a file truncated at any octet, or with any bit flipped, reads as an earlier
 // state and contains no call that was never stored. A flipped bit is always reported as damage.
-func TestDamagedFilesReadToTheLastGoodPlace(t *testing.T) {
+func TestDamagedFilesAreReadUpToTheDamage(t *testing.T) {
 	inBubble(t, func(t *rapid.T) {
-		_, file := kept(t, memnet.NewDisk(), rapid.IntRange(1, 5).Draw(t, "steps"))
+		_, file := runLedger(t, memnet.NewDisk(), rapid.IntRange(1, 5).Draw(t, "steps"))
 		whole := ledger.Read(file)
 		seen := map[recovery.StoredCall]bool{}
 		ends := map[int]bool{}
@@ -93,9 +93,9 @@
 			t.Fatalf("%d lengths at which the file is complete, %d frames", len(ends), whole.Frames)
 		}
 		bit := rapid.IntRange(0, 8*len(file)-1).Draw(t, "bit")
-		turned := append([]byte(nil), file...)
-		turned[bit/8] ^= 1 << (bit % 8)
-		c := ledger.Read(turned)
+		flipped := append([]byte(nil), file...)
+		flipped[bit/8] ^= 1 << (bit % 8)
+		c := ledger.Read(flipped)
 		if c.UnreadReason == "" || c.ReadOctets > bit/8 {
 			t.Fatalf("bit %d flipped, and %d of %d octets were read: %q", bit, c.ReadOctets, len(file), c.UnreadReason)
 		}
@@ -108,24 +108,24 @@
 }
 
 // Guards against a failing or slow disk that blocks the callers, and against a file that stays incomplete after the disk recovers.
-func TestBadDiskHoldsUpNobodyAndIsMadeGood(t *testing.T) {
-	for _, bad := range []string{"full", "slow"} {
+func TestFailingDiskDoesNotBlockAndRecovers(t *testing.T) {
+	for _, fault := range []string{"full", "slow"} {
 		synctest.Test(t, func(t *testing.T) {
 			disk := memnet.NewDisk()
-			var told []string
-			l, _, err := ledger.Open("l", 7, disk, func(text string) { told = append(told, text) })
+			var messages []string
+			l, _, err := ledger.Open("l", 7, disk, func(text string) { messages = append(messages, text) })
 			if err != nil {
 				t.Fatal(err)
 			}
 			go l.Run()
 			l.Put(recovery.StoredCall{ID: 1})
 			time.Sleep(time.Second)
-			if bad == "full" {
+			if fault == "full" {
 				disk.Fail(errors.New("no space left on device"))
 			} else {
 				disk.Slow(func() { time.Sleep(2 * time.Second) })
 			}
-			from := time.Now()
+			start := time.Now()
 			for id := range uint32(1000) {
 				l.Put(recovery.StoredCall{ID: id + 10, Since: int64(id)})
 				if id%2 == 0 {
@@ -136,11 +136,11 @@
 				}
 			}
 			l.Drop(1)
-			if took := time.Since(from); took != time.Second {
-				t.Errorf("%s: storing calls took %v", bad, took)
+			if took := time.Since(start); took != time.Second {
+				t.Errorf("%s: storing calls took %v", fault, took)
 			}
 			if c := ledger.Read(disk.Get("l")); c.UnreadReason != "" || len(c.Calls) == 0 {
-				t.Errorf("%s: the file reads as %+v while the disk fails", bad, c)
+				t.Errorf("%s: the file reads as %+v while the disk fails", fault, c)
 			}
 			disk.Fail(nil)
 			disk.Slow(nil)
@@ -148,10 +148,10 @@
 			l.Close()
 			c := ledger.Read(disk.Get("l"))
 			if c.UnreadReason != "" || len(c.Calls) != 500 || c.Calls[1].ID != 0 {
-				t.Errorf("%s: %d calls, %q", bad, len(c.Calls), c.UnreadReason)
+				t.Errorf("%s: %d calls, %q", fault, len(c.Calls), c.UnreadReason)
 			}
-			if bad == "full" && len(told) != 2 {
-				t.Errorf("logged messages: %q", told)
+			if fault == "full" && len(messages) != 2 {
+				t.Errorf("logged messages: %q", messages)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 			t.Fatal(err)
 		}
 		go l.Run()
-		most := 0
+		maxSize := 0
 		for id := range uint32(60000) {
 			l.Put(recovery.StoredCall{ID: id, Phase: recovery.Established})
 			if id >= 100 {
@@ -177,27 +177,27 @@
 			}
 			if id%997 == 0 {
 				file := disk.Get("l")
-				most = max(most, len(file))
+				maxSize = max(maxSize, len(file))
 				if c := ledger.Read(file); c.UnreadReason != "" || len(c.Calls) > 250 {
 					t.Fatalf("after %d calls: the file has %d, %q", id, len(c.Calls), c.UnreadReason)
 				}
 			}
 		}
 		l.Close()
-		if c := ledger.Read(disk.Get("l")); len(c.Calls) != 100 || most > 1<<21 || l.WrittenOctets() < 3<<20 {
-			t.Fatalf("%d calls, the file had up to %d octets, %d were written", len(c.Calls), most, l.WrittenOctets())
+		if c := ledger.Read(disk.Get("l")); len(c.Calls) != 100 || maxSize > 1<<21 || l.WrittenOctets() < 3<<20 {
+			t.Fatalf("%d calls, the file had up to %d octets, %d were written", len(c.Calls), maxSize, l.WrittenOctets())
 		}
 	})
 }
 
-func TestFilesOfAnotherSortAreSetAside(t *testing.T) {
+func TestForeignFilesAreRenamed(t *testing.T) {
 	for name, b := range map[string][]byte{"future": []byte("indigoledger\x09aaaa"), "other": []byte("SQLite format 3\x00"), "short": []byte("indi")} {
 		disk := memnet.NewDisk()
 		disk.Put("l", b)
-		var told []string
-		_, c, err := ledger.Open("l", 7, disk, func(text string) { told = append(told, text) })
-		if err != nil || len(c.Calls) != 0 || c.UnreadReason == "" || len(told) != 1 || string(disk.Get("l.damaged")) != string(b) {
-			t.Errorf("%s: %v %+v %q", name, err, c, told)
+		var messages []string
+		_, c, err := ledger.Open("l", 7, disk, func(text string) { messages = append(messages, text) })
+		if err != nil || len(c.Calls) != 0 || c.UnreadReason == "" || len(messages) != 1 || string(disk.Get("l.damaged")) != string(b) {
+			t.Errorf("%s: %v %+v %q", name, err, c, messages)
 		}
 	}
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -29,10 +29,10 @@
 	Entries []Entry `json:"Lines"`
 }
 
-// known is what a view holds of one switch.
-type known struct {
-	line   Entry
-	bootAt policy.Tenths // when it started
+// switchState is what a view holds of one switch.
+type switchState struct {
+	entry     Entry
+	startTime policy.Tenths // when it started
 }
 
 // View is the list of switches that a controller has in force.
@@ -40,12 +40,14 @@
 	exchanges int
 	epoch     uint64
 	version   uint64
-	any       bool // whether a list has been accepted
-	switches  map[uint32]known
+	hasList   bool // whether a list has been accepted
+	switches  map[uint32]switchState
 }
 
 // NewView creates an empty view of a network with a number of exchanges, numbered from 0.
-func NewView(exchanges int) *View { return &View{exchanges: exchanges, switches: map[uint32]known{}} }
+func NewView(exchanges int) *View {
+	return &View{exchanges: exchanges, switches: map[uint32]switchState{}}
+}
 
 // Version returns the version in force.
 func (v *View) Version() uint64 { return v.version }
@@ -61,55 +63,55 @@
 
 // Apply validates a list and, if it is accepted, puts it in force and returns the switches to report to the decision module.
 // The doubts describe what is wrong with the list or with single lines, for the log.
-func (v *View) Apply(now policy.Tenths, l List) (verdict Verdict, told []policy.Switch, doubts []string) {
+func (v *View) Apply(now policy.Tenths, list List) (verdict Verdict, switches []policy.Switch, remarks []string) {
 	switch {
-	case len(l.Entries) != l.Count:
-		return Rejected, nil, []string{fmt.Sprintf("list %d has %d lines, announced are %d", l.Version, len(l.Entries), l.Count)}
-	case v.any && l.Epoch == v.epoch && l.Version <= v.version:
+	case len(list.Entries) != list.Count:
+		return Rejected, nil, []string{fmt.Sprintf("list %d has %d lines, announced are %d", list.Version, len(list.Entries), list.Count)}
+	case v.hasList && list.Epoch == v.epoch && list.Version <= v.version:
 		return Stale, nil, nil
-	case !l.Full && (!v.any || l.Epoch != v.epoch || l.Version != v.version+1):
-		return Rejected, nil, []string{fmt.Sprintf("change %d does not follow version %d", l.Version, v.version)}
+	case !list.Full && (!v.hasList || list.Epoch != v.epoch || list.Version != v.version+1):
+		return Rejected, nil, []string{fmt.Sprintf("change %d does not follow version %d", list.Version, v.version)}
 	}
 	merged := map[uint32]Entry{}
 	var order []uint32
-	for _, n := range l.Entries {
-		if n.Number < 0 || n.Number >= v.exchanges {
-			doubts = append(doubts, fmt.Sprintf("switch %d serves unknown exchange %d", n.ID, n.Number))
+	for _, entry := range list.Entries {
+		if entry.Number < 0 || entry.Number >= v.exchanges {
+			remarks = append(remarks, fmt.Sprintf("switch %d serves unknown exchange %d", entry.ID, entry.Number))
 			continue
 		}
-		if was, ok := v.switches[n.ID]; ok && l.Epoch == v.epoch && n.Incarnation < was.line.Incarnation {
-			doubts = append(doubts, fmt.Sprintf("switch %d has incarnation %d after incarnation %d", n.ID, n.Incarnation, was.line.Incarnation))
-			n.Incarnation, n.Ready = was.line.Incarnation, false // one of the two is wrong: no new calls until a list settles it
+		if previous, ok := v.switches[entry.ID]; ok && list.Epoch == v.epoch && entry.Incarnation < previous.entry.Incarnation {
+			remarks = append(remarks, fmt.Sprintf("switch %d has incarnation %d after incarnation %d", entry.ID, entry.Incarnation, previous.entry.Incarnation))
+			entry.Incarnation, entry.Ready = previous.entry.Incarnation, false // one of the two is wrong: no new calls until a list settles it
 		}
-		if other, twice := merged[n.ID]; twice {
-			if other != n {
-				doubts = append(doubts, fmt.Sprintf("switch %d is listed twice with different values", n.ID))
+		if other, duplicate := merged[entry.ID]; duplicate {
+			if other != entry {
+				remarks = append(remarks, fmt.Sprintf("switch %d is listed twice with different values", entry.ID))
 			}
-			n.Ready = n.Ready && other.Ready
-			n.Draining = n.Draining || other.Draining
-			n.Incarnation = max(n.Incarnation, other.Incarnation)
+			entry.Ready = entry.Ready && other.Ready
+			entry.Draining = entry.Draining || other.Draining
+			entry.Incarnation = max(entry.Incarnation, other.Incarnation)
 		} else {
-			order = append(order, n.ID)
+			order = append(order, entry.ID)
 		}
-		n.Ready = n.Ready && !n.Draining
-		merged[n.ID] = n
+		entry.Ready = entry.Ready && !entry.Draining
+		merged[entry.ID] = entry
 	}
-	fresh := map[uint32]known{}
-	if !l.Full {
-		fresh = v.switches
+	states := map[uint32]switchState{}
+	if !list.Full {
+		states = v.switches
 	}
 	for _, id := range order {
-		n := merged[id]
-		k := known{line: n}
+		entry := merged[id]
+		state := switchState{entry: entry}
 		// The register's estimates for one start vary between lists, so the first one is kept.
-		if was, ok := v.switches[id]; ok && was.line.Incarnation == n.Incarnation && l.Epoch == v.epoch {
-			k.bootAt = was.bootAt
-		} else if n.Uptime < now {
-			k.bootAt = now - max(0, n.Uptime)
+		if previous, ok := v.switches[id]; ok && previous.entry.Incarnation == entry.Incarnation && list.Epoch == v.epoch {
+			state.startTime = previous.startTime
+		} else if entry.Uptime < now {
+			state.startTime = now - max(0, entry.Uptime)
 		}
-		fresh[id] = k
-		told = append(told, policy.Switch{ID: id, Number: n.Number, BootAt: k.bootAt, Ready: n.Ready, Draining: n.Draining})
+		states[id] = state
+		switches = append(switches, policy.Switch{ID: id, Number: entry.Number, BootAt: state.startTime, Ready: entry.Ready, Draining: entry.Draining})
 	}
-	v.switches, v.epoch, v.version, v.any = fresh, l.Epoch, l.Version, true
-	return Accepted, told, doubts
+	v.switches, v.epoch, v.version, v.hasList = states, list.Epoch, list.Version, true
+	return Accepted, switches, remarks
 }
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -8,21 +8,21 @@
 
 // Guards against a thundering herd: a thousand exchanges lose one switch at the same time, and it is down for a minute. In no
 // tenth of a second may more than a tenth of them dial.
-func TestManyExchangesDoNotHammerOneSwitch(t *testing.T) {
-	const exchanges, tenth, length = 1000, 1000, 600000
+func TestExchangesDoNotReconnectAtOnce(t *testing.T) {
+	const exchanges, interval, length = 1000, 1000, 600000
 	for _, starting := range []bool{true, false} {
-		dials := make([]int, length/tenth+1)
+		dials := make([]int, length/interval+1)
 		total := 0
 		for e := range uint64(exchanges) {
 			p := NewBackoff(e, exchanges)
 			if !starting { // the links were up for long
 				p.NextDelay()
 				p.Up(1)
-				p.Down(1 + steady)
+				p.Down(1 + stableTime)
 			}
 			for now := p.NextDelay(); now < length; now += p.NextDelay() {
 				p.Down(now)
-				dials[now/tenth]++
+				dials[now/interval]++
 				total++
 			}
 		}
@@ -50,14 +50,14 @@
 		t.Fatalf("%d dials in a minute to a switch that accepts and drops", dials)
 	}
 	p.Up(now)
-	p.Down(now + steady)
-	p.failed = 0
-	if w := p.NextDelay(); w > 2*first {
+	p.Down(now + stableTime)
+	p.failures = 0
+	if w := p.NextDelay(); w > 2*initialDelay {
 		t.Fatalf("delay of %d after a link was up for long", w)
 	}
 }
 
-func TestSilentLinkIsDeadButNotAfterAStallOfOurOwn(t *testing.T) {
+func TestSilentLinkIsDeadButNotAfterAStall(t *testing.T) {
 	var l Liveness
 	l.Received(100)
 	dead, diedAt := false, policy.Tenths(0)
@@ -69,7 +69,7 @@
 		}
 		diedAt = now
 	}
-	if beats < 3 || diedAt < silentMost || diedAt > silentMost+1000 {
+	if beats < 3 || diedAt < silenceTimeout || diedAt > silenceTimeout+1000 {
 		t.Fatalf("dead at %d after %d beats", diedAt, beats)
 	}
 	if _, dead, _ := l.Check(diedAt, diedAt-10); dead {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -58,8 +58,8 @@
 	Release                     // it was established and cannot continue: what remains of it is released
 )
 
-func (f Outcome) String() string {
-	return [...]string{"still established", "answered as failed", "forgotten", "cut"}[f]
+func (o Outcome) String() string {
+	return [...]string{"still established", "answered as failed", "forgotten", "cut"}[o]
 }
 
 // Decision is the decision on one stored call, with the reason if the call does not continue.
@@ -70,9 +70,9 @@
 }
 
 const (
-	believed  = int64(6 * 3600 * 10000) // tenths; after a longer downtime callers have hung up
-	clockSlip = int64(5 * 10000)        // tenths; tolerated clock adjustment over a restart
-	wayBack   = int64(300)              // tenths; time an answer takes to reach its caller
+	maxDowntime    = int64(6 * 3600 * 10000) // tenths; after a longer downtime callers have hung up
+	clockTolerance = int64(5 * 10000)        // tenths; tolerated clock adjustment over a restart
+	answerDelay    = int64(300)              // tenths; time an answer takes to reach its caller
 )
 
 // Settings describes the exchange as it is configured now.
@@ -84,83 +84,83 @@
 
 // Decide decides what happens to each stored call, in the order of their IDs. If two calls claim a circuit, the one that entered
 // its phase later holds it and the other is released, since a circuit is reused only when its call is over.
-func Decide(now int64, life Process, kept []StoredCall, s Settings) []Decision {
-	all := make([]Decision, 0, len(kept))
-	for _, k := range kept {
-		all = append(all, Decision{StoredCall: k})
+func Decide(now int64, process Process, stored []StoredCall, settings Settings) []Decision {
+	decisions := make([]Decision, 0, len(stored))
+	for _, call := range stored {
+		decisions = append(decisions, Decision{StoredCall: call})
 	}
-	slices.SortStableFunc(all, func(a, b Decision) int { return cmp.Compare(a.ID, b.ID) })
-	holder := map[Place]int{}
-	for i := range all {
-		v := &all[i]
-		v.Outcome, v.Reason = one(now, life, v.StoredCall, s)
-		if v.Outcome != Continue {
+	slices.SortStableFunc(decisions, func(a, b Decision) int { return cmp.Compare(a.ID, b.ID) })
+	holders := map[Place]int{}
+	for i := range decisions {
+		decision := &decisions[i]
+		decision.Outcome, decision.Reason = decideOne(now, process, decision.StoredCall, settings)
+		if decision.Outcome != Continue {
 			continue
 		}
-		for _, p := range []Place{v.In, v.Out} {
-			for _, at := range spread(p) {
-				j, taken := holder[at]
+		for _, p := range []Place{decision.In, decision.Out} {
+			for _, single := range singlePlaces(p) {
+				j, taken := holders[single]
 				switch {
-				case !taken || all[j].Outcome != Continue:
-					holder[at] = i
-				case all[j].Since <= v.Since:
-					all[j].Outcome, all[j].Reason = Release, "its circuit was kept for a later call"
-					holder[at] = i
+				case !taken || decisions[j].Outcome != Continue:
+					holders[single] = i
+				case decisions[j].Since <= decision.Since:
+					decisions[j].Outcome, decisions[j].Reason = Release, "its circuit was kept for a later call"
+					holders[single] = i
 				default:
-					v.Outcome, v.Reason = Release, "its circuit was kept for a later call"
+					decision.Outcome, decision.Reason = Release, "its circuit was kept for a later call"
 				}
 			}
 		}
 	}
-	return all
+	return decisions
 }
 
-// spread lists the single circuits of a place, or its line.
-func spread(p Place) []Place {
-	if !p.Trunk || p.Slots == 0 {
-		return []Place{{Trunk: p.Trunk, Number: p.Number, Point: p.Point, CIC: p.CIC}}
+// singlePlaces lists the single circuits of a place, or its line.
+func singlePlaces(place Place) []Place {
+	if !place.Trunk || place.Slots == 0 {
+		return []Place{{Trunk: place.Trunk, Number: place.Number, Point: place.Point, CIC: place.CIC}}
 	}
-	var all []Place
-	for s := range uint16(isup.CircuitsPerMultiplex) {
-		if p.Slots&(1<<s) != 0 {
-			all = append(all, Place{Trunk: true, Number: p.Number, CIC: p.CIC/32*32 + s + 1})
+	var places []Place
+	for slot := range uint16(isup.CircuitsPerMultiplex) {
+		if place.Slots&(1<<slot) != 0 {
+			places = append(places, Place{Trunk: true, Number: place.Number, CIC: place.CIC/32*32 + slot + 1})
 		}
 	}
-	return all
+	return places
 }
 
-// one decides on a single call.
-func one(now int64, life Process, k StoredCall, s Settings) (Outcome, string) {
-	dead := now - life.LastHeartbeat
+// decideOne decides on a single call.
+func decideOne(now int64, process Process, call StoredCall, settings Settings) (Outcome, string) {
+	downtime := now - process.LastHeartbeat
 	switch {
-	case life.SiteDigest != s.SiteDigest:
+	case process.SiteDigest != settings.SiteDigest:
 		return Discard, "the ledger belongs to another exchange"
-	case dead > believed:
+	case downtime > maxDowntime:
 		return Discard, "the ledger is too old"
-	case k.Phase == SettingUp && (k.Since > now+clockSlip || dead < -clockSlip):
+	case call.Phase == SettingUp && (call.Since > now+clockTolerance || downtime < -clockTolerance):
 		return Discard, "the clock was set back: whether the caller still waits is unknown"
-	case k.Phase == SettingUp && now >= k.Until-wayBack:
+	case call.Phase == SettingUp && now >= call.Until-answerDelay:
 		return Discard, "the caller has abandoned the call"
-	case k.Phase == SettingUp && !fits(k.In, s):
+	case call.Phase == SettingUp && !isConfigured(call.In, settings):
 		return Discard, "the caller's side is no longer in the settings"
-	case k.Phase == SettingUp:
+	case call.Phase == SettingUp:
 		return AnswerFailed, "the set-up ended with the previous process"
-	case k.Phase != Established:
+	case call.Phase != Established:
 		return Discard, "the phase is unknown"
-	case !fits(k.In, s) || !fits(k.Out, s):
+	case !isConfigured(call.In, settings) || !isConfigured(call.Out, settings):
 		return Release, "a circuit or line of the call is no longer in the settings"
 	}
 	return Continue, ""
 }
 
-// fits reports whether a place exists in the settings.
-func fits(p Place, s Settings) bool {
-	if !p.Trunk {
-		return s.HasLines(p.Point)
+// isConfigured reports whether a place exists in the settings.
+func isConfigured(place Place, settings Settings) bool {
+	if !place.Trunk {
+		return settings.HasLines(place.Point)
 	}
-	size := s.Circuits[p.Number]
-	for _, at := range spread(p) {
-		if i := int(at.CIC)/32*isup.CircuitsPerMultiplex + int(at.CIC)%32 - 1; at.CIC%32 == 0 || i >= size {
+	size := settings.Circuits[place.Number]
+	for _, single := range singlePlaces(place) {
+		if i := int(single.CIC)/32*isup.CircuitsPerMultiplex + int(single.CIC)%32 - 1; single.CIC%32 == 0 || i >= size {
 			return false
 		}
 	}
@@ -191,24 +191,24 @@
 // since a call needs both ends. If the two ends claim different calls, neither wins: no end can know which call the other means,
 // and a reset frees the circuit at both. This ends: after a reset both ends are idle and agree, and a transient state is queried
 // again until the neighbour's release is done.
-func CompareStates(ours LocalState, theirs byte) Action {
+func CompareStates(local LocalState, remote byte) Action {
 	switch {
-	case ours == Clearing:
+	case local == Clearing:
 		return NoAction // the release or reset settles it
-	case theirs&isup.CallProcessingMask == 0: // transient, or not equipped
-		if theirs&3 == isup.Unequipped {
-			if ours == Idle {
+	case remote&isup.CallProcessingMask == 0: // transient, or not equipped
+		if remote&3 == isup.Unequipped {
+			if local == Idle {
 				return NoAction
 			}
 			return DropCall
 		}
 		return QueryAgain
-	case theirs&isup.CallProcessingMask == isup.CircuitIdle:
-		if ours == Idle {
+	case remote&isup.CallProcessingMask == isup.CircuitIdle:
+		if local == Idle {
 			return NoAction
 		}
 		return DropCall
-	case theirs&isup.CallProcessingMask == isup.IncomingBusy && ours == Outgoing, theirs&isup.CallProcessingMask == isup.OutgoingBusy && ours == Incoming:
+	case remote&isup.CallProcessingMask == isup.IncomingBusy && local == Outgoing, remote&isup.CallProcessingMask == isup.OutgoingBusy && local == Incoming:
 		return NoAction
 	}
 	return ResetCircuit
@@ -216,17 +216,17 @@
 
 // ColdSwitchHoldEnd returns the time before which a controller that has just started sends nothing to a cold switch. The previous process
 // may have used the whole slow-start budget of the window, and that is not stored.
-func ColdSwitchHoldEnd(started policy.Tenths, d policy.Deployment) policy.Tenths {
-	return started + d.OverloadWindow
+func ColdSwitchHoldEnd(startTime policy.Tenths, deployment policy.Deployment) policy.Tenths {
+	return startTime + deployment.OverloadWindow
 }
 
 // FirstAuditTime returns when a controller that has just started queries a neighbour about its circuits. Each controller spreads its
 // queries by the neighbour's place in its list, so that no processor gets all queries at once when ninety controllers start
 // together.
-func FirstAuditTime(started policy.Tenths, own, place, neighbours int) policy.Tenths {
-	const each = policy.Tenths(100)
+func FirstAuditTime(startTime policy.Tenths, own, index, neighbours int) policy.Tenths {
+	const spacing = policy.Tenths(100)
 	if neighbours == 0 {
-		return started
+		return startTime
 	}
-	return started + each*policy.Tenths((place+own)%neighbours)
+	return startTime + spacing*policy.Tenths((index+own)%neighbours)
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,9 +12,9 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-const wall = int64(17_000_000_000_000)
+const wallNow = int64(17_000_000_000_000)
 
-func sites() Settings {
+func settings() Settings {
 	return Settings{SiteDigest: 7, Circuits: map[int]int{1: 62, 2: 31}, HasLines: func(point uint16) bool { return point >= 0x2000 }}
 }
 
@@ -22,34 +22,37 @@
 
 func line(cic uint16) Place { return Place{Point: 0x2000, CIC: cic} }
 
-func TestFates(t *testing.T) {
-	life := Process{SiteDigest: 7, LastHeartbeat: wall - 20000}
-	standing := StoredCall{ID: 1, Phase: Established, In: line(5), Out: trunk(1, 3), Since: wall - 90000}
-	asked := StoredCall{ID: 1, In: line(5), Since: wall - 21000, Until: wall + 40000}
-	change := func(k StoredCall, do func(*StoredCall)) StoredCall { do(&k); return k }
+func TestOutcomes(t *testing.T) {
+	process := Process{SiteDigest: 7, LastHeartbeat: wallNow - 20000}
+	established := StoredCall{ID: 1, Phase: Established, In: line(5), Out: trunk(1, 3), Since: wallNow - 90000}
+	settingUp := StoredCall{ID: 1, In: line(5), Since: wallNow - 21000, Until: wallNow + 40000}
+	change := func(call StoredCall, do func(*StoredCall)) StoredCall { do(&call); return call }
 	for _, c := range []struct {
-		name string
-		life Process
-		k    StoredCall
-		want Outcome
+		name    string
+		process Process
+		call    StoredCall
+		want    Outcome
 	}{
-		{"established", life, standing, Continue},
-		{"established, in transit", life, change(standing, func(k *StoredCall) { k.In = trunk(2, 31) }), Continue},
-		{"of another exchange", Process{SiteDigest: 8, LastHeartbeat: wall}, standing, Discard},
-		{"down for seven hours", Process{SiteDigest: 7, LastHeartbeat: wall - 7*3600*10000}, standing, Discard},
-		{"clock set back an hour, established", Process{SiteDigest: 7, LastHeartbeat: wall + 3600*10000}, standing, Continue},
-		{"neighbour removed from the settings", life, change(standing, func(k *StoredCall) { k.Out.Number = 9 }), Release},
-		{"group made smaller", life, change(standing, func(k *StoredCall) { k.Out = trunk(2, 33) }), Release},
-		{"circuit code that no circuit has", life, change(standing, func(k *StoredCall) { k.Out.CIC = 32 }), Release},
-		{"slots outside the group", life, change(standing, func(k *StoredCall) { k.Out = Place{Trunk: true, Number: 1, CIC: 33, Slots: 1 << 30}; k.Out.Number = 2 }), Release},
-		{"being set up, caller waits", life, asked, AnswerFailed},
-		{"caller has abandoned the call", life, change(asked, func(k *StoredCall) { k.Until = wall }), Discard},
-		{"caller abandons before an answer can arrive", life, change(asked, func(k *StoredCall) { k.Until = wall + wayBack }), Discard},
-		{"clock set back", Process{SiteDigest: 7, LastHeartbeat: wall + 100*10000}, asked, Discard},
-		{"starts in the future", life, change(asked, func(k *StoredCall) { k.Since = wall + 100*10000 }), Discard},
-		{"unknown phase", life, change(standing, func(k *StoredCall) { k.Phase = 9 }), Discard},
+		{"established", process, established, Continue},
+		{"established, in transit", process, change(established, func(call *StoredCall) { call.In = trunk(2, 31) }), Continue},
+		{"of another exchange", Process{SiteDigest: 8, LastHeartbeat: wallNow}, established, Discard},
+		{"down for seven hours", Process{SiteDigest: 7, LastHeartbeat: wallNow - 7*3600*10000}, established, Discard},
+		{"clock set back an hour, established", Process{SiteDigest: 7, LastHeartbeat: wallNow + 3600*10000}, established, Continue},
+		{"neighbour removed from the settings", process, change(established, func(call *StoredCall) { call.Out.Number = 9 }), Release},
+		{"group made smaller", process, change(established, func(call *StoredCall) { call.Out = trunk(2, 33) }), Release},
+		{"circuit code that no circuit has", process, change(established, func(call *StoredCall) { call.Out.CIC = 32 }), Release},
+		{"slots outside the group", process, change(established, func(call *StoredCall) {
+			call.Out = Place{Trunk: true, Number: 1, CIC: 33, Slots: 1 << 30}
+			call.Out.Number = 2
+		}), Release},
+		{"being set up, caller waits", process, settingUp, AnswerFailed},
+		{"caller has abandoned the call", process, change(settingUp, func(call *StoredCall) { call.Until = wallNow }), Discard},
+		{"caller abandons before an answer can arrive", process, change(settingUp, func(call *StoredCall) { call.Until = wallNow + answerDelay }), Discard},
+		{"clock set back", Process{SiteDigest: 7, LastHeartbeat: wallNow + 100*10000}, settingUp, Discard},
+		{"starts in the future", process, change(settingUp, func(call *StoredCall) { call.Since = wallNow + 100*10000 }), Discard},
+		{"unknown phase", process, change(established, func(call *StoredCall) { call.Phase = 9 }), Discard},
 	} {
-		if got := Decide(wall, c.life, []StoredCall{c.k}, sites()); got[0].Outcome != c.want || got[0].Reason == "" && c.want != Continue {
+		if got := Decide(wallNow, c.process, []StoredCall{c.call}, settings()); got[0].Outcome != c.want || got[0].Reason == "" && c.want != Continue {
 			t.Errorf("%s: %v (%s), want %v", c.name, got[0].Outcome, got[0].Reason, c.want)
 		}
 	}
@@ -70,15 +73,15 @@
 			return p
 		}
 		for id := range uint32(rapid.IntRange(0, 10).Draw(t, "calls")) {
-			all = append(all, StoredCall{ID: id + 1, Phase: Established, In: place(), Out: place(), Since: wall - int64(rapid.IntRange(1, 50).Draw(t, "since"))})
+			all = append(all, StoredCall{ID: id + 1, Phase: Established, In: place(), Out: place(), Since: wallNow - int64(rapid.IntRange(1, 50).Draw(t, "since"))})
 		}
-		got := Decide(wall, Process{SiteDigest: 7, LastHeartbeat: wall}, all, sites())
+		got := Decide(wallNow, Process{SiteDigest: 7, LastHeartbeat: wallNow}, all, settings())
 		held := map[Place]uint32{}
 		for _, v := range got {
 			if v.Outcome != Continue {
 				continue
 			}
-			for _, p := range append(spread(v.In), spread(v.Out)...) {
+			for _, p := range append(singlePlaces(v.In), singlePlaces(v.Out)...) {
 				if other, twice := held[p]; twice && other != v.ID {
 					t.Fatalf("%+v is used by calls %d and %d", p, other, v.ID)
 				}
@@ -89,12 +92,12 @@
 			if v.Outcome != Release {
 				continue
 			}
-			if slices.ContainsFunc(spread(v.In), func(p Place) bool { return slices.Contains(spread(v.Out), p) }) {
+			if slices.ContainsFunc(singlePlaces(v.In), func(p Place) bool { return slices.Contains(singlePlaces(v.Out), p) }) {
 				continue // both its sides are the same circuit or line
 			}
 			rival := slices.ContainsFunc(got, func(o Decision) bool {
-				return o.ID != v.ID && o.Since >= v.Since && slices.ContainsFunc(append(spread(o.In), spread(o.Out)...), func(p Place) bool {
-					return slices.Contains(append(spread(v.In), spread(v.Out)...), p)
+				return o.ID != v.ID && o.Since >= v.Since && slices.ContainsFunc(append(singlePlaces(o.In), singlePlaces(o.Out)...), func(p Place) bool {
+					return slices.Contains(append(singlePlaces(v.In), singlePlaces(v.Out)...), p)
 				})
 			})
 			if !rival {
@@ -107,7 +110,7 @@
 // Guards against circuits that two ends never agree on: whatever state each end starts with, comparing and acting on the result
 // ends with both in agreement, and keeps a call only if both ends had it.
 func TestTwoEndsAgree(t *testing.T) {
-	tell := map[LocalState]byte{Idle: isup.CircuitIdle, Incoming: isup.IncomingBusy, Outgoing: isup.OutgoingBusy, Clearing: isup.Transient}
+	indicator := map[LocalState]byte{Idle: isup.CircuitIdle, Incoming: isup.IncomingBusy, Outgoing: isup.OutgoingBusy, Clearing: isup.Transient}
 	for a := Idle; a <= Clearing; a++ {
 		for b := Idle; b <= Clearing; b++ {
 			ends := [2]LocalState{a, b}
@@ -115,7 +118,7 @@
 			for range 4 {
 				steps := 0
 				for me := range ends {
-					switch CompareStates(ends[me], tell[ends[1-me]]) {
+					switch CompareStates(ends[me], indicator[ends[1-me]]) {
 					case DropCall:
 						ends[me] = Idle
 						steps++
@@ -135,8 +138,8 @@
 					break
 				}
 			}
-			good := ends == [2]LocalState{Idle, Idle} || ends == [2]LocalState{Incoming, Outgoing} || ends == [2]LocalState{Outgoing, Incoming}
-			if !agreed || !good {
+			valid := ends == [2]LocalState{Idle, Idle} || ends == [2]LocalState{Incoming, Outgoing} || ends == [2]LocalState{Outgoing, Incoming}
+			if !agreed || !valid {
 				t.Errorf("from %v and %v: %v, agreed %v", a, b, ends, agreed)
 			}
 			if kept := ends != [2]LocalState{Idle, Idle}; kept != (a == Incoming && b == Outgoing || a == Outgoing && b == Incoming) {
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -41,27 +41,27 @@
 	address  string
 	dial     trunk.Dialer
 	clock    trunk.Clock
-	sink     Handler
-	pace     *reconnect.Backoff
-	words    chan Message
+	handler  Handler
+	backoff  *reconnect.Backoff
+	outgoing chan Message
 }
 
 // NewClient creates a client for an exchange. Keep runs it.
-func NewClient(exchange int, address string, seed uint64, links int, dial trunk.Dialer, clock trunk.Clock, sink Handler) *Client {
-	return &Client{exchange: exchange, address: address, dial: dial, clock: clock, sink: sink,
-		pace: reconnect.NewBackoff(seed, links), words: make(chan Message, 16)}
+func NewClient(exchange int, address string, seed uint64, links int, dial trunk.Dialer, clock trunk.Clock, handler Handler) *Client {
+	return &Client{exchange: exchange, address: address, dial: dial, clock: clock, handler: handler,
+		backoff: reconnect.NewBackoff(seed, links), outgoing: make(chan Message, 16)}
 }
 
 // RequestList requests the full list. The request is dropped if the register does not read; its next list makes up for it.
-func (c *Client) RequestList() { c.say(Message{RequestList: true}) }
+func (c *Client) RequestList() { c.enqueue(Message{RequestList: true}) }
 
 // Ack reports that a version is in force. Like a request, it may be dropped.
-func (c *Client) Ack(version uint64) { c.say(Message{AckVersion: version}) }
+func (c *Client) Ack(version uint64) { c.enqueue(Message{AckVersion: version}) }
 
-// say queues a message without blocking.
-func (c *Client) say(w Message) {
+// enqueue queues a message without blocking.
+func (c *Client) enqueue(message Message) {
 	select {
-	case c.words <- w:
+	case c.outgoing <- message:
 	default:
 	}
 }
@@ -72,63 +72,63 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(trunk.Duration(c.pace.NextDelay())):
+		case <-time.After(trunk.Duration(c.backoff.NextDelay())):
 		}
-		err := c.once(ctx)
-		c.pace.Down(c.clock.Now())
+		err := c.serveOnce(ctx)
+		c.backoff.Down(c.clock.Now())
 		if ctx.Err() == nil {
-			c.sink.RegisterLost(err)
+			c.handler.RegisterLost(err)
 		}
 	}
 }
 
-// once dials the register and serves one connection.
-func (c *Client) once(ctx context.Context) error {
+// serveOnce dials the register and serves one connection.
+func (c *Client) serveOnce(ctx context.Context) error {
 	conn, err := c.dial(ctx, c.address)
 	if err != nil {
 		return fmt.Errorf("dial register %s: %w", c.address, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	defer func() {
 		cancel()
 		conn.Close()
-		all.Wait()
+		wg.Wait()
 	}()
-	c.pace.Up(c.clock.Now())
-	all.Go(func() {
+	c.backoff.Up(c.clock.Now())
+	wg.Go(func() {
 		<-ctx.Done()
 		conn.Close()
 	})
-	all.Go(func() {
+	wg.Go(func() {
 		defer cancel()
-		out := json.NewEncoder(conn)
-		for w := (Message{Exchange: &c.exchange}); ; {
-			if err := out.Encode(w); err != nil {
+		encoder := json.NewEncoder(conn)
+		for message := (Message{Exchange: &c.exchange}); ; {
+			if err := encoder.Encode(message); err != nil {
 				return
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case w = <-c.words:
+			case message = <-c.outgoing:
 			}
 		}
 	})
-	in := bufio.NewScanner(conn)
-	in.Buffer(make([]byte, 0, 1<<14), MaxMessageLength)
-	for in.Scan() {
-		var w Message
-		if err := json.Unmarshal(in.Bytes(), &w); err != nil {
+	scanner := bufio.NewScanner(conn)
+	scanner.Buffer(make([]byte, 0, 1<<14), MaxMessageLength)
+	for scanner.Scan() {
+		var message Message
+		if err := json.Unmarshal(scanner.Bytes(), &message); err != nil {
 			return fmt.Errorf("decode message of register %s: %w", c.address, err)
 		}
-		if w.List != nil {
-			c.sink.HandleList(*w.List)
+		if message.List != nil {
+			c.handler.HandleList(*message.List)
 		}
-		if w.Advice != nil {
-			c.sink.HandleAdvice(w.Advice)
+		if message.Advice != nil {
+			c.handler.HandleAdvice(message.Advice)
 		}
 	}
-	if err := in.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("read from register %s: %w", c.address, err)
 	}
 	return errors.New("register closed the connection")
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -46,26 +46,26 @@
 	LinkCount       int // number of links of this exchange, over which the dials are spread
 }
 
-const greetWithin = 3 * time.Second
+const handshakeTimeout = 3 * time.Second
 
 // Link is a signalling link that is dialled again whenever it fails.
 type Link struct {
-	line  Config
-	dial  Dialer
-	clock Clock
-	sink  Handler
-	pace  *reconnect.Backoff
+	config  Config
+	dial    Dialer
+	clock   Clock
+	handler Handler
+	backoff *reconnect.Backoff
 
-	mu      sync.Mutex
-	pending []byte
-	conn    net.Conn      // nil while down
-	wake    chan struct{} // signals the writer
-	full    atomic.Int64  // how often the queue overflowed
+	mu        sync.Mutex
+	pending   []byte
+	conn      net.Conn      // nil while down
+	wake      chan struct{} // signals the writer
+	overflows atomic.Int64  // how often the queue overflowed
 }
 
 // NewLink creates a link. Keep runs it.
-func NewLink(line Config, dial Dialer, clock Clock, sink Handler) *Link {
-	return &Link{line: line, dial: dial, clock: clock, sink: sink, pace: reconnect.NewBackoff(line.Seed, line.LinkCount),
+func NewLink(config Config, dial Dialer, clock Clock, handler Handler) *Link {
+	return &Link{config: config, dial: dial, clock: clock, handler: handler, backoff: reconnect.NewBackoff(config.Seed, config.LinkCount),
 		wake: make(chan struct{}, 1)}
 }
 
@@ -82,12 +82,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(Duration(l.pace.NextDelay())):
+		case <-time.After(Duration(l.backoff.NextDelay())):
 		}
-		up, err := l.once(ctx)
-		l.pace.Down(l.clock.Now())
+		up, err := l.serveOnce(ctx)
+		l.backoff.Down(l.clock.Now())
 		if up && ctx.Err() == nil {
-			l.sink.LinkDown(l.line.Index, err)
+			l.handler.LinkDown(l.config.Index, err)
 		}
 	}
 }
@@ -95,15 +95,15 @@
 // Duration converts tenths of a millisecond to a time.Duration.
 func Duration(t policy.Tenths) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
-// once dials and serves one connection; up tells whether the link came up.
-func (l *Link) once(ctx context.Context) (up bool, err error) {
-	greeting, cancel := context.WithTimeout(ctx, greetWithin)
+// serveOnce dials and serves one connection; up tells whether the link came up.
+func (l *Link) serveOnce(ctx context.Context) (up bool, err error) {
+	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	conn, err := l.dial(greeting, l.line.Address)
+	conn, err := l.dial(handshakeCtx, l.config.Address)
 	if err != nil {
-		return false, fmt.Errorf("dial %s: %w", l.line.Address, err)
+		return false, fmt.Errorf("dial %s: %w", l.config.Address, err)
 	}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	defer func() {
 		l.mu.Lock()
@@ -111,34 +111,34 @@
 		l.mu.Unlock()
 		conn.Close()
 		close(stop)
-		all.Wait()
+		wg.Wait()
 	}()
-	all.Go(func() {
+	wg.Go(func() {
 		select {
 		case <-ctx.Done():
 			conn.Close()
 		case <-stop:
 		}
 	})
-	g, scratch, err := l.greet(conn)
+	handshake, scratch, err := l.handshake(conn)
 	if err != nil {
-		return false, fmt.Errorf("handshake with %s: %w", l.line.Address, err)
+		return false, fmt.Errorf("handshake with %s: %w", l.config.Address, err)
 	}
-	var pulse pulse
-	pulse.heard(l.clock.Now())
-	l.pace.Up(l.clock.Now())
+	var liveness sharedLiveness
+	liveness.received(l.clock.Now())
+	l.backoff.Up(l.clock.Now())
 	l.mu.Lock()
 	l.conn = conn
 	l.mu.Unlock()
-	l.sink.LinkUp(l.line.Index, g)
+	l.handler.LinkUp(l.config.Index, handshake)
 	failed := make(chan error, 2)
-	all.Go(func() { failed <- l.write(conn, stop) })
-	all.Go(func() { failed <- l.watch(&pulse, conn, stop) })
-	err = l.read(conn, scratch, &pulse)
+	wg.Go(func() { failed <- l.write(conn, stop) })
+	wg.Go(func() { failed <- l.monitor(&liveness, conn, stop) })
+	err = l.read(conn, scratch, &liveness)
 	select {
-	case e := <-failed: // the writer or the keepalive check closed the connection, and knows why
-		if e != nil {
-			err = e
+	case reason := <-failed: // the writer or the keepalive check closed the connection, and knows why
+		if reason != nil {
+			err = reason
 		}
 	default:
 	}
@@ -153,57 +153,57 @@
 	SentAt, ReceivedAt policy.Tenths // when the handshake was sent and its answer read
 }
 
-// greet announces this exchange to the switch and reads the answer.
-func (l *Link) greet(conn net.Conn) (g Handshake, scratch []byte, err error) {
-	hello, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: l.line.OwnPoint})
+// handshake announces this exchange to the switch and reads the answer.
+func (l *Link) handshake(conn net.Conn) (handshake Handshake, scratch []byte, err error) {
+	hello, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: l.config.OwnPoint})
 	if err != nil {
-		return g, nil, err
+		return handshake, nil, err
 	}
-	if err := conn.SetDeadline(time.Now().Add(greetWithin)); err != nil {
-		return g, nil, fmt.Errorf("set deadline: %w", err)
+	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return handshake, nil, fmt.Errorf("set deadline: %w", err)
 	}
-	g.SentAt = l.clock.Now()
+	handshake.SentAt = l.clock.Now()
 	if _, err := conn.Write(hello); err != nil {
-		return g, nil, fmt.Errorf("write: %w", err)
+		return handshake, nil, fmt.Errorf("write: %w", err)
 	}
-	f, scratch, err := m3ua.Read(conn, nil)
+	frame, scratch, err := m3ua.Read(conn, nil)
 	if err != nil {
-		return g, nil, err
+		return handshake, nil, err
 	}
-	if f.Kind != m3ua.ASPUpAck || f.ASPID != l.line.PeerPoint {
-		return g, nil, fmt.Errorf("%w: frame kind %04x, point code %d, want %d", ErrUnexpectedPeer, uint16(f.Kind), f.ASPID, l.line.PeerPoint)
+	if frame.Kind != m3ua.ASPUpAck || frame.ASPID != l.config.PeerPoint {
+		return handshake, nil, fmt.Errorf("%w: frame kind %04x, point code %d, want %d", ErrUnexpectedPeer, uint16(frame.Kind), frame.ASPID, l.config.PeerPoint)
 	}
-	g.ReceivedAt = l.clock.Now()
-	for _, part := range strings.Fields(f.Info) {
-		name, v, _ := strings.Cut(part, "=")
+	handshake.ReceivedAt = l.clock.Now()
+	for _, part := range strings.Fields(frame.Info) {
+		name, value, _ := strings.Cut(part, "=")
 		switch name {
 		case "life":
-			g.Incarnation = v
+			handshake.Incarnation = value
 		case "clock":
-			n, err := strconv.ParseUint(v, 10, 32)
+			n, err := strconv.ParseUint(value, 10, 32)
 			if err != nil {
-				return g, nil, fmt.Errorf("%w: clock %q", ErrUnexpectedPeer, v)
+				return handshake, nil, fmt.Errorf("%w: clock %q", ErrUnexpectedPeer, value)
 			}
-			g.Clock, g.HasClock = uint32(n), true
+			handshake.Clock, handshake.HasClock = uint32(n), true
 		}
 	}
-	return g, scratch, conn.SetDeadline(time.Time{})
+	return handshake, scratch, conn.SetDeadline(time.Time{})
 }
 
 // read passes received frames to the sink and answers heartbeats.
-func (l *Link) read(conn net.Conn, scratch []byte, p *pulse) error {
+func (l *Link) read(conn net.Conn, scratch []byte, liveness *sharedLiveness) error {
 	for {
-		var f m3ua.Frame
+		var frame m3ua.Frame
 		var err error
-		if f, scratch, err = m3ua.Read(conn, scratch); err != nil {
+		if frame, scratch, err = m3ua.Read(conn, scratch); err != nil {
 			return err
 		}
-		p.heard(l.clock.Now())
-		switch f.Kind {
+		liveness.received(l.clock.Now())
+		switch frame.Kind {
 		case m3ua.Heartbeat:
-			l.Send(m3ua.Frame{Kind: m3ua.HeartbeatAck, UserData: f.UserData})
+			l.Send(m3ua.Frame{Kind: m3ua.HeartbeatAck, UserData: frame.UserData})
 		case m3ua.Data:
-			if err := l.sink.HandleFrame(l.line.Index, f); err != nil {
+			if err := l.handler.HandleFrame(l.config.Index, frame); err != nil {
 				return err
 			}
 		}
@@ -212,19 +212,19 @@
 
 // Send queues a frame without blocking. It returns false if the link is down or its queue is full. A full queue closes the
 // link: what it would still carry is too late to be useful.
-func (l *Link) Send(f m3ua.Frame) bool {
+func (l *Link) Send(frame m3ua.Frame) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil {
 		return false
 	}
-	buf, err := m3ua.Append(l.pending, f)
+	buf, err := m3ua.Append(l.pending, frame)
 	if err != nil {
 		return false
 	}
 	l.pending = buf
-	if len(l.pending) > l.line.MaxQueuedOctets {
-		l.full.Add(1)
+	if len(l.pending) > l.config.MaxQueuedOctets {
+		l.overflows.Add(1)
 		l.conn.Close()
 		l.conn = nil
 		return false
@@ -246,7 +246,7 @@
 		case <-l.wake:
 		}
 		l.mu.Lock()
-		if l.conn == nil && l.full.Load() > 0 {
+		if l.conn == nil && l.overflows.Load() > 0 {
 			l.mu.Unlock()
 			return ErrSlowPeer
 		}
@@ -259,30 +259,30 @@
 	}
 }
 
-// pulse is the liveness of a link, shared by its reader and its keepalive check.
-type pulse struct {
-	mu   sync.Mutex
-	life reconnect.Liveness
+// sharedLiveness is the liveness of a link, shared by its reader and its keepalive check.
+type sharedLiveness struct {
+	mu       sync.Mutex
+	liveness reconnect.Liveness
 }
 
-func (p *pulse) heard(now policy.Tenths) {
-	p.mu.Lock()
-	p.life.Received(now)
-	p.mu.Unlock()
+func (s *sharedLiveness) received(now policy.Tenths) {
+	s.mu.Lock()
+	s.liveness.Received(now)
+	s.mu.Unlock()
 }
 
-// watch sends heartbeats and closes a link on which nothing is received.
-func (l *Link) watch(p *pulse, conn net.Conn, stop chan struct{}) error {
+// monitor sends heartbeats and closes a link on which nothing is received.
+func (l *Link) monitor(liveness *sharedLiveness, conn net.Conn, stop chan struct{}) error {
 	for {
 		now := l.clock.Now()
-		p.mu.Lock()
-		beat, dead, next := p.life.Check(now, l.clock.Stalled())
-		p.mu.Unlock()
+		liveness.mu.Lock()
+		heartbeatDue, dead, next := liveness.liveness.Check(now, l.clock.Stalled())
+		liveness.mu.Unlock()
 		if dead {
 			conn.Close()
 			return ErrKeepaliveTimeout
 		}
-		if beat {
+		if heartbeatDue {
 			l.Send(m3ua.Frame{Kind: m3ua.Heartbeat, UserData: []byte("beat")})
 		}
 		select {
