--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -123,8 +123,8 @@
 	return ln.Addr().String()
 }
 
-// startNetwork starts exchanges on loopback whose switches process messages in no time. It returns the address of the first one's
-// switch and the servers.
+// startNetwork starts exchanges on loopback whose switches process messages in no time. It returns the address of the first
+// exchange's switch and the servers.
 func startNetwork(b *testing.B, n int, change func(i int, s *Config)) (string, []*Server) {
 	work := standin.Work{SetUp: time.Nanosecond, Finish: time.Nanosecond, RefuseAfter: time.Hour, ReportEvery: time.Second, Reuse: true,
 		ColdFrom: 1, Ramp: 1, FallMultiple: 1e9, FallWindow: time.Second}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -69,6 +69,7 @@
 }
 func (c *clock) Stalled() policy.Tenths { return policy.Tenths(c.stallEnd.Load()) }
 
+// eventKind is the kind of an event.
 type eventKind uint8
 
 const (
@@ -78,24 +79,25 @@
 	evList
 	evAdvice
 	evRegisterLost
-	evFunc
+	evFunc // run a function on the event loop
 	evPortability
 	evDatagram
 )
 
+// event is what the event loop handles; each kind sets the fields that it needs.
 type event struct {
 	kind        eventKind
-	link        int
+	link        int // index of the link, the last of which is the own switch's
 	hop         exchange.Hop
 	message     isup.Message
-	age         policy.Tenths
-	incarnation string
+	age         policy.Tenths // how long the message waited before it was read
+	incarnation string        // of the switch
 	err         error
 	list        membership.List
 	advice      map[int]int
 	run         func()
 	portability enum.Answer
-	queryID     uint32
+	queryID     uint32 // of the portability query
 	datagram    datagram
 }
 
@@ -223,6 +225,7 @@
 	return err
 }
 
+// eventLoop handles events and timers until a drain is complete or Abort is called.
 func (s *Server) eventLoop(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -330,6 +333,7 @@
 	}
 }
 
+// handle handles one event.
 func (s *Server) handle(ev event) {
 	now := s.clock.Now()
 	defer s.agent.settle(now)
@@ -409,6 +413,7 @@
 // event loop.
 type inputHandler Server
 
+// enqueue queues an event, waiting while the queue is full.
 func (h *inputHandler) enqueue(ev event) {
 	select {
 	case h.inbox <- ev:
@@ -435,7 +440,7 @@
 // HandleList reports a list of switches from the register.
 func (h *inputHandler) HandleList(l membership.List) { h.enqueue(event{kind: evList, list: l}) }
 
-// HandleAdvice reports tandems that the register advises.
+// HandleAdvice reports the tandems that the register advises.
 func (h *inputHandler) HandleAdvice(advice map[int]int) {
 	h.enqueue(event{kind: evAdvice, advice: advice})
 }
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -49,6 +49,7 @@
 	sendQueue     chan packet
 }
 
+// newAgentAdapter creates the call agent.
 func newAgentAdapter(s *Server, settings *Gateways) *agentAdapter {
 	a := &agentAdapter{server: s, listenAddress: settings.Listen, sendQueue: make(chan packet, maxQueuedDatagrams)}
 	agentSettings := settings.Site
@@ -81,6 +82,7 @@
 	return nil
 }
 
+// read decodes datagrams and queues them for the event loop until the socket is closed.
 func (a *agentAdapter) read(conn net.PacketConn) {
 	buf := make([]byte, mgcp.DatagramMost+1)
 	for {
@@ -111,6 +113,7 @@
 	}
 }
 
+// nextDeadline returns when tick must be called next.
 func (a *agentAdapter) nextDeadline() policy.Tenths {
 	if a == nil {
 		return math.MaxInt64
@@ -122,6 +125,7 @@
 	return at
 }
 
+// tick runs the agent's expired timers.
 func (a *agentAdapter) tick(now policy.Tenths) {
 	if a != nil {
 		a.agent.Tick(now)
@@ -153,12 +157,14 @@
 	return a.agent.Telling(now)
 }
 
+// settle lets the agent handle what the exchange sent to its lines during an event.
 func (a *agentAdapter) settle(now policy.Tenths) {
 	if a != nil {
 		a.agent.Settle(now)
 	}
 }
 
+// deliver passes a message to the agent if it is for a line at a gateway, and reports whether it is.
 func (a *agentAdapter) deliver(point uint16, m isup.Message) bool {
 	return a != nil && a.agent.Hear(point, m.CIC, m)
 }
@@ -168,6 +174,7 @@
 	return a != nil && !place.Trunk && a.agent.Takes(place.Point, place.CIC)
 }
 
+// handleDatagram passes the messages of a datagram to the agent.
 func (a *agentAdapter) handleDatagram(now policy.Tenths, d datagram) {
 	a.agent.Waits(now, now-d.readAt)
 	for _, m := range d.messages {
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -24,10 +24,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// sessionDescription is a session description.
+// sessionDescription is the SDP body that gateways return for a connection.
 const sessionDescription = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 4000 RTP/AVP 0\r\n"
 
-// gatewaySettings returns settings with gateways of so many endpoints; rate is how many gateways a second may be brought into service.
+// gatewaySettings returns settings with a number of gateways that have so many endpoints each. The rate limits how many gateways
+// a second are brought into service.
 func gatewaySettings(own, gateways, endpoints int, rate float64) *Gateways {
 	m, _ := mgcp.ParseMap("(xxxxxxxxx)")
 	settings := &Gateways{Site: callagent.Site{Own: own, Point: exchange.PointCode(own), Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
@@ -300,8 +301,8 @@
 	}
 }
 
-// restartAll makes all gateways report a restart within a second and repeat it about every second until it is answered. It returns the
-// time until all are in service.
+// restartAll makes all gateways report a restart within a second and repeat it about every second until it is answered. It
+// returns the time until all are in service.
 func (f *gatewayFleet) restartAll(gateways, life int) time.Duration {
 	f.mu.Lock()
 	f.answered, f.retryAt, f.armed, f.sent = map[string]bool{}, map[string]time.Time{}, map[string]bool{}, 0
@@ -403,7 +404,8 @@
 	return c.LocalAddr().String()
 }
 
-// directExchange is the baseline: a call agent whose exchange connects its lines at once, without a decision module, circuits or switches.
+// directExchange is the baseline: a call agent whose exchange connects its lines at once, without a decision module, circuits or
+// switches.
 type directExchange struct {
 	agent     *callagent.Agent
 	conn      net.PacketConn
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -18,11 +18,11 @@
 // NumberAnalysis holds the settings of number analysis. Without them calls are routed by the first digits of the number.
 type NumberAnalysis struct {
 	StoreFolder  string // folder of table versions
-	InitialTable string // file of the first table, read when the store is empty
+	InitialTable string // file of the table to read when the store is empty
 	Trial        numbers.Trial
 	MaxCallers   int      // callers remembered for splitting traffic between choices
 	ENUMServers  []string // ENUM servers for portability: two, or none
-	ENUMZone     string   // ENUM zone
+	ENUMZone     string
 	Limits       numbers.Limits
 }
 
@@ -89,6 +89,7 @@
 		At: time.Now(), What: "in force"}))
 }
 
+// readTable reads a table from a file and builds it.
 func (t *tableManager) readTable(name string) (numberfile.Source, *numbers.Table, error) {
 	source, err := numberfile.ReadSource(name)
 	if err != nil {
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -69,11 +69,11 @@
 		}
 		time.Sleep(time.Until(instant) - time.Millisecond)
 		if v := inForce(s); v != 1 {
-			t.Fatalf("version %d before its instant", v)
+			t.Fatalf("version %d before the activation time", v)
 		}
 		time.Sleep(2 * time.Millisecond)
 		if v := inForce(s); v != 2 {
-			t.Fatalf("version %d after its instant", v)
+			t.Fatalf("version %d after the activation time", v)
 		}
 		time.Sleep(time.Second) // for the history to be written
 		stop()
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -10,11 +10,11 @@
 // path that has become permanently longer is learned within two windows.
 const window = policy.Tenths(600000)
 
-// Estimator estimates the waiting time of messages on one link. The zero value takes the first message as one that did not wait.
+// Estimator estimates the waiting time of messages on one link. The zero value assumes that the first message did not wait.
 type Estimator struct {
-	currentMin, previousMin int32         // minimum differences in this window and in the last one
-	windowStart             policy.Tenths // start of this window
-	hasStamp                bool          // a stamp has been read
+	currentMin, previousMin int32 // minimum differences in this window and in the last one
+	windowStart             policy.Tenths
+	hasStamp                bool // a stamp has been read
 }
 
 // Age returns how long a message with the given stamp, read at the given time, has waited. Differences are computed in 32 bits
@@ -36,10 +36,10 @@
 	return max(0, policy.Tenths(difference-minimum))
 }
 
-// NewEstimator returns an estimator that knows the clock of the remote switch from the handshake, which was sent at asked and whose
-// answer was read at read. If the two are as far apart as a stall, the answer may have waited, and the remote clock reading is
-// attributed to the time of asking. Without this, the first messages of a link that came up during a stall all seemed new, and
-// callers were answered after they had abandoned their calls.
+// NewEstimator returns an estimator that knows the clock of the remote switch from the handshake. If the handshake was sent and
+// its answer received as far apart as a stall, the answer may have waited, and the remote clock reading is attributed to the
+// time of sending. Without this, the first messages of a link that came up during a stall all seemed new, and callers were
+// answered after they had abandoned their calls.
 func NewEstimator(sentAt, receivedAt policy.Tenths, stamp uint32) Estimator {
 	clockTime := receivedAt
 	if receivedAt-sentAt >= minStall {
--- a/internal/lag/stall.go
+++ b/internal/lag/stall.go
@@ -8,9 +8,9 @@
 	maxTimerHold = policy.Tenths(1000) // maximum total hold, however many stalls follow each other
 )
 
-// StallDetector detects that this process was stalled: stopped, swapped out, or starved of CPU time. Timers that expired meanwhile must
-// wait until the messages that arrived during the stall are read. Otherwise a timer would fail a call whose answer has arrived,
-// or answer a caller who has abandoned the call.
+// StallDetector detects that this process was stalled: stopped, swapped out, or starved of CPU time. Timers that expired
+// meanwhile must wait until the messages that arrived during the stall are read. Otherwise a timer would fail a call whose
+// answer has arrived, or answer a caller who has abandoned the call.
 type StallDetector struct {
 	lastRunning policy.Tenths // when the process was last seen running
 	holdEnd     policy.Tenths // end of the hold on timers
@@ -18,7 +18,7 @@
 	holdStart   policy.Tenths // since when timers are held, 0 when they are not
 }
 
-// Woke records that the process woke up from waiting, at the latest at due as planned. It reports whether it was stalled.
+// Woke records that the process woke up from a wait that was to end at due or before. It reports whether it was stalled.
 func (s *StallDetector) Woke(now, due policy.Tenths) (stalled bool) {
 	s.lastRunning = now
 	return s.check(now, now-due)
--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -95,7 +95,7 @@
 	callPayloadSizeV1 = 4 + 1 + 2*6 + 6 + 16
 )
 
-// readFrame decodes the first frame of b; n is its size.
+// readFrame decodes the first frame of data; n is its size.
 func readFrame(data []byte, version byte) (record Record, n int, err error) {
 	if len(data) < 7 {
 		return record, 0, fmt.Errorf("%w: frame header is cut off after %d octets", ErrDamaged, len(data))
@@ -170,8 +170,8 @@
 	Calls        map[uint32]recovery.StoredCall
 	Frames       int
 	Version      byte
-	ReadOctets   int    // octets read
-	UnreadOctets int    // octets after them that were not read
+	ReadOctets   int    // octets of the intact frames and what precedes them
+	UnreadOctets int    // octets after them
 	UnreadReason string // why they were not read, "" if all were
 }
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -43,19 +43,19 @@
 	name                string
 	disk                Disk
 	siteDigest          uint64
-	log                 func(text string) // logs a message
+	log                 func(text string)
 	mu                  sync.Mutex
 	calls               map[uint32]recovery.StoredCall // current state
 	incarnations        map[int]string                 // incarnations of switches, by exchange; -1: the own one
 	changedCalls        map[uint32]bool                // calls that changed since they were last written
 	fileCalls           map[uint32]bool                // calls in the file
 	changedIncarnations map[int]bool                   // incarnations that changed since they were last written
-	wake                chan struct{}
-	stop                chan struct{}
-	done                chan struct{}
+	wake                chan struct{}                  // signals the writer
+	stop                chan struct{}                  // closed by Close
+	done                chan struct{}                  // closed when Run has ended
 
-	writtenOctets int64 // octets, over all files
-	fileSize      int64 // octets of the present file
+	writtenOctets int64 // over all files
+	fileSize      int64 // size of the current file
 	failing       bool  // the last write failed
 }
 
@@ -189,7 +189,7 @@
 	<-l.done
 }
 
-// wallTime is the wall time in tenths of a millisecond since 1970.
+// wallTime returns the wall clock time in tenths of a millisecond since 1970.
 func wallTime() int64 { return time.Now().UnixNano() / 100_000 }
 
 // writeSnapshot writes the current state to a new file and renames it over the old one, so that a crash leaves one complete file.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -14,7 +14,7 @@
 type Entry struct {
 	ID          uint32
 	Number      int           // the exchange it serves
-	Incarnation uint64        `json:"Life"`  // incarnation: the number of its starts
+	Incarnation uint64        `json:"Life"`  // number of its starts
 	Uptime      policy.Tenths `json:"UpFor"` // time since its last start, estimated by the register when it writes
 	Ready       bool
 	Draining    bool
@@ -25,14 +25,14 @@
 	Epoch   uint64  // incarnation of the register
 	Version uint64  // increases within an epoch
 	Full    bool    `json:"Whole"` // otherwise only what changed since the previous version
-	Count   int     // number of lines that the register sent, to detect truncation
+	Count   int     // number of entries that the register sent, to detect truncation
 	Entries []Entry `json:"Lines"`
 }
 
 // switchState is what a view holds of one switch.
 type switchState struct {
 	entry     Entry
-	startTime policy.Tenths // when it started
+	startTime policy.Tenths
 }
 
 // View is the list of switches that a controller has in force.
@@ -62,11 +62,11 @@
 )
 
 // Apply validates a list and, if it is accepted, puts it in force and returns the switches to report to the decision module.
-// The doubts describe what is wrong with the list or with single lines, for the log.
+// The remarks describe, for the log, what is wrong with the list or with single entries.
 func (v *View) Apply(now policy.Tenths, list List) (verdict Verdict, switches []policy.Switch, remarks []string) {
 	switch {
 	case len(list.Entries) != list.Count:
-		return Rejected, nil, []string{fmt.Sprintf("list %d has %d lines, announced are %d", list.Version, len(list.Entries), list.Count)}
+		return Rejected, nil, []string{fmt.Sprintf("list %d has %d entries, announced are %d", list.Version, len(list.Entries), list.Count)}
 	case v.hasList && list.Epoch == v.epoch && list.Version <= v.version:
 		return Stale, nil, nil
 	case !list.Full && (!v.hasList || list.Epoch != v.epoch || list.Version != v.version+1):
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -10,7 +10,7 @@
 
 const (
 	initialDelay = policy.Tenths(2000)  // minimum delay after a failure
-	maxDelay     = policy.Tenths(60000) // maximum delay
+	maxDelay     = policy.Tenths(60000) // maximum random part of the delay
 	stableTime   = policy.Tenths(50000) // a link that was up for so long starts again with the minimum delay
 
 	// dialSpacing spreads the dials of an exchange over its links. Every exchange has about as many links as there are
@@ -18,7 +18,7 @@
 	// the minimum delay alone, a thousand exchanges reconnected within 0.2 s.
 	dialSpacing = policy.Tenths(30)
 
-	heartbeatInterval = policy.Tenths(10000) // time between heartbeats
+	heartbeatInterval = policy.Tenths(10000)
 	silenceTimeout    = policy.Tenths(35000) // a link is dead after such a silence: three heartbeats and a margin
 )
 
@@ -74,7 +74,7 @@
 // Received records that something was received on the link.
 func (l *Liveness) Received(now policy.Tenths) { l.lastReceived = now }
 
-// Check reports whether a heartbeat is due, whether the link is dead, and when to check again. stalled is the end of the last
+// Check reports whether a heartbeat is due, whether the link is dead, and when to check again. stallEnd is the end of the last
 // stall of this process: what arrived during the stall has not been read, so silence counts from its end.
 func (l *Liveness) Check(now, stallEnd policy.Tenths) (heartbeatDue, dead bool, next policy.Tenths) {
 	if silence := now - max(l.lastReceived, stallEnd); silence >= silenceTimeout {
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -43,9 +43,9 @@
 // Process is what the ledger stores of the process that wrote it, besides its calls.
 type Process struct {
 	SiteDigest     uint64         // digest that identifies the exchange: calls of another one are discarded
-	LastHeartbeat  int64          // last heartbeat
-	OwnIncarnation string         // incarnation of the own switch
-	Incarnations   map[int]string // incarnations of the neighbours' switches
+	LastHeartbeat  int64          // time of the last heartbeat
+	OwnIncarnation string         // of the own switch
+	Incarnations   map[int]string // of the neighbours' switches, by exchange number
 }
 
 // Outcome is what happens to a stored call.
@@ -62,7 +62,7 @@
 	return [...]string{"still established", "answered as failed", "forgotten", "cut"}[o]
 }
 
-// Decision is the decision on one stored call, with the reason if the call does not continue.
+// Decision is a stored call with its outcome, and the reason if it does not continue.
 type Decision struct {
 	StoredCall
 	Outcome Outcome
@@ -104,10 +104,10 @@
 				case !taken || decisions[j].Outcome != Continue:
 					holders[single] = i
 				case decisions[j].Since <= decision.Since:
-					decisions[j].Outcome, decisions[j].Reason = Release, "its circuit was kept for a later call"
+					decisions[j].Outcome, decisions[j].Reason = Release, "a later call holds its circuit"
 					holders[single] = i
 				default:
-					decision.Outcome, decision.Reason = Release, "its circuit was kept for a later call"
+					decision.Outcome, decision.Reason = Release, "a later call holds its circuit"
 				}
 			}
 		}
@@ -115,7 +115,7 @@
 	return decisions
 }
 
-// singlePlaces lists the single circuits of a place, or its line.
+// singlePlaces returns each circuit of a place as a place of its own, or its line.
 func singlePlaces(place Place) []Place {
 	if !place.Trunk || place.Slots == 0 {
 		return []Place{{Trunk: place.Trunk, Number: place.Number, Point: place.Point, CIC: place.CIC}}
@@ -187,10 +187,10 @@
 	QueryAgain          // the neighbour is releasing or resetting it
 )
 
-// CompareStates decides from the state of a circuit here and at the neighbour. If the neighbour reports idle, the call here is over,
-// since a call needs both ends. If the two ends claim different calls, neither wins: no end can know which call the other means,
-// and a reset frees the circuit at both. This ends: after a reset both ends are idle and agree, and a transient state is queried
-// again until the neighbour's release is done.
+// CompareStates decides what to do from the state of a circuit here and at the neighbour. If the neighbour reports idle, the
+// call here is over, since a call needs both ends. If the two ends claim different calls, neither wins: no end can know which
+// call the other means, and a reset frees the circuit at both. The comparison converges: after a reset both ends are idle and
+// agree, and a transient state is queried again until the neighbour's release is done.
 func CompareStates(local LocalState, remote byte) Action {
 	switch {
 	case local == Clearing:
@@ -214,15 +214,15 @@
 	return ResetCircuit
 }
 
-// ColdSwitchHoldEnd returns the time before which a controller that has just started sends nothing to a cold switch. The previous process
-// may have used the whole slow-start budget of the window, and that is not stored.
+// ColdSwitchHoldEnd returns the time before which a controller that has just started sends nothing to a cold switch. The
+// previous process may have used the whole slow-start budget of the window, and that is not stored.
 func ColdSwitchHoldEnd(startTime policy.Tenths, deployment policy.Deployment) policy.Tenths {
 	return startTime + deployment.OverloadWindow
 }
 
-// FirstAuditTime returns when a controller that has just started queries a neighbour about its circuits. Each controller spreads its
-// queries by the neighbour's place in its list, so that no processor gets all queries at once when ninety controllers start
-// together.
+// FirstAuditTime returns when a controller that has just started queries a neighbour about its circuits. Each controller
+// spreads its queries by the neighbour's index in its list, so that no processor gets all queries at once when ninety
+// controllers start together.
 func FirstAuditTime(startTime policy.Tenths, own, index, neighbours int) policy.Tenths {
 	const spacing = policy.Tenths(100)
 	if neighbours == 0 {
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -32,7 +32,7 @@
 type Handler interface {
 	HandleList(l membership.List)
 	HandleAdvice(a map[int]int)
-	RegisterLost(err error)
+	RegisterLost(err error) // the connection failed or could not be established
 }
 
 // Client maintains a connection to the register.
@@ -46,7 +46,7 @@
 	outgoing chan Message
 }
 
-// NewClient creates a client for an exchange. Keep runs it.
+// NewClient creates a client for an exchange. Run runs it.
 func NewClient(exchange int, address string, seed uint64, links int, dial trunk.Dialer, clock trunk.Clock, handler Handler) *Client {
 	return &Client{exchange: exchange, address: address, dial: dial, clock: clock, handler: handler,
 		backoff: reconnect.NewBackoff(seed, links), outgoing: make(chan Message, 16)}
@@ -66,7 +66,7 @@
 	}
 }
 
-// Run connects to the register, again and again, until the context ends.
+// Run connects to the register, and again after each failure, until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	for {
 		select {
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -28,7 +28,8 @@
 // Dialer connects to an address.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// Handler receives the events of links, one call at a time for each link. The octets of a frame are valid until the method returns.
+// Handler receives the events of links, one call at a time for each link. The octets of a frame are valid until the method
+// returns.
 type Handler interface {
 	LinkUp(link int, g Handshake)
 	HandleFrame(link int, f m3ua.Frame) error // an error closes the link
@@ -37,7 +38,7 @@
 
 // Config holds the settings of a link.
 type Config struct {
-	Index           int    // index of the link, passed to Sink
+	Index           int    // index of the link, passed to the Handler
 	OwnPoint        uint32 // point code of this exchange
 	PeerPoint       uint32 // point code of the switch, which must answer with it
 	Address         string
@@ -46,6 +47,7 @@
 	LinkCount       int // number of links of this exchange, over which the dials are spread
 }
 
+// handshakeTimeout limits dialling and, separately, the handshake.
 const handshakeTimeout = 3 * time.Second
 
 // Link is a signalling link that is dialled again whenever it fails.
@@ -57,13 +59,13 @@
 	backoff *reconnect.Backoff
 
 	mu        sync.Mutex
-	pending   []byte
+	pending   []byte        // queued frames
 	conn      net.Conn      // nil while down
 	wake      chan struct{} // signals the writer
 	overflows atomic.Int64  // how often the queue overflowed
 }
 
-// NewLink creates a link. Keep runs it.
+// NewLink creates a link. Run runs it.
 func NewLink(config Config, dial Dialer, clock Clock, handler Handler) *Link {
 	return &Link{config: config, dial: dial, clock: clock, handler: handler, backoff: reconnect.NewBackoff(config.Seed, config.LinkCount),
 		wake: make(chan struct{}, 1)}
@@ -190,7 +192,7 @@
 	return handshake, scratch, conn.SetDeadline(time.Time{})
 }
 
-// read passes received frames to the sink and answers heartbeats.
+// read passes received frames to the handler and answers heartbeats.
 func (l *Link) read(conn net.Conn, scratch []byte, liveness *sharedLiveness) error {
 	for {
 		var frame m3ua.Frame
