--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -103,7 +103,7 @@
 	return time.Unix(0, tenths*100_000).Format("2006-01-02 15:04:05.000")
 }
 
-func side(p recovery.Place) string {
+func side(p recovery.Leg) string {
 	if p.Trunk {
 		return fmt.Sprintf("exchange %d circuit %d", p.Number, p.CIC)
 	}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -286,7 +286,7 @@
 		prefixes = 100_000
 	}
 	dir := b.TempDir()
-	write := func(version, lines int) string {
+	writeVersion := func(version, lines int) string {
 		name := filepath.Join(dir, fmt.Sprintf("t%d.hcl", version))
 		rules := fmt.Sprintf("version = %d\nprefixes = \"p%d.csv\"\ndialling {\n  international = \"\"\n}\nroute \"one\" {\n  least = 9\n  most = 24\n  prefixes = [\"001\"]\n  choice {\n    to \"1\" {}\n  }\n}\n", version, version)
 		csv := make([]byte, 0, lines*14)
@@ -298,11 +298,11 @@
 		}
 		return name
 	}
-	first := write(1, 1000)
+	first := writeVersion(1, 1000)
 	at, servers := startNetwork(b, 2, func(i int, s *Config) {
 		s.NumberAnalysis = &NumberAnalysis{StoreFolder: filepath.Join(dir, fmt.Sprint("store", i)), InitialTable: first, MaxCallers: 1000}
 	})
-	name := write(2, prefixes)
+	name := writeVersion(2, prefixes)
 	caller := newCaller(b, at, 0)
 	defer caller.conn.Close()
 	measure := func(until func() bool) (int64, int64) {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -40,7 +40,7 @@
 }
 
 // startHarness runs a server with an event queue of the given capacity and accepts its link.
-func startHarness(t *testing.T, inbox int) *harness {
+func startHarness(t *testing.T, inboxSize int) *harness {
 	memNet := memnet.New()
 	ln, err := memNet.Listen("own")
 	if err != nil {
@@ -49,7 +49,7 @@
 	h := &harness{t: t, ended: make(chan error, 1)}
 	config := Config{Deployment: policy.Deployment{OwnExchange: 0, Seed: 1, MaxTries: 4, ReleaseTime: 3000,
 		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none",
-		Neighbours: []Neighbour{{exchange.Neighbour{Number: 1, Circuits: 4}, "away"}}, InboxSize: inbox, MaxLinkOctets: 1 << 16}
+		Neighbours: []Neighbour{{exchange.Neighbour{Number: 1, Circuits: 4}, "away"}}, InboxSize: inboxSize, MaxLinkOctets: 1 << 16}
 	h.server, err = New(config, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
 	},
@@ -104,9 +104,9 @@
 }
 
 // sendSetUp sends a set-up from a line, with the time left for its caller and the stamp of the switch's clock.
-func (h *harness) sendSetUp(cic uint16, dest int, left policy.Tenths, stamp uint32) {
+func (h *harness) sendSetUp(cic uint16, dest int, timeLeft policy.Tenths, stamp uint32) {
 	buf, err := isup.Append(nil, isup.Message{CIC: cic, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(dest, 1),
-		Ref: isup.Reference{Point: 1, Identity: uint32(cic) + 1}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(left), SentAt: stamp}})
+		Ref: isup.Reference{Point: 1, Identity: uint32(cic) + 1}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(timeLeft), SentAt: stamp}})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 	return err
 }
 
-func TestFullInboxAnswersAtOnceAndDropsNothing(t *testing.T) {
+func TestFullInboxRefusesAtOnceAndDropsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := startHarness(t, 16)
 		stop := make(chan struct{})
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -19,7 +19,7 @@
 
 // Gateways holds the settings for MGCP gateways.
 type Gateways struct {
-	Listen string // address where the call agent receives datagrams
+	ListenAddress string // address where the call agent receives datagrams
 	callagent.Site
 }
 
@@ -51,7 +51,7 @@
 
 // newAgentAdapter creates the call agent.
 func newAgentAdapter(s *Server, settings *Gateways) *agentAdapter {
-	a := &agentAdapter{server: s, listenAddress: settings.Listen, sendQueue: make(chan packet, maxQueuedDatagrams)}
+	a := &agentAdapter{server: s, listenAddress: settings.ListenAddress, sendQueue: make(chan packet, maxQueuedDatagrams)}
 	agentSettings := settings.Site
 	agentSettings.Life = uint32(time.Now().Unix()) // two starts within a second would share call IDs, but the first had no time to use any
 	a.agent = callagent.New(agentSettings, a, s.clock.Now())
@@ -170,8 +170,8 @@
 }
 
 // hasLine reports whether a call's side is a line at a gateway.
-func (a *agentAdapter) hasLine(place recovery.Place) bool {
-	return a != nil && !place.Trunk && a.agent.Takes(place.Point, place.CIC)
+func (a *agentAdapter) hasLine(leg recovery.Leg) bool {
+	return a != nil && !leg.Trunk && a.agent.Takes(leg.Point, leg.CIC)
 }
 
 // handleDatagram passes the messages of a datagram to the agent.
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -30,8 +30,8 @@
 // gatewaySettings returns settings with a number of gateways that have so many endpoints each. The rate limits how many gateways
 // a second are brought into service.
 func gatewaySettings(own, gateways, endpoints int, rate float64) *Gateways {
-	m, _ := mgcp.ParseMap("(xxxxxxxxx)")
-	settings := &Gateways{Site: callagent.Site{Own: own, Point: exchange.PointCode(own), Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
+	digitMap, _ := mgcp.ParseMap("(xxxxxxxxx)")
+	settings := &Gateways{Site: callagent.Site{Own: own, Point: exchange.PointCode(own), Map: digitMap, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
 		RingMost: 600000, Media: "127.0.0.1", Rate: rate, Queue: 1 << 15}}
 	for n := range gateways {
 		settings.Gateways = append(settings.Gateways, callagent.Gateway{Name: fmt.Sprintf("gw%d", n), Endpoints: endpoints, FirstLine: 100 + n*endpoints, Width: 1})
@@ -303,7 +303,7 @@
 
 // restartAll makes all gateways report a restart within a second and repeat it about every second until it is answered. It
 // returns the time until all are in service.
-func (f *gatewayFleet) restartAll(gateways, life int) time.Duration {
+func (f *gatewayFleet) restartAll(gateways, incarnation int) time.Duration {
 	f.mu.Lock()
 	f.answered, f.retryAt, f.armed, f.sent = map[string]bool{}, map[string]time.Time{}, map[string]bool{}, 0
 	f.mu.Unlock()
@@ -312,7 +312,7 @@
 		f.mu.Lock()
 		unanswered := []int{}
 		for n := range gateways {
-			if id := fmt.Sprint(life*gateways + n + 1); !f.answered[id] && time.Now().After(f.retryAt[id]) {
+			if id := fmt.Sprint(incarnation*gateways + n + 1); !f.answered[id] && time.Now().After(f.retryAt[id]) {
 				unanswered = append(unanswered, n)
 			}
 		}
@@ -322,7 +322,7 @@
 			break
 		}
 		for i, n := range unanswered {
-			text := fmt.Appendf(nil, "RSIP %d aaln/*@gw%d MGCP 1.0\r\nRM: restart\r\n", life*gateways+n+1, n)
+			text := fmt.Appendf(nil, "RSIP %d aaln/*@gw%d MGCP 1.0\r\nRM: restart\r\n", incarnation*gateways+n+1, n)
 			f.conn.WriteToUDP(text, f.agentAddress)
 			f.sent++
 			if i%20 == 19 {
@@ -341,12 +341,12 @@
 func BenchmarkStorm(b *testing.B) {
 	const gateways = 10000
 	for range b.N {
-		for life, rate := range []float64{200, 1e6} {
+		for incarnation, rate := range []float64{200, 1e6} {
 			agentAt := freeUDP(b)
 			at, _ := startNetwork(b, 2, func(i int, s *Config) {
 				if i == 0 {
 					s.Gateways = gatewaySettings(0, gateways, 4, rate)
-					s.Gateways.Listen = agentAt
+					s.Gateways.ListenAddress = agentAt
 				}
 			})
 			conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -373,7 +373,7 @@
 			end := time.Now().Add(2 * time.Second)
 			before, _, _ := measure(func() bool { return time.Now().After(end) })
 			finished := make(chan time.Duration, 1)
-			go func() { finished <- fleet.restartAll(gateways, life+1) }()
+			go func() { finished <- fleet.restartAll(gateways, incarnation+1) }()
 			var took time.Duration
 			during, failed, n := measure(func() bool {
 				select {
@@ -383,7 +383,7 @@
 					return false
 				}
 			})
-			name := map[int]string{0: "paced", 1: "unpaced"}[life]
+			name := map[int]string{0: "paced", 1: "unpaced"}[incarnation]
 			b.ReportMetric(float64(during)/float64(before), name+"-99th-over-before")
 			b.ReportMetric(took.Seconds(), name+"-s-until-all-serve")
 			b.ReportMetric(float64(failed)/float64(n), name+"-calls-failed")
@@ -492,7 +492,7 @@
 			agents := []string{freeUDP(b), freeUDP(b)}
 			startNetwork(b, 2, func(i int, s *Config) {
 				s.Gateways = gatewaySettings(i, 1, phones, 1e6)
-				s.Gateways.Listen = agents[i]
+				s.Gateways.ListenAddress = agents[i]
 			})
 			conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 			if err != nil {
@@ -504,11 +504,11 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			go baseline.run(ctx)
 			log := audit.NewLog(discard{})
-			var rows [2][]*standin.PhoneCall
-			var all []*standin.Gateway
+			var callsByPath [2][]*standin.PhoneCall
+			var fleet []*standin.Gateway
 			for path := range 2 {
 				for e := range 2 {
-					var calledHere []*standin.PhoneCall
+					var scheduled []*standin.PhoneCall
 					agent, name := agents[e], "gw0"
 					if path == 1 {
 						agent, name = conn.LocalAddr().String(), fmt.Sprintf("gw%d", e)
@@ -520,30 +520,30 @@
 							if path == 1 {
 								to = exchange.LineNumber(0, line+phones)
 							}
-							calledHere = append(calledHere, &standin.PhoneCall{At: 2*time.Second + time.Duration(n)*40*time.Millisecond, Phone: n % phones, Digits: to,
+							scheduled = append(scheduled, &standin.PhoneCall{At: 2*time.Second + time.Duration(n)*40*time.Millisecond, Phone: n % phones, Digits: to,
 								Patience: 9 * time.Second, Holding: 50 * time.Millisecond})
 						}
-						rows[path] = calledHere
+						callsByPath[path] = scheduled
 					}
 					at, _ := netip.ParseAddrPort(agent)
 					g := standin.NewGateway(standin.Plant{Exchange: e, Number: path, Name: name, Phones: phones, Agents: []netip.AddrPort{at}, Digit: time.Millisecond,
-						PickUp: 20 * time.Millisecond, RestartWait: 100 * time.Millisecond, Disconnected: time.Second}, calledHere, uint64(path+1),
+						PickUp: 20 * time.Millisecond, RestartWait: 100 * time.Millisecond, Disconnected: time.Second}, scheduled, uint64(path+1),
 						func() (net.PacketConn, error) { return net.ListenPacket("udp", "127.0.0.1:0") }, log)
 					if err := g.Start(); err != nil {
 						b.Fatal(err)
 					}
 					g.Do(func(q *standin.Quirk) { q.Net.Lose = loss })
-					all = append(all, g)
+					fleet = append(fleet, g)
 				}
 			}
 			time.Sleep(2*time.Second + calls*40*time.Millisecond + 5*time.Second)
-			for _, g := range all {
+			for _, g := range fleet {
 				g.Stop()
 			}
 			cancel()
 			var at [2][]time.Duration
 			for path := range 2 {
-				for _, c := range rows[path] {
+				for _, c := range callsByPath[path] {
 					if c.Stood > 0 {
 						at[path] = append(at[path], c.Stood)
 					}
--- a/internal/control/keep_bench_test.go
+++ b/internal/control/keep_bench_test.go
@@ -75,8 +75,8 @@
 			go opened.Run()
 			now := time.Now().UnixNano() / 100_000
 			for i := range calls {
-				opened.Put(recovery.StoredCall{ID: uint32(i + 1), Phase: recovery.Established, In: recovery.Place{Point: 0x2000 + uint16(i>>12), CIC: uint16(i & 4095)},
-					Out: recovery.Place{Trunk: true, Number: i / 3900, CIC: uint16(i%3900/31*32 + i%31 + 1)}, Since: now})
+				opened.Put(recovery.StoredCall{ID: uint32(i + 1), Phase: recovery.Established, In: recovery.Leg{Point: 0x2000 + uint16(i>>12), CIC: uint16(i & 4095)},
+					Out: recovery.Leg{Trunk: true, Number: i / 3900, CIC: uint16(i%3900/31*32 + i%31 + 1)}, Since: now})
 			}
 			opened.Close()
 			settings := recovery.Settings{SiteDigest: 7, Circuits: map[int]int{}, HasLines: func(uint16) bool { return true }}
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -59,7 +59,7 @@
 	return s.readVersions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil })
 }
 
-func TestTableComesIntoForceAtItsInstantAndSurvivesARestart(t *testing.T) {
+func TestTableComesIntoForceOnTimeAndSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		s, stop := startWithTables(t, dir)
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestLoadThatCannotBeKeptChangesNothing(t *testing.T) {
+func TestFailedLoadChangesNothing(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		s, stop := startWithTables(t, dir)
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestTwoChangesAtOnceEndWithTheNewer(t *testing.T) {
+func TestConcurrentLoadsEndWithTheNewerVersion(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		s, stop := startWithTables(t, dir)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -243,7 +243,7 @@
 	wallClock        func(policy.Tenths) int64
 	coldHoldUntil    policy.Tenths         // no call goes to a cold switch before this time
 	failedCalls      []recovery.StoredCall // calls of the previous process whose callers must be told that they failed
-	lostLines        []recovery.Place      // lines of established calls that were lost in the restart
+	lostLines        []recovery.Leg        // lines of established calls that were lost in the restart
 	withheldSwitches []policy.Switch       // cold switches, as listed, that are not used yet
 }
 
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -37,15 +37,15 @@
 }
 
 // storedLeg returns the stored form of a leg.
-func (x *Exchange) storedLeg(leg callLeg) recovery.Place {
+func (x *Exchange) storedLeg(leg callLeg) recovery.Leg {
 	if leg.hop.Side == Line {
-		return recovery.Place{Point: leg.hop.Point, CIC: leg.circuits.CIC}
+		return recovery.Leg{Point: leg.hop.Point, CIC: leg.circuits.CIC}
 	}
-	return recovery.Place{Trunk: true, Number: x.groups[leg.hop.Peer].number, CIC: leg.circuits.CIC, Slots: leg.circuits.Slots}
+	return recovery.Leg{Trunk: true, Number: x.groups[leg.hop.Peer].number, CIC: leg.circuits.CIC, Slots: leg.circuits.Slots}
 }
 
 // restoredLeg returns the leg for its stored form; false if the neighbour is not configured any more.
-func (x *Exchange) restoredLeg(place recovery.Place, out bool) (callLeg, bool) {
+func (x *Exchange) restoredLeg(place recovery.Leg, out bool) (callLeg, bool) {
 	if !place.Trunk {
 		return callLeg{Hop{Side: Line, Point: place.Point}, circuit.Assignment{CIC: place.CIC}}, true
 	}
@@ -82,7 +82,7 @@
 				x.failedCalls = append(x.failedCalls, verdict.StoredCall)
 			}
 		case recovery.Release: // neighbours learn of it by a circuit reset, lines by a release
-			for _, place := range []recovery.Place{verdict.In, verdict.Out} {
+			for _, place := range []recovery.Leg{verdict.In, verdict.Out} {
 				if !place.Trunk {
 					x.lostLines = append(x.lostLines, place)
 				}
--- a/internal/ledger/format_test.go
+++ b/internal/ledger/format_test.go
@@ -25,7 +25,7 @@
 	call = append(call, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2, 0) // since, until
 	old = frame(old, call...)
 	c := Read(old)
-	want := recovery.StoredCall{ID: 9, Phase: recovery.Established, In: recovery.Place{Point: 0x2000, CIC: 5}, Out: recovery.Place{Trunk: true, Number: 3, CIC: 33},
+	want := recovery.StoredCall{ID: 9, Phase: recovery.Established, In: recovery.Leg{Point: 0x2000, CIC: 5}, Out: recovery.Leg{Trunk: true, Number: 3, CIC: 33},
 		Ref: isup.Reference{Point: 1, Identity: 77}, Since: 256, Until: 512}
 	if c.UnreadReason != "" || c.Version != 1 || c.Process.SiteDigest != 7 || c.Calls[9] != want {
 		t.Fatalf("%+v", c)
--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -72,11 +72,11 @@
 			}
 		}
 		buf = append(buf, flags)
-		for _, place := range []recovery.Place{call.In, call.Out} {
-			buf = binary.BigEndian.AppendUint16(buf, uint16(place.Number))
-			buf = binary.BigEndian.AppendUint16(buf, place.Point)
-			buf = binary.BigEndian.AppendUint16(buf, place.CIC)
-			buf = binary.BigEndian.AppendUint32(buf, place.Slots)
+		for _, leg := range []recovery.Leg{call.In, call.Out} {
+			buf = binary.BigEndian.AppendUint16(buf, uint16(leg.Number))
+			buf = binary.BigEndian.AppendUint16(buf, leg.Point)
+			buf = binary.BigEndian.AppendUint16(buf, leg.CIC)
+			buf = binary.BigEndian.AppendUint32(buf, leg.Slots)
 		}
 		buf = binary.BigEndian.AppendUint16(buf, call.Ref.Point)
 		buf = binary.BigEndian.AppendUint32(buf, call.Ref.Identity)
@@ -146,10 +146,10 @@
 		call.Phase, call.Transit = recovery.Phase(flags>>4), flags&1 != 0
 		call.In.Trunk, call.Out.Trunk = flags&2 != 0, flags&4 != 0
 		payload = payload[5:]
-		for _, place := range []*recovery.Place{&call.In, &call.Out} {
-			place.Number, place.Point, place.CIC = int(binary.BigEndian.Uint16(payload)), binary.BigEndian.Uint16(payload[2:]), binary.BigEndian.Uint16(payload[4:])
+		for _, leg := range []*recovery.Leg{&call.In, &call.Out} {
+			leg.Number, leg.Point, leg.CIC = int(binary.BigEndian.Uint16(payload)), binary.BigEndian.Uint16(payload[2:]), binary.BigEndian.Uint16(payload[4:])
 			if payload = payload[6:]; version != 1 {
-				place.Slots = binary.BigEndian.Uint32(payload)
+				leg.Slots = binary.BigEndian.Uint32(payload)
 				payload = payload[4:]
 			}
 		}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -19,11 +19,11 @@
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
 func randomCall(t *rapid.T, id uint32) recovery.StoredCall {
-	place := func(name string) recovery.Place {
-		return recovery.Place{Trunk: rapid.Bool().Draw(t, name), Number: rapid.IntRange(0, 998).Draw(t, name), Point: rapid.Uint16().Draw(t, name),
+	drawLeg := func(name string) recovery.Leg {
+		return recovery.Leg{Trunk: rapid.Bool().Draw(t, name), Number: rapid.IntRange(0, 998).Draw(t, name), Point: rapid.Uint16().Draw(t, name),
 			CIC: rapid.Uint16().Draw(t, name), Slots: rapid.Uint32().Draw(t, name)}
 	}
-	return recovery.StoredCall{ID: id, Phase: recovery.Phase(rapid.IntRange(0, 1).Draw(t, "phase")), In: place("in"), Out: place("out"), Transit: rapid.Bool().Draw(t, "transit"),
+	return recovery.StoredCall{ID: id, Phase: recovery.Phase(rapid.IntRange(0, 1).Draw(t, "phase")), In: drawLeg("in"), Out: drawLeg("out"), Transit: rapid.Bool().Draw(t, "transit"),
 		Ref: isup.Reference{Point: rapid.Uint16().Draw(t, "point"), Identity: rapid.Uint32().Draw(t, "identity")}, Since: rapid.Int64().Draw(t, "since"), Until: rapid.Int64().Draw(t, "until")}
 }
 
@@ -52,7 +52,7 @@
 	return live, disk.Get("l")
 }
 
-func inBubble(t *testing.T, do func(t *rapid.T)) {
+func checkInBubble(t *testing.T, do func(t *rapid.T)) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) { do(rt) })
 	})
@@ -60,7 +60,7 @@
 
 // Guards against calls or incarnations that are lost or left over in the file, however the changes were batched.
 func TestStoredCallsAreRead(t *testing.T) {
-	inBubble(t, func(t *rapid.T) {
+	checkInBubble(t, func(t *rapid.T) {
 		live, file := runLedger(t, memnet.NewDisk(), rapid.IntRange(0, 60).Draw(t, "steps"))
 		c := ledger.Read(file)
 		if c.UnreadReason != "" || c.UnreadOctets != 0 || !maps.Equal(c.Calls, live) || c.Process.SiteDigest != 7 || c.Process.OwnIncarnation != "2" || c.Process.Incarnations[3] != "4" || c.Process.LastHeartbeat == 0 {
@@ -72,7 +72,7 @@
 // Guards against damaged files that are read as valid: a file truncated at any octet, or with any bit flipped, reads as an earlier
 // state and contains no call that was never stored. A flipped bit is always reported as damage.
 func TestDamagedFilesAreReadUpToTheDamage(t *testing.T) {
-	inBubble(t, func(t *rapid.T) {
+	checkInBubble(t, func(t *rapid.T) {
 		_, file := runLedger(t, memnet.NewDisk(), rapid.IntRange(1, 5).Draw(t, "steps"))
 		whole := ledger.Read(file)
 		seen := map[recovery.StoredCall]bool{}
@@ -204,17 +204,17 @@
 
 var corpus = [][]byte{[]byte("indigoledger\x02\x00\x01\x00\x00\x00\x00S"), []byte("indigoledger\x01")}
 
-func accountsForEveryOctet(t *testing.T, b []byte) {
+func checkOctetCount(t *testing.T, b []byte) {
 	if c := ledger.Read(b); c.ReadOctets+c.UnreadOctets != len(b) || c.ReadOctets < 0 || (c.UnreadReason == "") != (c.UnreadOctets == 0 && len(b) > 12) {
 		t.Fatalf("%+v of %d octets", c, len(b))
 	}
 }
 
-func TestDamagedFiles(t *testing.T) { seeded.Damaged(t, corpus, 100000, accountsForEveryOctet) }
+func TestDamagedFiles(t *testing.T) { seeded.Damaged(t, corpus, 100000, checkOctetCount) }
 
 func FuzzRead(f *testing.F) {
 	for _, b := range corpus {
 		f.Add(b)
 	}
-	f.Fuzz(accountsForEveryOctet)
+	f.Fuzz(checkOctetCount)
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -20,8 +20,8 @@
 	Established              // answered and not released
 )
 
-// Place is one side of a call: circuits of the group to a neighbour, or a line. It is written as JSON under its field names.
-type Place struct {
+// Leg is one side of a call: circuits of the group to a neighbour, or a line. It is written as JSON under its field names.
+type Leg struct {
 	Trunk  bool
 	Number int    // exchange number of the neighbour (trunk)
 	Point  uint16 // point code of the block of lines (line)
@@ -33,7 +33,7 @@
 type StoredCall struct {
 	ID      uint32
 	Phase   Phase
-	In, Out Place // Out only once it is established
+	In, Out Leg // Out only once it is established
 	Ref     isup.Reference
 	Transit bool
 	Since   int64 // when it entered this phase
@@ -90,22 +90,22 @@
 		decisions = append(decisions, Decision{StoredCall: call})
 	}
 	slices.SortStableFunc(decisions, func(a, b Decision) int { return cmp.Compare(a.ID, b.ID) })
-	holders := map[Place]int{}
+	holders := map[Leg]int{}
 	for i := range decisions {
 		decision := &decisions[i]
 		decision.Outcome, decision.Reason = decideOne(now, process, decision.StoredCall, settings)
 		if decision.Outcome != Continue {
 			continue
 		}
-		for _, p := range []Place{decision.In, decision.Out} {
-			for _, single := range singlePlaces(p) {
-				j, taken := holders[single]
+		for _, leg := range []Leg{decision.In, decision.Out} {
+			for _, circuit := range singleCircuits(leg) {
+				j, taken := holders[circuit]
 				switch {
 				case !taken || decisions[j].Outcome != Continue:
-					holders[single] = i
+					holders[circuit] = i
 				case decisions[j].Since <= decision.Since:
 					decisions[j].Outcome, decisions[j].Reason = Release, "a later call holds its circuit"
-					holders[single] = i
+					holders[circuit] = i
 				default:
 					decision.Outcome, decision.Reason = Release, "a later call holds its circuit"
 				}
@@ -115,18 +115,18 @@
 	return decisions
 }
 
-// singlePlaces returns each circuit of a place as a place of its own, or its line.
-func singlePlaces(place Place) []Place {
-	if !place.Trunk || place.Slots == 0 {
-		return []Place{{Trunk: place.Trunk, Number: place.Number, Point: place.Point, CIC: place.CIC}}
+// singleCircuits returns each circuit of a place as a place of its own, or its line.
+func singleCircuits(leg Leg) []Leg {
+	if !leg.Trunk || leg.Slots == 0 {
+		return []Leg{{Trunk: leg.Trunk, Number: leg.Number, Point: leg.Point, CIC: leg.CIC}}
 	}
-	var places []Place
+	var circuits []Leg
 	for slot := range uint16(isup.CircuitsPerMultiplex) {
-		if place.Slots&(1<<slot) != 0 {
-			places = append(places, Place{Trunk: true, Number: place.Number, CIC: place.CIC/32*32 + slot + 1})
+		if leg.Slots&(1<<slot) != 0 {
+			circuits = append(circuits, Leg{Trunk: true, Number: leg.Number, CIC: leg.CIC/32*32 + slot + 1})
 		}
 	}
-	return places
+	return circuits
 }
 
 // decideOne decides on a single call.
@@ -154,13 +154,13 @@
 }
 
 // isConfigured reports whether a place exists in the settings.
-func isConfigured(place Place, settings Settings) bool {
-	if !place.Trunk {
-		return settings.HasLines(place.Point)
+func isConfigured(leg Leg, settings Settings) bool {
+	if !leg.Trunk {
+		return settings.HasLines(leg.Point)
 	}
-	size := settings.Circuits[place.Number]
-	for _, single := range singlePlaces(place) {
-		if i := int(single.CIC)/32*isup.CircuitsPerMultiplex + int(single.CIC)%32 - 1; single.CIC%32 == 0 || i >= size {
+	size := settings.Circuits[leg.Number]
+	for _, circuit := range singleCircuits(leg) {
+		if i := int(circuit.CIC)/32*isup.CircuitsPerMultiplex + int(circuit.CIC)%32 - 1; circuit.CIC%32 == 0 || i >= size {
 			return false
 		}
 	}
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -18,14 +18,14 @@
 	return Settings{SiteDigest: 7, Circuits: map[int]int{1: 62, 2: 31}, HasLines: func(point uint16) bool { return point >= 0x2000 }}
 }
 
-func trunk(number int, cic uint16) Place { return Place{Trunk: true, Number: number, CIC: cic} }
+func trunkLeg(number int, cic uint16) Leg { return Leg{Trunk: true, Number: number, CIC: cic} }
 
-func line(cic uint16) Place { return Place{Point: 0x2000, CIC: cic} }
+func lineLeg(cic uint16) Leg { return Leg{Point: 0x2000, CIC: cic} }
 
 func TestOutcomes(t *testing.T) {
 	process := Process{SiteDigest: 7, LastHeartbeat: wallNow - 20000}
-	established := StoredCall{ID: 1, Phase: Established, In: line(5), Out: trunk(1, 3), Since: wallNow - 90000}
-	settingUp := StoredCall{ID: 1, In: line(5), Since: wallNow - 21000, Until: wallNow + 40000}
+	established := StoredCall{ID: 1, Phase: Established, In: lineLeg(5), Out: trunkLeg(1, 3), Since: wallNow - 90000}
+	settingUp := StoredCall{ID: 1, In: lineLeg(5), Since: wallNow - 21000, Until: wallNow + 40000}
 	change := func(call StoredCall, do func(*StoredCall)) StoredCall { do(&call); return call }
 	for _, c := range []struct {
 		name    string
@@ -34,15 +34,15 @@
 		want    Outcome
 	}{
 		{"established", process, established, Continue},
-		{"established, in transit", process, change(established, func(call *StoredCall) { call.In = trunk(2, 31) }), Continue},
+		{"established, in transit", process, change(established, func(call *StoredCall) { call.In = trunkLeg(2, 31) }), Continue},
 		{"of another exchange", Process{SiteDigest: 8, LastHeartbeat: wallNow}, established, Discard},
 		{"down for seven hours", Process{SiteDigest: 7, LastHeartbeat: wallNow - 7*3600*10000}, established, Discard},
 		{"clock set back an hour, established", Process{SiteDigest: 7, LastHeartbeat: wallNow + 3600*10000}, established, Continue},
 		{"neighbour removed from the settings", process, change(established, func(call *StoredCall) { call.Out.Number = 9 }), Release},
-		{"group made smaller", process, change(established, func(call *StoredCall) { call.Out = trunk(2, 33) }), Release},
+		{"group made smaller", process, change(established, func(call *StoredCall) { call.Out = trunkLeg(2, 33) }), Release},
 		{"circuit code that no circuit has", process, change(established, func(call *StoredCall) { call.Out.CIC = 32 }), Release},
 		{"slots outside the group", process, change(established, func(call *StoredCall) {
-			call.Out = Place{Trunk: true, Number: 1, CIC: 33, Slots: 1 << 30}
+			call.Out = Leg{Trunk: true, Number: 1, CIC: 33, Slots: 1 << 30}
 			call.Out.Number = 2
 		}), Release},
 		{"being set up, caller waits", process, settingUp, AnswerFailed},
@@ -59,29 +59,29 @@
 }
 
 // Guards against two restored calls on one circuit or line, and against releasing the later of two calls that claim one.
-func TestNoCircuitIsHeldTwice(t *testing.T) {
+func TestNoCircuitIsUsedByTwoCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []StoredCall
-		place := func() Place {
+		drawLeg := func() Leg {
 			if rapid.Bool().Draw(t, "line") {
-				return line(rapid.Uint16Max(5).Draw(t, "line's"))
+				return lineLeg(rapid.Uint16Max(5).Draw(t, "line's"))
 			}
-			p := trunk(1, rapid.Uint16Range(1, 6).Draw(t, "cic"))
+			p := trunkLeg(1, rapid.Uint16Range(1, 6).Draw(t, "cic"))
 			if rapid.Bool().Draw(t, "wide") {
 				p.Slots = 1<<(p.CIC-1) | 1<<p.CIC
 			}
 			return p
 		}
 		for id := range uint32(rapid.IntRange(0, 10).Draw(t, "calls")) {
-			all = append(all, StoredCall{ID: id + 1, Phase: Established, In: place(), Out: place(), Since: wallNow - int64(rapid.IntRange(1, 50).Draw(t, "since"))})
+			all = append(all, StoredCall{ID: id + 1, Phase: Established, In: drawLeg(), Out: drawLeg(), Since: wallNow - int64(rapid.IntRange(1, 50).Draw(t, "since"))})
 		}
 		got := Decide(wallNow, Process{SiteDigest: 7, LastHeartbeat: wallNow}, all, settings())
-		held := map[Place]uint32{}
+		held := map[Leg]uint32{}
 		for _, v := range got {
 			if v.Outcome != Continue {
 				continue
 			}
-			for _, p := range append(singlePlaces(v.In), singlePlaces(v.Out)...) {
+			for _, p := range append(singleCircuits(v.In), singleCircuits(v.Out)...) {
 				if other, twice := held[p]; twice && other != v.ID {
 					t.Fatalf("%+v is used by calls %d and %d", p, other, v.ID)
 				}
@@ -92,12 +92,12 @@
 			if v.Outcome != Release {
 				continue
 			}
-			if slices.ContainsFunc(singlePlaces(v.In), func(p Place) bool { return slices.Contains(singlePlaces(v.Out), p) }) {
+			if slices.ContainsFunc(singleCircuits(v.In), func(p Leg) bool { return slices.Contains(singleCircuits(v.Out), p) }) {
 				continue // both its sides are the same circuit or line
 			}
 			rival := slices.ContainsFunc(got, func(o Decision) bool {
-				return o.ID != v.ID && o.Since >= v.Since && slices.ContainsFunc(append(singlePlaces(o.In), singlePlaces(o.Out)...), func(p Place) bool {
-					return slices.Contains(append(singlePlaces(v.In), singlePlaces(v.Out)...), p)
+				return o.ID != v.ID && o.Since >= v.Since && slices.ContainsFunc(append(singleCircuits(o.In), singleCircuits(o.Out)...), func(p Leg) bool {
+					return slices.Contains(append(singleCircuits(v.In), singleCircuits(v.Out)...), p)
 				})
 			})
 			if !rival {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -127,7 +127,7 @@
 
 // gateways reads what a site says of its MGCP gateways.
 func gateways(b *hclread.Block, d *policy.Deployment, bearers map[string]int) *control.Gateways {
-	g := &control.Gateways{Listen: b.Address("listen", false)}
+	g := &control.Gateways{ListenAddress: b.Address("listen", false)}
 	g.Own, g.Point, g.Seed = d.OwnExchange, exchange.PointCode(d.OwnExchange), d.Seed
 	g.DialMost = b.Span("dial_most", time.Second, time.Hour, 20*time.Second)
 	g.RingMost = b.Span("ring_most", time.Second, time.Hour, time.Minute)
