--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -115,7 +115,7 @@
 	return decisions
 }
 
-// singleCircuits returns each circuit of a place as a place of its own, or its line.
+// singleCircuits splits a leg into legs of one circuit each. A line is a single leg.
 func singleCircuits(leg Leg) []Leg {
 	if !leg.Trunk || leg.Slots == 0 {
 		return []Leg{{Trunk: leg.Trunk, Number: leg.Number, Point: leg.Point, CIC: leg.CIC}}
@@ -153,7 +153,7 @@
 	return Continue, ""
 }
 
-// isConfigured reports whether a place exists in the settings.
+// isConfigured reports whether a leg exists in the settings.
 func isConfigured(leg Leg, settings Settings) bool {
 	if !leg.Trunk {
 		return settings.HasLines(leg.Point)
