--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -4,24 +4,24 @@
 //
 // The agent translates what it sees on the network into calls to the policy:
 //
-//	| event                                               | reported to the policy                                |
-//	| set-up from a caller                                | Offer, once for each id, with the time left           |
-//	| 200 to the set-up of the try that is out            | Stands; the caller has been answered already          |
-//	| 503                                                 | Ended(Blocked), with Warning-Word and P-Wait          |
-//	| 486, 500 and other refusals                         | Ended(Faulted)                                        |
-//	| 480                                                 | Ended(Unsent)                                         |
-//	| 504, connection lost                                | Ended(Cut)                                            |
-//	| release with cause 16 or 41, no answer yet          | CANCEL, Ended(Cut, final); the caller gets a failure  |
-//	| release with another cause, the first try is out    | CANCEL, Ended(Cut)                                    |
-//	| the same, where it may refer to an earlier try      | nothing; the try continues                            |
-//	| no connection in time, or refused                   | Ended(Unreached)                                      |
-//	| try timed out, at the caller's deadline at the latest | CANCEL, Ended(TimedOut); the policy still has to answer |
-//	| more than MaxTries, or no such switch in the list   | Ended(Unsent)                                         |
-//	| the policy's Cancel                                 | CANCEL, Ended(Cancelled)                              |
-//	| caller abandons the call                            | CallerLeft, then Ended(Cancelled, final) of a try that is out |
-//	| release by the switch with cause 16, or another     | Ended(Released, final), Ended(Cut, final)             |
-//	| release by the caller                               | Ended(Cancelled, final)                               |
-//	| NOTIFY                                              | Circuits                                              |
+// | event | reported to the policy |
+// | set-up from a caller | Offer, once for each id, with the time left |
+// | 200 to the set-up of the try that is out | Stands; the caller has been answered already |
+// | 503 | Ended(Blocked), with Warning-Word and P-Wait |
+// | 486, 500 and other refusals | Ended(Faulted) |
+// | 480 | Ended(Unsent) |
+// | 504, connection lost | Ended(Cut) |
+// | release with cause 16 or 41, no answer yet | CANCEL, Ended(Cut, final); the caller gets a failure |
+// | release with another cause, the first try is out | CANCEL, Ended(Cut) |
+// | the same, where it may refer to an earlier try | nothing; the try continues |
+// | no connection in time, or refused | Ended(Unreached) |
+// | try timed out, at the caller's deadline at the latest | CANCEL, Ended(TimedOut); the policy still has to answer |
+// | more than MaxTries, or no such switch in the list | Ended(Unsent) |
+// | the policy's Cancel | CANCEL, Ended(Cancelled) |
+// | caller abandons the call | CallerLeft, then Ended(Cancelled, final) of a try that is out |
+// | release by the switch with cause 16, or another | Ended(Released, final), Ended(Cut, final) |
+// | release by the caller | Ended(Cancelled, final) |
+// | NOTIFY | Circuits |
 //
 // The policy is never called from inside its own Send or Cancel; results of these are deferred until it has returned.
 // An answer to an abandoned try is acknowledged and never passed on. The call that it established at its switch is
@@ -58,10 +58,10 @@
 
 // State is the state of a call. Only become changes it.
 //
-//	Offered  -> Trying (a route try is out or waits for its connection), Over
-//	Trying   -> Offered (the try ended or was abandoned; the policy decides), Standing, Over
-//	Standing -> Over
-//	Over        is retained for a while, since late answers and releases still refer to the call
+// Offered -> Trying (a route try is out or waits for its connection), Over
+// Trying -> Offered (the try ended or was abandoned; the policy decides), Standing, Over
+// Standing -> Over
+// Over is retained for a while, since late answers and releases still refer to the call
 type State uint8
 
 const (
@@ -167,12 +167,12 @@
 }
 
 // New creates an agent; build creates the policy, given the interface through which it acts on the agent.
-func New(set deployment.Settings, b Bounds, out Transport, now policy.Tenths,
+func New(settings deployment.Settings, bounds Bounds, transport Transport, now policy.Tenths,
 	build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) *Agent {
-	a := &Agent{settings: set, transport: out, now: now, calls: map[uint64]*trackedCall{}, byHandle: map[uint32]*trackedCall{},
-		maxOpenCalls: b.Calls, maxBodyOctets: b.Octets, maxLinks: b.Links, switches: map[uint32]*remoteSwitch{}, switchOfLink: map[ConnID]uint32{}, closingLinks: map[ConnID]uint32{}, dialAddresses: map[uint32]string{},
-		callers: newCallerConns(b.Callers), silence: silenceClock{lastTickAt: now}, callerReleases: releaseQueue{byCall: map[uint64]*pendingRelease{}}, maintenanceAt: now + maintenanceInterval, lastKeepaliveID: set.Policy.Seed}
-	a.decider = build(set.Policy, (*policyOutput)(a), now)
+	a := &Agent{settings: settings, transport: transport, now: now, calls: map[uint64]*trackedCall{}, byHandle: map[uint32]*trackedCall{},
+		maxOpenCalls: bounds.Calls, maxBodyOctets: bounds.Octets, maxLinks: bounds.Links, switches: map[uint32]*remoteSwitch{}, switchOfLink: map[ConnID]uint32{}, closingLinks: map[ConnID]uint32{}, dialAddresses: map[uint32]string{},
+		callers: newCallerConns(bounds.Callers), silence: silenceClock{lastTickAt: now}, callerReleases: releaseQueue{byCall: map[uint64]*pendingRelease{}}, maintenanceAt: now + maintenanceInterval, lastKeepaliveID: settings.Policy.Seed}
+	a.decider = build(settings.Policy, (*policyOutput)(a), now)
 	return a
 }
 
@@ -192,23 +192,23 @@
 
 // Tick runs the timers that have fallen due. stalled is the end of the last stall of this process, 0 if there was
 // none.
-func (a *Agent) Tick(now, stalled policy.Tenths) {
+func (a *Agent) Tick(now, stallEndedAt policy.Tenths) {
 	a.now = now
-	a.silence.tick(now, stalled)
-	for d, ok := a.timers.Pop(now); ok; d, ok = a.timers.Pop(now) {
-		a.maxLateness = max(a.maxLateness, now-d.At)
-		k := a.byHandle[uint32(d.Token)]
-		switch d.Kind {
+	a.silence.tick(now, stallEndedAt)
+	for item, ok := a.timers.Pop(now); ok; item, ok = a.timers.Pop(now) {
+		a.maxLateness = max(a.maxLateness, now-item.At)
+		call := a.byHandle[uint32(item.Token)]
+		switch item.Kind {
 		case timerPolicyWake:
-			a.decider.TimerExpired(now, d.Token)
+			a.decider.TimerExpired(now, item.Token)
 		case timerReleaseRound:
-			a.releaseRoundDue(d)
+			a.releaseRoundDue(item)
 		case timerTryTimeout:
-			a.tryTimedOut(k, int(d.Token>>32))
+			a.tryTimedOut(call, int(item.Token>>32))
 		case timerHeldTry:
-			a.heldTryDue(k, int(d.Token>>32))
+			a.heldTryDue(call, int(item.Token>>32))
 		case timerCallDeadline:
-			a.failAtDeadline(k)
+			a.failAtDeadline(call)
 		}
 		a.flushDeferred()
 	}
@@ -223,66 +223,66 @@
 
 // failAtDeadline fails a call that the policy has left unanswered when its caller is about to abandon it. The policy
 // normally answers earlier, so this is logged.
-func (a *Agent) failAtDeadline(k *trackedCall) {
-	if k == nil || k.state == Established || k.state == Ended {
+func (a *Agent) failAtDeadline(call *trackedCall) {
+	if call == nil || call.state == Established || call.state == Ended {
 		return
 	}
 	a.transport.Note("a call had no final answer when its caller's time was up")
-	a.failCall(k)
+	a.failCall(call)
 }
 
 // flushDeferred passes the deferred results to the policy.
 func (a *Agent) flushDeferred() {
 	for len(a.deferred) > 0 {
-		r := a.deferred[0]
+		result := a.deferred[0]
 		a.deferred = a.deferred[1:]
-		k := a.byHandle[r.handle]
-		if k == nil || k.state != Offered || len(k.tries)-1 != r.try {
+		call := a.byHandle[result.handle]
+		if call == nil || call.state != Offered || len(call.tries)-1 != result.try {
 			continue
 		}
-		if r.abandoned {
-			a.abandonCall(k)
+		if result.abandoned {
+			a.abandonCall(call)
 			a.callCounts.Abandoned++
 			continue
 		}
-		a.decider.TryEnded(a.now, r.handle, r.try, r.switchID, r.ending, false, r.reason, r.wait, r.report)
+		a.decider.TryEnded(a.now, result.handle, result.try, result.switchID, result.ending, false, result.reason, result.wait, result.report)
 	}
 }
 
 // setState changes the state of a call; nothing else does.
-func (a *Agent) setState(k *trackedCall, s State) {
-	if !slices.Contains(callTransitions[k.state], s) {
-		a.transport.Note(fmt.Sprintf("fault: invalid transition of a call from state %d to %d", k.state, s))
+func (a *Agent) setState(call *trackedCall, state State) {
+	if !slices.Contains(callTransitions[call.state], state) {
+		a.transport.Note(fmt.Sprintf("fault: invalid transition of a call from state %d to %d", call.state, state))
 		return
 	}
-	open := func(s State) bool { return s == Offered || s == Trying }
-	if open(k.state) && !open(s) {
+	open := func(state State) bool { return state == Offered || state == Trying }
+	if open(call.state) && !open(state) {
 		a.openCalls--
-		a.callers.setUpEnded(k.caller)
-		a.bodyOctets -= len(k.body)
-		k.body = nil
+		a.callers.setUpEnded(call.caller)
+		a.bodyOctets -= len(call.body)
+		call.body = nil
 	}
 	switch {
-	case s == Established:
+	case state == Established:
 		a.establishedCalls++
-		k.establishedAt = a.now
-	case k.state == Established:
+		call.establishedAt = a.now
+	case call.state == Established:
 		a.establishedCalls--
 	}
-	a.transport.Record(Record{Kind: CallState, CallID: k.callID, Conn: k.caller, Switch: k.lastSwitch(), From: k.state, To: s})
-	k.state = s
-	if s == Ended {
-		delete(a.byHandle, k.handle)
-		a.retain(k)
+	a.transport.Record(Record{Kind: CallState, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), From: call.state, To: state})
+	call.state = state
+	if state == Ended {
+		delete(a.byHandle, call.handle)
+		a.retain(call)
 	}
-	a.releaseOrphanedTries(k)
+	a.releaseOrphanedTries(call)
 }
 
 // retain retains a call that is over for a while.
-func (a *Agent) retain(k *trackedCall) {
-	k.endedAt = a.now
-	a.calls[k.id] = k
-	a.ended = append(a.ended, k)
+func (a *Agent) retain(call *trackedCall) {
+	call.endedAt = a.now
+	a.calls[call.id] = call
+	a.ended = append(a.ended, call)
 }
 
 // purgeEnded drops calls whose retention has expired, and the oldest ones beyond the limit.
@@ -299,11 +299,11 @@
 
 // matchingCalls returns the calls that match, sorted by handle and then id, so that the map's iteration order has no
 // effect.
-func (a *Agent) matchingCalls(which func(*trackedCall) bool) []*trackedCall {
+func (a *Agent) matchingCalls(match func(*trackedCall) bool) []*trackedCall {
 	var found []*trackedCall
-	for _, k := range a.calls {
-		if which(k) {
-			found = append(found, k)
+	for _, call := range a.calls {
+		if match(call) {
+			found = append(found, call)
 		}
 	}
 	slices.SortFunc(found, func(x, y *trackedCall) int {
@@ -319,42 +319,42 @@
 }
 
 // refuse writes a final answer that refuses or fails a call.
-func (a *Agent) refuse(k *trackedCall, status int, comeBack policy.Tenths) {
-	m := sip.Message{Status: status, CallID: k.callID, CSeq: k.cseq, CSeqMethod: sip.Invite}
-	if comeBack > 0 {
-		m.Fields = []sip.Field{{Name: fieldBackOff, Value: strconv.FormatInt(int64((comeBack+9)/10), 10)}}
+func (a *Agent) refuse(call *trackedCall, status int, retryAfter policy.Tenths) {
+	msg := sip.Message{Status: status, CallID: call.callID, CSeq: call.cseq, CSeqMethod: sip.Invite}
+	if retryAfter > 0 {
+		msg.Fields = []sip.Field{{Name: fieldBackOff, Value: strconv.FormatInt(int64((retryAfter+9)/10), 10)}}
 	}
-	a.transport.Record(Record{Kind: CallRefused, CallID: k.callID, Conn: k.caller, Switch: k.lastSwitch(), Try: len(k.tries), Reason: strconv.Itoa(status)})
-	a.writeAnswer(k, &m)
+	a.transport.Record(Record{Kind: CallRefused, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), Try: len(call.tries), Reason: strconv.Itoa(status)})
+	a.writeAnswer(call, &msg)
 }
 
 // abandonCall ends a call whose caller needs no further answer.
-func (a *Agent) abandonCall(k *trackedCall) {
-	a.decider.Abandoned(a.now, k.handle)
-	if k.state == Trying {
+func (a *Agent) abandonCall(call *trackedCall) {
+	a.decider.Abandoned(a.now, call.handle)
+	if call.state == Trying {
 		a.tryCounts.Cancelled++
-		t := k.lastTry()
-		a.abandonTry(t, "the caller abandoned the call, or the call failed")
-		a.setState(k, Ended)
-		a.decider.TryEnded(a.now, k.handle, t.number, t.switchID, policy.Cancelled, true, policy.NoReason, 0, noReport)
+		try := call.lastTry()
+		a.abandonTry(try, "the caller abandoned the call, or the call failed")
+		a.setState(call, Ended)
+		a.decider.TryEnded(a.now, call.handle, try.number, try.switchID, policy.Cancelled, true, policy.NoReason, 0, noReport)
 		return
 	}
-	a.setState(k, Ended)
+	a.setState(call, Ended)
 }
 
 var noReport = policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 
 // reportEnded reports the end of an established call to the policy.
-func (a *Agent) reportEnded(k *trackedCall, end policy.Outcome, rep policy.LoadReport) {
-	t := k.lastTry()
-	a.advance(t, eventRelease, "the call is over")
-	a.setState(k, Ended)
-	if k.handle != 0 {
-		a.decider.TryEnded(a.now, k.handle, t.number, t.switchID, end, true, policy.NoReason, 0, rep)
-	} else if rep.Size >= 0 && a.switches[t.switchID] != nil {
-		a.decider.LoadReported(a.now, t.switchID, rep)
+func (a *Agent) reportEnded(call *trackedCall, ending policy.Outcome, report policy.LoadReport) {
+	try := call.lastTry()
+	a.advance(try, eventRelease, "the call is over")
+	a.setState(call, Ended)
+	if call.handle != 0 {
+		a.decider.TryEnded(a.now, call.handle, try.number, try.switchID, ending, true, policy.NoReason, 0, report)
+	} else if report.Size >= 0 && a.switches[try.switchID] != nil {
+		a.decider.LoadReported(a.now, try.switchID, report)
 	}
-	if end == policy.Disconnected {
+	if ending == policy.Disconnected {
 		a.callCounts.Disconnected++
 	} else {
 		a.callCounts.Released++
@@ -362,60 +362,60 @@
 }
 
 // FromSwitch handles a message of a switch.
-func (a *Agent) FromSwitch(now policy.Tenths, c ConnID, m *sip.Message) {
+func (a *Agent) FromSwitch(now policy.Tenths, conn ConnID, msg *sip.Message) {
 	a.now = now
-	sw, ok := a.switchOfLink[c]
+	switchID, ok := a.switchOfLink[conn]
 	if !ok {
-		a.switchMessageAfterClose(c, m)
+		a.switchMessageAfterClose(conn, msg)
 		return
 	}
-	f := a.switches[sw]
-	if f == nil {
+	remote := a.switches[switchID]
+	if remote == nil {
 		return
 	}
-	f.messageReceived(now)
-	if l := f.findLink(c); l != nil {
-		f.messageOnLink(l, now)
-		l.lastMessageAt, l.unansweredSince, l.partialSince, l.messageSeen, l.silent = now, 0, 0, true, false
-		if m.Status != 0 && m.CSeqMethod == sip.Options {
-			f.keepaliveAnswered(l, now, m.CallID)
+	remote.messageReceived(now)
+	if link := remote.findLink(conn); link != nil {
+		remote.messageOnLink(link, now)
+		link.lastMessageAt, link.unansweredSince, link.partialSince, link.messageSeen, link.silent = now, 0, 0, true, false
+		if msg.Status != 0 && msg.CSeqMethod == sip.Options {
+			remote.keepaliveAnswered(link, now, msg.CallID)
 		}
 	}
 	switch {
-	case m.Status != 0 && m.CSeqMethod == sip.Invite:
-		a.handleAnswer(f, c, m)
-	case m.Status != 0:
-	case m.Method == sip.Notify:
-		if rep := parseLoad(m); rep.Size >= 0 {
-			f.lastReport = rep
-			a.decider.LoadReported(now, sw, rep)
+	case msg.Status != 0 && msg.CSeqMethod == sip.Invite:
+		a.handleAnswer(remote, conn, msg)
+	case msg.Status != 0:
+	case msg.Method == sip.Notify:
+		if report := parseLoad(msg); report.Size >= 0 {
+			remote.lastReport = report
+			a.decider.LoadReported(now, switchID, report)
 		}
-	case m.Method == sip.Bye:
-		heard := m.Response(sip.OK)
-		a.transport.Write(c, &heard)
-		a.handleSwitchRelease(f, c, m)
-	case m.Method == sip.Options:
-		passed := m.Response(sip.OK)
-		a.transport.Write(c, &passed)
+	case msg.Method == sip.Bye:
+		response := msg.Response(sip.OK)
+		a.transport.Write(conn, &response)
+		a.handleSwitchRelease(remote, conn, msg)
+	case msg.Method == sip.Options:
+		response := msg.Response(sip.OK)
+		a.transport.Write(conn, &response)
 	}
-	if len(f.waitingTries) > 0 {
-		a.sendWaiting(f)
+	if len(remote.waitingTries) > 0 {
+		a.sendWaiting(remote)
 	}
 	a.flushDeferred()
 }
 
 // switchMessageAfterClose handles a message that arrived while its connection was being closed locally. Releases still
 // count, and a call that was answered is established at its switch.
-func (a *Agent) switchMessageAfterClose(c ConnID, m *sip.Message) {
-	sw, ok := a.closingLinks[c]
-	f := a.switches[sw]
+func (a *Agent) switchMessageAfterClose(conn ConnID, msg *sip.Message) {
+	switchID, ok := a.closingLinks[conn]
+	remote := a.switches[switchID]
 	switch {
-	case !ok || f == nil:
+	case !ok || remote == nil:
 		return
-	case m.Method == sip.Bye:
-		a.handleSwitchRelease(f, c, m)
-	case m.Status != 0 && m.CSeqMethod == sip.Invite:
-		a.handleAnswer(f, c, m)
+	case msg.Method == sip.Bye:
+		a.handleSwitchRelease(remote, conn, msg)
+	case msg.Status != 0 && msg.CSeqMethod == sip.Invite:
+		a.handleAnswer(remote, conn, msg)
 	}
 	a.flushDeferred()
 }
@@ -430,21 +430,21 @@
 
 // SwitchStatuses returns the state of every switch, in the order in which they were listed.
 func (a *Agent) SwitchStatuses() []SwitchStatus {
-	var all []SwitchStatus
+	var statuses []SwitchStatus
 	for _, id := range a.switchOrder {
-		f := a.switches[id]
-		all = append(all, SwitchStatus{board.FormatID(id), f.entry.State, f.lastReport.Free, f.lastReport.Size, len(f.links)})
+		remote := a.switches[id]
+		statuses = append(statuses, SwitchStatus{board.FormatID(id), remote.entry.State, remote.lastReport.Free, remote.lastReport.Size, len(remote.links)})
 	}
-	return all
+	return statuses
 }
 
 // ReleaseCounts returns the counters of releases towards callers.
 func (a *Agent) ReleaseCounts() ReleaseCounts {
-	r := a.releaseCounts
-	if r.Pending = len(a.callerReleases.order); r.Pending > 0 {
-		r.OldestAge = a.now - a.callerReleases.order[0].receivedAt
+	counts := a.releaseCounts
+	if counts.Pending = len(a.callerReleases.order); counts.Pending > 0 {
+		counts.OldestAge = a.now - a.callerReleases.order[0].receivedAt
 	}
-	return r
+	return counts
 }
 
 // TryCounts returns the counters of route tries.
@@ -452,7 +452,7 @@
 
 // Counts returns the call counters, the numbers of calls that are open, established and retained after their end,
 // the number of callers' connections, and the maximum lateness of a timer since the previous call.
-func (a *Agent) Counts() (t CallCounts, open, standing, kept, callers int, late policy.Tenths) {
-	late, a.maxLateness = a.maxLateness, 0
-	return a.callCounts, a.openCalls, a.establishedCalls, len(a.ended), len(a.callers.conns), late
+func (a *Agent) Counts() (counts CallCounts, openCalls, establishedCalls, retained, callers int, lateness policy.Tenths) {
+	lateness, a.maxLateness = a.maxLateness, 0
+	return a.callCounts, a.openCalls, a.establishedCalls, len(a.ended), len(a.callers.conns), lateness
 }
--- a/internal/b2bua/bounds.go
+++ b/internal/b2bua/bounds.go
@@ -18,8 +18,8 @@
 // Descriptors divides the descriptors of the process between callers and switches, after its own needs. The
 // platform's callers hold a third at most and must have it; where the rest allows, as much again is for other
 // callers.
-func Descriptors(all int) (callers, links int) {
-	free := all - reservedDescriptors - 2*MaxClosing
-	callers = max(all/3, free/2)
+func Descriptors(total int) (callers, links int) {
+	free := total - reservedDescriptors - 2*MaxClosing
+	callers = max(total/3, free/2)
 	return callers, max(1, free-callers)
 }
--- a/internal/b2bua/caller_conn.go
+++ b/internal/b2bua/caller_conn.go
@@ -38,29 +38,29 @@
 }
 
 // answerWritten records that an answer was written, which the caller must acknowledge.
-func (o *callerConn) answerWritten(place uint64, now policy.Tenths) {
-	o.lastAnswerSeq = place
-	if o.ackPendingSince == 0 {
-		o.ackPendingSince = now
+func (c *callerConn) answerWritten(seq uint64, now policy.Tenths) {
+	c.lastAnswerSeq = seq
+	if c.ackPendingSince == 0 {
+		c.ackPendingSince = now
 	}
 }
 
 // proveRead records a proof that everything up to a sequence number was read.
-func (o *callerConn) proveRead(place uint64, now policy.Tenths) {
-	o.lastProofAt = now
-	if o.ackPendingSince = now; place >= o.lastAnswerSeq {
-		o.ackPendingSince = 0
+func (c *callerConn) proveRead(seq uint64, now policy.Tenths) {
+	c.lastProofAt = now
+	if c.ackPendingSince = now; seq >= c.lastAnswerSeq {
+		c.ackPendingSince = 0
 	}
 }
 
 // suspect reports whether the caller may not be reading this connection: an ACK or the answer to a release is
 // overdue. It is derived, not stored: it ends with the next proof or when the release is dropped, and it only
 // ranks connections.
-func (o *callerConn) suspect(now policy.Tenths) bool {
-	if o.ackPendingSince != 0 && now-o.ackPendingSince > readProofTimeout {
+func (c *callerConn) suspect(now policy.Tenths) bool {
+	if c.ackPendingSince != 0 && now-c.ackPendingSince > readProofTimeout {
 		return true
 	}
-	return len(o.copies) > 0 && now-o.copies[0].writtenAt > readProofTimeout
+	return len(c.copies) > 0 && now-c.copies[0].writtenAt > readProofTimeout
 }
 
 // callerConns holds the callers' connections and selects those to close.
@@ -70,34 +70,34 @@
 	order []ConnID // in the order in which they opened
 }
 
-func newCallerConns(most int) callerConns {
-	return callerConns{max: most, conns: map[ConnID]*callerConn{}}
+func newCallerConns(limit int) callerConns {
+	return callerConns{max: limit, conns: map[ConnID]*callerConn{}}
 }
 
 // setUpEnded records that a set-up on a connection is no longer open.
-func (d *callerConns) setUpEnded(c ConnID) {
-	if o := d.conns[c]; o != nil {
-		o.openSetUps--
+func (cs *callerConns) setUpEnded(conn ConnID) {
+	if caller := cs.conns[conn]; caller != nil {
+		caller.openSetUps--
 	}
 }
 
 // setUpSeen reports whether a set-up came on a connection.
-func (d *callerConns) setUpSeen(c ConnID) bool {
-	o := d.conns[c]
-	return o != nil && o.setUpSeen
+func (cs *callerConns) setUpSeen(conn ConnID) bool {
+	caller := cs.conns[conn]
+	return caller != nil && caller.setUpSeen
 }
 
 // readProved reports whether a caller is known to have read anything written on its connection.
-func (d *callerConns) readProved(c ConnID) bool {
-	o := d.conns[c]
-	return o != nil && o.lastProofAt != 0
+func (cs *callerConns) readProved(conn ConnID) bool {
+	caller := cs.conns[conn]
+	return caller != nil && caller.lastProofAt != 0
 }
 
 // forgetCopies removes a finished release from the connections on which it was written.
-func (d *callerConns) forgetCopies(r *pendingRelease) {
-	for _, c := range r.conns {
-		if o := d.conns[c]; o != nil {
-			o.copies = slices.DeleteFunc(o.copies, func(written releaseCopy) bool { return written.release == r })
+func (cs *callerConns) forgetCopies(release *pendingRelease) {
+	for _, conn := range release.conns {
+		if caller := cs.conns[conn]; caller != nil {
+			caller.copies = slices.DeleteFunc(caller.copies, func(written releaseCopy) bool { return written.release == release })
 		}
 	}
 }
@@ -105,19 +105,19 @@
 // evictionCandidate selects the connection to close when one more would exceed the limit: the oldest one without any
 // complete message, else the one without an open set-up that has been quiet longest, preferring those whose caller
 // never proved to read. It returns 0 if there is none.
-func (d *callerConns) evictionCandidate() ConnID {
+func (cs *callerConns) evictionCandidate() ConnID {
 	var idle *callerConn
-	for _, c := range d.order {
-		o := d.conns[c]
-		if o.lastMessageAt == 0 {
-			return c
+	for _, conn := range cs.order {
+		caller := cs.conns[conn]
+		if caller.lastMessageAt == 0 {
+			return conn
 		}
-		if o.openSetUps > 0 {
+		if caller.openSetUps > 0 {
 			continue
 		}
-		proved, idleProved := o.lastProofAt != 0, idle != nil && idle.lastProofAt != 0
-		if idle == nil || idleProved && !proved || idleProved == proved && o.lastMessageAt < idle.lastMessageAt {
-			idle = o
+		readProved, idleProved := caller.lastProofAt != 0, idle != nil && idle.lastProofAt != 0
+		if idle == nil || idleProved && !readProved || idleProved == readProved && caller.lastMessageAt < idle.lastMessageAt {
+			idle = caller
 		}
 	}
 	if idle == nil {
@@ -127,13 +127,13 @@
 }
 
 // closeReason returns why a connection must be closed, "" if it may stay.
-func (o *callerConn) closeReason(silentFor func(policy.Tenths) policy.Tenths) string {
+func (c *callerConn) closeReason(silentFor func(policy.Tenths) policy.Tenths) string {
 	switch {
-	case o.partialSince != 0 && silentFor(o.partialSince) > callerMessageTimeout:
+	case c.partialSince != 0 && silentFor(c.partialSince) > callerMessageTimeout:
 		return "incomplete message"
-	case o.lastMessageAt == 0 && silentFor(o.openedAt) > callerMessageTimeout:
+	case c.lastMessageAt == 0 && silentFor(c.openedAt) > callerMessageTimeout:
 		return "no message received"
-	case o.openSetUps == 0 && o.lastMessageAt != 0 && silentFor(o.lastMessageAt) > callerIdleTimeout:
+	case c.openSetUps == 0 && c.lastMessageAt != 0 && silentFor(c.lastMessageAt) > callerIdleTimeout:
 		return "idle"
 	}
 	return ""
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -10,58 +10,60 @@
 
 // CallerConnected adds a new connection of a caller. It returns false when there is no room for it and it has to be
 // closed.
-func (a *Agent) CallerConnected(now policy.Tenths, c ConnID) bool {
+func (a *Agent) CallerConnected(now policy.Tenths, conn ConnID) bool {
 	a.now = now
 	if len(a.callers.conns) >= a.callers.max {
-		worst := a.callers.evictionCandidate()
-		if worst == 0 {
+		evicted := a.callers.evictionCandidate()
+		if evicted == 0 {
 			a.transport.Note("limit of caller connections reached")
 			return false
 		}
-		a.transport.Close(worst, "connection limit reached")
-		a.CallerDisconnected(now, worst)
+		a.transport.Close(evicted, "connection limit reached")
+		a.CallerDisconnected(now, evicted)
 	}
-	a.callers.conns[c] = &callerConn{conn: c, openedAt: now}
-	a.callers.order = append(a.callers.order, c)
+	a.callers.conns[conn] = &callerConn{conn: conn, openedAt: now}
+	a.callers.order = append(a.callers.order, conn)
 	return true
 }
 
 // CallerDisconnected removes a caller's connection and abandons the set-ups open on it.
-func (a *Agent) CallerDisconnected(now policy.Tenths, c ConnID) {
+func (a *Agent) CallerDisconnected(now policy.Tenths, conn ConnID) {
 	a.now = now
-	o := a.callers.conns[c]
-	if o == nil {
+	caller := a.callers.conns[conn]
+	if caller == nil {
 		return
 	}
-	delete(a.callers.conns, c)
-	if i := slices.Index(a.callers.order, c); i >= 0 {
+	delete(a.callers.conns, conn)
+	if i := slices.Index(a.callers.order, conn); i >= 0 {
 		a.callers.order = slices.Delete(a.callers.order, i, i+1)
 	}
-	if o.openSetUps > 0 || len(o.copies) > 0 {
-		a.transport.Record(Record{Kind: CallerConnEnded, Conn: c, Reason: fmt.Sprintf("%d set-ups and %d releases pending", o.openSetUps, len(o.copies))})
+	if caller.openSetUps > 0 || len(caller.copies) > 0 {
+		a.transport.Record(Record{Kind: CallerConnEnded, Conn: conn, Reason: fmt.Sprintf("%d set-ups and %d releases pending", caller.openSetUps, len(caller.copies))})
 	}
-	if o.openSetUps > 0 {
-		for _, k := range a.matchingCalls(func(k *trackedCall) bool { return k.caller == c && (k.state == Offered || k.state == Trying) }) {
-			a.abandonCall(k)
+	if caller.openSetUps > 0 {
+		for _, call := range a.matchingCalls(func(call *trackedCall) bool {
+			return call.caller == conn && (call.state == Offered || call.state == Trying)
+		}) {
+			a.abandonCall(call)
 			a.callCounts.Abandoned++
 		}
 	}
-	a.rewriteReleases(o)
+	a.rewriteReleases(caller)
 	a.flushDeferred()
 }
 
 // CallerMessagePartial records since when a message on a connection is incomplete, 0 when none is.
-func (a *Agent) CallerMessagePartial(c ConnID, since policy.Tenths) {
-	if o := a.callers.conns[c]; o != nil {
-		o.partialSince = since
+func (a *Agent) CallerMessagePartial(conn ConnID, since policy.Tenths) {
+	if caller := a.callers.conns[conn]; caller != nil {
+		caller.partialSince = since
 	}
 }
 
 // CallerMessageInvalid handles an unreadable message: it is answered where it has an id, and the connection is closed. Calls
 // that are open on it fail at once, as their caller would not receive a later answer.
-func (a *Agent) CallerMessageInvalid(now policy.Tenths, c ConnID, m *sip.Message, tooLong bool, why string) {
+func (a *Agent) CallerMessageInvalid(now policy.Tenths, conn ConnID, msg *sip.Message, tooLong bool, reason string) {
 	a.now = now
-	if a.callers.conns[c] == nil {
+	if a.callers.conns[conn] == nil {
 		return
 	}
 	a.callCounts.Refused++
@@ -69,14 +71,14 @@
 	if tooLong {
 		status = sip.RequestEntityTooLarge
 	}
-	a.failOpenCalls(func(k *trackedCall) bool { return k.caller == c })
-	refusal := m.Response(status)
-	if _, err := parseID(m.CallID); err != nil {
+	a.failOpenCalls(func(call *trackedCall) bool { return call.caller == conn })
+	refusal := msg.Response(status)
+	if _, err := parseID(msg.CallID); err != nil {
 		refusal.CallID = ""
 	}
-	a.transport.Write(c, &refusal)
-	a.transport.Close(c, why)
-	a.CallerDisconnected(now, c)
+	a.transport.Write(conn, &refusal)
+	a.transport.Close(conn, reason)
+	a.CallerDisconnected(now, conn)
 }
 
 // FailOpenCalls fails every open call, because the process ends before more can be done for it.
@@ -86,112 +88,112 @@
 	a.flushDeferred()
 }
 
-func (a *Agent) failOpenCalls(which func(*trackedCall) bool) {
-	for _, k := range a.matchingCalls(func(k *trackedCall) bool { return (k.state == Offered || k.state == Trying) && which(k) }) {
-		a.failCall(k)
+func (a *Agent) failOpenCalls(match func(*trackedCall) bool) {
+	for _, call := range a.matchingCalls(func(call *trackedCall) bool { return (call.state == Offered || call.state == Trying) && match(call) }) {
+		a.failCall(call)
 	}
 }
 
 // failCall gives an open call a final answer that it failed.
-func (a *Agent) failCall(k *trackedCall) {
-	a.refuse(k, sip.ServerInternalError, 0)
-	a.abandonCall(k)
+func (a *Agent) failCall(call *trackedCall) {
+	a.refuse(call, sip.ServerInternalError, 0)
+	a.abandonCall(call)
 	a.callCounts.Aborted++
 }
 
 // closeOverdueCallers closes callers' connections that are overdue.
 func (a *Agent) closeOverdueCallers() {
-	for _, c := range slices.Clone(a.callers.order) {
-		o := a.callers.conns[c]
-		if why := o.closeReason(a.silentFor); why != "" {
-			if o.partialSince != 0 {
-				a.CallerMessageInvalid(a.now, c, &sip.Message{}, false, why)
+	for _, conn := range slices.Clone(a.callers.order) {
+		caller := a.callers.conns[conn]
+		if reason := caller.closeReason(a.silentFor); reason != "" {
+			if caller.partialSince != 0 {
+				a.CallerMessageInvalid(a.now, conn, &sip.Message{}, false, reason)
 				continue
 			}
-			a.transport.Close(c, why)
-			a.CallerDisconnected(a.now, c)
+			a.transport.Close(conn, reason)
+			a.CallerDisconnected(a.now, conn)
 		}
 	}
 }
 
 // FromCaller handles a message of a caller. lastProofAt is when it was completely read, which may be earlier than now.
-func (a *Agent) FromCaller(now, readAt policy.Tenths, c ConnID, m *sip.Message) {
+func (a *Agent) FromCaller(now, receivedAt policy.Tenths, conn ConnID, msg *sip.Message) {
 	a.now = now
-	o := a.callers.conns[c]
-	if o == nil {
-		a.callerMessageAfterClose(c, m)
+	caller := a.callers.conns[conn]
+	if caller == nil {
+		a.callerMessageAfterClose(conn, msg)
 		return
 	}
-	o.lastMessageAt, o.partialSince = now, 0
+	caller.lastMessageAt, caller.partialSince = now, 0
 	switch {
-	case m.Status != 0 && m.CSeqMethod == sip.Bye:
-		a.handleReleaseAnswer(o, m)
-	case m.Status != 0:
-	case m.Method == sip.Invite:
-		a.handleSetUp(o, readAt, m)
-	case m.Method == sip.Cancel:
-		a.handleCancel(c, m)
-	case m.Method == sip.Bye:
-		a.handleCallerRelease(c, m)
-	case m.Method == sip.Ack:
-		a.handleAck(o, m)
-	case m.Method == sip.Options:
-		passed := m.Response(sip.OK)
-		a.transport.Write(c, &passed)
+	case msg.Status != 0 && msg.CSeqMethod == sip.Bye:
+		a.handleReleaseAnswer(caller, msg)
+	case msg.Status != 0:
+	case msg.Method == sip.Invite:
+		a.handleSetUp(caller, receivedAt, msg)
+	case msg.Method == sip.Cancel:
+		a.handleCancel(conn, msg)
+	case msg.Method == sip.Bye:
+		a.handleCallerRelease(conn, msg)
+	case msg.Method == sip.Ack:
+		a.handleAck(caller, msg)
+	case msg.Method == sip.Options:
+		response := msg.Response(sip.OK)
+		a.transport.Write(conn, &response)
 	default:
-		a.rejectMessage(c, m, sip.BadRequest, "method "+m.Method)
+		a.rejectMessage(conn, msg, sip.BadRequest, "method "+msg.Method)
 	}
 	a.flushDeferred()
 }
 
 // callerMessageAfterClose handles a message that arrived while its connection was being closed locally: releases and answers
 // to releases still count.
-func (a *Agent) callerMessageAfterClose(c ConnID, m *sip.Message) {
+func (a *Agent) callerMessageAfterClose(conn ConnID, msg *sip.Message) {
 	switch {
-	case m.Method == sip.Bye:
-		a.handleCallerRelease(c, m)
-	case m.Status == sip.OK && m.CSeqMethod == sip.Bye:
-		if id, err := parseID(m.CallID); err == nil && a.calls[id] != nil {
+	case msg.Method == sip.Bye:
+		a.handleCallerRelease(conn, msg)
+	case msg.Status == sip.OK && msg.CSeqMethod == sip.Bye:
+		if id, err := parseID(msg.CallID); err == nil && a.calls[id] != nil {
 			a.confirmRelease(a.calls[id])
 		}
 	}
 	a.flushDeferred()
 }
 
-func (a *Agent) rejectMessage(c ConnID, m *sip.Message, status int, why string) {
+func (a *Agent) rejectMessage(conn ConnID, msg *sip.Message, status int, reason string) {
 	a.callCounts.Refused++
-	a.transport.Record(Record{Kind: SetUpRefused, CallID: m.CallID, Conn: c, Reason: why})
-	refusal := m.Response(status)
-	a.transport.Write(c, &refusal)
+	a.transport.Record(Record{Kind: SetUpRefused, CallID: msg.CallID, Conn: conn, Reason: reason})
+	refusal := msg.Response(status)
+	a.transport.Write(conn, &refusal)
 }
 
 // handleSetUp handles a set-up.
-func (a *Agent) handleSetUp(o *callerConn, readAt policy.Tenths, m *sip.Message) {
-	in, err := parseSetUp(m, &a.settings)
+func (a *Agent) handleSetUp(caller *callerConn, receivedAt policy.Tenths, msg *sip.Message) {
+	parsed, err := parseSetUp(msg, &a.settings)
 	if err != nil {
-		a.rejectMessage(o.conn, m, sip.BadRequest, err.Error())
+		a.rejectMessage(caller.conn, msg, sip.BadRequest, err.Error())
 		return
 	}
-	if in.adopted {
-		a.adoptCall(o, in, m)
+	if parsed.adopted {
+		a.adoptCall(caller, parsed, msg)
 		return
 	}
-	if a.calls[in.id] != nil {
-		a.rejectMessage(o.conn, m, sip.BadRequest, "duplicate call id")
+	if a.calls[parsed.id] != nil {
+		a.rejectMessage(caller.conn, msg, sip.BadRequest, "duplicate call id")
 		return
 	}
-	a.markSetUpSeen(o)
-	k := &trackedCall{id: in.id, caller: o.conn, callID: m.CallID, uri: m.URI, class: m.Get(fieldClass), cseq: m.CSeq, body: m.Body,
-		deadline: readAt + in.request.TTL - answerMargin}
-	if a.transport.Abandoned(k.caller, k.callID) { // the CANCEL or the end of the connection follows
-		k.body, k.state = nil, Ended
-		a.retain(k)
+	a.markSetUpSeen(caller)
+	call := &trackedCall{id: parsed.id, caller: caller.conn, callID: msg.CallID, uri: msg.URI, class: msg.Get(fieldClass), cseq: msg.CSeq, body: msg.Body,
+		deadline: receivedAt + parsed.request.TTL - answerMargin}
+	if a.transport.Abandoned(call.caller, call.callID) { // the CANCEL or the end of the connection follows
+		call.body, call.state = nil, Ended
+		a.retain(call)
 		a.callCounts.Abandoned++
 		return
 	}
-	if a.openCalls >= a.maxOpenCalls || a.bodyOctets+len(k.body) > a.maxBodyOctets { // limit reached
-		refusal := m.Response(sip.ServiceUnavailable)
-		a.transport.Write(o.conn, &refusal)
+	if a.openCalls >= a.maxOpenCalls || a.bodyOctets+len(call.body) > a.maxBodyOctets { // limit reached
+		refusal := msg.Response(sip.ServiceUnavailable)
+		a.transport.Write(caller.conn, &refusal)
 		a.callCounts.Blocked++
 		return
 	}
@@ -199,87 +201,87 @@
 	if a.lastHandle == 0 {
 		a.lastHandle = 1
 	}
-	k.handle = a.lastHandle
-	in.request.ID, in.request.TTL = k.handle, k.deadline-a.now
-	a.calls[k.id], a.byHandle[k.handle] = k, k
+	call.handle = a.lastHandle
+	parsed.request.ID, parsed.request.TTL = call.handle, call.deadline-a.now
+	a.calls[call.id], a.byHandle[call.handle] = call, call
 	a.openCalls++
-	a.bodyOctets += len(k.body)
-	o.openSetUps++
+	a.bodyOctets += len(call.body)
+	caller.openSetUps++
 	a.callCounts.Accepted++
-	a.timers.Set(k.deadline+answerMargin/3, timerCallDeadline, uint64(k.handle))
-	a.decider.Offer(a.now, in.request)
+	a.timers.Set(call.deadline+answerMargin/3, timerCallDeadline, uint64(call.handle))
+	a.decider.Offer(a.now, parsed.request)
 }
 
 // markSetUpSeen marks a connection on which a set-up came, and writes the releases that wait for such a connection.
-func (a *Agent) markSetUpSeen(o *callerConn) {
-	if o.setUpSeen {
+func (a *Agent) markSetUpSeen(caller *callerConn) {
+	if caller.setUpSeen {
 		return
 	}
-	o.setUpSeen = true
-	a.offerReleases(o)
+	caller.setUpSeen = true
+	a.offerReleases(caller)
 }
 
 // adoptCall handles a set-up of a call that is established at a switch already. The call is tracked from now on, and
 // no answer is sent.
-func (a *Agent) adoptCall(o *callerConn, in setUp, m *sip.Message) {
-	a.markSetUpSeen(o)
-	if k := a.calls[in.id]; k != nil {
-		if k.state == Ended { // the caller may not have received the release
-			k.callerNotified = false
-			a.releaseCaller(k, causeTemporaryFailure)
+func (a *Agent) adoptCall(caller *callerConn, parsed setUp, msg *sip.Message) {
+	a.markSetUpSeen(caller)
+	if call := a.calls[parsed.id]; call != nil {
+		if call.state == Ended { // the caller may not have received the release
+			call.callerNotified = false
+			a.releaseCaller(call, causeTemporaryFailure)
 		}
 		return
 	}
-	k := &trackedCall{id: in.id, state: Established, caller: o.conn, callID: m.CallID, uri: m.URI, adopted: true, establishedAt: a.now}
-	k.tries = []*routeTry{{call: k, switchID: in.adoptedAt, state: tryEstablished}}
-	a.calls[k.id] = k
+	call := &trackedCall{id: parsed.id, state: Established, caller: caller.conn, callID: msg.CallID, uri: msg.URI, adopted: true, establishedAt: a.now}
+	call.tries = []*routeTry{{call: call, switchID: parsed.adoptedAt, state: tryEstablished}}
+	a.calls[call.id] = call
 	a.establishedCalls++
-	if f := a.switches[in.adoptedAt]; f != nil && f.nextRecoveryAt == 0 {
-		f.nextRecoveryAt = a.now + recoveryInterval
+	if remote := a.switches[parsed.adoptedAt]; remote != nil && remote.nextRecoveryAt == 0 {
+		remote.nextRecoveryAt = a.now + recoveryInterval
 	}
-	if a.switches[in.adoptedAt] == nil || a.establishedCalls > maxRetainedCalls {
-		a.releaseCaller(k, causeTemporaryFailure)
-		a.setState(k, Ended)
+	if a.switches[parsed.adoptedAt] == nil || a.establishedCalls > maxRetainedCalls {
+		a.releaseCaller(call, causeTemporaryFailure)
+		a.setState(call, Ended)
 	}
 }
 
 // handleCancel handles a caller's CANCEL.
-func (a *Agent) handleCancel(c ConnID, m *sip.Message) {
-	id, err := parseID(m.CallID)
-	k := a.calls[id]
-	if err != nil || k == nil || k.caller != c {
-		a.rejectMessage(c, m, sip.CallDoesNotExist, "CANCEL for an unknown call")
+func (a *Agent) handleCancel(conn ConnID, msg *sip.Message) {
+	id, err := parseID(msg.CallID)
+	call := a.calls[id]
+	if err != nil || call == nil || call.caller != conn {
+		a.rejectMessage(conn, msg, sip.CallDoesNotExist, "CANCEL for an unknown call")
 		return
 	}
-	switch k.state {
+	switch call.state {
 	case Offered, Trying:
-		a.abandonCall(k)
+		a.abandonCall(call)
 		a.callCounts.Abandoned++
 	case Established: // the CANCEL crossed the answer
 		a.callCounts.CancelCrossed++
-		a.releaseSwitch(k.lastSwitch(), k.lastTry().conn, a.newRelease(k.callID, k.uri, causeNormal))
-		a.reportEnded(k, policy.Cancelled, noReport)
+		a.releaseSwitch(call.lastSwitch(), call.lastTry().conn, a.newRelease(call.callID, call.uri, causeNormal))
+		a.reportEnded(call, policy.Cancelled, noReport)
 	}
 }
 
 // handleCallerRelease handles a caller's release, which may come on any connection.
-func (a *Agent) handleCallerRelease(c ConnID, m *sip.Message) {
-	id, err := parseID(m.CallID)
-	k := a.calls[id]
-	if err != nil || k == nil {
-		a.rejectMessage(c, m, sip.CallDoesNotExist, "release of an unknown call")
+func (a *Agent) handleCallerRelease(conn ConnID, msg *sip.Message) {
+	id, err := parseID(msg.CallID)
+	call := a.calls[id]
+	if err != nil || call == nil {
+		a.rejectMessage(conn, msg, sip.CallDoesNotExist, "release of an unknown call")
 		return
 	}
-	heard := m.Response(sip.OK)
-	a.transport.Write(c, &heard)
-	k.callerNotified = true
-	a.confirmRelease(k)
-	switch k.state {
+	response := msg.Response(sip.OK)
+	a.transport.Write(conn, &response)
+	call.callerNotified = true
+	a.confirmRelease(call)
+	switch call.state {
 	case Established:
-		a.releaseSwitch(k.lastSwitch(), k.lastTry().conn, a.newRelease(k.callID, k.uri, max(parseCause(m), causeNormal)))
-		a.reportEnded(k, policy.Cancelled, noReport)
+		a.releaseSwitch(call.lastSwitch(), call.lastTry().conn, a.newRelease(call.callID, call.uri, max(parseCause(msg), causeNormal)))
+		a.reportEnded(call, policy.Cancelled, noReport)
 	case Offered, Trying:
-		a.abandonCall(k)
+		a.abandonCall(call)
 		a.callCounts.Abandoned++
 	}
 }
--- a/internal/b2bua/far.go
+++ b/internal/b2bua/far.go
@@ -77,33 +77,33 @@
 }
 
 // unansweredFor returns how long the answer to a keepalive has been missing, 0 if none is expected.
-func (a *Agent) unansweredFor(l *switchLink) policy.Tenths {
-	if l.unansweredSince == 0 {
+func (a *Agent) unansweredFor(link *switchLink) policy.Tenths {
+	if link.unansweredSince == 0 {
 		return 0
 	}
-	return a.silentFor(l.unansweredSince)
+	return a.silentFor(link.unansweredSince)
 }
 
 // keepaliveTimeout returns the keepalive timeout of the connections to a switch.
-func (f *remoteSwitch) keepaliveTimeout() policy.Tenths {
-	if !f.roundTripMeasured {
+func (rs *remoteSwitch) keepaliveTimeout() policy.Tenths {
+	if !rs.roundTripMeasured {
 		return initialKeepaliveTimeout
 	}
-	return min(maxKeepaliveTimeout, max(minKeepaliveTimeout, keepaliveRoundTrips*f.roundTrip))
+	return min(maxKeepaliveTimeout, max(minKeepaliveTimeout, keepaliveRoundTrips*rs.roundTrip))
 }
 
 // isSuspect reports whether a connection should take no new messages.
-func (a *Agent) isSuspect(f *remoteSwitch, l *switchLink) bool {
-	return a.unansweredFor(l) > f.keepaliveTimeout()/2
+func (a *Agent) isSuspect(remote *remoteSwitch, link *switchLink) bool {
+	return a.unansweredFor(link) > remote.keepaliveTimeout()/2
 }
 
 // keepaliveAnswered handles the answer to a keepalive. Only the last keepalive counts, as an answer to an earlier one would
 // measure too short a time. The estimate is the longest round trip measured, decayed by an eighth with each
 // further measurement.
-func (f *remoteSwitch) keepaliveAnswered(l *switchLink, now policy.Tenths, id string) {
-	if l.keepaliveID != "" && id == l.keepaliveID {
-		l.sentReleases = slices.DeleteFunc(l.sentReleases, func(b sentRelease) bool { return b.sentAt < l.keepaliveSentAt }) // read by the switch before the keepalive
-		f.roundTrip, f.roundTripMeasured, l.keepaliveID = max(now-l.keepaliveSentAt, f.roundTrip-f.roundTrip/8), true, ""
+func (rs *remoteSwitch) keepaliveAnswered(link *switchLink, now policy.Tenths, id string) {
+	if link.keepaliveID != "" && id == link.keepaliveID {
+		link.sentReleases = slices.DeleteFunc(link.sentReleases, func(release sentRelease) bool { return release.sentAt < link.keepaliveSentAt }) // read by the switch before the keepalive
+		rs.roundTrip, rs.roundTripMeasured, link.keepaliveID = max(now-link.keepaliveSentAt, rs.roundTrip-rs.roundTrip/8), true, ""
 	}
 }
 
@@ -134,17 +134,17 @@
 
 // pickLink returns the connection for the next set-up: the least loaded one that is neither suspect nor to be avoided,
 // nil if there is none.
-func (a *Agent) pickLink(f *remoteSwitch, most int, avoid func(ConnID) bool) *switchLink {
+func (a *Agent) pickLink(remote *remoteSwitch, maxSetUps int, avoid func(ConnID) bool) *switchLink {
 	var best *switchLink
-	for _, l := range f.links {
-		if !l.messageSeen && a.mayHang(f) { // the switch may hang, and would not read the set-up
+	for _, link := range remote.links {
+		if !link.messageSeen && a.mayHang(remote) { // the switch may hang, and would not read the set-up
 			continue
 		}
-		if a.isSuspect(f, l) || most > 0 && l.openSetUps >= most || avoid(l.conn) {
+		if a.isSuspect(remote, link) || maxSetUps > 0 && link.openSetUps >= maxSetUps || avoid(link.conn) {
 			continue
 		}
-		if best == nil || l.openSetUps < best.openSetUps {
-			best = l
+		if best == nil || link.openSetUps < best.openSetUps {
+			best = link
 		}
 	}
 	return best
@@ -153,10 +153,10 @@
 // avoidNone avoids no connection.
 func avoidNone(ConnID) bool { return false }
 
-func (f *remoteSwitch) findLink(c ConnID) *switchLink {
-	for _, l := range f.links {
-		if l.conn == c {
-			return l
+func (rs *remoteSwitch) findLink(conn ConnID) *switchLink {
+	for _, link := range rs.links {
+		if link.conn == conn {
+			return link
 		}
 	}
 	return nil
@@ -165,15 +165,15 @@
 // dial opens one more connection, unless a dial is in progress. When all descriptors for switches are in use, it
 // closes the idle connection to another switch that has been quiet longest; the only connection of a switch is
 // closed only if calls or releases wait.
-func (a *Agent) dial(f *remoteSwitch) {
-	if a.starting || f.dialing || len(f.links) >= maxLinksPerSwitch || a.descriptorsExhausted() && !a.evictIdleLink(f) {
+func (a *Agent) dial(remote *remoteSwitch) {
+	if a.starting || remote.dialing || len(remote.links) >= maxLinksPerSwitch || a.descriptorsExhausted() && !a.evictIdleLink(remote) {
 		return
 	}
 	a.lastDialID++
 	a.dialsInProgress++
-	f.dialing, f.dialID = true, a.lastDialID
-	a.dialAddresses[f.dialID] = f.entry.Address
-	a.transport.Dial(f.entry.ID, f.dialID, f.entry.Address)
+	remote.dialing, remote.dialID = true, a.lastDialID
+	a.dialAddresses[remote.dialID] = remote.entry.Address
+	a.transport.Dial(remote.entry.ID, remote.dialID, remote.entry.Address)
 }
 
 // descriptorsExhausted reports whether all descriptors for switches are in use.
@@ -181,126 +181,126 @@
 	return len(a.switchOfLink)+a.dialsInProgress >= a.maxLinks
 }
 
-func (a *Agent) evictIdleLink(f *remoteSwitch) bool {
-	var worst *switchLink
+func (a *Agent) evictIdleLink(remote *remoteSwitch) bool {
+	var candidate *switchLink
 	for _, id := range a.switchOrder {
 		other := a.switches[id]
-		for _, l := range other.links {
-			single := len(other.links) == 1
-			if other == f || l.openSetUps > 0 || single && len(f.waitingTries) == 0 && len(f.pendingReleases) == 0 {
+		for _, link := range other.links {
+			onlyLink := len(other.links) == 1
+			if other == remote || link.openSetUps > 0 || onlyLink && len(remote.waitingTries) == 0 && len(remote.pendingReleases) == 0 {
 				continue
 			}
-			if worst == nil || l.lastMessageAt < worst.lastMessageAt {
-				worst = l
+			if candidate == nil || link.lastMessageAt < candidate.lastMessageAt {
+				candidate = link
 			}
 		}
 	}
-	if worst == nil {
+	if candidate == nil {
 		return false
 	}
-	other := a.switches[a.switchOfLink[worst.conn]]
-	delete(a.switchOfLink, worst.conn)
-	a.closingLinks[worst.conn] = other.entry.ID
-	other.links = slices.DeleteFunc(other.links, func(l *switchLink) bool { return l == worst })
+	other := a.switches[a.switchOfLink[candidate.conn]]
+	delete(a.switchOfLink, candidate.conn)
+	a.closingLinks[candidate.conn] = other.entry.ID
+	other.links = slices.DeleteFunc(other.links, func(link *switchLink) bool { return link == candidate })
 	other.nextDialAt = a.now + other.reconnectPace.NextDelay()
-	a.transport.Close(worst.conn, "descriptor needed for another switch")
+	a.transport.Close(candidate.conn, "descriptor needed for another switch")
 	return true
 }
 
 // shouldConnect reports whether connections to a switch are to be kept open.
-func (a *Agent) shouldConnect(f *remoteSwitch) bool {
-	return f.entry.Cell != a.settings.Policy.OwnExchange && f.entry.State != board.Gone
+func (a *Agent) shouldConnect(remote *remoteSwitch) bool {
+	return remote.entry.Cell != a.settings.Policy.OwnExchange && remote.entry.State != board.Gone
 }
 
 // DialDone handles the result of a dial: a connection, a refusal (no process listens at the address), or a timeout.
-func (a *Agent) DialDone(now policy.Tenths, sw, ticket uint32, c ConnID, refused bool) {
+func (a *Agent) DialDone(now policy.Tenths, switchID, dialID uint32, conn ConnID, refused bool) {
 	a.now = now
 	a.dialsInProgress--
-	address := a.dialAddresses[ticket]
-	delete(a.dialAddresses, ticket)
-	f := a.switches[sw]
-	if f == nil || f.dialID != ticket {
-		if c != 0 {
-			a.closeObsolete(c, address)
+	address := a.dialAddresses[dialID]
+	delete(a.dialAddresses, dialID)
+	remote := a.switches[switchID]
+	if remote == nil || remote.dialID != dialID {
+		if conn != 0 {
+			a.closeObsolete(conn, address)
 		}
 		return
 	}
-	f.dialing = false
-	if c != 0 && ticket >= f.recoveryDialID {
-		f.recoveryDialID = 0
+	remote.dialing = false
+	if conn != 0 && dialID >= remote.recoveryDialID {
+		remote.recoveryDialID = 0
 	}
-	if c == 0 {
-		f.reconnectPace.Down(now)
-		f.nextDialAt = now + f.reconnectPace.NextDelay()
-		a.endWaitingTries(f)
-		if refused && len(f.links) == 0 { // the process that held the calls established there is gone
-			a.disconnectCalls(f, now+1, "its address refuses connections")
+	if conn == 0 {
+		remote.reconnectPace.Down(now)
+		remote.nextDialAt = now + remote.reconnectPace.NextDelay()
+		a.endWaitingTries(remote)
+		if refused && len(remote.links) == 0 { // the process that held the calls established there is gone
+			a.disconnectCalls(remote, now+1, "its address refuses connections")
 		}
 		a.flushDeferred()
 		return
 	}
-	f.reconnectPace.Up(now)
-	l := &switchLink{conn: c, openedAt: now, lastMessageAt: now}
-	f.links = append(f.links, l)
-	a.switchOfLink[c] = sw
-	a.sendKeepalive(l)
-	if a.mayHang(f) {
-		l.unansweredSince = now
+	remote.reconnectPace.Up(now)
+	link := &switchLink{conn: conn, openedAt: now, lastMessageAt: now}
+	remote.links = append(remote.links, link)
+	a.switchOfLink[conn] = switchID
+	a.sendKeepalive(link)
+	if a.mayHang(remote) {
+		link.unansweredSince = now
 	}
-	for i := range f.pendingReleases {
-		if m := &f.pendingReleases[i]; !a.activeAt(f, m) {
-			l.sentReleases = append(l.sentReleases, sentRelease{now, *m})
-			a.transport.Write(c, m)
+	for i := range remote.pendingReleases {
+		if msg := &remote.pendingReleases[i]; !a.activeAt(remote, msg) {
+			link.sentReleases = append(link.sentReleases, sentRelease{now, *msg})
+			a.transport.Write(conn, msg)
 		}
 	}
-	f.pendingReleases = nil
-	a.sendWaiting(f)
-	if f.recoveryDialID != 0 { // the dial was in progress already when the connection was lost
-		a.dialReplacingIdle(f)
+	remote.pendingReleases = nil
+	a.sendWaiting(remote)
+	if remote.recoveryDialID != 0 { // the dial was in progress already when the connection was lost
+		a.dialReplacingIdle(remote)
 	}
 	a.flushDeferred()
 }
 
 // activeAt reports whether a call is being set up or is established at a switch, where a release of an earlier try
 // would disconnect it.
-func (a *Agent) activeAt(f *remoteSwitch, release *sip.Message) bool {
+func (a *Agent) activeAt(remote *remoteSwitch, release *sip.Message) bool {
 	id, err := parseID(release.CallID)
-	k := a.calls[id]
-	return err == nil && k != nil && k.lastSwitch() == f.entry.ID && (k.state == Trying || k.state == Established)
+	call := a.calls[id]
+	return err == nil && call != nil && call.lastSwitch() == remote.entry.ID && (call.state == Trying || call.state == Established)
 }
 
 // sendWaiting sends the set-ups that wait for a connection to a switch.
-func (a *Agent) sendWaiting(f *remoteSwitch) {
-	waiting := f.waitingTries
-	f.waitingTries = nil
-	for _, t := range waiting {
-		if t.state != tryWaiting {
+func (a *Agent) sendWaiting(remote *remoteSwitch) {
+	waiting := remote.waitingTries
+	remote.waitingTries = nil
+	for _, try := range waiting {
+		if try.state != tryWaiting {
 			continue
 		}
-		if k := t.call; a.transport.Abandoned(k.caller, k.callID) {
-			a.abandonCall(k)
+		if call := try.call; a.transport.Abandoned(call.caller, call.callID) {
+			a.abandonCall(call)
 			a.callCounts.Abandoned++
 			continue
 		}
-		a.placeTry(t, f)
+		a.placeTry(try, remote)
 	}
 }
 
 // endWaitingTries ends the route tries that wait for a connection to a switch.
-func (a *Agent) endWaitingTries(f *remoteSwitch) {
-	waiting := f.waitingTries
-	f.waitingTries = nil
-	for _, t := range waiting {
-		a.dropTry(t, "switch not reached")
-		a.endTry(t, policy.Unreachable)
+func (a *Agent) endWaitingTries(remote *remoteSwitch) {
+	waiting := remote.waitingTries
+	remote.waitingTries = nil
+	for _, try := range waiting {
+		a.dropTry(try, "switch not reached")
+		a.endTry(try, policy.Unreachable)
 	}
 }
 
 // SwitchMessagePartial records since when a message on a connection to a switch is incomplete, 0 when none is.
-func (a *Agent) SwitchMessagePartial(c ConnID, since policy.Tenths) {
-	if f := a.switches[a.switchOfLink[c]]; f != nil {
-		if l := f.findLink(c); l != nil {
-			l.partialSince = since
+func (a *Agent) SwitchMessagePartial(conn ConnID, since policy.Tenths) {
+	if remote := a.switches[a.switchOfLink[conn]]; remote != nil {
+		if link := remote.findLink(conn); link != nil {
+			link.partialSince = since
 		}
 	}
 }
@@ -308,137 +308,139 @@
 // SwitchDisconnected handles the end of a connection to a switch. The set-ups open on it may have been carried out. whole
 // means that the switch closed the connection and everything that it wrote was read; otherwise its last messages
 // may be lost.
-func (a *Agent) SwitchDisconnected(now policy.Tenths, c ConnID, whole bool) {
+func (a *Agent) SwitchDisconnected(now policy.Tenths, conn ConnID, graceful bool) {
 	a.now = now
-	delete(a.closingLinks, c)
-	sw, ok := a.switchOfLink[c]
+	delete(a.closingLinks, conn)
+	switchID, ok := a.switchOfLink[conn]
 	if !ok {
 		return
 	}
-	delete(a.switchOfLink, c)
-	if f := a.switches[sw]; f != nil {
-		l := f.findLink(c)
-		if l != nil {
-			if f.shortLinks++; now-l.openedAt >= minLinkLifetime {
-				f.shortLinks = 0
+	delete(a.switchOfLink, conn)
+	if remote := a.switches[switchID]; remote != nil {
+		link := remote.findLink(conn)
+		if link != nil {
+			if remote.shortLinks++; now-link.openedAt >= minLinkLifetime {
+				remote.shortLinks = 0
 			}
-			a.requeueReleases(f, l)
+			a.requeueReleases(remote, link)
 		}
-		f.links = slices.DeleteFunc(f.links, func(other *switchLink) bool { return other == l })
-		f.reconnectPace.Down(now)
-		f.nextDialAt = now
-		if f.shortLinks > maxShortLinks || l != nil && !l.messageSeen {
-			f.nextDialAt = now + min(f.reconnectPace.NextDelay(), maxShortLinkDelay)
+		remote.links = slices.DeleteFunc(remote.links, func(other *switchLink) bool { return other == link })
+		remote.reconnectPace.Down(now)
+		remote.nextDialAt = now
+		if remote.shortLinks > maxShortLinks || link != nil && !link.messageSeen {
+			remote.nextDialAt = now + min(remote.reconnectPace.NextDelay(), maxShortLinkDelay)
 		}
-		if !whole && l != nil && !l.silent {
-			a.linkLost(f, l)
-		} else if f.nextRecoveryAt == 0 && f.linkLostAt != 0 && now-f.linkLostAt < linkLossRetention {
-			f.nextRecoveryAt = now + recoveryInterval
+		if !graceful && link != nil && !link.silent {
+			a.linkLost(remote, link)
+		} else if remote.nextRecoveryAt == 0 && remote.linkLostAt != 0 && now-remote.linkLostAt < linkLossRetention {
+			remote.nextRecoveryAt = now + recoveryInterval
 		}
-		if a.shouldConnect(f) && now >= f.nextDialAt && (len(f.links) == 0 || f.recoveryDialID != 0) {
-			a.dialReplacingIdle(f)
+		if a.shouldConnect(remote) && now >= remote.nextDialAt && (len(remote.links) == 0 || remote.recoveryDialID != 0) {
+			a.dialReplacingIdle(remote)
 		}
 	}
-	cut := a.matchingCalls(func(k *trackedCall) bool {
-		return k.state == Trying && k.lastTry().state == trySent && k.lastTry().conn == c
+	lostCalls := a.matchingCalls(func(call *trackedCall) bool {
+		return call.state == Trying && call.lastTry().state == trySent && call.lastTry().conn == conn
 	})
-	a.transport.Record(Record{Kind: SwitchConnEnded, Conn: c, Switch: sw, Reason: fmt.Sprintf("%d open set-ups", len(cut))})
-	for _, k := range cut {
+	a.transport.Record(Record{Kind: SwitchConnEnded, Conn: conn, Switch: switchID, Reason: fmt.Sprintf("%d open set-ups", len(lostCalls))})
+	for _, call := range lostCalls {
 		a.tryCounts.Lost++
-		a.advance(k.lastTry(), eventAbandon, "connection ended")
-		a.endTry(k.lastTry(), policy.Disconnected)
+		a.advance(call.lastTry(), eventAbandon, "connection ended")
+		a.endTry(call.lastTry(), policy.Disconnected)
 	}
 	a.flushDeferred()
 }
 
 // closeLinks closes the connections to a switch that match.
-func (a *Agent) closeLinks(f *remoteSwitch, why string, which func(*switchLink) bool) {
-	for _, l := range slices.Clone(f.links) {
-		if which(l) {
-			a.closeLink(f, l, why, false)
+func (a *Agent) closeLinks(remote *remoteSwitch, reason string, match func(*switchLink) bool) {
+	for _, link := range slices.Clone(remote.links) {
+		if match(link) {
+			a.closeLink(remote, link, reason, false)
 		}
 	}
 }
 
 // closeLink closes a connection to a switch. whole means that the connection works, and messages that cross the
 // close are still read.
-func (a *Agent) closeLink(f *remoteSwitch, l *switchLink, why string, whole bool) {
-	if l.conn == f.lostRepeat.conn {
-		f.lostRepeat.closed = true
+func (a *Agent) closeLink(remote *remoteSwitch, link *switchLink, reason string, graceful bool) {
+	if link.conn == remote.lostRepeat.conn {
+		remote.lostRepeat.closed = true
 	}
-	a.transport.Close(l.conn, why)
-	a.SwitchDisconnected(a.now, l.conn, whole)
-	a.closingLinks[l.conn] = f.entry.ID
+	a.transport.Close(link.conn, reason)
+	a.SwitchDisconnected(a.now, link.conn, graceful)
+	a.closingLinks[link.conn] = remote.entry.ID
 }
 
 // disconnectCalls ends the calls that were established at a switch before the given time, as their releases cannot
 // come any more.
-func (a *Agent) disconnectCalls(f *remoteSwitch, before policy.Tenths, why string) {
-	cut := a.matchingCalls(func(k *trackedCall) bool { return k.isEstablishedAt(f.entry.ID) && k.establishedAt < before })
-	if len(cut) > 0 {
-		a.transport.Note(fmt.Sprintf("%d calls established at %s count as disconnected: %s", len(cut), board.FormatID(f.entry.ID), why))
+func (a *Agent) disconnectCalls(remote *remoteSwitch, before policy.Tenths, reason string) {
+	calls := a.matchingCalls(func(call *trackedCall) bool {
+		return call.isEstablishedAt(remote.entry.ID) && call.establishedAt < before
+	})
+	if len(calls) > 0 {
+		a.transport.Note(fmt.Sprintf("%d calls established at %s count as disconnected: %s", len(calls), board.FormatID(remote.entry.ID), reason))
 	}
-	for _, k := range cut {
-		a.releaseCaller(k, causeTemporaryFailure)
-		a.reportEnded(k, policy.Disconnected, noReport)
+	for _, call := range calls {
+		a.releaseCaller(call, causeTemporaryFailure)
+		a.reportEnded(call, policy.Disconnected, noReport)
 	}
 }
 
 // sendKeepalive sends a keepalive on a connection.
-func (a *Agent) sendKeepalive(l *switchLink) {
-	l.keepaliveSentAt, l.keepaliveID = a.now, a.newKeepaliveID()
-	a.transport.Write(l.conn, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: l.keepaliveID, CSeq: 1})
+func (a *Agent) sendKeepalive(link *switchLink) {
+	link.keepaliveSentAt, link.keepaliveID = a.now, a.newKeepaliveID()
+	a.transport.Write(link.conn, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: link.keepaliveID, CSeq: 1})
 }
 
 // maintainLinks maintains the connections to all switches.
 func (a *Agent) maintainLinks() {
 	for _, id := range a.switchOrder {
-		f := a.switches[id]
-		if !a.shouldConnect(f) {
+		remote := a.switches[id]
+		if !a.shouldConnect(remote) {
 			continue
 		}
-		for _, l := range slices.Clone(f.links) {
-			if a.isSuspect(f, l) {
-				f.suspectLostRepeat(l)
+		for _, link := range slices.Clone(remote.links) {
+			if a.isSuspect(remote, link) {
+				remote.suspectLostRepeat(link)
 			}
-			quiet, most := a.silentFor(l.lastMessageAt), keepaliveInterval
-			if l.openSetUps > 0 {
-				quiet, most = a.silentFor(max(l.lastMessageAt, l.busySince)), busyKeepaliveInterval
+			idleTime, interval := a.silentFor(link.lastMessageAt), keepaliveInterval
+			if link.openSetUps > 0 {
+				idleTime, interval = a.silentFor(max(link.lastMessageAt, link.busySince)), busyKeepaliveInterval
 			}
 			switch {
-			case l.partialSince != 0 && a.silentFor(l.partialSince) > switchMessageTimeout:
-				a.closeLink(f, l, "incomplete message", false)
-			case a.unansweredFor(l) > f.keepaliveTimeout():
-				a.handleKeepaliveTimeout(f, l)
-			case l.unansweredSince == 0 && quiet > most:
-				l.unansweredSince = a.now
-				a.transport.Record(Record{Kind: SwitchConnProbed, Conn: l.conn, Switch: id, Waited: quiet, Reason: fmt.Sprintf("%d open set-ups", l.openSetUps)})
-				a.sendKeepalive(l)
+			case link.partialSince != 0 && a.silentFor(link.partialSince) > switchMessageTimeout:
+				a.closeLink(remote, link, "incomplete message", false)
+			case a.unansweredFor(link) > remote.keepaliveTimeout():
+				a.handleKeepaliveTimeout(remote, link)
+			case link.unansweredSince == 0 && idleTime > interval:
+				link.unansweredSince = a.now
+				a.transport.Record(Record{Kind: SwitchConnProbed, Conn: link.conn, Switch: id, Waited: idleTime, Reason: fmt.Sprintf("%d open set-ups", link.openSetUps)})
+				a.sendKeepalive(link)
 			}
 		}
-		if f.nextRecoveryAt != 0 && a.now >= f.nextRecoveryAt {
-			a.scheduleRecovery(f)
+		if remote.nextRecoveryAt != 0 && a.now >= remote.nextRecoveryAt {
+			a.scheduleRecovery(remote)
 		}
-		needed := f.recoveryDialID != 0 || a.pickLink(f, 0, avoidNone) == nil && !a.awaitsFirstMessage(f)
-		if len(f.waitingTries) > 0 && !a.awaitsFirstMessage(f) || needed && a.now >= f.nextDialAt {
-			a.dialReplacingIdle(f)
+		linkNeeded := remote.recoveryDialID != 0 || a.pickLink(remote, 0, avoidNone) == nil && !a.awaitsFirstMessage(remote)
+		if len(remote.waitingTries) > 0 && !a.awaitsFirstMessage(remote) || linkNeeded && a.now >= remote.nextDialAt {
+			a.dialReplacingIdle(remote)
 		}
-		a.endLostCalls(f)
-		if a.silentFor(f.lastMessageAt) > peerTimeout {
-			a.disconnectCalls(f, a.now, "no message received")
+		a.endLostCalls(remote)
+		if a.silentFor(remote.lastMessageAt) > peerTimeout {
+			a.disconnectCalls(remote, a.now, "no message received")
 		}
 	}
 }
 
 // startTime returns the start time of a switch, 0 if none is reported.
-func startTime(s board.Switch) policy.Tenths { return policy.Tenths(max(0, s.StartedMS)) * 10 }
+func startTime(entry board.Switch) policy.Tenths { return policy.Tenths(max(0, entry.StartedMS)) * 10 }
 
 // Bootstrap handles the events that are known at the start, all of them before anything is dialled: a connection for
 // an entry that a later event replaces would open at the address of the new switch and be closed at once.
 func (a *Agent) Bootstrap(now policy.Tenths, events []board.Event) {
 	a.starting = true
-	for _, e := range events {
-		a.UpdateSwitches(now, e)
+	for _, event := range events {
+		a.UpdateSwitches(now, event)
 	}
 	a.starting = false
 	a.maintainLinks()
@@ -446,48 +448,48 @@
 }
 
 // UpdateSwitches handles an event of the notice board.
-func (a *Agent) UpdateSwitches(now policy.Tenths, e board.Event) {
+func (a *Agent) UpdateSwitches(now policy.Tenths, event board.Event) {
 	a.now = now
-	named := map[uint32]bool{}
+	listed := map[uint32]bool{}
 	var list []policy.Switch
-	for _, s := range e.Switches {
-		named[s.ID] = true
-		list = append(list, policy.Switch{ID: s.ID, Number: s.Cell, Ready: s.State == board.Ready,
-			Draining: s.State == board.Draining, BootAt: startTime(s)})
+	for _, entry := range event.Switches {
+		listed[entry.ID] = true
+		list = append(list, policy.Switch{ID: entry.ID, Number: entry.Cell, Ready: entry.State == board.Ready,
+			Draining: entry.State == board.Draining, BootAt: startTime(entry)})
 	}
-	a.decider.ListReceived(now, e.Complete, list)
-	if e.Complete {
+	a.decider.ListReceived(now, event.Complete, list)
+	if event.Complete {
 		for _, id := range slices.Clone(a.switchOrder) {
-			if !named[id] {
+			if !listed[id] {
 				a.removeSwitch(a.switches[id])
 			}
 		}
 	}
-	for _, s := range e.Switches {
-		f := a.switches[s.ID]
-		if s.State == board.Gone {
-			if f != nil {
-				f.entry.State = s.State
-				a.removeSwitch(f)
+	for _, entry := range event.Switches {
+		remote := a.switches[entry.ID]
+		if entry.State == board.Gone {
+			if remote != nil {
+				remote.entry.State = entry.State
+				a.removeSwitch(remote)
 			}
 			continue
 		}
-		if f == nil {
-			f = &remoteSwitch{entry: s, lastMessageAt: now, nextDialAt: now}
-			f.reconnectPace = reconnect.NewBackoffBetween(a.settings.Policy.Seed^uint64(s.ID), initialReconnectDelay, maxReconnectDelay)
-			a.switches[s.ID] = f
-			a.switchOrder = append(a.switchOrder, s.ID)
+		if remote == nil {
+			remote = &remoteSwitch{entry: entry, lastMessageAt: now, nextDialAt: now}
+			remote.reconnectPace = reconnect.NewBackoffBetween(a.settings.Policy.Seed^uint64(entry.ID), initialReconnectDelay, maxReconnectDelay)
+			a.switches[entry.ID] = remote
+			a.switchOrder = append(a.switchOrder, entry.ID)
 		}
-		anew := startTime(f.entry) != startTime(s)
-		moved := f.entry.Address != s.Address
-		f.entry = s
-		if anew || moved { // a new process: connections and calls of the previous one are over
-			f.dialID, f.dialing, f.nextDialAt = 0, false, now
-			a.closeLinks(f, "the switch restarted", func(l *switchLink) bool { return moved || l.openedAt < startTime(s) })
-			a.disconnectCalls(f, startTime(s), "it restarted")
+		restarted := startTime(remote.entry) != startTime(entry)
+		moved := remote.entry.Address != entry.Address
+		remote.entry = entry
+		if restarted || moved { // a new process: connections and calls of the previous one are over
+			remote.dialID, remote.dialing, remote.nextDialAt = 0, false, now
+			a.closeLinks(remote, "the switch restarted", func(link *switchLink) bool { return moved || link.openedAt < startTime(entry) })
+			a.disconnectCalls(remote, startTime(entry), "it restarted")
 		}
-		if s.State == board.Draining {
-			a.endWaitingTries(f)
+		if entry.State == board.Draining {
+			a.endWaitingTries(remote)
 		}
 	}
 	a.maintainLinks()
@@ -495,11 +497,11 @@
 }
 
 // removeSwitch removes a switch that is gone.
-func (a *Agent) removeSwitch(f *remoteSwitch) {
-	f.entry.State = board.Gone
-	a.endWaitingTries(f)
-	a.closeLinks(f, "the switch is gone", func(*switchLink) bool { return true })
-	a.disconnectCalls(f, a.now+1, "it is gone")
-	delete(a.switches, f.entry.ID)
-	a.switchOrder = slices.DeleteFunc(a.switchOrder, func(id uint32) bool { return id == f.entry.ID })
+func (a *Agent) removeSwitch(remote *remoteSwitch) {
+	remote.entry.State = board.Gone
+	a.endWaitingTries(remote)
+	a.closeLinks(remote, "the switch is gone", func(*switchLink) bool { return true })
+	a.disconnectCalls(remote, a.now+1, "it is gone")
+	delete(a.switches, remote.entry.ID)
+	a.switchOrder = slices.DeleteFunc(a.switchOrder, func(id uint32) bool { return id == remote.entry.ID })
 }
--- a/internal/b2bua/lost_repeat.go
+++ b/internal/b2bua/lost_repeat.go
@@ -23,49 +23,49 @@
 }
 
 // suspectLostRepeat records a connection on which a message is overdue, the first of several.
-func (f *remoteSwitch) suspectLostRepeat(l *switchLink) {
-	if f.lostRepeat.conn == 0 && !l.messageSeen {
-		f.lostRepeat = lostRepeat{conn: l.conn, openedAt: l.openedAt}
+func (rs *remoteSwitch) suspectLostRepeat(link *switchLink) {
+	if rs.lostRepeat.conn == 0 && !link.messageSeen {
+		rs.lostRepeat = lostRepeat{conn: link.conn, openedAt: link.openedAt}
 	}
 }
 
 // messageOnLink handles a message on a connection. On a connection that was silent it proves that the switch only hung and
 // nothing was lost; on a later connection it starts the time within which the silent one may still speak.
-func (f *remoteSwitch) messageOnLink(l *switchLink, now policy.Tenths) {
-	switch r := &f.lostRepeat; {
-	case r.conn == 0:
-	case l.silent || l.conn == r.conn || l.openedAt <= r.openedAt:
-		*r = lostRepeat{}
-	case r.dueAt == 0:
-		r.dueAt = now + lostRepeatDelay
+func (rs *remoteSwitch) messageOnLink(link *switchLink, now policy.Tenths) {
+	switch suspect := &rs.lostRepeat; {
+	case suspect.conn == 0:
+	case link.silent || link.conn == suspect.conn || link.openedAt <= suspect.openedAt:
+		*suspect = lostRepeat{}
+	case suspect.dueAt == 0:
+		suspect.dueAt = now + lostRepeatDelay
 	}
 }
 
 // endLostCalls ends the calls whose release may be lost for good: they were established before, and their own
 // connection is closed. They may still be established, so they are released at the switch as well.
-func (a *Agent) endLostCalls(f *remoteSwitch) {
-	r := f.lostRepeat
-	if r.dueAt == 0 || a.now < r.dueAt {
+func (a *Agent) endLostCalls(remote *remoteSwitch) {
+	suspect := remote.lostRepeat
+	if suspect.dueAt == 0 || a.now < suspect.dueAt {
 		return
 	}
-	f.lostRepeat = lostRepeat{}
-	silent := slices.ContainsFunc(f.links, func(l *switchLink) bool { return l.silent })
-	if r.closed && !silent { // it may have been a hang, and no connection is left that would show it
+	remote.lostRepeat = lostRepeat{}
+	anySilent := slices.ContainsFunc(remote.links, func(link *switchLink) bool { return link.silent })
+	if suspect.closed && !anySilent { // it may have been a hang, and no connection is left that would show it
 		return
 	}
-	ended := a.matchingCalls(func(k *trackedCall) bool {
-		if !k.isEstablishedAt(f.entry.ID) || k.establishedAt >= r.openedAt {
+	calls := a.matchingCalls(func(call *trackedCall) bool {
+		if !call.isEstablishedAt(remote.entry.ID) || call.establishedAt >= suspect.openedAt {
 			return false
 		}
-		own := f.findLink(k.lastTry().conn)
-		return own == nil || own.silent
+		ownLink := remote.findLink(call.lastTry().conn)
+		return ownLink == nil || ownLink.silent
 	})
-	if len(ended) > 0 {
-		a.transport.Note(fmt.Sprintf("%d calls established at %s are released: messages on connection %d may be lost", len(ended), board.FormatID(f.entry.ID), r.conn))
+	if len(calls) > 0 {
+		a.transport.Note(fmt.Sprintf("%d calls established at %s are released: messages on connection %d may be lost", len(calls), board.FormatID(remote.entry.ID), suspect.conn))
 	}
-	for _, k := range ended {
-		a.releaseSwitch(f.entry.ID, 0, a.newRelease(k.callID, k.uri, causeTemporaryFailure))
-		a.releaseCaller(k, causeTemporaryFailure)
-		a.reportEnded(k, policy.Disconnected, noReport)
+	for _, call := range calls {
+		a.releaseSwitch(remote.entry.ID, 0, a.newRelease(call.callID, call.uri, causeTemporaryFailure))
+		a.releaseCaller(call, causeTemporaryFailure)
+		a.reportEnded(call, policy.Disconnected, noReport)
 	}
 }
--- a/internal/b2bua/read.go
+++ b/internal/b2bua/read.go
@@ -41,8 +41,8 @@
 
 var errSetUp = errors.New("invalid set-up")
 
-func setUpError(format string, a ...any) error {
-	return fmt.Errorf("%w: "+format, append([]any{errSetUp}, a...)...)
+func setUpError(format string, args ...any) error {
+	return fmt.Errorf("%w: "+format, append([]any{errSetUp}, args...)...)
 }
 
 // parseID parses an id of 16 hexadecimal digits.
@@ -56,87 +56,87 @@
 
 // parseSetUp parses a set-up. The numbers of exchanges and circuits are only checked for plausible values; the
 // policy decides whether the call can be carried.
-func parseSetUp(m *sip.Message, set *deployment.Settings) (o setUp, err error) {
-	if o.id, err = parseID(m.CallID); err != nil {
-		return o, err
+func parseSetUp(msg *sip.Message, settings *deployment.Settings) (parsed setUp, err error) {
+	if parsed.id, err = parseID(msg.CallID); err != nil {
+		return parsed, err
 	}
-	if o.request.Number, err = parseID(m.User()); err != nil {
-		return o, fmt.Errorf("called number: %w", err)
+	if parsed.request.Number, err = parseID(msg.User()); err != nil {
+		return parsed, fmt.Errorf("called number: %w", err)
 	}
-	o.request.Dest, o.request.Width, o.request.AdvisedTandem, o.request.Bearer = -1, 1, -1, -1
-	class := m.Get(fieldClass)
-	for i, name := range set.BearerNames {
+	parsed.request.Dest, parsed.request.Width, parsed.request.AdvisedTandem, parsed.request.Bearer = -1, 1, -1, -1
+	class := msg.Get(fieldClass)
+	for i, name := range settings.BearerNames {
 		if name == class {
-			o.request.Bearer = i
+			parsed.request.Bearer = i
 		}
 	}
-	for _, part := range strings.Split(m.Get(fieldInfo), ";") {
+	for _, part := range strings.Split(msg.Get(fieldInfo), ";") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), ":")
 		if !ok {
 			if part == "" {
 				continue
 			}
-			return o, setUpError("%s %.40q", fieldInfo, part)
+			return parsed, setUpError("%s %.40q", fieldInfo, part)
 		}
 		if name == "at" {
-			if o.adoptedAt, err = board.ParseID(value); err != nil {
-				return o, fmt.Errorf("%w: %w", errSetUp, err)
+			if parsed.adoptedAt, err = board.ParseID(value); err != nil {
+				return parsed, fmt.Errorf("%w: %w", errSetUp, err)
 			}
-			o.adopted = true
+			parsed.adopted = true
 			continue
 		}
-		v, err := strconv.ParseFloat(value, 64) // whole numbers, perhaps written with a decimal point
-		if err != nil || !(v >= -1 && v < maxCount) || v != float64(int(v)) {
-			return o, setUpError("%s %.40q", fieldInfo, part)
+		number, err := strconv.ParseFloat(value, 64) // whole numbers, perhaps written with a decimal point
+		if err != nil || !(number >= -1 && number < maxCount) || number != float64(int(number)) {
+			return parsed, setUpError("%s %.40q", fieldInfo, part)
 		}
 		switch name {
 		case "dest":
-			o.request.Dest = int(v)
+			parsed.request.Dest = int(number)
 		case "width":
-			o.request.Width = int(v)
+			parsed.request.Width = int(number)
 		case "via":
-			o.request.AdvisedTandem = int(v)
+			parsed.request.AdvisedTandem = int(number)
 		case "transit":
-			o.request.Transit = v == 1
+			parsed.request.Transit = number == 1
 		case "again":
-			o.request.Disconnected = v == 1
+			parsed.request.Disconnected = number == 1
 		}
 	}
-	if o.adopted {
-		return o, nil
+	if parsed.adopted {
+		return parsed, nil
 	}
-	if o.request.Bearer < 0 {
-		return o, setUpError("%s %.40q is not configured", fieldClass, class)
+	if parsed.request.Bearer < 0 {
+		return parsed, setUpError("%s %.40q is not configured", fieldClass, class)
 	}
-	if o.request.Dest < 0 || o.request.Width < 1 {
-		return o, setUpError("%s lacks a destination or a circuit", fieldInfo)
+	if parsed.request.Dest < 0 || parsed.request.Width < 1 {
+		return parsed, setUpError("%s lacks a destination or a circuit", fieldInfo)
 	}
-	o.request.Redial = m.Get(fieldRepeat) == "1"
-	ms, err := strconv.ParseFloat(m.Get(fieldExpires), 64)
+	parsed.request.Redial = msg.Get(fieldRepeat) == "1"
+	ms, err := strconv.ParseFloat(msg.Get(fieldExpires), 64)
 	if err != nil || !(ms > 0 && ms <= maxExpiresMS) {
-		return o, setUpError("%s %.40q", fieldExpires, m.Get(fieldExpires))
+		return parsed, setUpError("%s %.40q", fieldExpires, msg.Get(fieldExpires))
 	}
-	o.request.TTL = deployment.TenthsFromMillis(ms)
-	return o, nil
+	parsed.request.TTL = deployment.TenthsFromMillis(ms)
+	return parsed, nil
 }
 
 // loadNames maps the names of load values on the wire to those in the settings.
 var loadNames = map[string]string{"x0": "free", "x1": "size", "eps": "hold_back", "latency_ms": "avg_ms"}
 
 // parseLoad parses the load report that a message carries, as in "x0:12;x1:40;queue:3".
-func parseLoad(m *sip.Message) policy.LoadReport {
+func parseLoad(msg *sip.Message) policy.LoadReport {
 	var names []string
 	var values []float64
-	for _, part := range strings.Split(m.Get(fieldLoad), ";") {
+	for _, part := range strings.Split(msg.Get(fieldLoad), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
-		v, err := strconv.ParseFloat(value, 64)
+		number, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			continue
 		}
-		if own, ok := loadNames[name]; ok {
-			name = own
+		if settingName, ok := loadNames[name]; ok {
+			name = settingName
 		}
-		names, values = append(names, name), append(values, v)
+		names, values = append(names, name), append(values, number)
 	}
 	return deployment.LoadReport(names, values)
 }
@@ -145,27 +145,27 @@
 	"acc": policy.ProcessorOverloaded, "sub": policy.NumberBusy}
 
 // parseRefusal returns how a refused route try ended, the reason, and the wait that the switch asks for.
-func parseRefusal(m *sip.Message) (end policy.Outcome, why policy.Reason, wait policy.Tenths) {
-	why = warningReasons[m.Get(fieldWarning)]
-	if ms, err := strconv.ParseFloat(m.Get(fieldWait), 64); err == nil && ms >= 0 && ms <= maxExpiresMS {
+func parseRefusal(msg *sip.Message) (ending policy.Outcome, reason policy.Reason, wait policy.Tenths) {
+	reason = warningReasons[msg.Get(fieldWarning)]
+	if ms, err := strconv.ParseFloat(msg.Get(fieldWait), 64); err == nil && ms >= 0 && ms <= maxExpiresMS {
 		wait = deployment.TenthsFromMillis(ms)
 	}
-	switch m.Status {
+	switch msg.Status {
 	case sip.ServiceUnavailable:
-		end = policy.Blocked
+		ending = policy.Blocked
 	case sip.TemporarilyUnavailable:
-		end = policy.Unsent
+		ending = policy.Unsent
 	case sip.ServerTimeout:
-		end = policy.Disconnected
+		ending = policy.Disconnected
 	default:
-		end = policy.Faulted
+		ending = policy.Faulted
 	}
-	return end, why, wait
+	return ending, reason, wait
 }
 
 // parseCause returns the Q.850 cause of a release, -1 if there is none (RFC 3326).
-func parseCause(m *sip.Message) int {
-	for _, part := range strings.Split(m.Get(fieldReason), ";") {
+func parseCause(msg *sip.Message) int {
+	for _, part := range strings.Split(msg.Get(fieldReason), ";") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "cause="); ok {
 			if n, err := strconv.Atoi(v); err == nil {
 				return n
--- a/internal/b2bua/release.go
+++ b/internal/b2bua/release.go
@@ -56,16 +56,16 @@
 	byCall map[uint64]*pendingRelease
 }
 
-func (q *releaseQueue) add(r *pendingRelease) {
-	q.order = append(q.order, r)
-	q.byCall[r.call.id] = r
+func (q *releaseQueue) add(release *pendingRelease) {
+	q.order = append(q.order, release)
+	q.byCall[release.call.id] = release
 }
 
-func (q *releaseQueue) remove(r *pendingRelease) {
-	if i := slices.Index(q.order, r); i >= 0 {
+func (q *releaseQueue) remove(release *pendingRelease) {
+	if i := slices.Index(q.order, release); i >= 0 {
 		q.order = slices.Delete(q.order, i, i+1)
 	}
-	delete(q.byCall, r.call.id)
+	delete(q.byCall, release.call.id)
 }
 
 // releaseCopy is a copy of a release written on a connection.
@@ -76,235 +76,235 @@
 }
 
 // releaseCaller releases a call towards its caller.
-func (a *Agent) releaseCaller(k *trackedCall, why int) {
-	if k.callerNotified { // the caller knows already that the call is over
+func (a *Agent) releaseCaller(call *trackedCall, cause int) {
+	if call.callerNotified { // the caller knows already that the call is over
 		return
 	}
-	if before := a.callerReleases.byCall[k.id]; before != nil {
+	if before := a.callerReleases.byCall[call.id]; before != nil {
 		a.callerReleases.remove(before)
 		a.callers.forgetCopies(before)
 	}
 	if len(a.callerReleases.order) >= maxCallerReleases {
 		a.dropRelease(a.callerReleases.order[0], "too many unconfirmed releases")
 	}
-	k.callerNotified = true
-	r := &pendingRelease{call: k, cause: max(why, 0), receivedAt: a.now}
-	a.callerReleases.add(r)
-	a.writeRound(r)
+	call.callerNotified = true
+	release := &pendingRelease{call: call, cause: max(cause, 0), receivedAt: a.now}
+	a.callerReleases.add(release)
+	a.writeRound(release)
 }
 
 // releaseRoundDue writes the next round of an unconfirmed release.
-func (a *Agent) releaseRoundDue(d due.Item) {
-	r := a.callerReleases.byCall[d.Token]
-	if r == nil || r.nextRoundAt != d.At {
+func (a *Agent) releaseRoundDue(item due.Item) {
+	release := a.callerReleases.byCall[item.Token]
+	if release == nil || release.nextRoundAt != item.At {
 		return
 	}
-	k := r.call
-	if until := a.silence.stallEndedAt + stallReadDelay; a.silence.stallEndedAt != 0 && a.now < until && !r.postponed {
-		r.postponed = true
-		a.scheduleRound(r, until)
+	call := release.call
+	if until := a.silence.stallEndedAt + stallReadDelay; a.silence.stallEndedAt != 0 && a.now < until && !release.postponed {
+		release.postponed = true
+		a.scheduleRound(release, until)
 		return
 	}
-	waited := a.now - r.receivedAt
-	if r.copies > 0 {
+	waited := a.now - release.receivedAt
+	if release.copies > 0 {
 		a.releaseCounts.Unanswered++
-		a.transport.Record(Record{Kind: ReleaseUnanswered, CallID: k.callID, Conn: k.caller, Switch: k.lastSwitch(), Copies: r.copies, Waited: waited})
+		a.transport.Record(Record{Kind: ReleaseUnanswered, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), Copies: release.copies, Waited: waited})
 	}
 	switch {
-	case r.firstSetUpConnAt != 0 && a.now-r.firstSetUpConnAt >= writtenReleaseRetention:
-		a.dropRelease(r, "not confirmed by any caller")
-	case r.firstSetUpConnAt == 0 && waited >= unwrittenReleaseRetention:
-		a.dropRelease(r, "no caller connected")
+	case release.firstSetUpConnAt != 0 && a.now-release.firstSetUpConnAt >= writtenReleaseRetention:
+		a.dropRelease(release, "not confirmed by any caller")
+	case release.firstSetUpConnAt == 0 && waited >= unwrittenReleaseRetention:
+		a.dropRelease(release, "no caller connected")
 	default:
-		a.writeRound(r)
+		a.writeRound(release)
 	}
 }
 
 // writeRound writes copies of a release on the connections most likely to be read, and schedules the next round.
 // If the best connection is suspect, the second best gets a copy in the first round.
-func (a *Agent) writeRound(r *pendingRelease) {
-	copies := min(1<<max(0, r.rounds-1), maxCopiesPerRound)
-	candidates := a.callers.releaseCandidates(r, a.now)
-	if r.rounds == 0 && len(candidates) > 0 && candidates[0].suspect(a.now) {
+func (a *Agent) writeRound(release *pendingRelease) {
+	copies := min(1<<max(0, release.rounds-1), maxCopiesPerRound)
+	candidates := a.callers.releaseCandidates(release, a.now)
+	if release.rounds == 0 && len(candidates) > 0 && candidates[0].suspect(a.now) {
 		copies++
 	}
-	a.writeCopies(r, candidates, copies)
-	if r.copies > 0 {
-		r.rounds++
+	a.writeCopies(release, candidates, copies)
+	if release.copies > 0 {
+		release.rounds++
 	}
 	wait := releaseRoundInterval
-	if r.rounds >= fastRounds || a.now-r.receivedAt >= callerReleaseLimit {
+	if release.rounds >= fastRounds || a.now-release.receivedAt >= callerReleaseLimit {
 		wait = slowRoundInterval
 	}
-	a.scheduleRound(r, a.now+wait)
+	a.scheduleRound(release, a.now+wait)
 }
 
-func (a *Agent) scheduleRound(r *pendingRelease, at policy.Tenths) {
-	r.nextRoundAt = at
-	a.timers.Set(at, timerReleaseRound, r.call.id)
+func (a *Agent) scheduleRound(release *pendingRelease, at policy.Tenths) {
+	release.nextRoundAt = at
+	a.timers.Set(at, timerReleaseRound, release.call.id)
 }
 
 // writeCopies writes a release on the first candidates.
-func (a *Agent) writeCopies(r *pendingRelease, candidates []*callerConn, copies int) {
-	if len(candidates) == 0 && r.copies == 0 && !r.waitLogged {
-		r.waitLogged = true
-		a.transport.Record(Record{Kind: ReleasePending, CallID: r.call.callID, Switch: r.call.lastSwitch(), Reason: "no open caller connection"})
+func (a *Agent) writeCopies(release *pendingRelease, candidates []*callerConn, copies int) {
+	if len(candidates) == 0 && release.copies == 0 && !release.waitLogged {
+		release.waitLogged = true
+		a.transport.Record(Record{Kind: ReleasePending, CallID: release.call.callID, Switch: release.call.lastSwitch(), Reason: "no open caller connection"})
 	}
-	copies = min(copies, len(candidates), maxRoundCopies-r.roundCopies)
-	for _, o := range candidates[:max(0, copies)] {
-		r.roundCopies++
-		a.writeCopy(r, o)
+	copies = min(copies, len(candidates), maxRoundCopies-release.roundCopies)
+	for _, caller := range candidates[:max(0, copies)] {
+		release.roundCopies++
+		a.writeCopy(release, caller)
 	}
 }
 
-func (a *Agent) writeCopy(r *pendingRelease, o *callerConn) {
-	k := r.call
-	r.copies++
-	r.lastCopyAt = a.now
-	if r.firstSetUpConnAt == 0 && o.setUpSeen {
-		r.firstSetUpConnAt = a.now
+func (a *Agent) writeCopy(release *pendingRelease, caller *callerConn) {
+	call := release.call
+	release.copies++
+	release.lastCopyAt = a.now
+	if release.firstSetUpConnAt == 0 && caller.setUpSeen {
+		release.firstSetUpConnAt = a.now
 	}
 	kind := ReleaseRepeated
-	if r.copies == 1 {
+	if release.copies == 1 {
 		kind = ReleaseWritten
 		a.releaseCounts.Written++
 	} else {
 		a.releaseCounts.Repeated++
 	}
-	a.transport.Record(Record{Kind: kind, CallID: k.callID, Conn: o.conn, Switch: k.lastSwitch(), Cause: r.cause, Copies: r.copies, Waited: a.now - r.receivedAt})
-	r.conns = append(r.conns, o.conn)
-	o.lastSeq++
-	o.copies = append(o.copies, releaseCopy{release: r, seq: o.lastSeq, writtenAt: a.now})
-	a.transport.Write(o.conn, a.newRelease(k.callID, k.uri, r.cause))
+	a.transport.Record(Record{Kind: kind, CallID: call.callID, Conn: caller.conn, Switch: call.lastSwitch(), Cause: release.cause, Copies: release.copies, Waited: a.now - release.receivedAt})
+	release.conns = append(release.conns, caller.conn)
+	caller.lastSeq++
+	caller.copies = append(caller.copies, releaseCopy{release: release, seq: caller.lastSeq, writtenAt: a.now})
+	a.transport.Write(caller.conn, a.newRelease(call.callID, call.uri, release.cause))
 }
 
 // offerReleases writes releases on a connection about which something new is known: those without a copy on an
 // equally good connection, and those whose last copy is too old.
-func (a *Agent) offerReleases(o *callerConn) {
-	for _, r := range slices.Clone(a.callerReleases.order) {
-		most := maxOfferedCopies
-		if o.lastProofAt != 0 {
-			most += maxProvedCopies
+func (a *Agent) offerReleases(caller *callerConn) {
+	for _, release := range slices.Clone(a.callerReleases.order) {
+		maxOffered := maxOfferedCopies
+		if caller.lastProofAt != 0 {
+			maxOffered += maxProvedCopies
 		}
-		if r.offeredCopies < most && !slices.Contains(r.conns, o.conn) && a.needsCopy(r, o) {
-			r.offeredCopies++
-			a.writeCopy(r, o)
+		if release.offeredCopies < maxOffered && !slices.Contains(release.conns, caller.conn) && a.needsCopy(release, caller) {
+			release.offeredCopies++
+			a.writeCopy(release, caller)
 		}
 	}
 }
 
-func (a *Agent) needsCopy(r *pendingRelease, o *callerConn) bool {
-	if a.now-r.lastCopyAt >= releaseRoundInterval || !slices.ContainsFunc(r.conns, a.callers.setUpSeen) {
+func (a *Agent) needsCopy(release *pendingRelease, caller *callerConn) bool {
+	if a.now-release.lastCopyAt >= releaseRoundInterval || !slices.ContainsFunc(release.conns, a.callers.setUpSeen) {
 		return true
 	}
-	return o.lastProofAt != 0 && !slices.ContainsFunc(r.conns, a.callers.readProved)
+	return caller.lastProofAt != 0 && !slices.ContainsFunc(release.conns, a.callers.readProved)
 }
 
 // rewriteReleases rewrites releases that were written on a connection that has ended, perhaps unread.
-func (a *Agent) rewriteReleases(o *callerConn) {
-	for _, r := range a.callerReleases.order {
-		r.conns = slices.DeleteFunc(r.conns, func(c ConnID) bool { return c == o.conn })
+func (a *Agent) rewriteReleases(caller *callerConn) {
+	for _, release := range a.callerReleases.order {
+		release.conns = slices.DeleteFunc(release.conns, func(conn ConnID) bool { return conn == caller.conn })
 	}
-	if !o.setUpSeen { // the rounds continue without it; many connections ending at once would use up all copies
+	if !caller.setUpSeen { // the rounds continue without it; many connections ending at once would use up all copies
 		return
 	}
-	for _, written := range o.copies {
+	for _, written := range caller.copies {
 		a.writeCopies(written.release, a.callers.releaseCandidates(written.release, a.now), 1)
 	}
 }
 
 // confirmRelease ends the release of a call, as its caller knows that the call is over.
-func (a *Agent) confirmRelease(k *trackedCall) {
-	r := a.callerReleases.byCall[k.id]
-	if r == nil {
+func (a *Agent) confirmRelease(call *trackedCall) {
+	release := a.callerReleases.byCall[call.id]
+	if release == nil {
 		return
 	}
-	waited := a.now - r.receivedAt
+	waited := a.now - release.receivedAt
 	a.releaseCounts.Confirmed++
 	if waited > callerReleaseLimit {
 		a.releaseCounts.Late++
-		a.transport.Record(Record{Kind: ReleaseLate, CallID: k.callID, Conn: k.caller, Switch: k.lastSwitch(), Copies: r.copies, Waited: waited})
+		a.transport.Record(Record{Kind: ReleaseLate, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), Copies: release.copies, Waited: waited})
 	}
-	a.removeRelease(r)
+	a.removeRelease(release)
 }
 
-func (a *Agent) dropRelease(r *pendingRelease, why string) {
+func (a *Agent) dropRelease(release *pendingRelease, reason string) {
 	a.releaseCounts.Dropped++
-	a.transport.Record(Record{Kind: ReleaseDropped, CallID: r.call.callID, Switch: r.call.lastSwitch(), Copies: r.copies, Waited: a.now - r.receivedAt, Reason: why})
-	a.removeRelease(r)
+	a.transport.Record(Record{Kind: ReleaseDropped, CallID: release.call.callID, Switch: release.call.lastSwitch(), Copies: release.copies, Waited: a.now - release.receivedAt, Reason: reason})
+	a.removeRelease(release)
 }
 
-func (a *Agent) removeRelease(r *pendingRelease) {
-	a.callerReleases.remove(r)
-	a.callers.forgetCopies(r)
+func (a *Agent) removeRelease(release *pendingRelease) {
+	a.callerReleases.remove(release)
+	a.callers.forgetCopies(release)
 }
 
 // handleReadProof handles a proof that a caller has read its connection up to a sequence number. This confirms the
 // releases of calls that came on that connection; other callers may have ignored theirs.
-func (a *Agent) handleReadProof(o *callerConn, place uint64) {
-	first := o.lastProofAt == 0
-	o.proveRead(place, a.now)
+func (a *Agent) handleReadProof(caller *callerConn, seq uint64) {
+	firstProof := caller.lastProofAt == 0
+	caller.proveRead(seq, a.now)
 	n := 0
-	for n < len(o.copies) && o.copies[n].seq <= place {
+	for n < len(caller.copies) && caller.copies[n].seq <= seq {
 		n++
 	}
-	proven := slices.Clone(o.copies[:n])
-	o.copies = slices.Delete(o.copies, 0, n)
-	for _, written := range proven {
-		if k := written.release.call; k.caller == o.conn {
-			a.confirmRelease(k)
+	readCopies := slices.Clone(caller.copies[:n])
+	caller.copies = slices.Delete(caller.copies, 0, n)
+	for _, written := range readCopies {
+		if call := written.release.call; call.caller == caller.conn {
+			a.confirmRelease(call)
 		}
 	}
-	if first {
-		a.offerReleases(o)
+	if firstProof {
+		a.offerReleases(caller)
 	}
 }
 
 // handleReleaseAnswer handles a caller's answer to a BYE.
-func (a *Agent) handleReleaseAnswer(o *callerConn, m *sip.Message) {
-	id, err := parseID(m.CallID)
-	r := a.callerReleases.byCall[id]
-	if err != nil || r == nil {
+func (a *Agent) handleReleaseAnswer(caller *callerConn, msg *sip.Message) {
+	id, err := parseID(msg.CallID)
+	release := a.callerReleases.byCall[id]
+	if err != nil || release == nil {
 		return
 	}
-	if i := slices.IndexFunc(o.copies, func(written releaseCopy) bool { return written.release == r }); i >= 0 {
-		a.handleReadProof(o, o.copies[i].seq)
+	if i := slices.IndexFunc(caller.copies, func(written releaseCopy) bool { return written.release == release }); i >= 0 {
+		a.handleReadProof(caller, caller.copies[i].seq)
 	}
-	if !m.Rejected() { // a caller that refuses it does not know the call
-		a.confirmRelease(r.call)
+	if !msg.Rejected() { // a caller that refuses it does not know the call
+		a.confirmRelease(release.call)
 	}
 }
 
 // handleAck handles a caller's ACK, which is mandatory after an answer. It proves that the caller has read the
 // answer and everything before it on that connection.
-func (a *Agent) handleAck(o *callerConn, m *sip.Message) {
-	id, err := parseID(m.CallID)
-	if k := a.calls[id]; err == nil && k != nil && k.caller == o.conn && k.answerSeq != 0 {
-		a.handleReadProof(o, k.answerSeq)
+func (a *Agent) handleAck(caller *callerConn, msg *sip.Message) {
+	id, err := parseID(msg.CallID)
+	if call := a.calls[id]; err == nil && call != nil && call.caller == caller.conn && call.answerSeq != 0 {
+		a.handleReadProof(caller, call.answerSeq)
 	}
 }
 
 // writeAnswer writes the final answer to a call's set-up.
-func (a *Agent) writeAnswer(k *trackedCall, m *sip.Message) {
-	if o := a.callers.conns[k.caller]; o != nil {
-		o.lastSeq++
-		k.answerSeq = o.lastSeq
-		o.answerWritten(o.lastSeq, a.now)
+func (a *Agent) writeAnswer(call *trackedCall, msg *sip.Message) {
+	if caller := a.callers.conns[call.caller]; caller != nil {
+		caller.lastSeq++
+		call.answerSeq = caller.lastSeq
+		caller.answerWritten(caller.lastSeq, a.now)
 	}
-	a.transport.Write(k.caller, m)
+	a.transport.Write(call.caller, msg)
 }
 
 // releaseCandidates lists the connections without a copy of a release, the most likely to be read first: the call's own
 // connection, those on which set-ups came, those that are not suspect, and among equals those that proved to be
 // read, or opened, most recently.
-func (d *callerConns) releaseCandidates(r *pendingRelease, now policy.Tenths) []*callerConn {
-	var open []*callerConn
-	for _, c := range slices.Backward(d.order) {
-		if !slices.Contains(r.conns, c) {
-			open = append(open, d.conns[c])
+func (cs *callerConns) releaseCandidates(release *pendingRelease, now policy.Tenths) []*callerConn {
+	var candidates []*callerConn
+	for _, conn := range slices.Backward(cs.order) {
+		if !slices.Contains(release.conns, conn) {
+			candidates = append(candidates, cs.conns[conn])
 		}
 	}
-	first := func(x, y bool) int {
+	trueFirst := func(x, y bool) int {
 		switch {
 		case x == y:
 			return 0
@@ -313,10 +313,10 @@
 		}
 		return 1
 	}
-	own := r.call.caller
-	slices.SortStableFunc(open, func(x, y *callerConn) int {
-		return cmp.Or(first(x.conn == own, y.conn == own), first(x.setUpSeen, y.setUpSeen), first(!x.suspect(now), !y.suspect(now)),
+	ownConn := release.call.caller
+	slices.SortStableFunc(candidates, func(x, y *callerConn) int {
+		return cmp.Or(trueFirst(x.conn == ownConn, y.conn == ownConn), trueFirst(x.setUpSeen, y.setUpSeen), trueFirst(!x.suspect(now), !y.suspect(now)),
 			cmp.Compare(y.lastProofAt, x.lastProofAt))
 	})
-	return open
+	return candidates
 }
--- a/internal/b2bua/release_switch.go
+++ b/internal/b2bua/release_switch.go
@@ -25,27 +25,27 @@
 }
 
 // handleSwitchRelease handles a switch's release.
-func (a *Agent) handleSwitchRelease(f *remoteSwitch, c ConnID, m *sip.Message) {
-	id, err := parseID(m.CallID)
+func (a *Agent) handleSwitchRelease(remote *remoteSwitch, conn ConnID, msg *sip.Message) {
+	id, err := parseID(msg.CallID)
 	if err != nil {
 		return
 	}
-	k, why, rep := a.calls[id], parseCause(m), parseLoad(m)
+	call, cause, report := a.calls[id], parseCause(msg), parseLoad(msg)
 	switch {
-	case k == nil: // established before this process started: its caller must be released all the same
+	case call == nil: // established before this process started: its caller must be released all the same
 		a.releaseCounts.Unknown++
-		a.transport.Record(Record{Kind: ReleaseUnknown, CallID: m.CallID, Switch: f.entry.ID, Cause: why})
-		k = &trackedCall{id: id, callID: m.CallID, uri: m.URI, state: Ended}
-		a.retain(k)
-		a.releaseCaller(k, why)
-	case k.state == Established && (k.lastSwitch() == f.entry.ID || isCallEndCause(why) && (k.adopted || k.mayHaveReached(f.entry.ID))): // the tries of an adopted call are not known
-		a.endEstablished(k, f, why, rep)
-	case (k.state == Offered || k.state == Trying) && isCallEndCause(why) && k.mayHaveReached(f.entry.ID):
-		a.failUnanswered(k, c, f, why, rep)
-	case k.state == Trying && k.lastSwitch() == f.entry.ID && k.lastTry().state == trySent && !k.earlierTryMayBeReleased(f.entry.ID):
-		a.resetTry(k.lastTry(), c, why)
+		a.transport.Record(Record{Kind: ReleaseUnknown, CallID: msg.CallID, Switch: remote.entry.ID, Cause: cause})
+		call = &trackedCall{id: id, callID: msg.CallID, uri: msg.URI, state: Ended}
+		a.retain(call)
+		a.releaseCaller(call, cause)
+	case call.state == Established && (call.lastSwitch() == remote.entry.ID || isCallEndCause(cause) && (call.adopted || call.mayHaveReached(remote.entry.ID))): // the tries of an adopted call are not known
+		a.endEstablished(call, remote, cause, report)
+	case (call.state == Offered || call.state == Trying) && isCallEndCause(cause) && call.mayHaveReached(remote.entry.ID):
+		a.failUnanswered(call, conn, remote, cause, report)
+	case call.state == Trying && call.lastSwitch() == remote.entry.ID && call.lastTry().state == trySent && !call.earlierTryMayBeReleased(remote.entry.ID):
+		a.resetTry(call.lastTry(), conn, cause)
 	default:
-		a.transport.Record(Record{Kind: ReleaseIgnored, CallID: m.CallID, Conn: c, Switch: f.entry.ID, Try: len(k.tries), To: k.state, Cause: why})
+		a.transport.Record(Record{Kind: ReleaseIgnored, CallID: msg.CallID, Conn: conn, Switch: remote.entry.ID, Try: len(call.tries), To: call.state, Cause: cause})
 	}
 }
 
@@ -56,84 +56,84 @@
 // endEstablished ends an established call. The release may refer to an earlier try, there or at another switch.
 // The platform knows calls by their ids alone, so the call is over in any case, and its present switch is released
 // too.
-func (a *Agent) endEstablished(k *trackedCall, f *remoteSwitch, why int, rep policy.LoadReport) {
-	rep = a.reportFor(f, k, rep)
-	a.releaseCaller(k, why)
-	if k.lastSwitch() != f.entry.ID || k.earlierTryMayBeReleased(f.entry.ID) {
-		a.releaseSwitch(k.lastSwitch(), k.lastTry().conn, a.newRelease(k.callID, k.uri, causeNormal))
+func (a *Agent) endEstablished(call *trackedCall, remote *remoteSwitch, cause int, report policy.LoadReport) {
+	report = a.reportFor(remote, call, report)
+	a.releaseCaller(call, cause)
+	if call.lastSwitch() != remote.entry.ID || call.earlierTryMayBeReleased(remote.entry.ID) {
+		a.releaseSwitch(call.lastSwitch(), call.lastTry().conn, a.newRelease(call.callID, call.uri, causeNormal))
 	}
-	if why == causeNormal {
-		a.reportEnded(k, policy.Released, rep)
+	if cause == causeNormal {
+		a.reportEnded(call, policy.Released, report)
 	} else {
-		a.reportEnded(k, policy.Disconnected, rep)
+		a.reportEnded(call, policy.Disconnected, report)
 	}
 }
 
 // failUnanswered fails a call that was established and is over although its caller has no answer, as the
 // switch's answer was lost. A try that is out is cancelled. A further try could be answered to the caller after
 // the release, and the caller would never be released.
-func (a *Agent) failUnanswered(k *trackedCall, c ConnID, f *remoteSwitch, why int, rep policy.LoadReport) {
-	t := k.lastTry()
-	rep = a.reportFor(f, k, rep)
+func (a *Agent) failUnanswered(call *trackedCall, conn ConnID, remote *remoteSwitch, cause int, report policy.LoadReport) {
+	try := call.lastTry()
+	report = a.reportFor(remote, call, report)
 	a.tryCounts.Reset++
-	a.transport.Record(Record{Kind: TryReset, CallID: k.callID, Conn: c, Switch: f.entry.ID, Try: t.number + 1, To: k.state, Cause: why, Waited: a.now - t.sentAt,
-		Reason: fmt.Sprintf("call is over, last try is %s on connection %d", t.state, t.conn)})
-	if k.state == Trying {
-		a.abandonTry(t, "call is over")
+	a.transport.Record(Record{Kind: TryReset, CallID: call.callID, Conn: conn, Switch: remote.entry.ID, Try: try.number + 1, To: call.state, Cause: cause, Waited: a.now - try.sentAt,
+		Reason: fmt.Sprintf("call is over, last try is %s on connection %d", try.state, try.conn)})
+	if call.state == Trying {
+		a.abandonTry(try, "call is over")
 	}
-	a.refuse(k, sip.ServerInternalError, 0)
-	a.setState(k, Ended)
+	a.refuse(call, sip.ServerInternalError, 0)
+	a.setState(call, Ended)
 	a.callCounts.Aborted++
-	a.decider.TryEnded(a.now, k.handle, t.number, t.switchID, policy.Disconnected, true, policy.NoReason, 0, rep)
+	a.decider.TryEnded(a.now, call.handle, try.number, try.switchID, policy.Disconnected, true, policy.NoReason, 0, report)
 }
 
 // reportFor returns the load report for the end of a call's last try: the one that came, if it is of the same
 // switch. The report of another switch is passed on separately.
-func (a *Agent) reportFor(f *remoteSwitch, k *trackedCall, rep policy.LoadReport) policy.LoadReport {
-	if k.lastSwitch() == f.entry.ID {
-		return rep
+func (a *Agent) reportFor(remote *remoteSwitch, call *trackedCall, report policy.LoadReport) policy.LoadReport {
+	if call.lastSwitch() == remote.entry.ID {
+		return report
 	}
-	if rep.Size >= 0 {
-		a.decider.LoadReported(a.now, f.entry.ID, rep)
+	if report.Size >= 0 {
+		a.decider.LoadReported(a.now, remote.entry.ID, report)
 	}
 	return noReport
 }
 
 // resetTry ends a try that is out when its switch releases the call. The try is cancelled as well, since the
 // release may refer to a set-up with the same id from before this process started.
-func (a *Agent) resetTry(t *routeTry, c ConnID, why int) {
+func (a *Agent) resetTry(try *routeTry, conn ConnID, cause int) {
 	a.tryCounts.Reset++
-	a.transport.Record(Record{Kind: TryReset, CallID: t.call.callID, Conn: c, Switch: t.switchID, Try: t.number + 1, Cause: why, Waited: a.now - t.sentAt,
-		Reason: fmt.Sprintf("set-up was sent on connection %d", t.conn)})
-	a.abandonTry(t, "released by the switch before an answer")
-	a.endTry(t, policy.Disconnected)
+	a.transport.Record(Record{Kind: TryReset, CallID: try.call.callID, Conn: conn, Switch: try.switchID, Try: try.number + 1, Cause: cause, Waited: a.now - try.sentAt,
+		Reason: fmt.Sprintf("set-up was sent on connection %d", try.conn)})
+	a.abandonTry(try, "released by the switch before an answer")
+	a.endTry(try, policy.Disconnected)
 }
 
 // releaseSwitch releases a call towards its switch on any connection, or on the next one that opens.
-func (a *Agent) releaseSwitch(sw uint32, link ConnID, m *sip.Message) {
-	f := a.switches[sw]
-	if f == nil {
+func (a *Agent) releaseSwitch(switchID uint32, conn ConnID, msg *sip.Message) {
+	remote := a.switches[switchID]
+	if remote == nil {
 		return
 	}
-	l := f.findLink(link)
-	if l == nil || a.isSuspect(f, l) {
-		if other := a.pickLink(f, 0, avoidNone); other != nil {
-			l = other
+	link := remote.findLink(conn)
+	if link == nil || a.isSuspect(remote, link) {
+		if other := a.pickLink(remote, 0, avoidNone); other != nil {
+			link = other
 		}
 	}
-	if l != nil {
-		l.sentReleases = append(slices.DeleteFunc(l.sentReleases, func(b sentRelease) bool { return a.now-b.sentAt > releaseLossWindow }), sentRelease{a.now, *m})
-		a.transport.Write(l.conn, m)
+	if link != nil {
+		link.sentReleases = append(slices.DeleteFunc(link.sentReleases, func(release sentRelease) bool { return a.now-release.sentAt > releaseLossWindow }), sentRelease{a.now, *msg})
+		a.transport.Write(link.conn, msg)
 		return
 	}
-	a.queueRelease(f, m)
-	a.dial(f)
+	a.queueRelease(remote, msg)
+	a.dial(remote)
 }
 
 // queueRelease queues a release for the next connection to a switch.
-func (a *Agent) queueRelease(f *remoteSwitch, m *sip.Message) {
-	if len(f.pendingReleases) < maxPendingReleases {
-		f.pendingReleases = append(f.pendingReleases, *m)
+func (a *Agent) queueRelease(remote *remoteSwitch, msg *sip.Message) {
+	if len(remote.pendingReleases) < maxPendingReleases {
+		remote.pendingReleases = append(remote.pendingReleases, *msg)
 	} else {
 		a.transport.Note("too many pending releases for a switch; release dropped")
 	}
--- a/internal/b2bua/release_test.go
+++ b/internal/b2bua/release_test.go
@@ -10,261 +10,261 @@
 )
 
 // callerPairWithCall creates an agent with two callers that keep to the protocol, and an established call of the first one.
-func callerPairWithCall(t *testing.T) (r *harness, first, second ConnID, k *observedCall) {
-	r = newHarness(t)
-	r.completeDials(9, 9)
-	first, second = r.connectCaller(), r.connectCaller()
-	k = r.sendSetUp(first, 1, 1000)
-	r.answer(k, sip.OK)
-	r.answer(r.sendSetUp(second, 2, 1000), sip.OK)
-	return r, first, second, k
+func callerPairWithCall(t *testing.T) (h *harness, first, second ConnID, call *observedCall) {
+	h = newHarness(t)
+	h.completeDials(9, 9)
+	first, second = h.connectCaller(), h.connectCaller()
+	call = h.sendSetUp(first, 1, 1000)
+	h.answer(call, sip.OK)
+	h.answer(h.sendSetUp(second, 2, 1000), sip.OK)
+	return h, first, second, call
 }
 
-func (r *harness) releaseFromSwitch(k *observedCall) {
-	k.establishedAt, k.endedAt = 0, r.now
-	r.agent.FromSwitch(r.now, k.establishedConn, r.newRelease(k.id, 16))
+func (h *harness) releaseFromSwitch(call *observedCall) {
+	call.establishedAt, call.endedAt = 0, h.now
+	h.agent.FromSwitch(h.now, call.establishedConn, h.newRelease(call.id, 16))
 }
 
 // connectUnresponsiveCaller connects a caller that sends a well-formed set-up, and reads and acknowledges nothing.
-func (r *harness) connectUnresponsiveCaller() {
-	c := r.connectCaller()
-	r.unresponsive[c] = true
-	r.sendSetUp(c, 9, 1000)
+func (h *harness) connectUnresponsiveCaller() {
+	conn := h.connectCaller()
+	h.unresponsive[conn] = true
+	h.sendSetUp(conn, 9, 1000)
 }
 
 // checkReleases checks how often a call's caller was released, and on which connection last.
-func (r *harness) checkReleases(k *observedCall, n int, on ConnID) {
-	r.t.Helper()
-	if k.callerReleases != n || k.releasedOn != on {
-		r.t.Fatalf("the caller was released %d times, last on %d; want %d, %d", k.callerReleases, k.releasedOn, n, on)
+func (h *harness) checkReleases(call *observedCall, n int, conn ConnID) {
+	h.t.Helper()
+	if call.callerReleases != n || call.releasedOn != conn {
+		h.t.Fatalf("the caller was released %d times, last on %d; want %d, %d", call.callerReleases, call.releasedOn, n, conn)
 	}
 }
 
-func TestReleaseThatCrossesTheCloseOfItsConnectionGoesAgainOnAnother(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.releaseFromSwitch(k)
-	r.checkReleases(k, 1, first)
-	r.disconnectCaller(first) // before the caller answered it
-	r.checkReleases(k, 2, second)
-	r.advanceTime(20000)
-	r.checkReleases(k, 2, second)
+func TestReleaseThatCrossesACloseIsRepeatedOnAnotherConnection(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.releaseFromSwitch(call)
+	h.checkReleases(call, 1, first)
+	h.disconnectCaller(first) // before the caller answered it
+	h.checkReleases(call, 2, second)
+	h.advanceTime(20000)
+	h.checkReleases(call, 2, second)
 }
 
-func TestReleaseThatFindsNoOtherConnectionGoesOnTheNext(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.disconnectCaller(second)
-	r.releaseFromSwitch(k)
-	r.disconnectCaller(first)
-	r.checkReleases(k, 1, 0)
-	third := r.connectCaller()
-	r.checkReleases(k, 1, 0)
-	r.sendSetUp(third, 1, 1000)
-	r.checkReleases(k, 2, third)
+func TestReleaseWithoutAnotherConnectionIsRepeatedOnTheNext(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.disconnectCaller(second)
+	h.releaseFromSwitch(call)
+	h.disconnectCaller(first)
+	h.checkReleases(call, 1, 0)
+	third := h.connectCaller()
+	h.checkReleases(call, 1, 0)
+	h.sendSetUp(third, 1, 1000)
+	h.checkReleases(call, 2, third)
 }
 
-func TestReleaseThatIsNotAnsweredGoesAgainWhereSomebodyHears(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.unresponsive[first] = true
-	r.releaseFromSwitch(k)
-	r.advanceTime(releaseRoundInterval - 10)
-	r.checkReleases(k, 1, first)
-	r.advanceTime(20)
-	r.checkReleases(k, 2, second)
-	other := r.sendSetUp(second, 1, 1000)
-	r.answer(other, sip.OK)
-	r.disconnectCaller(second)
-	r.releaseFromSwitch(other) // the remaining caller did not read before; the release is still sent to it, and to the next one that connects
-	r.checkReleases(other, 1, first)
-	third := r.connectCaller()
-	r.sendSetUp(third, 1, 1000)
-	r.advanceTime(releaseRoundInterval)
-	r.checkReleases(other, 2, third)
+func TestUnansweredReleaseIsRepeatedOnAConnectionThatIsRead(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.unresponsive[first] = true
+	h.releaseFromSwitch(call)
+	h.advanceTime(releaseRoundInterval - 10)
+	h.checkReleases(call, 1, first)
+	h.advanceTime(20)
+	h.checkReleases(call, 2, second)
+	other := h.sendSetUp(second, 1, 1000)
+	h.answer(other, sip.OK)
+	h.disconnectCaller(second)
+	h.releaseFromSwitch(other) // the remaining caller did not read before; the release is still sent to it, and to the next one that connects
+	h.checkReleases(other, 1, first)
+	third := h.connectCaller()
+	h.sendSetUp(third, 1, 1000)
+	h.advanceTime(releaseRoundInterval)
+	h.checkReleases(other, 2, third)
 }
 
 func TestReleaseIsNotRepeatedForEver(t *testing.T) {
-	r, _, _, k := callerPairWithCall(t)
-	r.releaseFromSwitch(k)
-	for _, c := range r.callers {
-		r.unresponsive[c] = true
+	h, _, _, call := callerPairWithCall(t)
+	h.releaseFromSwitch(call)
+	for _, conn := range h.callers {
+		h.unresponsive[conn] = true
 	}
 	for range writtenReleaseRetention / 1000 { // ten new callers a second
-		r.advanceTime(1000)
-		r.connectUnresponsiveCaller()
+		h.advanceTime(1000)
+		h.connectUnresponsiveCaller()
 	}
-	if told := k.callerReleases; told < maxRoundCopies || told > maxRoundCopies+maxOfferedCopies {
-		t.Fatalf("the caller was released %d times", told)
+	if copies := call.callerReleases; copies < maxRoundCopies || copies > maxRoundCopies+maxOfferedCopies {
+		t.Fatalf("the caller was released %d times", copies)
 	}
-	r.advanceTime(slowRoundInterval)
-	if len(r.agent.callerReleases.order) != 0 {
-		t.Fatalf("%d pending releases", len(r.agent.callerReleases.order))
+	h.advanceTime(slowRoundInterval)
+	if len(h.agent.callerReleases.order) != 0 {
+		t.Fatalf("%d pending releases", len(h.agent.callerReleases.order))
 	}
 }
 
-func TestReleaseAnsweredLateOnItsFirstConnectionIsHeard(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.unresponsive[first] = true
-	r.releaseFromSwitch(k)
-	r.advanceTime(releaseRoundInterval + 10)
-	r.checkReleases(k, 2, second)
-	late := r.newRelease(k.id, 16).Response(sip.OK)
-	r.agent.FromCaller(r.now, r.now, first, &late)
-	r.disconnectCaller(second)
-	r.sendSetUp(r.connectCaller(), 1, 1000)
-	r.checkReleases(k, 2, 0)
+func TestLateAnswerConfirmsARelease(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.unresponsive[first] = true
+	h.releaseFromSwitch(call)
+	h.advanceTime(releaseRoundInterval + 10)
+	h.checkReleases(call, 2, second)
+	late := h.newRelease(call.id, 16).Response(sip.OK)
+	h.agent.FromCaller(h.now, h.now, first, &late)
+	h.disconnectCaller(second)
+	h.sendSetUp(h.connectCaller(), 1, 1000)
+	h.checkReleases(call, 2, 0)
 }
 
-func TestOwnStallIsNoSilenceOfACaller(t *testing.T) {
-	r, first, _, k := callerPairWithCall(t)
-	r.releaseFromSwitch(k)
-	r.now += releaseRoundInterval + 5000
-	r.agent.Tick(r.now, r.now) // the process stalled and the answer is unread
-	r.checkReleases(k, 1, first)
-	r.advanceTime(policy.Tenths(100))
-	r.checkReleases(k, 1, first)
+func TestLocalStallPostponesAReleaseRound(t *testing.T) {
+	h, first, _, call := callerPairWithCall(t)
+	h.releaseFromSwitch(call)
+	h.now += releaseRoundInterval + 5000
+	h.agent.Tick(h.now, h.now) // the process stalled and the answer is unread
+	h.checkReleases(call, 1, first)
+	h.advanceTime(policy.Tenths(100))
+	h.checkReleases(call, 1, first)
 }
 
-func TestReleaseThatCrossesTheEndOfASwitchConnectionGoesOnTheNext(t *testing.T) {
-	r, first, _, k := callerPairWithCall(t)
-	on := k.establishedConn
-	k.callerEnded = true
-	r.agent.FromCaller(r.now, r.now, first, r.newRelease(k.id, 16))
-	if k.switchReleases != 1 {
-		t.Fatalf("released %d times", k.switchReleases)
+func TestReleaseThatCrossesTheEndOfASwitchConnectionIsRepeated(t *testing.T) {
+	h, first, _, call := callerPairWithCall(t)
+	conn := call.establishedConn
+	call.callerEnded = true
+	h.agent.FromCaller(h.now, h.now, first, h.newRelease(call.id, 16))
+	if call.switchReleases != 1 {
+		t.Fatalf("released %d times", call.switchReleases)
 	}
-	k.establishedAt = r.links[on] // the switch did not read it
-	r.disconnectLink(on)
-	r.completeDials(9, 9)
-	if k.switchReleases != 2 {
-		t.Fatalf("the switch was released %d times", k.switchReleases)
+	call.establishedAt = h.links[conn] // the switch did not read it
+	h.disconnectLink(conn)
+	h.completeDials(9, 9)
+	if call.switchReleases != 2 {
+		t.Fatalf("the switch was released %d times", call.switchReleases)
 	}
 }
 
 // Guards against choosing one of many callers that send well-formed set-ups but read nothing.
-func TestReleaseGoesToOneWhoAcknowledgesAmongManyWhoDoNot(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.disconnectCaller(first)
+func TestReleaseGoesToACallerThatAcknowledges(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.disconnectCaller(first)
 	for range 3 {
-		r.connectUnresponsiveCaller()
+		h.connectUnresponsiveCaller()
 	}
-	r.releaseFromSwitch(k)
-	r.checkReleases(k, 1, second)
+	h.releaseFromSwitch(call)
+	h.checkReleases(call, 1, second)
 }
 
 // Guards against closing the connection of a caller that acknowledges when more connect than the limit allows,
 // though it has been quiet longest.
-func TestWhoAcknowledgesIsTheLastToLoseItsConnection(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.releaseFromSwitch(k)
-	r.advanceTime(100)
+func TestCallerThatAcknowledgesIsEvictedLast(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.releaseFromSwitch(call)
+	h.advanceTime(100)
 	for range 10 {
-		r.connectUnresponsiveCaller()
-		r.advanceTime(10)
+		h.connectUnresponsiveCaller()
+		h.advanceTime(10)
 	}
-	if r.closed[first] != "" || r.closed[second] != "" {
-		t.Fatalf("closed: %v", r.closed)
+	if h.closed[first] != "" || h.closed[second] != "" {
+		t.Fatalf("closed: %v", h.closed)
 	}
 }
 
 // Guards against a delay when no connected caller reads: the release goes to them one after the other, and at once
 // to a new caller that acknowledges.
-func TestReleaseGoesAtOnceToWhoProvesToHear(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.disconnectCaller(first)
-	r.disconnectCaller(second)
+func TestReleaseGoesAtOnceToACallerThatProvesToRead(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.disconnectCaller(first)
+	h.disconnectCaller(second)
 	for range 3 {
-		r.connectUnresponsiveCaller()
+		h.connectUnresponsiveCaller()
 	}
-	r.releaseFromSwitch(k)
-	r.advanceTime(100)
-	r.checkReleases(k, 1, r.callers[2])
-	c := r.connectCaller()
-	r.sendSetUp(c, 9, 1000)
-	r.checkReleases(k, 2, c)
+	h.releaseFromSwitch(call)
+	h.advanceTime(100)
+	h.checkReleases(call, 1, h.callers[2])
+	conn := h.connectCaller()
+	h.sendSetUp(conn, 9, 1000)
+	h.checkReleases(call, 2, conn)
 }
 
 // Guards against repeating releases to callers that never send the optional 200 to BYE: a mandatory ACK later on
 // the same connection proves that the release was read.
 func TestAcknowledgementOfALaterAnswerConfirmsAnEarlierRelease(t *testing.T) {
-	r, first, _, k := callerPairWithCall(t)
-	other := r.sendSetUp(first, 1, 1000)
-	r.unresponsive[first] = true // answers no BYE; this test sends its ACKs
-	r.releaseFromSwitch(k)
-	r.answer(other, sip.OK)
-	r.agent.FromCaller(r.now, r.now, first, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: k.id, CSeq: 1}) // of an answer before the release
-	if len(r.agent.callerReleases.order) != 1 {
+	h, first, _, call := callerPairWithCall(t)
+	other := h.sendSetUp(first, 1, 1000)
+	h.unresponsive[first] = true // answers no BYE; this test sends its ACKs
+	h.releaseFromSwitch(call)
+	h.answer(other, sip.OK)
+	h.agent.FromCaller(h.now, h.now, first, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: call.id, CSeq: 1}) // of an answer before the release
+	if len(h.agent.callerReleases.order) != 1 {
 		t.Fatal("confirmed by an ACK to an earlier answer")
 	}
-	r.agent.FromCaller(r.now, r.now, first, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: other.id, CSeq: 1})
-	k.releaseAnswered = true
-	r.advanceTime(callerReleaseLimit)
-	r.checkReleases(k, 1, first)
-	if got := r.agent.ReleaseCounts(); got.Confirmed != 1 || got.Pending != 0 {
+	h.agent.FromCaller(h.now, h.now, first, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: other.id, CSeq: 1})
+	call.releaseAnswered = true
+	h.advanceTime(callerReleaseLimit)
+	h.checkReleases(call, 1, first)
+	if got := h.agent.ReleaseCounts(); got.Confirmed != 1 || got.Pending != 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
 // Guards against taking a release as confirmed when a caller that does not know the call refuses it.
-func TestRefusalByACallerWhoDoesNotKnowTheCallConfirmsNothing(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.disconnectCaller(first)
-	r.unresponsive[second] = true
-	r.releaseFromSwitch(k)
-	r.checkReleases(k, 1, second)
-	refusal := r.newRelease(k.id, 16).Response(sip.CallDoesNotExist)
-	r.agent.FromCaller(r.now, r.now, second, &refusal)
-	third := r.connectCaller()
-	r.sendSetUp(third, 1, 1000)
-	r.advanceTime(releaseRoundInterval)
-	r.checkReleases(k, 2, third)
+func TestRefusalOfAReleaseConfirmsNothing(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.disconnectCaller(first)
+	h.unresponsive[second] = true
+	h.releaseFromSwitch(call)
+	h.checkReleases(call, 1, second)
+	refusal := h.newRelease(call.id, 16).Response(sip.CallDoesNotExist)
+	h.agent.FromCaller(h.now, h.now, second, &refusal)
+	third := h.connectCaller()
+	h.sendSetUp(third, 1, 1000)
+	h.advanceTime(releaseRoundInterval)
+	h.checkReleases(call, 2, third)
 }
 
 // Guards against releases without a scheduled round: a release that finds no caller connected is written on the
 // next connection, even if no set-up ever comes there.
-func TestReleaseThatFindsNobodyGoesToACallerWhoOnlyListens(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.disconnectCaller(first)
-	r.disconnectCaller(second)
-	r.releaseFromSwitch(k)
-	r.advanceTime(30000)
-	third := r.connectCaller()
-	r.advanceTime(slowRoundInterval)
-	r.checkReleases(k, 1, third)
+func TestReleaseGoesToACallerWithoutSetUps(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.disconnectCaller(first)
+	h.disconnectCaller(second)
+	h.releaseFromSwitch(call)
+	h.advanceTime(30000)
+	third := h.connectCaller()
+	h.advanceTime(slowRoundInterval)
+	h.checkReleases(call, 1, third)
 }
 
 // Guards against faulty clients that send set-ups and acknowledge answers but read no releases: a dozen of them
 // connect before the one that reads.
-func TestReleaseReachesTheOneWhoReadsAmongManyWhoPretendTo(t *testing.T) {
-	r := newHarnessWithBounds(t, Bounds{Calls: 50, Octets: 1 << 16, Callers: 20, Links: 12})
-	r.completeDials(50, 50)
-	first, second := r.connectCaller(), r.connectCaller()
-	k := r.sendSetUp(first, 1, 1000)
-	r.answer(k, sip.OK)
-	r.answer(r.sendSetUp(second, 2, 1000), sip.OK)
+func TestReleaseReachesTheCallerThatReads(t *testing.T) {
+	h := newHarnessWithBounds(t, Bounds{Calls: 50, Octets: 1 << 16, Callers: 20, Links: 12})
+	h.completeDials(50, 50)
+	first, second := h.connectCaller(), h.connectCaller()
+	call := h.sendSetUp(first, 1, 1000)
+	h.answer(call, sip.OK)
+	h.answer(h.sendSetUp(second, 2, 1000), sip.OK)
 	for range 12 {
-		c := r.connectCaller()
-		r.answer(r.sendSetUp(c, 1, 1000), sip.OK)
-		r.unresponsive[c] = true
+		conn := h.connectCaller()
+		h.answer(h.sendSetUp(conn, 1, 1000), sip.OK)
+		h.unresponsive[conn] = true
 	}
-	r.disconnectCaller(first)
-	r.releaseFromSwitch(k)
-	r.advanceTime(callerReleaseLimit)
-	if !k.releaseAnswered {
-		t.Errorf("released %d times, but not to the caller that reads", k.callerReleases)
+	h.disconnectCaller(first)
+	h.releaseFromSwitch(call)
+	h.advanceTime(callerReleaseLimit)
+	if !call.releaseAnswered {
+		t.Errorf("released %d times, but not to the caller that reads", call.callerReleases)
 	}
 }
 
 // Guards against an unbounded number of releases while no caller confirms any.
-func TestReleasesThatNobodyConfirmsAreBounded(t *testing.T) {
-	r := newHarness(t)
-	r.completeDials(9, 9)
+func TestUnconfirmedReleasesAreBounded(t *testing.T) {
+	h := newHarness(t)
+	h.completeDials(9, 9)
 	for i := range maxCallerReleases + 100 {
-		r.agent.FromSwitch(r.now, r.mustLinkTo(1), r.newRelease(idOf(0x10000+i), 16))
+		h.agent.FromSwitch(h.now, h.mustLinkTo(1), h.newRelease(idOf(0x10000+i), 16))
 	}
-	if got := r.agent.ReleaseCounts(); got.Pending != maxCallerReleases || got.Dropped != 100 {
+	if got := h.agent.ReleaseCounts(); got.Pending != maxCallerReleases || got.Dropped != 100 {
 		t.Errorf("%+v", got)
 	}
-	r.advanceTime(unwrittenReleaseRetention + 2*slowRoundInterval)
-	if got := r.agent.ReleaseCounts(); got.Pending != 0 {
+	h.advanceTime(unwrittenReleaseRetention + 2*slowRoundInterval)
+	if got := h.agent.ReleaseCounts(); got.Pending != 0 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -273,54 +273,54 @@
 
 // Guards against losing a caller's release that crosses our close of its connection.
 func TestCallersReleaseThatCrossesOurCloseReachesTheSwitch(t *testing.T) {
-	r, first, _, k := callerPairWithCall(t)
-	r.agent.CallerDisconnected(r.now, first) // closed locally; what the caller has sent is still read
-	r.forgetCaller(first)
-	k.callerEnded = true
-	if r.agent.FromCaller(r.now, r.now, first, r.newRelease(k.id, 16)); k.switchReleases != 1 || r.agent.establishedCalls != 1 {
-		t.Errorf("the switch was released %d times, %d established calls", k.switchReleases, r.agent.establishedCalls)
+	h, first, _, call := callerPairWithCall(t)
+	h.agent.CallerDisconnected(h.now, first) // closed locally; what the caller has sent is still read
+	h.forgetCaller(first)
+	call.callerEnded = true
+	if h.agent.FromCaller(h.now, h.now, first, h.newRelease(call.id, 16)); call.switchReleases != 1 || h.agent.establishedCalls != 1 {
+		t.Errorf("the switch was released %d times, %d established calls", call.switchReleases, h.agent.establishedCalls)
 	}
 }
 
 // Guards against using up all copies on many connections that send nothing and end at once, before the caller
 // connects that needs the release.
-func TestCrowdThatEndsUsesUpNoReleases(t *testing.T) {
-	r := newHarnessWithBounds(t, Bounds{Calls: 50, Octets: 1 << 16, Callers: 150, Links: 12})
-	r.completeDials(50, 50)
-	first := r.connectCaller()
-	k := r.sendSetUp(first, 1, 1000)
-	r.answer(k, sip.OK)
-	var crowd []ConnID
+func TestEndOfManyConnectionsUsesUpNoCopies(t *testing.T) {
+	h := newHarnessWithBounds(t, Bounds{Calls: 50, Octets: 1 << 16, Callers: 150, Links: 12})
+	h.completeDials(50, 50)
+	first := h.connectCaller()
+	call := h.sendSetUp(first, 1, 1000)
+	h.answer(call, sip.OK)
+	var silentConns []ConnID
 	for range 120 {
-		crowd = append(crowd, r.connectCaller())
-		r.unresponsive[crowd[len(crowd)-1]] = true
+		silentConns = append(silentConns, h.connectCaller())
+		h.unresponsive[silentConns[len(silentConns)-1]] = true
 	}
-	r.disconnectCaller(first)
-	r.releaseFromSwitch(k)
-	for _, c := range slices.Backward(crowd) { // the newest first, as they have copies
-		r.disconnectCaller(c)
+	h.disconnectCaller(first)
+	h.releaseFromSwitch(call)
+	for _, conn := range slices.Backward(silentConns) { // the newest first, as they have copies
+		h.disconnectCaller(conn)
 	}
-	r.advanceTime(releaseRoundInterval)
-	second := r.connectCaller()
-	r.sendSetUp(second, 1, 1000)
-	if r.advanceTime(0); !k.releaseAnswered || k.releasedOn != second {
-		t.Errorf("released %d times, last on %d", k.callerReleases, k.releasedOn)
+	h.advanceTime(releaseRoundInterval)
+	second := h.connectCaller()
+	h.sendSetUp(second, 1, 1000)
+	if h.advanceTime(0); !call.releaseAnswered || call.releasedOn != second {
+		t.Errorf("released %d times, last on %d", call.callerReleases, call.releasedOn)
 	}
 }
 
 // Guards against dropping a long-pending release as soon as the first caller to connect, which reads nothing, has
 // a copy.
-func TestReleaseThatWaitedIsKeptAfterItsFirstCopy(t *testing.T) {
-	r, first, second, k := callerPairWithCall(t)
-	r.disconnectCaller(first)
-	r.disconnectCaller(second)
-	r.releaseFromSwitch(k)
-	r.advanceTime(2 * writtenReleaseRetention)
-	r.connectUnresponsiveCaller()
-	r.advanceTime(writtenReleaseRetention / 2)
-	last := r.connectCaller()
-	r.sendSetUp(last, 1, 1000)
-	if r.advanceTime(releaseRoundInterval); !k.releaseAnswered {
-		t.Errorf("released %d times, but not to the last caller", k.callerReleases)
+func TestLongPendingReleaseIsRetainedAfterItsFirstCopy(t *testing.T) {
+	h, first, second, call := callerPairWithCall(t)
+	h.disconnectCaller(first)
+	h.disconnectCaller(second)
+	h.releaseFromSwitch(call)
+	h.advanceTime(2 * writtenReleaseRetention)
+	h.connectUnresponsiveCaller()
+	h.advanceTime(writtenReleaseRetention / 2)
+	last := h.connectCaller()
+	h.sendSetUp(last, 1, 1000)
+	if h.advanceTime(releaseRoundInterval); !call.releaseAnswered {
+		t.Errorf("released %d times, but not to the last caller", call.callerReleases)
 	}
 }
--- a/internal/b2bua/rig_test.go
+++ b/internal/b2bua/rig_test.go
@@ -67,11 +67,11 @@
 	seq      uint32
 }
 
-func (k *observedCall) noteEarlierTry(sw uint32) {
-	if k.earlierTries == nil {
-		k.earlierTries, k.orphanedTries = map[uint32]bool{}, map[uint32]bool{}
+func (call *observedCall) noteEarlierTry(switchID uint32) {
+	if call.earlierTries == nil {
+		call.earlierTries, call.orphanedTries = map[uint32]bool{}, map[uint32]bool{}
 	}
-	k.earlierTries[sw] = true
+	call.earlierTries[switchID] = true
 }
 
 // harness is a test harness: an agent with the real policy, and both sides played by the test.
@@ -121,255 +121,255 @@
 	return newHarnessWithBounds(t, Bounds{Calls: 50, Octets: 1 << 16, Callers: 6, Links: 12})
 }
 
-func newHarnessWithBounds(t testReporter, b Bounds) *harness {
-	r := &harness{t: t, now: 17e12, calls: map[string]*observedCall{}, links: map[ConnID]uint32{}, unavailable: map[uint32]bool{}, closed: map[ConnID]string{}, silent: map[ConnID]bool{}, unresponsive: map[ConnID]bool{}, abandonedIDs: map[string]bool{}, openedAt: map[ConnID]policy.Tenths{}, setUpConns: map[ConnID]bool{}, acknowledged: map[ConnID]bool{}}
-	r.agent = New(testSettings(), b, r, r.now,
-		func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
-			return policy.New(d, x, now)
+func newHarnessWithBounds(t testReporter, bounds Bounds) *harness {
+	h := &harness{t: t, now: 17e12, calls: map[string]*observedCall{}, links: map[ConnID]uint32{}, unavailable: map[uint32]bool{}, closed: map[ConnID]string{}, silent: map[ConnID]bool{}, unresponsive: map[ConnID]bool{}, abandonedIDs: map[string]bool{}, openedAt: map[ConnID]policy.Tenths{}, setUpConns: map[ConnID]bool{}, acknowledged: map[ConnID]bool{}}
+	h.agent = New(testSettings(), bounds, h, h.now,
+		func(d policy.Deployment, sc policy.Executor, now policy.Tenths) exchange.Decider {
+			return policy.New(d, sc, now)
 		})
-	r.updateSwitches(true, board.Switch{ID: 0, Cell: 0, Address: "10.0.0.1:1"}, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1"},
+	h.updateSwitches(true, board.Switch{ID: 0, Cell: 0, Address: "10.0.0.1:1"}, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1"},
 		board.Switch{ID: 2, Cell: 2, Address: "10.0.0.3:1"}, board.Switch{ID: 3, Cell: 3, Address: "10.0.0.4:1"})
-	return r
+	return h
 }
 
-func (r *harness) updateSwitches(whole bool, s ...board.Switch) {
-	r.version++
+func (h *harness) updateSwitches(whole bool, entries ...board.Switch) {
+	h.version++
 	if whole { // switches that are not listed are gone
-		for id := range r.unavailable {
-			r.unavailable[id] = true
+		for id := range h.unavailable {
+			h.unavailable[id] = true
 		}
 	}
-	for _, e := range s {
-		r.unavailable[e.ID] = e.State != board.Ready
+	for _, entry := range entries {
+		h.unavailable[entry.ID] = entry.State != board.Ready
 	}
-	r.agent.UpdateSwitches(r.now, board.Event{Number: r.version, Complete: whole, Switches: s})
+	h.agent.UpdateSwitches(h.now, board.Event{Number: h.version, Complete: whole, Switches: entries})
 }
 
 // advanceTime lets time pass and runs the agent's timers.
-func (r *harness) advanceTime(span policy.Tenths) {
-	until := r.now + span
-	for next := r.agent.NextTick(); next <= until; next = r.agent.NextTick() {
-		r.answerPending()
-		r.now = max(r.now, next)
-		r.agent.Tick(r.now, 0)
-		asked := r.keepalives
-		r.keepalives = nil
-		for _, w := range asked {
-			if _, open := r.links[w.to]; open && !r.silent[w.to] {
-				m := w.message.Response(sip.OK)
-				r.agent.FromSwitch(r.now, w.to, &m)
+func (h *harness) advanceTime(span policy.Tenths) {
+	until := h.now + span
+	for next := h.agent.NextTick(); next <= until; next = h.agent.NextTick() {
+		h.answerPending()
+		h.now = max(h.now, next)
+		h.agent.Tick(h.now, 0)
+		keepalives := h.keepalives
+		h.keepalives = nil
+		for _, sent := range keepalives {
+			if _, open := h.links[sent.to]; open && !h.silent[sent.to] {
+				msg := sent.message.Response(sip.OK)
+				h.agent.FromSwitch(h.now, sent.to, &msg)
 			}
 		}
 	}
-	r.now = until
-	r.answerPending()
-	r.checkReleasedInTime()
+	h.now = until
+	h.answerPending()
+	h.checkReleasedInTime()
 }
 
 // answerPending lets callers answer the releases and acknowledge the answers that they have received.
-func (r *harness) answerPending() {
-	for len(r.unacknowledgedAnswers) > 0 {
-		w := r.unacknowledgedAnswers[0]
-		r.unacknowledgedAnswers = r.unacknowledgedAnswers[1:]
-		if slices.Contains(r.callers, w.to) && !r.unresponsive[w.to] {
-			r.acknowledged[w.to] = true
-			r.agent.FromCaller(r.now, r.now, w.to, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: w.message.CallID, CSeq: w.message.CSeq})
+func (h *harness) answerPending() {
+	for len(h.unacknowledgedAnswers) > 0 {
+		sent := h.unacknowledgedAnswers[0]
+		h.unacknowledgedAnswers = h.unacknowledgedAnswers[1:]
+		if slices.Contains(h.callers, sent.to) && !h.unresponsive[sent.to] {
+			h.acknowledged[sent.to] = true
+			h.agent.FromCaller(h.now, h.now, sent.to, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: sent.message.CallID, CSeq: sent.message.CSeq})
 		}
 	}
-	for len(r.unansweredReleases) > 0 {
-		w := r.unansweredReleases[0]
-		r.unansweredReleases = r.unansweredReleases[1:]
-		if slices.Contains(r.callers, w.to) && !r.unresponsive[w.to] {
-			r.calls[w.message.CallID].releaseAnswered = true
-			m := w.message.Response(sip.OK)
-			r.agent.FromCaller(r.now, r.now, w.to, &m)
+	for len(h.unansweredReleases) > 0 {
+		sent := h.unansweredReleases[0]
+		h.unansweredReleases = h.unansweredReleases[1:]
+		if slices.Contains(h.callers, sent.to) && !h.unresponsive[sent.to] {
+			h.calls[sent.message.CallID].releaseAnswered = true
+			msg := sent.message.Response(sip.OK)
+			h.agent.FromCaller(h.now, h.now, sent.to, &msg)
 		}
 	}
 }
 
-func (r *harness) newConn() ConnID { r.lastConn++; return r.lastConn }
+func (h *harness) newConn() ConnID { h.lastConn++; return h.lastConn }
 
-func (r *harness) connectCaller() ConnID {
-	c := r.newConn()
-	r.callers, r.openedAt[c] = append(r.callers, c), r.now
-	if !r.agent.CallerConnected(r.now, c) {
-		r.forgetCaller(c)
+func (h *harness) connectCaller() ConnID {
+	conn := h.newConn()
+	h.callers, h.openedAt[conn] = append(h.callers, conn), h.now
+	if !h.agent.CallerConnected(h.now, conn) {
+		h.forgetCaller(conn)
 	}
-	return c
+	return conn
 }
 
-func (r *harness) forgetCaller(c ConnID) {
-	if i := slices.Index(r.callers, c); i >= 0 {
-		r.callers = slices.Delete(r.callers, i, i+1)
+func (h *harness) forgetCaller(conn ConnID) {
+	if i := slices.Index(h.callers, conn); i >= 0 {
+		h.callers = slices.Delete(h.callers, i, i+1)
 	}
-	for _, id := range r.order {
-		k := r.calls[id]
-		if k.conn == c && k.answers == 0 {
-			k.abandoned = true
+	for _, id := range h.order {
+		call := h.calls[id]
+		if call.conn == conn && call.answers == 0 {
+			call.abandoned = true
 		}
-		if k.releaseConns[c] { // the caller may not have read it
-			k.extraCopies++
+		if call.releaseConns[conn] { // the caller may not have read it
+			call.extraCopies++
 		}
-		if k.releasedOn == c {
-			k.releasedOn = 0
+		if call.releasedOn == conn {
+			call.releasedOn = 0
 		}
 	}
 }
 
-func (r *harness) disconnectCaller(c ConnID) {
-	r.forgetCaller(c)
-	r.agent.CallerDisconnected(r.now, c)
+func (h *harness) disconnectCaller(conn ConnID) {
+	h.forgetCaller(conn)
+	h.agent.CallerDisconnected(h.now, conn)
 }
 
-func (r *harness) completeDial(refused, up bool) ConnID {
-	d := r.dials[0]
-	r.dials = r.dials[1:]
+func (h *harness) completeDial(refused, up bool) ConnID {
+	request := h.dials[0]
+	h.dials = h.dials[1:]
 	if !up {
-		r.agent.DialDone(r.now, d.switchID, d.dialID, 0, refused)
+		h.agent.DialDone(h.now, request.switchID, request.dialID, 0, refused)
 		return 0
 	}
-	c := r.newConn()
-	r.links[c] = d.switchID
-	r.linkOrder = append(r.linkOrder, c)
-	r.agent.DialDone(r.now, d.switchID, d.dialID, c, false)
-	return c
+	conn := h.newConn()
+	h.links[conn] = request.switchID
+	h.linkOrder = append(h.linkOrder, conn)
+	h.agent.DialDone(h.now, request.switchID, request.dialID, conn, false)
+	return conn
 }
 
 // completeDials completes every dial, and reports the state of each group.
-func (r *harness) completeDials(free, size int) {
-	for len(r.dials) > 0 {
-		if c := r.completeDial(false, true); r.closed[c] == "" {
-			r.reportCircuits(c, free, size)
+func (h *harness) completeDials(free, size int) {
+	for len(h.dials) > 0 {
+		if conn := h.completeDial(false, true); h.closed[conn] == "" {
+			h.reportCircuits(conn, free, size)
 		}
 	}
 }
 
-func (r *harness) reportCircuits(c ConnID, free, size int) {
-	m := siptest.LoadReport(free, size)
-	r.agent.FromSwitch(r.now, c, &m)
+func (h *harness) reportCircuits(conn ConnID, free, size int) {
+	msg := siptest.LoadReport(free, size)
+	h.agent.FromSwitch(h.now, conn, &msg)
 }
 
-func (r *harness) disconnectLink(c ConnID) {
-	r.forgetLink(c)
-	r.agent.SwitchDisconnected(r.now, c, false)
+func (h *harness) disconnectLink(conn ConnID) {
+	h.forgetLink(conn)
+	h.agent.SwitchDisconnected(h.now, conn, false)
 }
 
-func (r *harness) forgetLink(c ConnID) {
-	delete(r.links, c)
-	if i := slices.Index(r.linkOrder, c); i >= 0 {
-		r.linkOrder = slices.Delete(r.linkOrder, i, i+1)
+func (h *harness) forgetLink(conn ConnID) {
+	delete(h.links, conn)
+	if i := slices.Index(h.linkOrder, conn); i >= 0 {
+		h.linkOrder = slices.Delete(h.linkOrder, i, i+1)
 	}
-	for _, id := range r.order {
-		if k := r.calls[id]; k.tryConn == c {
-			k.tryConn, k.notBefore = 0, r.now+releaseTime
-			k.noteEarlierTry(k.trySwitch)
+	for _, id := range h.order {
+		if call := h.calls[id]; call.tryConn == conn {
+			call.tryConn, call.notBefore = 0, h.now+releaseTime
+			call.noteEarlierTry(call.trySwitch)
 		}
 	}
 }
 
 func invite(id, class string, expiresMS int, info string, body string) *sip.Message {
-	m := siptest.SetUp(id, class, expiresMS, info, body)
-	return &m
+	msg := siptest.SetUp(id, class, expiresMS, info, body)
+	return &msg
 }
 
-func (r *harness) sendSetUp(c ConnID, dest int, expiresMS int) *observedCall {
-	id := fmt.Sprintf("%016x", 1000+len(r.order))
-	r.setUpConns[c] = true
-	k := &observedCall{id: id, conn: c, deadline: r.now + policy.Tenths(expiresMS)*10, body: "offer of " + id}
-	r.calls[id], r.order = k, append(r.order, id)
-	r.agent.FromCaller(r.now, r.now, c, invite(id, "voice", expiresMS, fmt.Sprintf("dest:%d;width:1;via:-1", dest), k.body))
-	r.answerPending()
-	return k
+func (h *harness) sendSetUp(conn ConnID, dest int, expiresMS int) *observedCall {
+	id := fmt.Sprintf("%016x", 1000+len(h.order))
+	h.setUpConns[conn] = true
+	call := &observedCall{id: id, conn: conn, deadline: h.now + policy.Tenths(expiresMS)*10, body: "offer of " + id}
+	h.calls[id], h.order = call, append(h.order, id)
+	h.agent.FromCaller(h.now, h.now, conn, invite(id, "voice", expiresMS, fmt.Sprintf("dest:%d;width:1;via:-1", dest), call.body))
+	h.answerPending()
+	return call
 }
 
 // answer lets a switch answer the try of a call that is out; header fields follow in pairs.
-func (r *harness) answer(k *observedCall, status int, fields ...string) {
-	m := &sip.Message{Status: status, CallID: k.id, CSeq: 1, CSeqMethod: sip.Invite} // the CSeq of the set-up does not matter
+func (h *harness) answer(call *observedCall, status int, fields ...string) {
+	msg := &sip.Message{Status: status, CallID: call.id, CSeq: 1, CSeqMethod: sip.Invite} // the CSeq of the set-up does not matter
 	for i := 0; i < len(fields); i += 2 {
-		m.Fields = append(m.Fields, sip.Field{Name: fields[i], Value: fields[i+1]})
+		msg.Fields = append(msg.Fields, sip.Field{Name: fields[i], Value: fields[i+1]})
 	}
-	on := k.tryConn
-	if k.tryConn = 0; status == sip.OK {
-		k.establishedAt, k.establishedConn, k.answerBody = k.trySwitch, on, "answer to "+k.id
-		m.Body = []byte(k.answerBody)
+	conn := call.tryConn
+	if call.tryConn = 0; status == sip.OK {
+		call.establishedAt, call.establishedConn, call.answerBody = call.trySwitch, conn, "answer to "+call.id
+		msg.Body = []byte(call.answerBody)
 	}
 	if status == sip.ServerTimeout {
-		k.notBefore = r.now + releaseTime
+		call.notBefore = h.now + releaseTime
 	}
-	r.agent.FromSwitch(r.now, on, m)
-	r.answerPending()
+	h.agent.FromSwitch(h.now, conn, msg)
+	h.answerPending()
 }
 
-func (r *harness) newRelease(id string, cause int) *sip.Message {
-	m := siptest.Release(id, cause)
-	return &m
+func (h *harness) newRelease(id string, cause int) *sip.Message {
+	msg := siptest.Release(id, cause)
+	return &msg
 }
 
 // Write checks every message that the agent sends.
-func (r *harness) Write(to ConnID, m *sip.Message) {
-	r.sentMessages = append(r.sentMessages, sentMessage{to, *m})
-	if m.Method == sip.Options {
-		r.keepalives = append(r.keepalives, sentMessage{to, *m})
+func (h *harness) Write(to ConnID, msg *sip.Message) {
+	h.sentMessages = append(h.sentMessages, sentMessage{to, *msg})
+	if msg.Method == sip.Options {
+		h.keepalives = append(h.keepalives, sentMessage{to, *msg})
 	}
-	if _, link := r.links[to]; !link && m.CSeqMethod == sip.Invite && m.Status >= 200 {
-		r.unacknowledgedAnswers = append(r.unacknowledgedAnswers, sentMessage{to, *m})
+	if _, isLink := h.links[to]; !isLink && msg.CSeqMethod == sip.Invite && msg.Status >= 200 {
+		h.unacknowledgedAnswers = append(h.unacknowledgedAnswers, sentMessage{to, *msg})
 	}
-	k := r.calls[m.CallID]
-	if k == nil {
+	call := h.calls[msg.CallID]
+	if call == nil {
 		return
 	}
-	if sw, ok := r.links[to]; ok {
-		r.checkSwitchMessage(k, to, sw, m)
+	if switchID, ok := h.links[to]; ok {
+		h.checkSwitchMessage(call, to, switchID, msg)
 		return
 	}
 	switch {
-	case to != k.conn && m.Status >= 400: // another caller used its id
-	case m.CSeqMethod == sip.Invite && m.Status >= 200:
-		if k.answers++; k.answers > 1 || k.abandoned || to != k.conn || r.now > k.deadline {
-			r.t.Fatalf("call %s: answer %d with status %d, left %v, %d past its time", k.id, k.answers, m.Status, k.abandoned, r.now-k.deadline)
+	case to != call.conn && msg.Status >= 400: // another caller used its id
+	case msg.CSeqMethod == sip.Invite && msg.Status >= 200:
+		if call.answers++; call.answers > 1 || call.abandoned || to != call.conn || h.now > call.deadline {
+			h.t.Fatalf("call %s: answer %d with status %d, left %v, %d past its time", call.id, call.answers, msg.Status, call.abandoned, h.now-call.deadline)
 		}
-		if m.Status == sip.OK {
-			if k.answered = true; k.establishedAt == 0 || string(m.Body) != k.answerBody {
-				r.t.Fatalf("call %s: answered with %q, which no switch sent", k.id, m.Body)
+		if msg.Status == sip.OK {
+			if call.answered = true; call.establishedAt == 0 || string(msg.Body) != call.answerBody {
+				h.t.Fatalf("call %s: answered with %q, which no switch sent", call.id, msg.Body)
 			}
 		}
-	case m.Method == sip.Bye:
-		k.callerReleases++
-		if !k.answered || k.releaseAnswered || k.callerEnded || k.releaseConns[to] || k.callerReleases > r.copiesAllowed(k, to) {
-			r.t.Fatalf("call %s: release %d, on connection %d, of a call that is not established for its caller, or too soon: %d after the first, %+v, deaf %v, acked %v", k.id, k.callerReleases, to, r.now-k.releasedAt, *k, r.unresponsive, r.acknowledged)
+	case msg.Method == sip.Bye:
+		call.callerReleases++
+		if !call.answered || call.releaseAnswered || call.callerEnded || call.releaseConns[to] || call.callerReleases > h.copiesAllowed(call, to) {
+			h.t.Fatalf("call %s: release %d, on connection %d, of a call that is not established for its caller, or too soon: %d after the first, %+v, deaf %v, acked %v", call.id, call.callerReleases, to, h.now-call.releasedAt, *call, h.unresponsive, h.acknowledged)
 		}
-		if k.callerReleases == 1 {
-			k.releasedAt, k.releaseConns = r.now, map[ConnID]bool{}
+		if call.callerReleases == 1 {
+			call.releasedAt, call.releaseConns = h.now, map[ConnID]bool{}
 		}
-		k.releaseConns[to], k.releasedOn = true, to
-		r.unansweredReleases = append(r.unansweredReleases, sentMessage{to, *m})
+		call.releaseConns[to], call.releasedOn = true, to
+		h.unansweredReleases = append(h.unansweredReleases, sentMessage{to, *msg})
 	}
 }
 
 // copiesAllowed returns how many copies of a release may have been written, including the next one on a
 // connection: twice as many with each wait for an answer, one more for each connection that ended, one more if a
 // caller with a copy answers nothing, and one each if only the next connection has acknowledged or sent a set-up.
-func (r *harness) copiesAllowed(k *observedCall, next ConnID) int {
-	if k.callerReleases == 1 {
+func (h *harness) copiesAllowed(call *observedCall, next ConnID) int {
+	if call.callerReleases == 1 {
 		return 1
 	}
-	allowed := k.extraCopies + 1<<min(4, (r.now-k.releasedAt)/releaseRoundInterval)
-	deaf, acked, asked := false, false, false
-	for c := range k.releaseConns {
-		asked = asked || r.setUpConns[c]
-		deaf = deaf || r.unresponsive[c]
-		acked = acked || r.acknowledged[c]
+	allowed := call.extraCopies + 1<<min(4, (h.now-call.releasedAt)/releaseRoundInterval)
+	unresponsive, acknowledged, setUpSeen := false, false, false
+	for conn := range call.releaseConns {
+		setUpSeen = setUpSeen || h.setUpConns[conn]
+		unresponsive = unresponsive || h.unresponsive[conn]
+		acknowledged = acknowledged || h.acknowledged[conn]
 	}
-	if deaf {
+	if unresponsive {
 		allowed++
 	}
-	if !acked && r.acknowledged[next] {
+	if !acknowledged && h.acknowledged[next] {
 		allowed++
 	}
-	if !asked && r.setUpConns[next] {
+	if !setUpSeen && h.setUpConns[next] {
 		allowed++
 	}
-	if r.now-k.releasedAt >= releaseRoundInterval { // and every connection that comes after the first round
+	if h.now-call.releasedAt >= releaseRoundInterval { // and every connection that comes after the first round
 		allowed = maxRoundCopies + maxOfferedCopies
 	}
 	return min(maxRoundCopies+maxOfferedCopies+maxProvedCopies, allowed)
@@ -377,88 +377,88 @@
 
 // checkReleasedInTime checks that callers that read, and were connected when their call was released, receive the
 // release in time.
-func (r *harness) checkReleasedInTime() {
-	for _, id := range r.order {
-		k := r.calls[id]
-		if k.endedAt == 0 || !k.answered || k.releaseAnswered || k.callerEnded || r.now-k.endedAt < callerReleaseLimit {
+func (h *harness) checkReleasedInTime() {
+	for _, id := range h.order {
+		call := h.calls[id]
+		if call.endedAt == 0 || !call.answered || call.releaseAnswered || call.callerEnded || h.now-call.endedAt < callerReleaseLimit {
 			continue
 		}
-		for _, c := range r.callers {
-			if !r.unresponsive[c] && r.openedAt[c] <= k.endedAt {
-				r.t.Fatalf("call %s ended %d ago, and connection %d, which reads, received no release", id, r.now-k.endedAt, c)
+		for _, conn := range h.callers {
+			if !h.unresponsive[conn] && h.openedAt[conn] <= call.endedAt {
+				h.t.Fatalf("call %s ended %d ago, and connection %d, which reads, received no release", id, h.now-call.endedAt, conn)
 			}
 		}
 	}
 }
 
-func (r *harness) checkSwitchMessage(k *observedCall, on ConnID, sw uint32, m *sip.Message) {
-	switch m.Method {
+func (h *harness) checkSwitchMessage(call *observedCall, conn ConnID, switchID uint32, msg *sip.Message) {
+	switch msg.Method {
 	case sip.Invite:
 		switch {
-		case k.tryConn != 0:
-			r.t.Fatalf("call %s: two tries out at once", k.id)
-		case r.now < k.notBefore:
-			r.t.Fatalf("call %s: retried %d before the release time has passed", k.id, k.notBefore-r.now)
-		case r.unavailable[sw]:
-			r.t.Fatalf("call %s: sent to switch %d, which is draining or gone", k.id, sw)
-		case k.answers > 0 || k.abandoned || string(m.Body) != k.body:
-			r.t.Fatalf("call %s: sent although over, or with %q", k.id, m.Body)
+		case call.tryConn != 0:
+			h.t.Fatalf("call %s: two tries out at once", call.id)
+		case h.now < call.notBefore:
+			h.t.Fatalf("call %s: retried %d before the release time has passed", call.id, call.notBefore-h.now)
+		case h.unavailable[switchID]:
+			h.t.Fatalf("call %s: sent to switch %d, which is draining or gone", call.id, switchID)
+		case call.answers > 0 || call.abandoned || string(msg.Body) != call.body:
+			h.t.Fatalf("call %s: sent although over, or with %q", call.id, msg.Body)
 		}
-		k.tryConn, k.trySwitch, k.trySeq = on, sw, m.CSeq
-		if r.onSetUp != nil {
-			r.onSetUp(sw)
+		call.tryConn, call.trySwitch, call.trySeq = conn, switchID, msg.CSeq
+		if h.onSetUp != nil {
+			h.onSetUp(switchID)
 		}
 	case sip.Cancel:
-		if k.tryConn == on && m.CSeq == k.trySeq {
-			k.abandonedTries = append(k.abandonedTries, abandonedTryRef{on, sw, m.CSeq})
-			k.noteEarlierTry(sw)
-			k.tryConn, k.notBefore = 0, r.now+releaseTime
+		if call.tryConn == conn && msg.CSeq == call.trySeq {
+			call.abandonedTries = append(call.abandonedTries, abandonedTryRef{conn, switchID, msg.CSeq})
+			call.noteEarlierTry(switchID)
+			call.tryConn, call.notBefore = 0, h.now+releaseTime
 		}
 	case sip.Bye:
-		delete(k.earlierTries, sw)
-		delete(k.orphanedTries, sw)
-		if k.tryConn != 0 && k.trySwitch == sw {
-			r.t.Fatalf("call %s: a release is written to switch %d while a try is out there", k.id, sw)
+		delete(call.earlierTries, switchID)
+		delete(call.orphanedTries, switchID)
+		if call.tryConn != 0 && call.trySwitch == switchID {
+			h.t.Fatalf("call %s: a release is written to switch %d while a try is out there", call.id, switchID)
 		}
-		if k.establishedAt == sw {
-			if k.answered && !k.callerEnded && k.callerReleases == 0 && !k.earlierTryReleased {
-				r.t.Fatalf("call %s: disconnected although established and not ended by either side", k.id)
+		if call.establishedAt == switchID {
+			if call.answered && !call.callerEnded && call.callerReleases == 0 && !call.earlierTryReleased {
+				h.t.Fatalf("call %s: disconnected although established and not ended by either side", call.id)
 			}
-			k.establishedAt = 0
-			k.switchReleases++
+			call.establishedAt = 0
+			call.switchReleases++
 		}
 	}
 }
 
 // Close closes a connection.
-func (r *harness) Close(c ConnID, why string) {
-	r.closed[c] = why
-	if _, ok := r.links[c]; ok {
-		r.forgetLink(c)
+func (h *harness) Close(conn ConnID, reason string) {
+	h.closed[conn] = reason
+	if _, ok := h.links[conn]; ok {
+		h.forgetLink(conn)
 		return
 	}
-	r.forgetCaller(c)
+	h.forgetCaller(conn)
 }
 
-func (r *harness) Dial(sw, ticket uint32, address string) {
-	r.dials = append(r.dials, dialRequest{sw, ticket, address})
+func (h *harness) Dial(switchID, dialID uint32, address string) {
+	h.dials = append(h.dials, dialRequest{switchID, dialID, address})
 }
-func (r *harness) Abandoned(caller ConnID, callID string) bool { return r.abandonedIDs[callID] }
-func (r *harness) Note(text string)                            { r.logged = append(r.logged, text) }
+func (h *harness) Abandoned(caller ConnID, callID string) bool { return h.abandonedIDs[callID] }
+func (h *harness) Note(text string)                            { h.logged = append(h.logged, text) }
 
-func (r *harness) Record(e Record) { r.records = append(r.records, e) }
+func (h *harness) Record(record Record) { h.records = append(h.records, record) }
 
 // sentTo lists the messages to a connection by method or status.
-func (r *harness) sentTo(to ConnID) string {
-	var all []string
-	for _, w := range r.sentMessages {
-		if w.to == to {
-			if w.message.Status != 0 {
-				all = append(all, fmt.Sprint(w.message.Status))
+func (h *harness) sentTo(to ConnID) string {
+	var names []string
+	for _, sent := range h.sentMessages {
+		if sent.to == to {
+			if sent.message.Status != 0 {
+				names = append(names, fmt.Sprint(sent.message.Status))
 			} else {
-				all = append(all, w.message.Method)
+				names = append(names, sent.message.Method)
 			}
 		}
 	}
-	return strings.Join(all, " ")
+	return strings.Join(names, " ")
 }
--- a/internal/b2bua/route_try.go
+++ b/internal/b2bua/route_try.go
@@ -88,39 +88,39 @@
 func (t *routeTry) mayBeReleased() bool { return t.mayBeEstablished() || t.state == tryReleased }
 
 // lastTry returns the present or last try of a call, nil before the first.
-func (k *trackedCall) lastTry() *routeTry {
-	if len(k.tries) == 0 {
+func (tc *trackedCall) lastTry() *routeTry {
+	if len(tc.tries) == 0 {
 		return nil
 	}
-	return k.tries[len(k.tries)-1]
+	return tc.tries[len(tc.tries)-1]
 }
 
 // lastSwitch returns the switch of the present or last try, 0 before the first.
-func (k *trackedCall) lastSwitch() uint32 {
-	if t := k.lastTry(); t != nil {
-		return t.switchID
+func (tc *trackedCall) lastSwitch() uint32 {
+	if try := tc.lastTry(); try != nil {
+		return try.switchID
 	}
 	return 0
 }
 
 // isEstablishedAt reports whether a call is established at a switch.
-func (k *trackedCall) isEstablishedAt(sw uint32) bool {
-	return k.state == Established && k.lastSwitch() == sw
+func (tc *trackedCall) isEstablishedAt(switchID uint32) bool {
+	return tc.state == Established && tc.lastSwitch() == switchID
 }
 
 // tryForAnswer returns the try that a switch's answer on a connection belongs to: the last one that was sent
 // there, else one whose own connection is closed, nil if there is none.
-func (k *trackedCall) tryForAnswer(f *remoteSwitch, c ConnID) *routeTry {
+func (tc *trackedCall) tryForAnswer(remote *remoteSwitch, conn ConnID) *routeTry {
 	var lost *routeTry
-	for _, t := range slices.Backward(k.tries) {
-		if t.switchID != f.entry.ID || t.conn == 0 {
+	for _, try := range slices.Backward(tc.tries) {
+		if try.switchID != remote.entry.ID || try.conn == 0 {
 			continue
 		}
-		if t.conn == c {
-			return t
+		if try.conn == conn {
+			return try
 		}
-		if lost == nil && t.mayBeEstablished() && f.findLink(t.conn) == nil {
-			lost = t
+		if lost == nil && try.mayBeEstablished() && remote.findLink(try.conn) == nil {
+			lost = try
 		}
 	}
 	return lost
@@ -128,76 +128,76 @@
 
 // answerAmbiguousOn reports whether an answer to an abandoned try of the call may come on a connection. It could not be
 // told apart from the answer to this try.
-func (t *routeTry) answerAmbiguousOn(c ConnID) bool {
-	return slices.ContainsFunc(t.call.tries[:t.number], func(earlier *routeTry) bool { return earlier.conn == c && earlier.mayBeReleased() })
+func (t *routeTry) answerAmbiguousOn(conn ConnID) bool {
+	return slices.ContainsFunc(t.call.tries[:t.number], func(earlier *routeTry) bool { return earlier.conn == conn && earlier.mayBeReleased() })
 }
 
 // mayHaveReached reports whether a set-up of a call was sent to a switch and may have been carried out there.
-func (k *trackedCall) mayHaveReached(sw uint32) bool {
-	return slices.ContainsFunc(k.tries, func(t *routeTry) bool {
-		return t.switchID == sw && (t.state == trySent || t.state == tryEstablished || t.mayBeReleased())
+func (tc *trackedCall) mayHaveReached(switchID uint32) bool {
+	return slices.ContainsFunc(tc.tries, func(try *routeTry) bool {
+		return try.switchID == switchID && (try.state == trySent || try.state == tryEstablished || try.mayBeReleased())
 	})
 }
 
 // earlierTryMayBeReleased reports whether a release from a switch may belong to a try before the last one.
-func (k *trackedCall) earlierTryMayBeReleased(sw uint32) bool {
-	return slices.ContainsFunc(k.tries[:max(0, len(k.tries)-1)], func(t *routeTry) bool { return t.switchID == sw && t.mayBeReleased() })
+func (tc *trackedCall) earlierTryMayBeReleased(switchID uint32) bool {
+	return slices.ContainsFunc(tc.tries[:max(0, len(tc.tries)-1)], func(try *routeTry) bool { return try.switchID == switchID && try.mayBeReleased() })
 }
 
 // advance changes the state of a try; nothing else does. It returns false if the event does not apply to the
 // state.
-func (a *Agent) advance(t *routeTry, e tryEvent, why string) bool {
-	to, ok := tryTransitions[t.state][e]
-	if !ok || t.answered && e == eventAnswer {
-		a.transport.Record(Record{Kind: TryEventIgnored, CallID: t.call.callID, Conn: t.conn, Switch: t.switchID, Try: t.number + 1, To: t.call.state,
-			Reason: fmt.Sprintf("%s in state %s", e, t.state)})
+func (a *Agent) advance(try *routeTry, event tryEvent, reason string) bool {
+	next, ok := tryTransitions[try.state][event]
+	if !ok || try.answered && event == eventAnswer {
+		a.transport.Record(Record{Kind: TryEventIgnored, CallID: try.call.callID, Conn: try.conn, Switch: try.switchID, Try: try.number + 1, To: try.call.state,
+			Reason: fmt.Sprintf("%s in state %s", event, try.state)})
 		return false
 	}
-	if t.state == trySent {
-		if l := a.findLink(t.switchID, t.conn); l != nil {
-			l.openSetUps--
+	if try.state == trySent {
+		if link := a.findLink(try.switchID, try.conn); link != nil {
+			link.openSetUps--
 		}
 	}
-	t.answered = t.answered || e == eventAnswer
-	a.transport.Record(Record{Kind: TryState, CallID: t.call.callID, Conn: t.conn, Switch: t.switchID, Try: t.number + 1, Reason: fmt.Sprintf("%s to %s: %s", t.state, to, why)})
-	t.state = to
+	try.answered = try.answered || event == eventAnswer
+	a.transport.Record(Record{Kind: TryState, CallID: try.call.callID, Conn: try.conn, Switch: try.switchID, Try: try.number + 1, Reason: fmt.Sprintf("%s to %s: %s", try.state, next, reason)})
+	try.state = next
 	return true
 }
 
 // findLink returns a connection to a switch, nil if it is not open.
-func (a *Agent) findLink(sw uint32, c ConnID) *switchLink {
-	if f := a.switches[sw]; f != nil {
-		return f.findLink(c)
+func (a *Agent) findLink(switchID uint32, conn ConnID) *switchLink {
+	if remote := a.switches[switchID]; remote != nil {
+		return remote.findLink(conn)
 	}
 	return nil
 }
 
 // releaseOrphanedTries releases what abandoned tries of a call established, once no further try can come: a release
 // names only the call, and would disconnect a later try at the same switch.
-func (a *Agent) releaseOrphanedTries(k *trackedCall) {
-	if k.state != Established && k.state != Ended {
+func (a *Agent) releaseOrphanedTries(call *trackedCall) {
+	if call.state != Established && call.state != Ended {
 		return
 	}
-	for _, t := range k.tries {
-		if t.state == tryOrphaned && !k.isEstablishedAt(t.switchID) {
-			a.releaseSwitch(t.switchID, t.conn, a.newRelease(k.callID, k.uri, causeNormal))
-			a.advance(t, eventRelease, "answered after it was abandoned")
+	for _, try := range call.tries {
+		if try.state == tryOrphaned && !call.isEstablishedAt(try.switchID) {
+			a.releaseSwitch(try.switchID, try.conn, a.newRelease(call.callID, call.uri, causeNormal))
+			a.advance(try, eventRelease, "answered after it was abandoned")
 		}
 	}
 }
 
 // releaseEarlierTries releases what earlier tries of a call may have established at a switch, on the connection of the
 // next set-up and ahead of it. The order guarantees that later releases from the switch refer to the later try.
-func (a *Agent) releaseEarlierTries(next *routeTry, l *switchLink) {
-	written := false
-	for _, t := range next.call.tries[:next.number] {
-		if t.switchID != next.switchID || !t.mayBeEstablished() {
+func (a *Agent) releaseEarlierTries(next *routeTry, link *switchLink) {
+	released := false
+	for _, try := range next.call.tries[:next.number] {
+		if try.switchID != next.switchID || !try.mayBeEstablished() {
 			continue
 		}
-		if !written {
-			a.transport.Write(l.conn, a.newRelease(t.call.callID, t.call.uri, causeNormal))
-			written = true
+		if !released {
+			a.transport.Write(link.conn, a.newRelease(try.call.callID, try.call.uri, causeNormal))
+			released = true
 		}
-		a.advance(t, eventRelease, "released ahead of the next set-up there")
+		a.advance(try, eventRelease, "released ahead of the next set-up there")
 	}
 }
--- a/internal/b2bua/silence.go
+++ b/internal/b2bua/silence.go
@@ -20,15 +20,15 @@
 }
 
 // tick records the time and the end of the last stall. It is called every maintenanceInterval unless the process stalls.
-func (s *silenceClock) tick(now, stalled policy.Tenths) {
+func (s *silenceClock) tick(now, stallEndedAt policy.Tenths) {
 	if s.lastTickAt != 0 && now-s.lastTickAt >= longStall {
 		s.longStallEndedAt = now
 	}
-	s.lastTickAt, s.stallEndedAt = now, stalled
+	s.lastTickAt, s.stallEndedAt = now, stallEndedAt
 }
 
 // silentFor returns how long nothing has come since the given time.
-func (a *Agent) silentFor(at policy.Tenths) policy.Tenths {
+func (a *Agent) silentFor(since policy.Tenths) policy.Tenths {
 	s := &a.silence
-	return a.now - max(at, s.longStallEndedAt, min(s.stallEndedAt, at+maxStallAllowance))
+	return a.now - max(since, s.longStallEndedAt, min(s.stallEndedAt, since+maxStallAllowance))
 }
--- a/internal/b2bua/table_test.go
+++ b/internal/b2bua/table_test.go
@@ -20,14 +20,14 @@
 const stateCaseID = "00000000000003e8"
 
 func newStateCase(t *testing.T) *stateCase {
-	x := &stateCase{harness: newHarness(t)}
-	x.completeDials(9, 9)
-	x.callerConn, x.otherConn = x.connectCaller(), x.connectCaller()
-	x.agent.FromCaller(x.now, x.now, x.otherConn, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", "")) // marks it as a connection with set-ups
-	return x
+	sc := &stateCase{harness: newHarness(t)}
+	sc.completeDials(9, 9)
+	sc.callerConn, sc.otherConn = sc.connectCaller(), sc.connectCaller()
+	sc.agent.FromCaller(sc.now, sc.now, sc.otherConn, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", "")) // marks it as a connection with set-ups
+	return sc
 }
 
-func (x *stateCase) sendSetUp() { x.call = x.harness.sendSetUp(x.callerConn, 1, 2000) }
+func (sc *stateCase) sendSetUp() { sc.call = sc.harness.sendSetUp(sc.callerConn, 1, 2000) }
 
 // The states of a call, by their names in the state table, and how they are reached.
 var callStates = []struct {
@@ -51,47 +51,47 @@
 	}},
 }
 
-func (x *stateCase) fromCaller(m *sip.Message) {
-	if x.call != nil && m.Method == sip.Cancel {
-		x.call.abandoned, x.call.callerEnded = x.call.answers == 0, x.call.answers > 0
+func (sc *stateCase) fromCaller(msg *sip.Message) {
+	if sc.call != nil && msg.Method == sip.Cancel {
+		sc.call.abandoned, sc.call.callerEnded = sc.call.answers == 0, sc.call.answers > 0
 	}
-	if x.call != nil && m.Method == sip.Bye {
-		x.call.callerEnded, x.call.abandoned = true, x.call.answers == 0
+	if sc.call != nil && msg.Method == sip.Bye {
+		sc.call.callerEnded, sc.call.abandoned = true, sc.call.answers == 0
 	}
-	x.agent.FromCaller(x.now, x.now, x.callerConn, m)
+	sc.agent.FromCaller(sc.now, sc.now, sc.callerConn, msg)
 }
 
-func (x *stateCase) fromSwitch(m *sip.Message) {
-	if len(x.linkOrder) == 0 || x.linkOf(1) == 0 {
+func (sc *stateCase) fromSwitch(msg *sip.Message) {
+	if len(sc.linkOrder) == 0 || sc.linkOf(1) == 0 {
 		return
 	}
-	if k := x.call; k != nil && m.Status == sip.OK && k.tryConn != 0 {
-		k.tryConn, k.establishedAt, k.establishedConn, k.answerBody = 0, 1, k.tryConn, string(m.Body)
-	} else if k != nil && m.Method == sip.Bye && k.establishedAt != 0 {
-		k.establishedAt = 0
-	} else if k != nil && k.tryConn != 0 {
-		if k.tryConn = 0; m.Status != sip.ServiceUnavailable { // such a set-up was never carried out
-			k.notBefore = x.now + releaseTime
+	if call := sc.call; call != nil && msg.Status == sip.OK && call.tryConn != 0 {
+		call.tryConn, call.establishedAt, call.establishedConn, call.answerBody = 0, 1, call.tryConn, string(msg.Body)
+	} else if call != nil && msg.Method == sip.Bye && call.establishedAt != 0 {
+		call.establishedAt = 0
+	} else if call != nil && call.tryConn != 0 {
+		if call.tryConn = 0; msg.Status != sip.ServiceUnavailable { // such a set-up was never carried out
+			call.notBefore = sc.now + releaseTime
 		}
 	}
-	x.agent.FromSwitch(x.now, x.linkOf(1), m)
+	sc.agent.FromSwitch(sc.now, sc.linkOf(1), msg)
 }
 
 // switchOfLink returns the connection to a switch, 0 if there is none.
-func (x *stateCase) linkOf(sw uint32) ConnID {
-	i := slices.IndexFunc(x.linkOrder, func(c ConnID) bool { return x.links[c] == sw })
+func (sc *stateCase) linkOf(switchID uint32) ConnID {
+	i := slices.IndexFunc(sc.linkOrder, func(conn ConnID) bool { return sc.links[conn] == switchID })
 	if i < 0 {
 		return 0
 	}
-	return x.linkOrder[i]
+	return sc.linkOrder[i]
 }
 
 func answerOf(status int) *sip.Message {
-	m := &sip.Message{Status: status, CallID: stateCaseID, CSeq: 1, CSeqMethod: sip.Invite}
+	msg := &sip.Message{Status: status, CallID: stateCaseID, CSeq: 1, CSeqMethod: sip.Invite}
 	if status == sip.OK {
-		m.Body = []byte("answer")
+		msg.Body = []byte("answer")
 	}
-	return m
+	return msg
 }
 
 var callEvents = []struct {
@@ -141,41 +141,41 @@
 }
 
 // result returns the state of the call after an event and the messages that were written for it.
-func (x *stateCase) result(from int) string {
+func (sc *stateCase) result(from int) string {
 	state := "unknown"
-	if k := x.agent.calls[0x3e8]; k != nil {
-		state = [...]string{"offered", "trying", "standing", "over"}[k.state]
+	if call := sc.agent.calls[0x3e8]; call != nil {
+		state = [...]string{"offered", "trying", "standing", "over"}[call.state]
 	}
-	var wrote []string
-	for _, w := range x.sentMessages[from:] {
-		if w.message.CallID != stateCaseID {
+	var messages []string
+	for _, sent := range sc.sentMessages[from:] {
+		if sent.message.CallID != stateCaseID {
 			continue
 		}
-		who, what := "caller", w.message.Method
-		if _, link := x.links[w.to]; link || w.to < x.callerConn {
-			who = "switch"
-		} else if w.to != x.callerConn {
-			who = "another caller"
+		peer, name := "caller", sent.message.Method
+		if _, link := sc.links[sent.to]; link || sent.to < sc.callerConn {
+			peer = "switch"
+		} else if sent.to != sc.callerConn {
+			peer = "another caller"
 		}
-		if w.message.Status != 0 {
-			what = fmt.Sprint(w.message.Status)
+		if sent.message.Status != 0 {
+			name = fmt.Sprint(sent.message.Status)
 		}
-		wrote = append(wrote, what+" to "+who)
+		messages = append(messages, name+" to "+peer)
 	}
-	return strings.TrimSpace(state + "; " + strings.Join(wrote, ", "))
+	return strings.TrimSpace(state + "; " + strings.Join(messages, ", "))
 }
 
 // TestEveryEventInEveryState checks the state table: the next state for each event in each state, and the messages
 // that are written. A row with a state alone means that nothing is written.
 func TestEveryEventInEveryState(t *testing.T) {
 	var lines []string
-	for _, s := range callStates {
-		for _, e := range callEvents {
-			x := newStateCase(t)
-			s.come(x)
-			from := len(x.sentMessages)
-			e.come(x)
-			lines = append(lines, fmt.Sprintf("%s | %s | %s", s.name, e.name, strings.TrimSuffix(x.result(from), ";")))
+	for _, state := range callStates {
+		for _, event := range callEvents {
+			sc := newStateCase(t)
+			state.come(sc)
+			from := len(sc.sentMessages)
+			event.come(sc)
+			lines = append(lines, fmt.Sprintf("%s | %s | %s", state.name, event.name, strings.TrimSuffix(sc.result(from), ";")))
 		}
 	}
 	want := strings.Split(strings.TrimSpace(stateTable), "\n")
