--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -1,6 +1,6 @@
 // Package b2bua implements a back-to-back user agent (RFC 7092): callers on one side, switches on the other, and the
 // routing policy in between. The package does no I/O. internal/platform passes it the time and every message, performs
-// the I/O that it requests through Carrier, and calls Tick when Next falls due.
+// the I/O that it requests through Transport, and calls Tick when NextTick falls due.
 //
 // The agent translates what it sees on the network into calls to the policy:
 //
@@ -48,20 +48,21 @@
 
 // Transport performs the I/O that the agent requests. Its methods must not call back into the agent.
 type Transport interface {
-	Write(to ConnID, m *sip.Message) // no-op if the connection is closed
-	Close(c ConnID, why string)      // after pending writes are flushed
-	Dial(sw, ticket uint32, address string)
-	Abandoned(caller ConnID, callID string) bool // reports whether the caller has disconnected or cancelled, even if that event is still queued
-	Note(text string)
-	Record(Record)
+	Write(to ConnID, msg *sip.Message)            // no-op if the connection is closed
+	Close(conn ConnID, reason string)             // after pending writes are flushed
+	Dial(switchID, dialID uint32, address string) // reports the result to DialDone
+	// Abandoned reports whether the caller has disconnected or cancelled, even if that event is still queued.
+	Abandoned(caller ConnID, callID string) bool
+	Note(text string) // logs a message for the operator
+	Record(Record)    // logs an entry about a call or a connection
 }
 
-// State is the state of a call. Only become changes it.
+// State is the state of a call. Only setState changes it.
 //
-// Offered -> Trying (a route try is out or waits for its connection), Over
-// Trying -> Offered (the try ended or was abandoned; the policy decides), Standing, Over
-// Standing -> Over
-// Over is retained for a while, since late answers and releases still refer to the call
+// Offered -> Trying (a route try is out or waits for its connection), Ended
+// Trying -> Offered (the try ended or was abandoned; the policy decides), Established, Ended
+// Established -> Ended
+// Ended is retained for a while, since late answers and releases still refer to the call
 type State uint8
 
 const (
@@ -114,7 +115,8 @@
 	timerReleaseRound
 )
 
-// deferredResult is the result of a try that is passed to the policy after the policy has returned from its current call.
+// deferredResult is the result of a try that is passed to the policy after the policy has returned from its current
+// call.
 type deferredResult struct {
 	handle    uint32
 	try       int
@@ -145,14 +147,14 @@
 	maxOpenCalls     int
 	maxBodyOctets    int
 	maxLinks         int
-	dialsInProgress  int // dials in progress
+	dialsInProgress  int
 	lastHandle       uint32
 	lastDialID       uint32
 	lastKeepaliveID  uint64
 	switches         map[uint32]*remoteSwitch
 	switchOrder      []uint32
 	switchOfLink     map[ConnID]uint32
-	dialAddresses    map[uint32]string // addresses of dials in progress, by dial
+	dialAddresses    map[uint32]string // of dials in progress, by dial ID
 	starting         bool              // during start-up, when nothing is dialled yet
 	closingLinks     map[ConnID]uint32 // connections to switches that were closed locally and may still deliver releases
 	callers          callerConns
@@ -227,7 +229,7 @@
 	if call == nil || call.state == Established || call.state == Ended {
 		return
 	}
-	a.transport.Note("a call had no final answer when its caller's time was up")
+	a.transport.Note("a call had no final answer at its caller's deadline")
 	a.failCall(call)
 }
 
@@ -278,7 +280,7 @@
 	a.releaseOrphanedTries(call)
 }
 
-// retain retains a call that is over for a while.
+// retain keeps an ended call for a while, since late messages may refer to it.
 func (a *Agent) retain(call *trackedCall) {
 	call.endedAt = a.now
 	a.calls[call.id] = call
--- a/internal/b2bua/b2bua_test.go
+++ b/internal/b2bua/b2bua_test.go
@@ -437,12 +437,12 @@
 func TestKeepaliveTimeoutFollowsTheRoundTripTime(t *testing.T) {
 	for _, tc := range []struct {
 		name                    string
-		roundTrip, within, from policy.Tenths // trip 0: no keepalive was answered yet
+		roundTrip, within, from policy.Tenths // roundTrip 0: no keepalive was answered yet
 	}{
 		{"near", 300, minKeepaliveTimeout + 3*maintenanceInterval, minKeepaliveTimeout - maintenanceInterval},
 		{"far", 1000, 4000 + 3*maintenanceInterval, 4000 - maintenanceInterval},
 		{"not measured", 0, initialKeepaliveTimeout + 3*maintenanceInterval, initialKeepaliveTimeout - maintenanceInterval},
-		{"farther than is waited for", 7000, maxKeepaliveTimeout + 3*maintenanceInterval, maxKeepaliveTimeout - maintenanceInterval},
+		{"beyond the maximum", 7000, maxKeepaliveTimeout + 3*maintenanceInterval, maxKeepaliveTimeout - maintenanceInterval},
 	} {
 		h := newHarness(t)
 		h.completeDials(10, 10)
@@ -516,7 +516,8 @@
 	})
 }
 
-// maxStep is the last kind of step. Steps up to stepTimePasses let time pass; stepSwitchUpdate reports a change of a switch.
+// maxStep is the last kind of step. Steps up to stepTimePasses let time pass; stepSwitchUpdate reports a change of a
+// switch.
 const (
 	maxStep          = 23
 	stepTimePasses   = 2
--- a/internal/b2bua/caller_conn.go
+++ b/internal/b2bua/caller_conn.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// callerMessageTimeout is how long a connection may be open before its first complete message, and how long a message may
-	// take to become complete: the platform requires an answer or a close within 3 s.
+	// callerMessageTimeout is how long a connection may be open before its first complete message, and how long a
+	// message may take to become complete: the platform requires an answer or a close within 3 s.
 	callerMessageTimeout = policy.Tenths(20000)
 
-	// callerIdleTimeout is how long a connection may stay without a message while no set-up is open on it. Callers close
-	// their connections after 4 s without a call, so one that stays longer is not in use.
+	// callerIdleTimeout is how long a connection may stay without a message while no set-up is open on it. Callers
+	// close their connections after 4 s without a call, so one that stays longer is not in use.
 	callerIdleTimeout = policy.Tenths(100000)
 
 	// readProofTimeout is how long an expected acknowledgement may be missing before a connection is suspect.
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// CallerMessageInvalid handles an unreadable message: it is answered where it has an id, and the connection is closed. Calls
-// that are open on it fail at once, as their caller would not receive a later answer.
+// CallerMessageInvalid handles an unreadable message: it is answered where it has an id, and the connection is
+// closed. Calls that are open on it fail at once, as their caller would not receive a later answer.
 func (a *Agent) CallerMessageInvalid(now policy.Tenths, conn ConnID, msg *sip.Message, tooLong bool, reason string) {
 	a.now = now
 	if a.callers.conns[conn] == nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// FromCaller handles a message of a caller. lastProofAt is when it was completely read, which may be earlier than now.
+// FromCaller handles a message of a caller. receivedAt is when it was completely read, which may be earlier than now.
 func (a *Agent) FromCaller(now, receivedAt policy.Tenths, conn ConnID, msg *sip.Message) {
 	a.now = now
 	caller := a.callers.conns[conn]
@@ -146,8 +146,8 @@
 	a.flushDeferred()
 }
 
-// callerMessageAfterClose handles a message that arrived while its connection was being closed locally: releases and answers
-// to releases still count.
+// callerMessageAfterClose handles a message that arrived while its connection was being closed locally: releases and
+// answers to releases still count.
 func (a *Agent) callerMessageAfterClose(conn ConnID, msg *sip.Message) {
 	switch {
 	case msg.Method == sip.Bye:
@@ -160,6 +160,7 @@
 	a.flushDeferred()
 }
 
+// rejectMessage answers a caller's message with an error status.
 func (a *Agent) rejectMessage(conn ConnID, msg *sip.Message, status int, reason string) {
 	a.callCounts.Refused++
 	a.transport.Record(Record{Kind: SetUpRefused, CallID: msg.CallID, Conn: conn, Reason: reason})
--- a/internal/b2bua/far.go
+++ b/internal/b2bua/far.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// A connection to a switch is probed with an OPTIONS keepalive after keepaliveInterval without a message, or after
-	// busyKeepaliveInterval while a set-up is out on it. The process at the other end answers at once, so the answer takes one
-	// round-trip time, which each keepalive measures. After half of keepaliveRoundTrips round trips without an answer the
-	// connection takes no new set-up and another one is opened; after all of them it counts as lost. Keeping a
-	// dead connection longer recovers nothing, and its set-ups make the switch look slow.
+	// A connection to a switch is probed with an OPTIONS keepalive after keepaliveInterval without a message, or
+	// after busyKeepaliveInterval while a set-up is out on it. The process at the other end answers at once, so the
+	// answer takes one round-trip time, which each keepalive measures. After half of keepaliveRoundTrips round trips
+	// without an answer the connection takes no new set-up and another one is opened; after all of them it counts as
+	// lost. Keeping a dead connection longer recovers nothing, and its set-ups make the switch look slow.
 	keepaliveInterval       = policy.Tenths(8000)
 	busyKeepaliveInterval   = policy.Tenths(600)
 	keepaliveRoundTrips     = 4
@@ -23,14 +23,15 @@
 	initialKeepaliveTimeout = policy.Tenths(6000)  // before the first round trip is measured
 	maxKeepaliveTimeout     = policy.Tenths(20000) // keeps the connections of a slow network
 
-	// silentLinkRetention is how long a silent connection is kept if no set-up was written on it since its last message;
-	// one with set-ups is closed, which abandons them. A switch that hung and recovers still sends its pending
-	// messages on the old connection, and connections that are closed and opened meanwhile would only queue up in
-	// front of it.
+	// silentLinkRetention is how long a silent connection is kept if no set-up was written on it since its last
+	// message; one with set-ups is closed, which abandons them. A switch that hung and recovers still sends its
+	// pending messages on the old connection, and connections that are closed and opened meanwhile would only queue
+	// up in front of it.
 	silentLinkRetention = peerTimeout
 	maxSilentLinks      = 2 // per switch; silent connections beyond these are closed and replaced
 
-	// switchMessageTimeout is how long a message of a switch may take to become complete, as it blocks the messages behind it.
+	// switchMessageTimeout is how long a message of a switch may take to become complete, as it blocks the messages
+	// behind it.
 	switchMessageTimeout = policy.Tenths(3000)
 
 	// peerTimeout is how long a switch may send nothing before its established calls count as disconnected: the
@@ -55,7 +56,7 @@
 	maxShortLinks     = 3
 	maxShortLinkDelay = policy.Tenths(10000)
 
-	maxLinksPerSwitch  = 4    // per switch; switches report group states on no more connections than this
+	maxLinksPerSwitch  = 4    // switches report group states on no more connections than this
 	maxPendingReleases = 4096 // per switch
 )
 
@@ -97,8 +98,8 @@
 	return a.unansweredFor(link) > remote.keepaliveTimeout()/2
 }
 
-// keepaliveAnswered handles the answer to a keepalive. Only the last keepalive counts, as an answer to an earlier one would
-// measure too short a time. The estimate is the longest round trip measured, decayed by an eighth with each
+// keepaliveAnswered handles the answer to a keepalive. Only the last keepalive counts, as an answer to an earlier one
+// would measure too short a time. The estimate is the longest round trip measured, decayed by an eighth with each
 // further measurement.
 func (rs *remoteSwitch) keepaliveAnswered(link *switchLink, now policy.Tenths, id string) {
 	if link.keepaliveID != "" && id == link.keepaliveID {
@@ -153,6 +154,7 @@
 // avoidNone avoids no connection.
 func avoidNone(ConnID) bool { return false }
 
+// findLink returns an open connection to the switch, nil if it is not open.
 func (rs *remoteSwitch) findLink(conn ConnID) *switchLink {
 	for _, link := range rs.links {
 		if link.conn == conn {
@@ -181,6 +183,7 @@
 	return len(a.switchOfLink)+a.dialsInProgress >= a.maxLinks
 }
 
+// evictIdleLink closes an idle connection to another switch. It returns false if there is none to close.
 func (a *Agent) evictIdleLink(remote *remoteSwitch) bool {
 	var candidate *switchLink
 	for _, id := range a.switchOrder {
@@ -234,7 +237,7 @@
 		remote.nextDialAt = now + remote.reconnectPace.NextDelay()
 		a.endWaitingTries(remote)
 		if refused && len(remote.links) == 0 { // the process that held the calls established there is gone
-			a.disconnectCalls(remote, now+1, "its address refuses connections")
+			a.disconnectCalls(remote, now+1, "the address refuses connections")
 		}
 		a.flushDeferred()
 		return
@@ -305,9 +308,9 @@
 	}
 }
 
-// SwitchDisconnected handles the end of a connection to a switch. The set-ups open on it may have been carried out. whole
-// means that the switch closed the connection and everything that it wrote was read; otherwise its last messages
-// may be lost.
+// SwitchDisconnected handles the end of a connection to a switch. The set-ups open on it may have been carried out.
+// graceful means that the switch closed the connection and everything that it wrote was read; otherwise its last
+// messages may be lost.
 func (a *Agent) SwitchDisconnected(now policy.Tenths, conn ConnID, graceful bool) {
 	a.now = now
 	delete(a.closingLinks, conn)
@@ -360,7 +363,7 @@
 	}
 }
 
-// closeLink closes a connection to a switch. whole means that the connection works, and messages that cross the
+// closeLink closes a connection to a switch. graceful means that the connection works, and messages that cross the
 // close are still read.
 func (a *Agent) closeLink(remote *remoteSwitch, link *switchLink, reason string, graceful bool) {
 	if link.conn == remote.lostRepeat.conn {
@@ -486,7 +489,7 @@
 		if restarted || moved { // a new process: connections and calls of the previous one are over
 			remote.dialID, remote.dialing, remote.nextDialAt = 0, false, now
 			a.closeLinks(remote, "the switch restarted", func(link *switchLink) bool { return moved || link.openedAt < startTime(entry) })
-			a.disconnectCalls(remote, startTime(entry), "it restarted")
+			a.disconnectCalls(remote, startTime(entry), "the switch restarted")
 		}
 		if entry.State == board.Draining {
 			a.endWaitingTries(remote)
@@ -501,7 +504,7 @@
 	remote.entry.State = board.Gone
 	a.endWaitingTries(remote)
 	a.closeLinks(remote, "the switch is gone", func(*switchLink) bool { return true })
-	a.disconnectCalls(remote, a.now+1, "it is gone")
+	a.disconnectCalls(remote, a.now+1, "the switch is gone")
 	delete(a.switches, remote.entry.ID)
 	a.switchOrder = slices.DeleteFunc(a.switchOrder, func(id uint32) bool { return id == remote.entry.ID })
 }
--- a/internal/b2bua/fetch.go
+++ b/internal/b2bua/fetch.go
@@ -25,8 +25,8 @@
 	remote.nextRecoveryAt = a.now + recoveryInterval
 }
 
-// dialReplacingIdle opens one more connection to a switch. If the switch has the maximum already, the idle one that has been
-// quiet longest is closed first.
+// dialReplacingIdle opens one more connection to a switch. If the switch has the maximum already, the idle one that
+// has been quiet longest is closed first.
 func (a *Agent) dialReplacingIdle(remote *remoteSwitch) {
 	if !remote.dialing && len(remote.links) >= maxLinksPerSwitch {
 		var idle *switchLink
@@ -44,8 +44,8 @@
 	a.dial(remote)
 }
 
-// messageReceived records that the switch sent a message. A switch that hung may now release calls that ended meanwhile on
-// connections that were closed here, so the next connection is opened soon.
+// messageReceived records that the switch sent a message. A switch that hung may now release calls that ended
+// meanwhile on connections that were closed here, so the next connection is opened soon.
 func (rs *remoteSwitch) messageReceived(now policy.Tenths) {
 	rs.lastMessageAt = now
 	if rs.silentSinceLoss {
@@ -74,13 +74,14 @@
 	return remote.silentSinceLoss || slices.ContainsFunc(remote.links, func(link *switchLink) bool { return a.isSuspect(remote, link) })
 }
 
-// awaitsFirstMessage reports whether a connection awaits its first message, after which waiting set-ups can be sent on it.
+// awaitsFirstMessage reports whether a connection awaits its first message, after which waiting set-ups can be sent
+// on it.
 func (a *Agent) awaitsFirstMessage(remote *remoteSwitch) bool {
 	return slices.ContainsFunc(remote.links, func(link *switchLink) bool { return !link.messageSeen && !link.silent })
 }
 
-// closeObsolete closes a connection whose dial is obsolete. The switch that listens at the address may have repeated its
-// releases on it, so another connection is opened to that switch.
+// closeObsolete closes a connection whose dial is obsolete. The switch that listens at the address may have repeated
+// its releases on it, so another connection is opened to that switch.
 func (a *Agent) closeObsolete(conn ConnID, address string) {
 	a.transport.Close(conn, "no longer needed")
 	for _, id := range a.switchOrder {
--- a/internal/b2bua/fetch_test.go
+++ b/internal/b2bua/fetch_test.go
@@ -8,8 +8,8 @@
 	"indigodrift/policy"
 )
 
-// callWithTwoLinks creates an agent with an established call at switch 1 and two connections to it; the second was opened
-// after the first fell silent.
+// callWithTwoLinks creates an agent with an established call at switch 1 and two connections to it; the second was
+// opened after the first fell silent.
 func callWithTwoLinks(t *testing.T) (h *harness, old, other ConnID, call *observedCall) {
 	h, _, call = establishedCall(t)
 	old = h.mustLinkTo(1)
--- a/internal/b2bua/fleet_test.go
+++ b/internal/b2bua/fleet_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// controllerGroup is a group of call controllers at the same switches. They receive the events of the same notice board,
-// each at its own time.
+// controllerGroup is a group of call controllers at the same switches. They receive the events of the same notice
+// board, each at its own time.
 type controllerGroup struct {
 	t              *rapid.T
 	controllers    []*harness
--- a/internal/b2bua/lost_repeat.go
+++ b/internal/b2bua/lost_repeat.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// messageOnLink handles a message on a connection. On a connection that was silent it proves that the switch only hung and
-// nothing was lost; on a later connection it starts the time within which the silent one may still speak.
+// messageOnLink handles a message on a connection. On a connection that was silent it proves that the switch only
+// hung and nothing was lost; on a later connection it starts the time within which the silent one may still speak.
 func (rs *remoteSwitch) messageOnLink(link *switchLink, now policy.Tenths) {
 	switch suspect := &rs.lostRepeat; {
 	case suspect.conn == 0:
--- a/internal/b2bua/lost_repeat_test.go
+++ b/internal/b2bua/lost_repeat_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// callWithSilentLinks creates an agent with an established call whose connection is silent, and with a next connection on
-// which no message has come.
+// callWithSilentLinks creates an agent with an established call whose connection is silent, and with a next
+// connection on which no message has come.
 func callWithSilentLinks(t *testing.T) (h *harness, old, next ConnID, call *observedCall) {
 	h, old, next, call = callWithTwoLinks(t)
 	h.silent[next] = true
@@ -12,7 +12,7 @@
 			return h, old, next, call
 		}
 	}
-	t.Fatalf("connection %d is not suspected: %+v", next, h.agent.switches[1].lostRepeat)
+	t.Fatalf("connection %d is not suspect: %+v", next, h.agent.switches[1].lostRepeat)
 	return h, old, next, call
 }
 
--- a/internal/b2bua/read.go
+++ b/internal/b2bua/read.go
@@ -24,7 +24,7 @@
 	fieldLoad             = "P-Load"
 	fieldReason           = "Reason"
 	idDigits              = 16
-	maxExpiresMS          = 3_600_000 // in ms; no caller waits longer than an hour
+	maxExpiresMS          = 3_600_000 // an hour; no caller waits longer
 	maxCount              = 1 << 16   // exchanges and circuits are counted in two octets
 	causeNormal           = 16        // Q.850: normal call clearing
 	causeTemporaryFailure = 41        // Q.850: temporary failure
@@ -141,6 +141,7 @@
 	return deployment.LoadReport(names, values)
 }
 
+// warningReasons maps the values of Warning-Word to reasons.
 var warningReasons = map[string]policy.Reason{"atb": policy.NoCircuit, "rtb": policy.TurnedBack, "racc": policy.DestOverloaded,
 	"acc": policy.ProcessorOverloaded, "sub": policy.NumberBusy}
 
--- a/internal/b2bua/release.go
+++ b/internal/b2bua/release.go
@@ -13,12 +13,13 @@
 	// callerReleaseLimit is the time that the platform allows from a switch's release to the release to the caller.
 	callerReleaseLimit = policy.Tenths(10000)
 
-	// releaseRoundInterval is how long a release waits for its confirmation before it is written on further connections. Each
-	// round doubles the number of copies, so that callers who do not read cannot use up callerReleaseLimit.
+	// releaseRoundInterval is how long a release waits for its confirmation before it is written on further
+	// connections. Each round doubles the number of copies, so that callers who do not read cannot use up
+	// callerReleaseLimit.
 	releaseRoundInterval      = policy.Tenths(2000)
-	fastRounds                = 5                     // rounds within callerReleaseLimit
-	slowRoundInterval         = policy.Tenths(10000)  // interval of later rounds
-	maxCopiesPerRound         = 8                     // copies in one round
+	fastRounds                = 5                    // rounds within callerReleaseLimit
+	slowRoundInterval         = policy.Tenths(10000) // of later rounds
+	maxCopiesPerRound         = 8
 	maxRoundCopies            = 32                    // per release, in rounds and when connections end
 	maxOfferedCopies          = 32                    // further copies, on connections that send set-ups later
 	maxProvedCopies           = 64                    // and on connections whose callers prove to read
@@ -39,7 +40,7 @@
 	cause            int
 	receivedAt       policy.Tenths
 	nextRoundAt      policy.Tenths
-	lastCopyAt       policy.Tenths // last copy
+	lastCopyAt       policy.Tenths
 	rounds           int
 	copies           int           // copies in total
 	roundCopies      int           // of these, in rounds and when connections ended
@@ -139,6 +140,7 @@
 	a.scheduleRound(release, a.now+wait)
 }
 
+// scheduleRound sets the time of the next round of a release.
 func (a *Agent) scheduleRound(release *pendingRelease, at policy.Tenths) {
 	release.nextRoundAt = at
 	a.timers.Set(at, timerReleaseRound, release.call.id)
@@ -193,6 +195,8 @@
 	}
 }
 
+// needsCopy reports whether a release should also be written on a connection: its last copy is too old, or its copies are
+// only on connections that are less likely to be read.
 func (a *Agent) needsCopy(release *pendingRelease, caller *callerConn) bool {
 	if a.now-release.lastCopyAt >= releaseRoundInterval || !slices.ContainsFunc(release.conns, a.callers.setUpSeen) {
 		return true
@@ -228,6 +232,7 @@
 	a.removeRelease(release)
 }
 
+// dropRelease gives up an unconfirmed release.
 func (a *Agent) dropRelease(release *pendingRelease, reason string) {
 	a.releaseCounts.Dropped++
 	a.transport.Record(Record{Kind: ReleaseDropped, CallID: release.call.callID, Switch: release.call.lastSwitch(), Copies: release.copies, Waited: a.now - release.receivedAt, Reason: reason})
--- a/internal/b2bua/release_switch.go
+++ b/internal/b2bua/release_switch.go
@@ -19,6 +19,7 @@
 	message sip.Message
 }
 
+// newRelease returns a BYE with a Q.850 cause.
 func (a *Agent) newRelease(callID, uri string, cause int) *sip.Message {
 	return &sip.Message{Method: sip.Bye, URI: uri, CallID: callID, CSeq: 100,
 		Fields: []sip.Field{{Name: fieldReason, Value: "Q.850;cause=" + strconv.Itoa(cause)}}}
@@ -49,8 +50,8 @@
 	}
 }
 
-// isCallEndCause reports whether a release cause means that an established call is over. Any other cause resets a set-up
-// before its answer.
+// isCallEndCause reports whether a release cause means that an established call is over. Any other cause resets a
+// set-up before its answer.
 func isCallEndCause(cause int) bool { return cause == causeNormal || cause == causeTemporaryFailure }
 
 // endEstablished ends an established call. The release may refer to an earlier try, there or at another switch.
--- a/internal/b2bua/release_test.go
+++ b/internal/b2bua/release_test.go
@@ -9,7 +9,8 @@
 	"indigodrift/policy"
 )
 
-// callerPairWithCall creates an agent with two callers that keep to the protocol, and an established call of the first one.
+// callerPairWithCall creates an agent with two callers that keep to the protocol, and an established call of the
+// first one.
 func callerPairWithCall(t *testing.T) (h *harness, first, second ConnID, call *observedCall) {
 	h = newHarness(t)
 	h.completeDials(9, 9)
--- a/internal/b2bua/rig_test.go
+++ b/internal/b2bua/rig_test.go
@@ -99,7 +99,7 @@
 	setUpConns            map[ConnID]bool          // connections on which set-ups came
 	openedAt              map[ConnID]policy.Tenths // callers' connections
 	abandonedIDs          map[string]bool          // ids whose callers have left without an event to the agent
-	onSetUp               func(sw uint32)          // called for each set-up to a switch
+	onSetUp               func(switchID uint32)    // called for each set-up to a switch
 	acknowledged          map[ConnID]bool          // callers on these have acknowledged an answer
 	unresponsive          map[ConnID]bool          // callers on these answer no release
 }
@@ -124,8 +124,8 @@
 func newHarnessWithBounds(t testReporter, bounds Bounds) *harness {
 	h := &harness{t: t, now: 17e12, calls: map[string]*observedCall{}, links: map[ConnID]uint32{}, unavailable: map[uint32]bool{}, closed: map[ConnID]string{}, silent: map[ConnID]bool{}, unresponsive: map[ConnID]bool{}, abandonedIDs: map[string]bool{}, openedAt: map[ConnID]policy.Tenths{}, setUpConns: map[ConnID]bool{}, acknowledged: map[ConnID]bool{}}
 	h.agent = New(testSettings(), bounds, h, h.now,
-		func(d policy.Deployment, sc policy.Executor, now policy.Tenths) exchange.Decider {
-			return policy.New(d, sc, now)
+		func(d policy.Deployment, output policy.Executor, now policy.Tenths) exchange.Decider {
+			return policy.New(d, output, now)
 		})
 	h.updateSwitches(true, board.Switch{ID: 0, Cell: 0, Address: "10.0.0.1:1"}, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1"},
 		board.Switch{ID: 2, Cell: 2, Address: "10.0.0.3:1"}, board.Switch{ID: 3, Cell: 3, Address: "10.0.0.4:1"})
@@ -326,7 +326,7 @@
 	case to != call.conn && msg.Status >= 400: // another caller used its id
 	case msg.CSeqMethod == sip.Invite && msg.Status >= 200:
 		if call.answers++; call.answers > 1 || call.abandoned || to != call.conn || h.now > call.deadline {
-			h.t.Fatalf("call %s: answer %d with status %d, left %v, %d past its time", call.id, call.answers, msg.Status, call.abandoned, h.now-call.deadline)
+			h.t.Fatalf("call %s: answer %d with status %d, abandoned %v, %d past its deadline", call.id, call.answers, msg.Status, call.abandoned, h.now-call.deadline)
 		}
 		if msg.Status == sip.OK {
 			if call.answered = true; call.establishedAt == 0 || string(msg.Body) != call.answerBody {
@@ -336,7 +336,7 @@
 	case msg.Method == sip.Bye:
 		call.callerReleases++
 		if !call.answered || call.releaseAnswered || call.callerEnded || call.releaseConns[to] || call.callerReleases > h.copiesAllowed(call, to) {
-			h.t.Fatalf("call %s: release %d, on connection %d, of a call that is not established for its caller, or too soon: %d after the first, %+v, deaf %v, acked %v", call.id, call.callerReleases, to, h.now-call.releasedAt, *call, h.unresponsive, h.acknowledged)
+			h.t.Fatalf("call %s: release %d, on connection %d, of a call that is not established for its caller, or too soon: %d after the first, %+v, unresponsive %v, acknowledged %v", call.id, call.callerReleases, to, h.now-call.releasedAt, *call, h.unresponsive, h.acknowledged)
 		}
 		if call.callerReleases == 1 {
 			call.releasedAt, call.releaseConns = h.now, map[ConnID]bool{}
--- a/internal/b2bua/route_try_test.go
+++ b/internal/b2bua/route_try_test.go
@@ -10,8 +10,8 @@
 	"indigodrift/policy"
 )
 
-// callWithSecondTry creates a call whose first try at switch 1 was lost with its connection, and whose second one is out
-// there on another connection.
+// callWithSecondTry creates a call whose first try at switch 1 was lost with its connection, and whose second one is
+// out there on another connection.
 func callWithSecondTry(t *testing.T) (h *harness, call *observedCall) {
 	h = newHarness(t)
 	h.completeDials(10, 10)
--- a/internal/b2bua/silence.go
+++ b/internal/b2bua/silence.go
@@ -3,7 +3,8 @@
 import "indigodrift/policy"
 
 const (
-	// maxStallAllowance limits by how much the short stalls of this process, taken together, postpone a silence timeout.
+	// maxStallAllowance limits by how much the short stalls of this process, taken together, postpone a silence
+	// timeout.
 	maxStallAllowance = policy.Tenths(5000)
 
 	// longStall is the length of a stall after which all silence is measured anew, as the process was stopped
@@ -19,7 +20,8 @@
 	longStallEndedAt policy.Tenths // end of the last long stall
 }
 
-// tick records the time and the end of the last stall. It is called every maintenanceInterval unless the process stalls.
+// tick records the time and the end of the last stall. It is called every maintenanceInterval unless the process
+// stalls.
 func (s *silenceClock) tick(now, stallEndedAt policy.Tenths) {
 	if s.lastTickAt != 0 && now-s.lastTickAt >= longStall {
 		s.longStallEndedAt = now
--- a/internal/b2bua/table_test.go
+++ b/internal/b2bua/table_test.go
@@ -31,23 +31,23 @@
 
 // The states of a call, by their names in the state table, and how they are reached.
 var callStates = []struct {
-	name string
-	come func(*stateCase)
+	name  string
+	apply func(*stateCase)
 }{
-	{"unknown", func(x *stateCase) {}},
-	{"offered", func(x *stateCase) { x.sendSetUp(); x.answer(x.call, sip.ServerTimeout) }}, // waits for the release time
-	{"trying, to be dialled", func(x *stateCase) { x.disconnectLink(x.mustLinkTo(1)); x.sendSetUp() }},
-	{"trying", func(x *stateCase) { x.sendSetUp() }},
-	{"standing", func(x *stateCase) { x.sendSetUp(); x.answer(x.call, sip.OK) }},
-	{"over, was standing", func(x *stateCase) {
-		x.sendSetUp()
-		x.answer(x.call, sip.OK)
-		x.releaseFromSwitch(x.call)
-		x.advanceTime(10)
+	{"unknown", func(sc *stateCase) {}},
+	{"offered", func(sc *stateCase) { sc.sendSetUp(); sc.answer(sc.call, sip.ServerTimeout) }}, // waits for the release time
+	{"trying, to be dialled", func(sc *stateCase) { sc.disconnectLink(sc.mustLinkTo(1)); sc.sendSetUp() }},
+	{"trying", func(sc *stateCase) { sc.sendSetUp() }},
+	{"standing", func(sc *stateCase) { sc.sendSetUp(); sc.answer(sc.call, sip.OK) }},
+	{"over, was standing", func(sc *stateCase) {
+		sc.sendSetUp()
+		sc.answer(sc.call, sip.OK)
+		sc.releaseFromSwitch(sc.call)
+		sc.advanceTime(10)
 	}},
-	{"over, given up", func(x *stateCase) {
-		x.sendSetUp()
-		x.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
+	{"over, given up", func(sc *stateCase) {
+		sc.sendSetUp()
+		sc.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
 	}},
 }
 
@@ -77,7 +77,7 @@
 	sc.agent.FromSwitch(sc.now, sc.linkOf(1), msg)
 }
 
-// switchOfLink returns the connection to a switch, 0 if there is none.
+// linkOf returns the connection to a switch, 0 if there is none.
 func (sc *stateCase) linkOf(switchID uint32) ConnID {
 	i := slices.IndexFunc(sc.linkOrder, func(conn ConnID) bool { return sc.links[conn] == switchID })
 	if i < 0 {
@@ -95,49 +95,49 @@
 }
 
 var callEvents = []struct {
-	name string
-	come func(*stateCase)
+	name  string
+	apply func(*stateCase)
 }{
-	{"set-up under its id", func(x *stateCase) {
-		x.agent.FromCaller(x.now, x.now, x.otherConn, invite(stateCaseID, "voice", 1000, "dest:9;width:1;via:-1", ""))
+	{"set-up under its id", func(sc *stateCase) {
+		sc.agent.FromCaller(sc.now, sc.now, sc.otherConn, invite(stateCaseID, "voice", 1000, "dest:9;width:1;via:-1", ""))
 	}},
-	{"set-up with at", func(x *stateCase) {
-		if x.call != nil { // the caller has not received the release
-			x.call.answered, x.call.releaseAnswered, x.call.releasedOn, x.call.callerReleases, x.call.releaseConns = true, false, 0, 0, nil
+	{"set-up with at", func(sc *stateCase) {
+		if sc.call != nil { // the caller has not received the release
+			sc.call.answered, sc.call.releaseAnswered, sc.call.releasedOn, sc.call.callerReleases, sc.call.releaseConns = true, false, 0, 0, nil
 		}
-		x.agent.FromCaller(x.now, x.now, x.otherConn, invite(stateCaseID, "voice", 1000, "dest:1;width:1;at:s-00000001", ""))
+		sc.agent.FromCaller(sc.now, sc.now, sc.otherConn, invite(stateCaseID, "voice", 1000, "dest:1;width:1;at:s-00000001", ""))
 	}},
-	{"CANCEL", func(x *stateCase) {
-		x.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
+	{"CANCEL", func(sc *stateCase) {
+		sc.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
 	}},
-	{"CANCEL by another caller", func(x *stateCase) {
-		x.agent.FromCaller(x.now, x.now, x.otherConn, &sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
+	{"CANCEL by another caller", func(sc *stateCase) {
+		sc.agent.FromCaller(sc.now, sc.now, sc.otherConn, &sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
 	}},
-	{"BYE of the caller", func(x *stateCase) { x.fromCaller(x.newRelease(stateCaseID, 16)) }},
-	{"end of the caller's connection", func(x *stateCase) { x.disconnectCaller(x.callerConn) }},
-	{"200", func(x *stateCase) { x.fromSwitch(answerOf(sip.OK)) }},
-	{"503", func(x *stateCase) { x.fromSwitch(answerOf(sip.ServiceUnavailable)) }},
-	{"504", func(x *stateCase) { x.fromSwitch(answerOf(sip.ServerTimeout)) }},
-	{"BYE of the switch", func(x *stateCase) { x.fromSwitch(x.newRelease(stateCaseID, 16)) }},
-	{"end of the switch's connection", func(x *stateCase) {
-		if c := x.linkOf(1); c != 0 {
-			x.disconnectLink(c)
+	{"BYE of the caller", func(sc *stateCase) { sc.fromCaller(sc.newRelease(stateCaseID, 16)) }},
+	{"end of the caller's connection", func(sc *stateCase) { sc.disconnectCaller(sc.callerConn) }},
+	{"200", func(sc *stateCase) { sc.fromSwitch(answerOf(sip.OK)) }},
+	{"503", func(sc *stateCase) { sc.fromSwitch(answerOf(sip.ServiceUnavailable)) }},
+	{"504", func(sc *stateCase) { sc.fromSwitch(answerOf(sip.ServerTimeout)) }},
+	{"BYE of the switch", func(sc *stateCase) { sc.fromSwitch(sc.newRelease(stateCaseID, 16)) }},
+	{"end of the switch's connection", func(sc *stateCase) {
+		if c := sc.linkOf(1); c != 0 {
+			sc.disconnectLink(c)
 		}
 	}},
-	{"connection comes up", func(x *stateCase) { x.completeDials(9, 9) }},
-	{"connection is refused", func(x *stateCase) {
-		for len(x.dials) > 0 {
-			x.completeDial(true, false)
+	{"connection comes up", func(sc *stateCase) { sc.completeDials(9, 9) }},
+	{"connection is refused", func(sc *stateCase) {
+		for len(sc.dials) > 0 {
+			sc.completeDial(true, false)
 		}
 	}},
-	{"switch drains", func(x *stateCase) {
-		x.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining})
+	{"switch drains", func(sc *stateCase) {
+		sc.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining})
 	}},
-	{"switch is gone", func(x *stateCase) {
-		x.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone})
+	{"switch is gone", func(sc *stateCase) {
+		sc.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone})
 	}},
-	{"time of the caller is up", func(x *stateCase) { x.advanceTime(20000) }},
-	{"the process ends", func(x *stateCase) { x.agent.FailOpenCalls(x.now) }},
+	{"time of the caller is up", func(sc *stateCase) { sc.advanceTime(20000) }},
+	{"the process ends", func(sc *stateCase) { sc.agent.FailOpenCalls(sc.now) }},
 }
 
 // result returns the state of the call after an event and the messages that were written for it.
@@ -172,9 +172,9 @@
 	for _, state := range callStates {
 		for _, event := range callEvents {
 			sc := newStateCase(t)
-			state.come(sc)
+			state.apply(sc)
 			from := len(sc.sentMessages)
-			event.come(sc)
+			event.apply(sc)
 			lines = append(lines, fmt.Sprintf("%s | %s | %s", state.name, event.name, strings.TrimSuffix(sc.result(from), ";")))
 		}
 	}
--- a/internal/b2bua/try.go
+++ b/internal/b2bua/try.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// writeSetUp sends the set-up of a try on a connection.
 func (a *Agent) writeSetUp(try *routeTry, link *switchLink) {
 	if link.openSetUps++; link.openSetUps == 1 {
 		link.busySince = a.now
