--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -75,18 +75,18 @@
 var callTransitions = [...][]State{Offered: {Trying, Ended}, Trying: {Offered, Established, Ended}, Established: {Ended}, Ended: nil}
 
 type trackedCall struct {
-	id       uint64
-	handle   uint32 // 0 for an adopted call, which the policy does not know
-	state    State
-	caller   ConnID // connection on which its set-up came
-	callID   string
-	uri      string
-	class    string
-	cseq     uint32 // of the caller's set-up
-	body     []byte // the caller's session description, until the call is established
-	deadline policy.Tenths
-	tries    []*routeTry // in the order of their numbers; an adopted call has only the one that established it
-	adopted  bool
+	id           uint64
+	handle       uint32 // 0 for an adopted call, which the policy does not know
+	state        State
+	callerConnID ConnID // connection on which its set-up came
+	callID       string
+	uri          string
+	class        string
+	cseq         uint32 // of the caller's set-up
+	body         []byte // the caller's session description, until the call is established
+	deadline     policy.Tenths
+	tries        []*routeTry // in the order of their numbers; an adopted call has only the one that established it
+	adopted      bool
 	// nextTryAt is the earliest time of the next try. After an answer to an abandoned try the release time counts
 	// from that answer.
 	nextTryAt      policy.Tenths
@@ -260,7 +260,7 @@
 	open := func(state State) bool { return state == Offered || state == Trying }
 	if open(call.state) && !open(state) {
 		a.openCalls--
-		a.callers.setUpEnded(call.caller)
+		a.callers.setUpEnded(call.callerConnID)
 		a.bodyOctets -= len(call.body)
 		call.body = nil
 	}
@@ -271,7 +271,7 @@
 	case call.state == Established:
 		a.establishedCalls--
 	}
-	a.transport.Record(Record{Kind: CallState, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), From: call.state, To: state})
+	a.transport.Record(Record{Kind: CallState, CallID: call.callID, Conn: call.callerConnID, Switch: call.lastSwitch(), From: call.state, To: state})
 	call.state = state
 	if state == Ended {
 		delete(a.byHandle, call.handle)
@@ -326,7 +326,7 @@
 	if retryAfter > 0 {
 		msg.Fields = []sip.Field{{Name: fieldBackOff, Value: strconv.FormatInt(int64((retryAfter+9)/10), 10)}}
 	}
-	a.transport.Record(Record{Kind: CallRefused, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), Try: len(call.tries), Reason: strconv.Itoa(status)})
+	a.transport.Record(Record{Kind: CallRefused, CallID: call.callID, Conn: call.callerConnID, Switch: call.lastSwitch(), Try: len(call.tries), Reason: strconv.Itoa(status)})
 	a.writeAnswer(call, &msg)
 }
 
@@ -346,8 +346,8 @@
 
 var noReport = policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 
-// reportEnded reports the end of an established call to the policy.
-func (a *Agent) reportEnded(call *trackedCall, ending policy.Outcome, report policy.LoadReport) {
+// endCall reports the end of an established call to the policy.
+func (a *Agent) endCall(call *trackedCall, ending policy.Outcome, report policy.LoadReport) {
 	try := call.lastTry()
 	a.advance(try, eventRelease, "the call is over")
 	a.setState(call, Ended)
--- a/internal/b2bua/b2bua_test.go
+++ b/internal/b2bua/b2bua_test.go
@@ -181,16 +181,16 @@
 func TestSilentAndPartialCallerConnectionsAreClosed(t *testing.T) {
 	h := newHarness(t)
 	h.completeDials(10, 10)
-	silent, half, served, talks := h.connectCaller(), h.connectCaller(), h.connectCaller(), h.connectCaller()
-	h.agent.CallerMessagePartial(half, h.now)
-	call := h.sendSetUp(served, 1, 20000)
-	h.agent.FromCaller(h.now, h.now, talks, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
+	silent, partial, active, probing := h.connectCaller(), h.connectCaller(), h.connectCaller(), h.connectCaller()
+	h.agent.CallerMessagePartial(partial, h.now)
+	call := h.sendSetUp(active, 1, 20000)
+	h.agent.FromCaller(h.now, h.now, probing, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})
 	h.advanceTime(19000)
 	if len(h.closed) != 0 {
 		t.Fatalf("closed early: %v", h.closed)
 	}
 	h.advanceTime(4000)
-	if h.closed[silent] == "" || h.closed[half] == "" || h.closed[served] != "" || h.closed[talks] != "" || call.abandoned {
+	if h.closed[silent] == "" || h.closed[partial] == "" || h.closed[active] != "" || h.closed[probing] != "" || call.abandoned {
 		t.Errorf("closed %v", h.closed)
 	}
 }
--- a/internal/b2bua/caller_conn.go
+++ b/internal/b2bua/caller_conn.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// proveRead records a proof that everything up to a sequence number was read.
-func (c *callerConn) proveRead(seq uint64, now policy.Tenths) {
+// recordReadProof records a proof that everything up to a sequence number was read.
+func (c *callerConn) recordReadProof(seq uint64, now policy.Tenths) {
 	c.lastProofAt = now
 	if c.ackPendingSince = now; seq >= c.lastAnswerSeq {
 		c.ackPendingSince = 0
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -42,7 +42,7 @@
 	}
 	if caller.openSetUps > 0 {
 		for _, call := range a.matchingCalls(func(call *trackedCall) bool {
-			return call.caller == conn && (call.state == Offered || call.state == Trying)
+			return call.callerConnID == conn && (call.state == Offered || call.state == Trying)
 		}) {
 			a.abandonCall(call)
 			a.callCounts.Abandoned++
@@ -71,7 +71,7 @@
 	if tooLong {
 		status = sip.RequestEntityTooLarge
 	}
-	a.failOpenCalls(func(call *trackedCall) bool { return call.caller == conn })
+	a.failOpenCalls(func(call *trackedCall) bool { return call.callerConnID == conn })
 	refusal := msg.Response(status)
 	if _, err := parseID(msg.CallID); err != nil {
 		refusal.CallID = ""
@@ -184,9 +184,9 @@
 		return
 	}
 	a.markSetUpSeen(caller)
-	call := &trackedCall{id: parsed.id, caller: caller.conn, callID: msg.CallID, uri: msg.URI, class: msg.Get(fieldClass), cseq: msg.CSeq, body: msg.Body,
+	call := &trackedCall{id: parsed.id, callerConnID: caller.conn, callID: msg.CallID, uri: msg.URI, class: msg.Get(fieldClass), cseq: msg.CSeq, body: msg.Body,
 		deadline: receivedAt + parsed.request.TTL - answerMargin}
-	if a.transport.Abandoned(call.caller, call.callID) { // the CANCEL or the end of the connection follows
+	if a.transport.Abandoned(call.callerConnID, call.callID) { // the CANCEL or the end of the connection follows
 		call.body, call.state = nil, Ended
 		a.retain(call)
 		a.callCounts.Abandoned++
@@ -233,14 +233,14 @@
 		}
 		return
 	}
-	call := &trackedCall{id: parsed.id, state: Established, caller: caller.conn, callID: msg.CallID, uri: msg.URI, adopted: true, establishedAt: a.now}
-	call.tries = []*routeTry{{call: call, switchID: parsed.adoptedAt, state: tryEstablished}}
+	call := &trackedCall{id: parsed.id, state: Established, callerConnID: caller.conn, callID: msg.CallID, uri: msg.URI, adopted: true, establishedAt: a.now}
+	call.tries = []*routeTry{{call: call, switchID: parsed.adoptedSwitch, state: tryEstablished}}
 	a.calls[call.id] = call
 	a.establishedCalls++
-	if remote := a.switches[parsed.adoptedAt]; remote != nil && remote.nextRecoveryAt == 0 {
+	if remote := a.switches[parsed.adoptedSwitch]; remote != nil && remote.nextRecoveryAt == 0 {
 		remote.nextRecoveryAt = a.now + recoveryInterval
 	}
-	if a.switches[parsed.adoptedAt] == nil || a.establishedCalls > maxRetainedCalls {
+	if a.switches[parsed.adoptedSwitch] == nil || a.establishedCalls > maxRetainedCalls {
 		a.releaseCaller(call, causeTemporaryFailure)
 		a.setState(call, Ended)
 	}
@@ -250,7 +250,7 @@
 func (a *Agent) handleCancel(conn ConnID, msg *sip.Message) {
 	id, err := parseID(msg.CallID)
 	call := a.calls[id]
-	if err != nil || call == nil || call.caller != conn {
+	if err != nil || call == nil || call.callerConnID != conn {
 		a.rejectMessage(conn, msg, sip.CallDoesNotExist, "CANCEL for an unknown call")
 		return
 	}
@@ -261,7 +261,7 @@
 	case Established: // the CANCEL crossed the answer
 		a.callCounts.CancelCrossed++
 		a.releaseSwitch(call.lastSwitch(), call.lastTry().conn, a.newRelease(call.callID, call.uri, causeNormal))
-		a.reportEnded(call, policy.Cancelled, noReport)
+		a.endCall(call, policy.Cancelled, noReport)
 	}
 }
 
@@ -280,7 +280,7 @@
 	switch call.state {
 	case Established:
 		a.releaseSwitch(call.lastSwitch(), call.lastTry().conn, a.newRelease(call.callID, call.uri, max(parseCause(msg), causeNormal)))
-		a.reportEnded(call, policy.Cancelled, noReport)
+		a.endCall(call, policy.Cancelled, noReport)
 	case Offered, Trying:
 		a.abandonCall(call)
 		a.callCounts.Abandoned++
--- a/internal/b2bua/desk.go
+++ b/internal/b2bua/desk.go
@@ -18,7 +18,7 @@
 	}
 	try := &routeTry{call: call, number: len(call.tries), switchID: switchID, state: tryHeld}
 	call.tries = append(call.tries, try)
-	if a.transport.Abandoned(call.caller, call.callID) { // no try may start for a caller who has abandoned the call
+	if a.transport.Abandoned(call.callerConnID, call.callID) { // no try may start for a caller who has abandoned the call
 		a.advance(try, eventDrop, "the caller has abandoned the call")
 		a.deferred = append(a.deferred, deferredResult{handle: id, try: try.number, abandoned: true})
 		return
--- a/internal/b2bua/far.go
+++ b/internal/b2bua/far.go
@@ -280,7 +280,7 @@
 		if try.state != tryWaiting {
 			continue
 		}
-		if call := try.call; a.transport.Abandoned(call.caller, call.callID) {
+		if call := try.call; a.transport.Abandoned(call.callerConnID, call.callID) {
 			a.abandonCall(call)
 			a.callCounts.Abandoned++
 			continue
@@ -385,7 +385,7 @@
 	}
 	for _, call := range calls {
 		a.releaseCaller(call, causeTemporaryFailure)
-		a.reportEnded(call, policy.Disconnected, noReport)
+		a.endCall(call, policy.Disconnected, noReport)
 	}
 }
 
--- a/internal/b2bua/fleet_test.go
+++ b/internal/b2bua/fleet_test.go
@@ -53,7 +53,7 @@
 	h := newHarnessWithBounds(g.t, groupBounds)
 	h.now = now
 	h.onSetUp = func(switchID uint32) {
-		if _, cold := g.slowStartTimes[switchID]; cold {
+		if _, inSlowStart := g.slowStartTimes[switchID]; inSlowStart {
 			g.setUpTimes[switchID] = append(g.setUpTimes[switchID], h.now)
 		}
 	}
@@ -95,16 +95,16 @@
 	switch kind := rapid.IntRange(0, 4).Draw(g.t, "tells"); {
 	case kind <= 1 || !ok:
 		g.lastSwitchID++
-		cold := board.Switch{ID: g.lastSwitchID, Cell: cell, Address: fmt.Sprintf("10.0.1.%d:1", g.lastSwitchID), StartedMS: int64(g.controllers[0].now) / 10}
+		replacement := board.Switch{ID: g.lastSwitchID, Cell: cell, Address: fmt.Sprintf("10.0.1.%d:1", g.lastSwitchID), StartedMS: int64(g.controllers[0].now) / 10}
 		if ok && kind == 1 { // it takes over the address of the old one
-			cold.Address, entry.State = entry.Address, board.Gone
+			replacement.Address, entry.State = entry.Address, board.Gone
 			event.Switches = append(event.Switches, entry)
 		} else if ok {
 			entry.State = board.Draining
 			event.Switches = append(event.Switches, entry)
 		}
-		g.listed[cell], g.slowStartTimes[cold.ID] = cold, g.controllers[0].now
-		event.Switches = append(event.Switches, cold)
+		g.listed[cell], g.slowStartTimes[replacement.ID] = replacement, g.controllers[0].now
+		event.Switches = append(event.Switches, replacement)
 	case kind == 2:
 		entry.State = board.Draining
 		event.Switches = append(event.Switches, entry)
--- a/internal/b2bua/lost_repeat.go
+++ b/internal/b2bua/lost_repeat.go
@@ -66,6 +66,6 @@
 	for _, call := range calls {
 		a.releaseSwitch(remote.entry.ID, 0, a.newRelease(call.callID, call.uri, causeTemporaryFailure))
 		a.releaseCaller(call, causeTemporaryFailure)
-		a.reportEnded(call, policy.Disconnected, noReport)
+		a.endCall(call, policy.Disconnected, noReport)
 	}
 }
--- a/internal/b2bua/lost_repeat_test.go
+++ b/internal/b2bua/lost_repeat_test.go
@@ -16,8 +16,8 @@
 	return h, old, next, call
 }
 
-// openSpeakingLink opens a further connection, on which the switch sends a message.
-func (h *harness) openSpeakingLink() {
+// openRespondingLink opens a further connection, on which the switch sends a message.
+func (h *harness) openRespondingLink() {
 	for range 60 {
 		for len(h.dials) > 0 {
 			h.reportCircuits(h.completeDial(false, true), 9, 9)
@@ -32,7 +32,7 @@
 // the connection that never delivered a message.
 func TestCallWhoseRepeatedReleaseMayBeLostIsReleasedOnBothSides(t *testing.T) {
 	h, _, _, call := callWithSilentLinks(t)
-	h.openSpeakingLink()
+	h.openRespondingLink()
 	call.earlierTryReleased = true
 	if h.advanceTime(lostRepeatDelay - 2*maintenanceInterval); call.callerReleases != 0 {
 		t.Fatal("released too soon")
@@ -45,14 +45,14 @@
 // Guards against disconnecting calls because their switch hung for a moment: it sends on the earlier connections
 // too when it recovers.
 func TestCallsOfASwitchThatHungStayEstablished(t *testing.T) {
-	for name, recover := range map[string]func(h *harness, old, next ConnID){
+	for name, resume := range map[string]func(h *harness, old, next ConnID){
 		"the connection of the set-up": func(h *harness, old, _ ConnID) { h.reportCircuits(old, 9, 9) },
 		"the silent one":               func(h *harness, _, next ConnID) { h.reportCircuits(next, 9, 9) },
 	} {
 		h, old, next, call := callWithSilentLinks(t)
-		h.openSpeakingLink()
+		h.openRespondingLink()
 		h.silent = map[ConnID]bool{}
-		recover(h, old, next)
+		resume(h, old, next)
 		if h.advanceTime(3 * lostRepeatDelay); call.callerReleases != 0 || h.agent.establishedCalls != 1 {
 			t.Errorf("%s: the caller was released %d times", name, call.callerReleases)
 		}
@@ -62,7 +62,7 @@
 // Guards against disconnecting calls whose own connection is open, as their release would come there.
 func TestCallsOnOpenConnectionsStayEstablishedWhenARepetitionIsLost(t *testing.T) {
 	h, _, _, call := callWithSilentLinks(t)
-	h.openSpeakingLink()
+	h.openRespondingLink()
 	id, _ := parseID(call.id)
 	for _, link := range h.agent.switches[1].links {
 		if link.messageSeen && !link.silent {
--- a/internal/b2bua/read.go
+++ b/internal/b2bua/read.go
@@ -32,9 +32,9 @@
 
 // setUp is a parsed set-up.
 type setUp struct {
-	id        uint64
-	request   policy.Call
-	adoptedAt uint32 // the switch at which an adopted call is established
+	id            uint64
+	request       policy.Call
+	adoptedSwitch uint32 // the switch at which an adopted call is established
 	// adopted reports that the set-up names such a switch.
 	adopted bool
 }
@@ -46,12 +46,12 @@
 }
 
 // parseID parses an id of 16 hexadecimal digits.
-func parseID(s string) (uint64, error) {
-	v, err := strconv.ParseUint(s, 16, 64)
-	if err != nil || len(s) != idDigits {
-		return 0, setUpError("invalid id %.40q", s)
+func parseID(text string) (uint64, error) {
+	id, err := strconv.ParseUint(text, 16, 64)
+	if err != nil || len(text) != idDigits {
+		return 0, setUpError("invalid id %.40q", text)
 	}
-	return v, nil
+	return id, nil
 }
 
 // parseSetUp parses a set-up. The numbers of exchanges and circuits are only checked for plausible values; the
@@ -79,7 +79,7 @@
 			return parsed, setUpError("%s %.40q", fieldInfo, part)
 		}
 		if name == "at" {
-			if parsed.adoptedAt, err = board.ParseID(value); err != nil {
+			if parsed.adoptedSwitch, err = board.ParseID(value); err != nil {
 				return parsed, fmt.Errorf("%w: %w", errSetUp, err)
 			}
 			parsed.adopted = true
@@ -167,9 +167,9 @@
 // parseCause returns the Q.850 cause of a release, -1 if there is none (RFC 3326).
 func parseCause(msg *sip.Message) int {
 	for _, part := range strings.Split(msg.Get(fieldReason), ";") {
-		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "cause="); ok {
-			if n, err := strconv.Atoi(v); err == nil {
-				return n
+		if digits, ok := strings.CutPrefix(strings.TrimSpace(part), "cause="); ok {
+			if cause, err := strconv.Atoi(digits); err == nil {
+				return cause
 			}
 		}
 	}
--- a/internal/b2bua/release.go
+++ b/internal/b2bua/release.go
@@ -109,7 +109,7 @@
 	waited := a.now - release.receivedAt
 	if release.copies > 0 {
 		a.releaseCounts.Unanswered++
-		a.transport.Record(Record{Kind: ReleaseUnanswered, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), Copies: release.copies, Waited: waited})
+		a.transport.Record(Record{Kind: ReleaseUnanswered, CallID: call.callID, Conn: call.callerConnID, Switch: call.lastSwitch(), Copies: release.copies, Waited: waited})
 	}
 	switch {
 	case release.firstSetUpConnAt != 0 && a.now-release.firstSetUpConnAt >= writtenReleaseRetention:
@@ -227,7 +227,7 @@
 	a.releaseCounts.Confirmed++
 	if waited > callerReleaseLimit {
 		a.releaseCounts.Late++
-		a.transport.Record(Record{Kind: ReleaseLate, CallID: call.callID, Conn: call.caller, Switch: call.lastSwitch(), Copies: release.copies, Waited: waited})
+		a.transport.Record(Record{Kind: ReleaseLate, CallID: call.callID, Conn: call.callerConnID, Switch: call.lastSwitch(), Copies: release.copies, Waited: waited})
 	}
 	a.removeRelease(release)
 }
@@ -248,7 +248,7 @@
 // releases of calls that came on that connection; other callers may have ignored theirs.
 func (a *Agent) handleReadProof(caller *callerConn, seq uint64) {
 	firstProof := caller.lastProofAt == 0
-	caller.proveRead(seq, a.now)
+	caller.recordReadProof(seq, a.now)
 	n := 0
 	for n < len(caller.copies) && caller.copies[n].seq <= seq {
 		n++
@@ -256,7 +256,7 @@
 	readCopies := slices.Clone(caller.copies[:n])
 	caller.copies = slices.Delete(caller.copies, 0, n)
 	for _, written := range readCopies {
-		if call := written.release.call; call.caller == caller.conn {
+		if call := written.release.call; call.callerConnID == caller.conn {
 			a.confirmRelease(call)
 		}
 	}
@@ -284,19 +284,19 @@
 // answer and everything before it on that connection.
 func (a *Agent) handleAck(caller *callerConn, msg *sip.Message) {
 	id, err := parseID(msg.CallID)
-	if call := a.calls[id]; err == nil && call != nil && call.caller == caller.conn && call.answerSeq != 0 {
+	if call := a.calls[id]; err == nil && call != nil && call.callerConnID == caller.conn && call.answerSeq != 0 {
 		a.handleReadProof(caller, call.answerSeq)
 	}
 }
 
 // writeAnswer writes the final answer to a call's set-up.
 func (a *Agent) writeAnswer(call *trackedCall, msg *sip.Message) {
-	if caller := a.callers.conns[call.caller]; caller != nil {
+	if caller := a.callers.conns[call.callerConnID]; caller != nil {
 		caller.lastSeq++
 		call.answerSeq = caller.lastSeq
 		caller.answerWritten(caller.lastSeq, a.now)
 	}
-	a.transport.Write(call.caller, msg)
+	a.transport.Write(call.callerConnID, msg)
 }
 
 // releaseCandidates lists the connections without a copy of a release, the most likely to be read first: the call's own
@@ -318,7 +318,7 @@
 		}
 		return 1
 	}
-	ownConn := release.call.caller
+	ownConn := release.call.callerConnID
 	slices.SortStableFunc(candidates, func(x, y *callerConn) int {
 		return cmp.Or(trueFirst(x.conn == ownConn, y.conn == ownConn), trueFirst(x.setUpSeen, y.setUpSeen), trueFirst(!x.suspect(now), !y.suspect(now)),
 			cmp.Compare(y.lastProofAt, x.lastProofAt))
--- a/internal/b2bua/release_switch.go
+++ b/internal/b2bua/release_switch.go
@@ -40,9 +40,9 @@
 		a.retain(call)
 		a.releaseCaller(call, cause)
 	case call.state == Established && (call.lastSwitch() == remote.entry.ID || isCallEndCause(cause) && (call.adopted || call.mayHaveReached(remote.entry.ID))): // the tries of an adopted call are not known
-		a.endEstablished(call, remote, cause, report)
+		a.handleEstablishedRelease(call, remote, cause, report)
 	case (call.state == Offered || call.state == Trying) && isCallEndCause(cause) && call.mayHaveReached(remote.entry.ID):
-		a.failUnanswered(call, conn, remote, cause, report)
+		a.handleUnansweredRelease(call, conn, remote, cause, report)
 	case call.state == Trying && call.lastSwitch() == remote.entry.ID && call.lastTry().state == trySent && !call.earlierTryMayBeReleased(remote.entry.ID):
 		a.resetTry(call.lastTry(), conn, cause)
 	default:
@@ -54,26 +54,26 @@
 // set-up before its answer.
 func isCallEndCause(cause int) bool { return cause == causeNormal || cause == causeTemporaryFailure }
 
-// endEstablished ends an established call. The release may refer to an earlier try, there or at another switch.
+// handleEstablishedRelease ends an established call. The release may refer to an earlier try, there or at another switch.
 // The platform knows calls by their ids alone, so the call is over in any case, and its present switch is released
 // too.
-func (a *Agent) endEstablished(call *trackedCall, remote *remoteSwitch, cause int, report policy.LoadReport) {
+func (a *Agent) handleEstablishedRelease(call *trackedCall, remote *remoteSwitch, cause int, report policy.LoadReport) {
 	report = a.reportFor(remote, call, report)
 	a.releaseCaller(call, cause)
 	if call.lastSwitch() != remote.entry.ID || call.earlierTryMayBeReleased(remote.entry.ID) {
 		a.releaseSwitch(call.lastSwitch(), call.lastTry().conn, a.newRelease(call.callID, call.uri, causeNormal))
 	}
 	if cause == causeNormal {
-		a.reportEnded(call, policy.Released, report)
+		a.endCall(call, policy.Released, report)
 	} else {
-		a.reportEnded(call, policy.Disconnected, report)
+		a.endCall(call, policy.Disconnected, report)
 	}
 }
 
-// failUnanswered fails a call that was established and is over although its caller has no answer, as the
+// handleUnansweredRelease fails a call that was established and is over although its caller has no answer, as the
 // switch's answer was lost. A try that is out is cancelled. A further try could be answered to the caller after
 // the release, and the caller would never be released.
-func (a *Agent) failUnanswered(call *trackedCall, conn ConnID, remote *remoteSwitch, cause int, report policy.LoadReport) {
+func (a *Agent) handleUnansweredRelease(call *trackedCall, conn ConnID, remote *remoteSwitch, cause int, report policy.LoadReport) {
 	try := call.lastTry()
 	report = a.reportFor(remote, call, report)
 	a.tryCounts.Reset++
--- a/internal/b2bua/release_test.go
+++ b/internal/b2bua/release_test.go
@@ -9,9 +9,9 @@
 	"indigodrift/policy"
 )
 
-// callerPairWithCall creates an agent with two callers that keep to the protocol, and an established call of the
+// twoCallersWithCall creates an agent with two callers that keep to the protocol, and an established call of the
 // first one.
-func callerPairWithCall(t *testing.T) (h *harness, first, second ConnID, call *observedCall) {
+func twoCallersWithCall(t *testing.T) (h *harness, first, second ConnID, call *observedCall) {
 	h = newHarness(t)
 	h.completeDials(9, 9)
 	first, second = h.connectCaller(), h.connectCaller()
@@ -42,7 +42,7 @@
 }
 
 func TestReleaseThatCrossesACloseIsRepeatedOnAnotherConnection(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.releaseFromSwitch(call)
 	h.checkReleases(call, 1, first)
 	h.disconnectCaller(first) // before the caller answered it
@@ -52,7 +52,7 @@
 }
 
 func TestReleaseWithoutAnotherConnectionIsRepeatedOnTheNext(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.disconnectCaller(second)
 	h.releaseFromSwitch(call)
 	h.disconnectCaller(first)
@@ -64,7 +64,7 @@
 }
 
 func TestUnansweredReleaseIsRepeatedOnAConnectionThatIsRead(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.unresponsive[first] = true
 	h.releaseFromSwitch(call)
 	h.advanceTime(releaseRoundInterval - 10)
@@ -83,7 +83,7 @@
 }
 
 func TestReleaseIsNotRepeatedForEver(t *testing.T) {
-	h, _, _, call := callerPairWithCall(t)
+	h, _, _, call := twoCallersWithCall(t)
 	h.releaseFromSwitch(call)
 	for _, conn := range h.callers {
 		h.unresponsive[conn] = true
@@ -102,7 +102,7 @@
 }
 
 func TestLateAnswerConfirmsARelease(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.unresponsive[first] = true
 	h.releaseFromSwitch(call)
 	h.advanceTime(releaseRoundInterval + 10)
@@ -115,7 +115,7 @@
 }
 
 func TestLocalStallPostponesAReleaseRound(t *testing.T) {
-	h, first, _, call := callerPairWithCall(t)
+	h, first, _, call := twoCallersWithCall(t)
 	h.releaseFromSwitch(call)
 	h.now += releaseRoundInterval + 5000
 	h.agent.Tick(h.now, h.now) // the process stalled and the answer is unread
@@ -125,7 +125,7 @@
 }
 
 func TestReleaseThatCrossesTheEndOfASwitchConnectionIsRepeated(t *testing.T) {
-	h, first, _, call := callerPairWithCall(t)
+	h, first, _, call := twoCallersWithCall(t)
 	conn := call.establishedConn
 	call.callerEnded = true
 	h.agent.FromCaller(h.now, h.now, first, h.newRelease(call.id, 16))
@@ -142,7 +142,7 @@
 
 // Guards against choosing one of many callers that send well-formed set-ups but read nothing.
 func TestReleaseGoesToACallerThatAcknowledges(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.disconnectCaller(first)
 	for range 3 {
 		h.connectUnresponsiveCaller()
@@ -154,7 +154,7 @@
 // Guards against closing the connection of a caller that acknowledges when more connect than the limit allows,
 // though it has been quiet longest.
 func TestCallerThatAcknowledgesIsEvictedLast(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.releaseFromSwitch(call)
 	h.advanceTime(100)
 	for range 10 {
@@ -169,7 +169,7 @@
 // Guards against a delay when no connected caller reads: the release goes to them one after the other, and at once
 // to a new caller that acknowledges.
 func TestReleaseGoesAtOnceToACallerThatProvesToRead(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.disconnectCaller(first)
 	h.disconnectCaller(second)
 	for range 3 {
@@ -186,7 +186,7 @@
 // Guards against repeating releases to callers that never send the optional 200 to BYE: a mandatory ACK later on
 // the same connection proves that the release was read.
 func TestAcknowledgementOfALaterAnswerConfirmsAnEarlierRelease(t *testing.T) {
-	h, first, _, call := callerPairWithCall(t)
+	h, first, _, call := twoCallersWithCall(t)
 	other := h.sendSetUp(first, 1, 1000)
 	h.unresponsive[first] = true // answers no BYE; this test sends its ACKs
 	h.releaseFromSwitch(call)
@@ -206,7 +206,7 @@
 
 // Guards against taking a release as confirmed when a caller that does not know the call refuses it.
 func TestRefusalOfAReleaseConfirmsNothing(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.disconnectCaller(first)
 	h.unresponsive[second] = true
 	h.releaseFromSwitch(call)
@@ -222,7 +222,7 @@
 // Guards against releases without a scheduled round: a release that finds no caller connected is written on the
 // next connection, even if no set-up ever comes there.
 func TestReleaseGoesToACallerWithoutSetUps(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.disconnectCaller(first)
 	h.disconnectCaller(second)
 	h.releaseFromSwitch(call)
@@ -274,7 +274,7 @@
 
 // Guards against losing a caller's release that crosses our close of its connection.
 func TestCallersReleaseThatCrossesOurCloseReachesTheSwitch(t *testing.T) {
-	h, first, _, call := callerPairWithCall(t)
+	h, first, _, call := twoCallersWithCall(t)
 	h.agent.CallerDisconnected(h.now, first) // closed locally; what the caller has sent is still read
 	h.forgetCaller(first)
 	call.callerEnded = true
@@ -312,7 +312,7 @@
 // Guards against dropping a long-pending release as soon as the first caller to connect, which reads nothing, has
 // a copy.
 func TestLongPendingReleaseIsRetainedAfterItsFirstCopy(t *testing.T) {
-	h, first, second, call := callerPairWithCall(t)
+	h, first, second, call := twoCallersWithCall(t)
 	h.disconnectCaller(first)
 	h.disconnectCaller(second)
 	h.releaseFromSwitch(call)
--- a/internal/b2bua/rig_test.go
+++ b/internal/b2bua/rig_test.go
@@ -67,11 +67,11 @@
 	seq      uint32
 }
 
-func (call *observedCall) noteEarlierTry(switchID uint32) {
-	if call.earlierTries == nil {
-		call.earlierTries, call.orphanedTries = map[uint32]bool{}, map[uint32]bool{}
+func (c *observedCall) noteEarlierTry(switchID uint32) {
+	if c.earlierTries == nil {
+		c.earlierTries, c.orphanedTries = map[uint32]bool{}, map[uint32]bool{}
 	}
-	call.earlierTries[switchID] = true
+	c.earlierTries[switchID] = true
 }
 
 // harness is a test harness: an agent with the real policy, and both sides played by the test.
--- a/internal/b2bua/try.go
+++ b/internal/b2bua/try.go
@@ -68,7 +68,7 @@
 	try := call.lastTry()
 	remote := a.switches[try.switchID]
 	switch {
-	case a.transport.Abandoned(call.caller, call.callID):
+	case a.transport.Abandoned(call.callerConnID, call.callID):
 		a.abandonCall(call)
 		a.callCounts.Abandoned++
 	case remote == nil || remote.entry.State != board.Ready:
@@ -152,7 +152,7 @@
 func (a *Agent) tryAnswered(try *routeTry, msg *sip.Message) {
 	call, report := try.call, parseLoad(msg)
 	a.advance(try, eventAnswer, "answered")
-	if a.transport.Abandoned(call.caller, call.callID) { // the caller could receive neither the answer nor the release
+	if a.transport.Abandoned(call.callerConnID, call.callID) { // the caller could receive neither the answer nor the release
 		a.transport.Write(try.conn, a.newRelease(call.callID, call.uri, causeNormal))
 		a.advance(try, eventRelease, "the caller has abandoned the call")
 		a.endAnsweredAfterAbandon(call)
