--- a/internal/b2bua/caller_release.go
+++ b/internal/b2bua/caller_release.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// needsCopy reports whether a release should also be written on a connection: its last copy is too old, or its copies are
-// only on connections that are less likely to be read.
+// needsCopy reports whether a release should also be written on a connection: its last copy is too old, or its copies
+// are only on connections that are less likely to be read.
 func (a *Agent) needsCopy(release *pendingRelease, caller *callerConn) bool {
 	if a.now-release.lastCopyAt >= releaseRoundInterval || !slices.ContainsFunc(release.conns, a.callers.setUpSeen) {
 		return true
--- a/internal/b2bua/link_recovery_test.go
+++ b/internal/b2bua/link_recovery_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-// Guards against a call that waits for ever for a connection to a switch that has the maximum of connections, all
+// Guards against a call that waits indefinitely for a connection to a switch that has the maximum of connections, all
 // of them silent.
 func TestCallGetsAConnectionThoughAllAreSilent(t *testing.T) {
 	h, _, _ := establishedCall(t)
--- a/internal/b2bua/lost_repeat.go
+++ b/internal/b2bua/lost_repeat.go
@@ -8,13 +8,13 @@
 	"indigodrift/policy"
 )
 
-// lostRepeatDelay is how long after the first message on a later connection the silent one may still speak, or releases
-// may still come, before what the switch wrote on the silent one counts as lost. The platform requires callers to
-// be released within 8 s of the end of a call.
+// lostRepeatDelay is how long after the first message on a later connection messages may still come on
+// the silent one, or releases on any, before what the switch wrote on the silent one counts as lost. The platform
+// requires callers to be released within 8 s of the end of a call.
 const lostRepeatDelay = policy.Tenths(10000)
 
 // lostRepeat is a connection to a switch on which no message ever came. A switch repeats a release once, on the
-// next connection that opens, so a release that it repeated on this one may be lost for good.
+// next connection that opens, so a release that it repeated on this one may be lost permanently.
 type lostRepeat struct {
 	conn     ConnID // 0 if there is none
 	openedAt policy.Tenths
@@ -30,7 +30,7 @@
 }
 
 // messageOnLink handles a message on a connection. On a connection that was silent it proves that the switch only
-// hung and nothing was lost; on a later connection it starts the time within which the silent one may still speak.
+// hung and nothing was lost; on a later connection it starts lostRepeatDelay.
 func (rs *remoteSwitch) messageOnLink(link *switchLink, now policy.Tenths) {
 	switch suspect := &rs.lostRepeat; {
 	case suspect.conn == 0:
@@ -41,8 +41,8 @@
 	}
 }
 
-// endLostCalls ends the calls whose release may be lost for good: they were established before, and their own
-// connection is closed. They may still be established, so they are released at the switch as well.
+// endLostCalls ends the calls whose release may be lost permanently: they were established before, and
+// their own connection is closed. They may still be established, so they are released at the switch as well.
 func (a *Agent) endLostCalls(remote *remoteSwitch) {
 	suspect := remote.lostRepeat
 	if suspect.dueAt == 0 || a.now < suspect.dueAt {
--- a/internal/b2bua/lost_repeat_test.go
+++ b/internal/b2bua/lost_repeat_test.go
@@ -28,7 +28,7 @@
 	h.t.Fatalf("no further connection")
 }
 
-// Guards against calls that stay established for ever because their release was lost and its repetition too, on
+// Guards against calls that stay established indefinitely because their release was lost and its repetition too, on
 // the connection that never delivered a message.
 func TestCallWhoseRepeatedReleaseMayBeLostIsReleasedOnBothSides(t *testing.T) {
 	h, _, _, call := callWithSilentLinks(t)
--- a/internal/b2bua/record.go
+++ b/internal/b2bua/record.go
@@ -28,7 +28,7 @@
 )
 
 var recordNames = [...]string{"call state", "a caller's message is refused", "release written", "release repeated", "release pending",
-	"release unanswered", "release late", "release dropped", "release of an unknown call", "release ignored", "switch connection suspect",
+	"release unanswered", "release late", "release dropped", "release of an unknown call", "release ignored", "switch connection probed",
 	"switch connection ended", "caller connection ended", "try state", "try reset by a release", "try event ignored", "answer ignored", "call refused"}
 
 func (k RecordKind) String() string { return recordNames[k] }
--- a/internal/b2bua/silence.go
+++ b/internal/b2bua/silence.go
@@ -13,7 +13,7 @@
 )
 
 // silenceClock measures how long a peer has sent nothing. Messages that came during a stall of this process are
-// unread, so stalls do not count as silence; but a series of stalls must not postpone a timeout for ever.
+// unread, so stalls do not count as silence; but a series of stalls must not postpone a timeout indefinitely.
 type silenceClock struct {
 	lastTickAt       policy.Tenths
 	stallEndedAt     policy.Tenths // end of the last stall, 0 if there was none
--- a/internal/b2bua/silence_test.go
+++ b/internal/b2bua/silence_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// Guards against calls that stay established for ever at a switch that is gone, because each stall of this process
+// Guards against calls that stay established indefinitely at a switch that is gone, because each stall of this process
 // restarted the silence timeout.
 func TestRepeatedStallsDoNotHideALostSwitch(t *testing.T) {
 	const toldAfterLoss = 80000 // the platform's limit where no release could be sent
--- a/internal/b2bua/state_table_test.go
+++ b/internal/b2bua/state_table_test.go
@@ -45,7 +45,7 @@
 		sc.releaseFromSwitch(sc.call)
 		sc.advanceTime(10)
 	}},
-	{"over, given up", func(sc *stateCase) {
+	{"over, abandoned", func(sc *stateCase) {
 		sc.sendSetUp()
 		sc.fromCaller(&sip.Message{Method: sip.Cancel, URI: "sip:x@net", CallID: stateCaseID, CSeq: 1})
 	}},
@@ -136,7 +136,7 @@
 	{"switch is gone", func(sc *stateCase) {
 		sc.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone})
 	}},
-	{"time of the caller is up", func(sc *stateCase) { sc.advanceTime(20000) }},
+	{"deadline of the caller passes", func(sc *stateCase) { sc.advanceTime(20000) }},
 	{"the process ends", func(sc *stateCase) { sc.agent.FailOpenCalls(sc.now) }},
 }
 
@@ -205,7 +205,7 @@
 unknown | connection is refused | unknown
 unknown | switch drains | unknown
 unknown | switch is gone | unknown
-unknown | time of the caller is up | unknown
+unknown | deadline of the caller passes | unknown
 unknown | the process ends | unknown
 offered | set-up under its id | offered; 400 to another caller
 offered | set-up with at | offered
@@ -222,7 +222,7 @@
 offered | connection is refused | offered
 offered | switch drains | offered
 offered | switch is gone | offered
-offered | time of the caller is up | over; INVITE to switch, CANCEL to switch, 503 to caller
+offered | deadline of the caller passes | over; INVITE to switch, CANCEL to switch, 503 to caller
 offered | the process ends | over; 500 to caller
 trying, to be dialled | set-up under its id | trying; 400 to another caller
 trying, to be dialled | set-up with at | trying
@@ -239,7 +239,7 @@
 trying, to be dialled | connection is refused | over; 503 to caller
 trying, to be dialled | switch drains | over; 503 to caller
 trying, to be dialled | switch is gone | over; 503 to caller
-trying, to be dialled | time of the caller is up | over; 503 to caller
+trying, to be dialled | deadline of the caller passes | over; 503 to caller
 trying, to be dialled | the process ends | over; 500 to caller
 trying | set-up under its id | trying; 400 to another caller
 trying | set-up with at | trying
@@ -256,7 +256,7 @@
 trying | connection is refused | trying
 trying | switch drains | trying
 trying | switch is gone | offered
-trying | time of the caller is up | over; CANCEL to switch, 503 to caller
+trying | deadline of the caller passes | over; CANCEL to switch, 503 to caller
 trying | the process ends | over; 500 to caller, CANCEL to switch
 standing | set-up under its id | standing; 400 to another caller
 standing | set-up with at | standing
@@ -273,7 +273,7 @@
 standing | connection is refused | standing
 standing | switch drains | standing
 standing | switch is gone | over; BYE to caller
-standing | time of the caller is up | standing
+standing | deadline of the caller passes | standing
 standing | the process ends | standing
 over, was standing | set-up under its id | over; 400 to another caller
 over, was standing | set-up with at | over; BYE to caller
@@ -290,23 +290,23 @@
 over, was standing | connection is refused | over
 over, was standing | switch drains | over
 over, was standing | switch is gone | over
-over, was standing | time of the caller is up | over
+over, was standing | deadline of the caller passes | over
 over, was standing | the process ends | over
-over, given up | set-up under its id | over; 400 to another caller
-over, given up | set-up with at | over; BYE to caller
-over, given up | CANCEL | over
-over, given up | CANCEL by another caller | over; 481 to another caller
-over, given up | BYE of the caller | over; 200 to caller
-over, given up | end of the caller's connection | over
-over, given up | 200 | over; ACK to switch, BYE to switch
-over, given up | 503 | over; ACK to switch
-over, given up | 504 | over; ACK to switch
-over, given up | BYE of the switch | over; 200 to switch
-over, given up | end of the switch's connection | over
-over, given up | connection comes up | over
-over, given up | connection is refused | over
-over, given up | switch drains | over
-over, given up | switch is gone | over
-over, given up | time of the caller is up | over
-over, given up | the process ends | over
+over, abandoned | set-up under its id | over; 400 to another caller
+over, abandoned | set-up with at | over; BYE to caller
+over, abandoned | CANCEL | over
+over, abandoned | CANCEL by another caller | over; 481 to another caller
+over, abandoned | BYE of the caller | over; 200 to caller
+over, abandoned | end of the caller's connection | over
+over, abandoned | 200 | over; ACK to switch, BYE to switch
+over, abandoned | 503 | over; ACK to switch
+over, abandoned | 504 | over; ACK to switch
+over, abandoned | BYE of the switch | over; 200 to switch
+over, abandoned | end of the switch's connection | over
+over, abandoned | connection comes up | over
+over, abandoned | connection is refused | over
+over, abandoned | switch drains | over
+over, abandoned | switch is gone | over
+over, abandoned | deadline of the caller passes | over
+over, abandoned | the process ends | over
 `
--- a/internal/b2bua/switch_release.go
+++ b/internal/b2bua/switch_release.go
@@ -54,9 +54,9 @@
 // set-up before its answer.
 func isCallEndCause(cause int) bool { return cause == causeNormal || cause == causeTemporaryFailure }
 
-// handleEstablishedRelease ends an established call. The release may refer to an earlier try, there or at another switch.
-// The platform knows calls by their ids alone, so the call is over in any case, and its present switch is released
-// too.
+// handleEstablishedRelease ends an established call. The release may refer to an earlier try, there or at another
+// switch. The platform knows calls by their ids alone, so the call is over in any case, and its present switch is
+// released too.
 func (a *Agent) handleEstablishedRelease(call *trackedCall, remote *remoteSwitch, cause int, report policy.LoadReport) {
 	report = a.reportFor(remote, call, report)
 	a.releaseCaller(call, cause)
