--- a/internal/b2bua/caller_conn.go
+++ b/internal/b2bua/caller_conn.go
@@ -65,13 +65,13 @@
 
 // callerConns holds the callers' connections and selects those to close.
 type callerConns struct {
-	max   int
+	limit int
 	conns map[ConnID]*callerConn
 	order []ConnID // in the order in which they opened
 }
 
 func newCallerConns(limit int) callerConns {
-	return callerConns{max: limit, conns: map[ConnID]*callerConn{}}
+	return callerConns{limit: limit, conns: map[ConnID]*callerConn{}}
 }
 
 // setUpEnded records that a set-up on a connection is no longer open.
--- a/internal/b2bua/caller_release_test.go
+++ b/internal/b2bua/caller_release_test.go
@@ -82,7 +82,7 @@
 	h.checkReleases(other, 2, third)
 }
 
-func TestReleaseIsNotRepeatedForEver(t *testing.T) {
+func TestReleaseIsNotRepeatedIndefinitely(t *testing.T) {
 	h, _, _, call := twoCallersWithCall(t)
 	h.releaseFromSwitch(call)
 	for _, conn := range h.callers {
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -12,7 +12,7 @@
 // closed.
 func (a *Agent) CallerConnected(now policy.Tenths, conn ConnID) bool {
 	a.now = now
-	if len(a.callers.conns) >= a.callers.max {
+	if len(a.callers.conns) >= a.callers.limit {
 		evicted := a.callers.evictionCandidate()
 		if evicted == 0 {
 			a.transport.Note("limit of caller connections reached")
