--- a/internal/numberfile/store.go
+++ b/internal/numberfile/store.go
@@ -57,9 +57,11 @@
 }
 
 type header struct {
-	Name, CSV     string
-	Rules, Prefix int
-	Sum           string
+	Name   string `json:"Name"`
+	CSV    string `json:"CSV"`
+	Rules  int    `json:"Rules"`
+	Prefix int    `json:"Prefix"`
+	Sum    string `json:"Sum"`
 }
 
 // Decode reads what Encode wrote, and nothing else.
