--- a/cmd/indigodrift/day.go
+++ b/cmd/indigodrift/day.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-func dayCommand() *cobra.Command {
+func newDayCommand() *cobra.Command {
 	c := &cobra.Command{Use: "day", Short: "Play scripted days on loopback"}
 	var seed int64
 	var onlyJSON bool
@@ -46,7 +46,7 @@
 				return err
 			}
 			if len(rep.Breaches)+rep.Mixed > 0 {
-				return exit(1)
+				return exitCode(1)
 			}
 			return nil
 		}}
@@ -78,7 +78,7 @@
 	return c
 }
 
-func auditCommand() *cobra.Command {
+func newAuditCommand() *cobra.Command {
 	return &cobra.Command{Use: "audit FILE...", Short: "Judge recorded traffic again", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			broken := 0
@@ -100,7 +100,7 @@
 				fmt.Printf("%s: %d events, %d breaches\n", name, len(events), len(found))
 			}
 			if broken > 0 {
-				return exit(1)
+				return exitCode(1)
 			}
 			return nil
 		}}
--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-func ledgerCommand() *cobra.Command {
+func newLedgerCommand() *cobra.Command {
 	c := &cobra.Command{Use: "ledger", Short: "Look at the file that calls are kept in over a restart"}
 	read := func(name string) (ledger.Contents, error) {
 		b, err := os.ReadFile(name)
@@ -34,7 +34,7 @@
 		}
 		fmt.Printf("format %d, %d frames, %d octets read\n", l.Version, l.Frames, l.ReadOctets)
 		fmt.Printf("%d calls stand, %d are being set up\n", phases[recovery.Established], phases[recovery.SettingUp])
-		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", instant(l.Process.LastHeartbeat), l.Process.OwnIncarnation, len(l.Process.Incarnations))
+		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", formatTime(l.Process.LastHeartbeat), l.Process.OwnIncarnation, len(l.Process.Incarnations))
 		if l.UnreadReason != "" {
 			fmt.Printf("%d octets at the end were not read: %s\n", l.UnreadOctets, l.UnreadReason)
 		}
@@ -55,7 +55,7 @@
 			fmt.Printf("%s: %d frames, whole\n", name, l.Frames)
 		}
 		if damaged {
-			return exit(1)
+			return exitCode(1)
 		}
 		return nil
 	}}
@@ -84,9 +84,9 @@
 		for _, k := range calls {
 			phase, to := "being set up", "-"
 			if k.Phase == recovery.Established {
-				phase, to = "stands", side(k.Out)
+				phase, to = "stands", formatPlace(k.Out)
 			}
-			fmt.Fprintf(t, "%d\t%d/%d\t%s\t%s\t%s\t%s\n", k.ID, k.Ref.Point, k.Ref.Identity, phase, instant(k.Since), side(k.In), to)
+			fmt.Fprintf(t, "%d\t%d/%d\t%s\t%s\t%s\t%s\n", k.ID, k.Ref.Point, k.Ref.Identity, phase, formatTime(k.Since), formatPlace(k.In), to)
 		}
 		if err := t.Flush(); err != nil {
 			return fmt.Errorf("dump: %w", err)
@@ -98,12 +98,12 @@
 	return c
 }
 
-// instant is tenths of a millisecond since 1970 as people read it.
-func instant(tenths int64) string {
+// formatTime is tenths of a millisecond since 1970 as people read it.
+func formatTime(tenths int64) string {
 	return time.Unix(0, tenths*100_000).Format("2006-01-02 15:04:05.000")
 }
 
-func side(p recovery.Leg) string {
+func formatPlace(p recovery.Leg) string {
 	if p.Trunk {
 		return fmt.Sprintf("exchange %d circuit %d", p.Number, p.CIC)
 	}
--- a/cmd/indigodrift/main.go
+++ b/cmd/indigodrift/main.go
@@ -9,16 +9,16 @@
 	"github.com/spf13/cobra"
 )
 
-// exit is an error that has been told already and asks for an exit code.
-type exit int
+// exitCode is an error that has been told already and asks for an exit code.
+type exitCode int
 
-func (e exit) Error() string { return fmt.Sprintf("exit %d", int(e)) }
+func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
 func main() {
 	root := &cobra.Command{Use: "indigodrift", Short: "A call controller for networks of exchanges", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(serveCommand(), platformCommand(), checkCommand(), dayCommand(), auditCommand(), standinCommand(), numbersCommand(), ledgerCommand(), soakCommand())
+	root.AddCommand(newServeCommand(), newPlatformCommand(), newCheckCommand(), newDayCommand(), newAuditCommand(), newStandinCommand(), newNumbersCommand(), newLedgerCommand(), newSoakCommand())
 	err := root.Execute()
-	var code exit
+	var code exitCode
 	switch {
 	case err == nil:
 	case errors.As(err, &code):
--- a/cmd/indigodrift/numbers.go
+++ b/cmd/indigodrift/numbers.go
@@ -16,7 +16,7 @@
 	"github.com/spf13/cobra"
 )
 
-func numbersCommand() *cobra.Command {
+func newNumbersCommand() *cobra.Command {
 	c := &cobra.Command{Use: "numbers", Short: "Tables of number analysis: check, compare, explain, and change them in service"}
 	var exchanges int
 	c.PersistentFlags().IntVar(&exchanges, "exchanges", 999, "exchanges are numbered below this")
@@ -37,8 +37,8 @@
 	check := &cobra.Command{Use: "check TABLE", Short: "Check a table", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		_, t, err := read(args[0])
 		if err == nil {
-			fmt.Printf("version %d %q: %d routes, %d prefixes, %d screens, search takes %.1f MiB\n", t.Version, t.Name, len(t.Entries), t.Prefixes(),
-				len(t.Screens), float64(t.Octets())/(1<<20))
+			fmt.Printf("version %d %q: %d routes, %d prefixes, %d screens, search takes %.1f MiB\n", t.Version, t.Name, len(t.Routes), t.PrefixCount(),
+				len(t.Screens), float64(t.MemoryBytes())/(1<<20))
 		}
 		return err
 	}}
@@ -80,9 +80,9 @@
 			if err != nil {
 				return err
 			}
-			r := t.Analyse(caller, args[0], instant.Unix(), numbers.NewSplit(1).For(t.Version), func(step string) { fmt.Println(step) })
+			r := t.Analyse(caller, args[0], instant.Unix(), numbers.NewDistributor(1).ForVersion(t.Version), func(step string) { fmt.Println(step) })
 			fmt.Printf("%s", r.Outcome)
-			if r.Outcome == numbers.ToOffice {
+			if r.Outcome == numbers.ToExchange {
 				fmt.Printf(" %d, by version %d\n", r.Exchange, r.Version)
 			} else {
 				fmt.Printf(", cause %d, by version %d\n", r.Cause, r.Version)
@@ -106,11 +106,11 @@
 			if err != nil {
 				return err
 			}
-			dialled, err := traffic(sample, count, seed, before, after)
+			dialled, err := sampleNumbers(sample, count, seed, before, after)
 			if err != nil {
 				return err
 			}
-			return compare(dialled, before, after, instant.Unix())
+			return printDifferences(dialled, before, after, instant.Unix())
 		}}
 	diff.Flags().StringVar(&sample, "numbers", "", "file of dialled numbers, a line each; without it numbers are drawn from both tables")
 	diff.Flags().IntVar(&count, "count", 10000, "numbers to draw")
@@ -121,13 +121,13 @@
 	tell := func(o control.Command) error {
 		failed := 0
 		for _, a := range strings.Split(address, ",") { // each exchange says for itself whether it could
-			if err := tellOne(a, o); err != nil {
+			if err := sendCommand(a, o); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				failed++
 			}
 		}
 		if failed > 0 {
-			return exit(2)
+			return exitCode(2)
 		}
 		return nil
 	}
@@ -160,8 +160,8 @@
 	return c
 }
 
-// tellOne sends an order to one exchange and prints what is in force there.
-func tellOne(address string, o control.Command) error {
+// sendCommand sends an order to one exchange and prints what is in force there.
+func sendCommand(address string, o control.Command) error {
 	r, err := control.SendCommand(address, o)
 	if err != nil {
 		return err
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// traffic is the numbers to compare two tables by: recorded ones, or some drawn under the prefixes of both.
-func traffic(file string, count int, seed uint64, tables ...*numbers.Table) ([]string, error) {
+// sampleNumbers is the numbers to compare two tables by: recorded ones, or some drawn under the prefixes of both.
+func sampleNumbers(file string, count int, seed uint64, tables ...*numbers.Table) ([]string, error) {
 	var all []string
 	if file != "" {
 		f, err := os.Open(file)
@@ -196,7 +196,7 @@
 	}
 	chance := rand.New(rand.NewPCG(seed, 1))
 	for _, t := range tables {
-		n, taken := t.Prefixes(), 0
+		n, taken := t.PrefixCount(), 0
 		t.Walk(func(prefix string, entry uint32) bool {
 			n--
 			want := float64(count/len(tables)-taken) / float64(n+1) // of what is left, spread over the prefixes left
@@ -205,10 +205,10 @@
 					break
 				}
 				number := prefix
-				for len(number) < t.Entries[entry].Least {
+				for len(number) < t.Routes[entry].MinDigits {
 					number += string(rune('0' + chance.IntN(10)))
 				}
-				all = append(all, t.Dialling.International+number)
+				all = append(all, t.DialPlan.InternationalPrefix+number)
 				taken++
 			}
 			return taken < count/len(tables)
@@ -217,13 +217,13 @@
 	return all, nil
 }
 
-// compare prints how many of the numbers go elsewhere, and the first of them.
-func compare(dialled []string, before, after *numbers.Table, at int64) error {
+// printDifferences prints how many of the numbers go elsewhere, and the first of them.
+func printDifferences(dialled []string, before, after *numbers.Table, at int64) error {
 	const shown = 10
 	moved, lost, found := 0, 0, 0
 	for _, d := range dialled {
 		a, b := before.Analyse("", d, at, nil, nil), after.Analyse("", d, at, nil, nil)
-		if a.Outcome == b.Outcome && a.Exchange == b.Exchange && a.Sent == b.Sent && a.Cause == b.Cause {
+		if a.Outcome == b.Outcome && a.Exchange == b.Exchange && a.OutgoingDigits == b.OutgoingDigits && a.Cause == b.Cause {
 			continue
 		}
 		switch {
--- a/cmd/indigodrift/platform.go
+++ b/cmd/indigodrift/platform.go
@@ -18,30 +18,30 @@
 
 // Variables in which the platform tells a call controller about itself.
 const (
-	envConfig = "GW_CONFIG"
-	envName   = "GW_NAME"
-	envListen = "GW_LISTEN"
-	envLog    = "INDIGODRIFT_LOG" // the least level that is logged: debug, info, warn or error; info where it is not set
+	envConfig   = "GW_CONFIG"
+	envName     = "GW_NAME"
+	envListen   = "GW_LISTEN"
+	envLogLevel = "INDIGODRIFT_LOG" // the least level that is logged: debug, info, warn or error; info where it is not set
 )
 
-func platformCommand() *cobra.Command {
+func newPlatformCommand() *cobra.Command {
 	plant := ""
 	c := &cobra.Command{Use: "platform", Short: "Run one call controller on the platform, as GW_CONFIG tells", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return onPlatform(plant) }}
+		RunE: func(*cobra.Command, []string) error { return runOnPlatform(plant) }}
 	c.Flags().StringVar(&plant, "plant", "", "have a fault on purpose: release, answer, early, standing, crossing")
 	_ = c.Flags().MarkHidden("plant") // the flag exists
 	return c
 }
 
-func onPlatform(plant string) error {
+func runOnPlatform(plant string) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	level := slog.LevelInfo
-	if text := os.Getenv(envLog); text != "" {
+	if text := os.Getenv(envLogLevel); text != "" {
 		if err := level.UnmarshalText([]byte(text)); err != nil {
-			return fmt.Errorf("%s: %w", envLog, err)
+			return fmt.Errorf("%s: %w", envLogLevel, err)
 		}
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
@@ -64,7 +64,7 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	station := platform.New(m, module, dialTCP, log)
+	station := platform.New(m, newPolicy, dialTCP, log)
 	again := make(chan platform.Config)
 	go func() {
 		for range hup {
--- a/cmd/indigodrift/serve.go
+++ b/cmd/indigodrift/serve.go
@@ -19,7 +19,7 @@
 	"github.com/spf13/cobra"
 )
 
-func serveCommand() *cobra.Command {
+func newServeCommand() *cobra.Command {
 	var file, format, level, routing, plant string
 	c := &cobra.Command{Use: "serve -f SITE", Short: "Run one exchange until SIGTERM, then drain", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return serve(file, format, level, routing, plant) }}
@@ -34,7 +34,7 @@
 	return c
 }
 
-func module(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
+func newPolicy(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
 	return policy.New(d, out, now)
 }
 
@@ -62,7 +62,7 @@
 		return err
 	}
 	log := slog.New(handler).With("exchange", s.Deployment.OwnExchange)
-	build := control.DeciderBuilder(module)
+	build := control.DeciderBuilder(newPolicy)
 	switch routing {
 	case "module":
 	case "direct", "random":
@@ -110,7 +110,7 @@
 	return station.Run(ctx)
 }
 
-func checkCommand() *cobra.Command {
+func newCheckCommand() *cobra.Command {
 	return &cobra.Command{Use: "check FILE", Short: "Check the settings of an exchange, or a day, without starting", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := site.Read(args[0])
--- a/cmd/indigodrift/soak.go
+++ b/cmd/indigodrift/soak.go
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 )
 
-func soakCommand() *cobra.Command {
+func newSoakCommand() *cobra.Command {
 	c := &cobra.Command{Use: "soak", Short: "Run real controllers among faults drawn from seeds, and judge the rules from their sockets", Args: cobra.NoArgs}
 	o := soak.Options{Out: os.Stdout}
 	c.Flags().Uint64Var(&o.From, "from", 1, "first seed")
@@ -46,7 +46,7 @@
 		}
 		fmt.Fprintf(o.Out, "%d seeds, %d not kept\n", len(results), broken)
 		if broken > 0 {
-			return exit(1)
+			return exitCode(1)
 		}
 		return nil
 	}
--- a/cmd/indigodrift/standin.go
+++ b/cmd/indigodrift/standin.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-func standinCommand() *cobra.Command {
+func newStandinCommand() *cobra.Command {
 	c := &cobra.Command{Use: "standin", Short: "Run a stand-in of a day by itself"}
 	for _, part := range []string{"switch", "register", "subscribers"} {
 		var file, addresses string
--- a/internal/control/commands.go
+++ b/internal/control/commands.go
@@ -91,8 +91,8 @@
 	}
 	reply := Reply{Exchange: s.config.Deployment.OwnExchange}
 	if readErr := s.changeNumbering(func(n *exchange.Numbering, _ policy.Tenths) error {
-		reply.Version, reply.Name, reply.HeldVersions = n.Versions.Current().Version, n.Versions.Current().Name, n.Versions.Held()
-		if t, at := n.Versions.Waiting(); t != nil {
+		reply.Version, reply.Name, reply.HeldVersions = n.Versions.Current().Version, n.Versions.Current().Name, n.Versions.HeldCount()
+		if t, at := n.Versions.Pending(); t != nil {
 			reply.PendingVersion, reply.ActivationTime = t.Version, at
 		}
 		return nil
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -385,9 +385,9 @@
 	case evPortability:
 		s.exchange.UpdateNumbering(now, func(n *exchange.Numbering) {
 			if ev.err != nil {
-				n.Portability.Failed(now, ev.queryID)
+				n.Portability.HandleFailure(now, ev.queryID)
 			} else {
-				n.Portability.Answered(now, ev.queryID, ev.portability.Port, ev.portability.Known, ev.portability.Age)
+				n.Portability.HandleAnswer(now, ev.queryID, ev.portability.Porting, ev.portability.Known, ev.portability.TTL)
 			}
 		})
 	}
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -23,7 +23,7 @@
 	MaxCallers   int      // callers remembered for splitting traffic between choices
 	ENUMServers  []string // ENUM servers for portability: two, or none
 	ENUMZone     string
-	Limits       numbers.Limits
+	Limits       numbers.ResolverLimits
 }
 
 // tableManager does the file access and the ENUM queries of number analysis, outside the event loop.
@@ -46,7 +46,7 @@
 	if t.store, err = numberfile.OpenStore(settings.StoreFolder); err != nil {
 		return err
 	}
-	table, remarks, err := t.store.InForce(s.config.ExchangeCount)
+	table, remarks, err := t.store.LoadInForce(s.config.ExchangeCount)
 	if err != nil {
 		return err
 	}
@@ -58,16 +58,16 @@
 			return err
 		}
 	}
-	s.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
-	numbering := &exchange.Numbering{Versions: numbers.NewVersions(table, settings.Trial), Split: numbers.NewSplit(settings.MaxCallers),
+	s.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.PrefixCount())
+	numbering := &exchange.Numbering{Versions: numbers.NewVersions(table, settings.Trial), Split: numbers.NewDistributor(settings.MaxCallers),
 		UnixSecond: func(at policy.Tenths) int64 { return time.Now().Add(trunk.Duration(at - s.clock.Now())).Unix() },
 		Instant: func(second int64) policy.Tenths {
 			return s.clock.Now() + policy.Tenths(time.Until(time.Unix(second, 0))/(100*time.Microsecond))
 		},
 		Changed: t.versionChanged}
 	if len(settings.ENUMServers) == 2 {
-		t.enumClient = &enum.Client{Servers: [2]string{settings.ENUMServers[0], settings.ENUMServers[1]}, Zone: settings.ENUMZone, Most: trunk.Duration(settings.Limits.TimeOut)}
-		if numbering.Portability, err = numbers.NewInquirer(settings.Limits, seed, s.exchange.PortabilityNet(t.query)); err != nil {
+		t.enumClient = &enum.Client{Servers: [2]string{settings.ENUMServers[0], settings.ENUMServers[1]}, Zone: settings.ENUMZone, Timeout: trunk.Duration(settings.Limits.QueryTimeout)}
+		if numbering.Portability, err = numbers.NewPortabilityResolver(settings.Limits, seed, s.exchange.PortabilityNet(t.query)); err != nil {
 			return fmt.Errorf("portability: %w", err)
 		}
 	}
@@ -85,8 +85,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return table, errors.Join(t.store.Keep(table.Version, source), t.store.Note(numberfile.Record{Version: table.Version, Name: table.Name,
-		At: time.Now(), What: "in force"}))
+	return table, errors.Join(t.store.Save(table.Version, source), t.store.AppendHistory(numberfile.Record{Version: table.Version, Name: table.Name,
+		Time: time.Now(), Event: "in force"}))
 }
 
 // readTable reads a table from a file and builds it.
@@ -102,7 +102,7 @@
 // query looks up a number on a goroutine of its own. The inquirer limits how many queries are pending.
 func (t *tableManager) query(id uint32, server int, number string) {
 	t.pendingQueries.Go(func() {
-		answer, err := t.enumClient.Ask(t.ctx, server, number)
+		answer, err := t.enumClient.Query(t.ctx, server, number)
 		if err != nil {
 			t.server.log.Debug("portability", "server", server, "why", err)
 		}
@@ -112,12 +112,12 @@
 
 // versionChanged is called on the event loop when another version comes into force. A reason means that it was a rollback.
 func (t *tableManager) versionChanged(table *numbers.Table, why string) {
-	record := numberfile.Record{Version: table.Version, Name: table.Name, At: time.Now(), What: "in force", Why: why}
+	record := numberfile.Record{Version: table.Version, Name: table.Name, Time: time.Now(), Event: "in force", Reason: why}
 	if why != "" {
-		record.What = "in force again"
+		record.Event = "in force again"
 		t.server.log.Warn("table rolled back", "version", table.Version, "why", why)
 	} else {
-		t.server.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.Prefixes())
+		t.server.log.Info("table in force", "version", table.Version, "name", table.Name, "prefixes", table.PrefixCount())
 	}
 	select {
 	case t.history <- record:
@@ -131,7 +131,7 @@
 	for {
 		select {
 		case record := <-t.history:
-			if err := t.store.Note(record); err != nil {
+			if err := t.store.AppendHistory(record); err != nil {
 				t.server.log.Error("table change not written to history", "version", record.Version, "why", err)
 			}
 		case <-ctx.Done():
@@ -159,9 +159,9 @@
 		return nil, err
 	}
 	if current := s.readVersions(func(v *numbers.Versions) (uint64, error) { return v.Current().Version, nil }); current >= table.Version {
-		return nil, fmt.Errorf("version %d: %w (%d)", table.Version, numbers.ErrOld, current)
+		return nil, fmt.Errorf("version %d: %w (%d)", table.Version, numbers.ErrNotNewer, current)
 	}
-	if err := t.store.Keep(table.Version, source); err != nil {
+	if err := t.store.Save(table.Version, source); err != nil {
 		return nil, err
 	}
 	return table, s.changeNumbering(func(n *exchange.Numbering, now policy.Tenths) error {
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -24,7 +24,7 @@
 	m := memnet.New()
 	s, err := New(Config{Deployment: policy.Deployment{OwnExchange: 0, MaxTries: 4, Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}},
 		ExchangeCount: 3, OwnSwitchAddress: "own", RegisterAddress: "none", InboxSize: 64, MaxLinkOctets: 1 << 16,
-		NumberAnalysis: &NumberAnalysis{StoreFolder: filepath.Join(dir, "store"), InitialTable: writeTable(t, dir, 1, 1), MaxCallers: 10, Trial: numbers.Trial{Window: 600000, Bound: 0.2, Least: 5}}},
+		NumberAnalysis: &NumberAnalysis{StoreFolder: filepath.Join(dir, "store"), InitialTable: writeTable(t, dir, 1, 1), MaxCallers: 10, Trial: numbers.Trial{Window: 600000, MaxIncrease: 0.2, MinFailures: 5}}},
 		func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, x, now)
 		},
@@ -81,7 +81,7 @@
 		if v := inForce(s); v != 2 {
 			t.Fatalf("version %d after a restart", v)
 		}
-		if _, err := s.Rollback("test"); !errors.Is(err, numbers.ErrNone) {
+		if _, err := s.Rollback("test"); !errors.Is(err, numbers.ErrNoPrevious) {
 			t.Fatalf("rolled back to a version that does not exist: %v", err)
 		}
 		stop()
@@ -122,7 +122,7 @@
 			}()
 		}
 		for range 2 {
-			if err := <-errs; err != nil && !errors.Is(err, numbers.ErrOld) {
+			if err := <-errs; err != nil && !errors.Is(err, numbers.ErrNotNewer) {
 				t.Fatal(err)
 			}
 		}
--- a/internal/day/tables.go
+++ b/internal/day/tables.go
@@ -45,7 +45,7 @@
 	ported := map[string]string{}
 	for _, c := range r.plan.callers {
 		if chance.Float64() < r.script.Ported {
-			ported[enum.Name(exchange.LineNumber(c.Dest, c.Line()), enumZone)] = exchange.LineNumber((c.Dest+2)%r.script.Exchanges, c.Line())
+			ported[enum.DomainName(exchange.LineNumber(c.Dest, c.Line()), enumZone)] = exchange.LineNumber((c.Dest+2)%r.script.Exchanges, c.Line())
 		}
 	}
 	var err error
--- a/internal/enum/enum.go
+++ b/internal/enum/enum.go
@@ -22,21 +22,21 @@
 type Client struct {
 	Servers [2]string // addresses with ports
 	Zone    string    // such as e164.arpa.
-	Most    time.Duration
+	Timeout time.Duration
 }
 
 // Answer is what came of one query.
 type Answer struct {
-	Port  numbers.Port
-	Known bool          // the server knows the number
-	Age   policy.Tenths // how long that may be believed
+	Porting numbers.Porting
+	Known   bool          // the server knows the number
+	TTL     policy.Tenths // how long that may be believed
 }
 
-// ErrAnswer is wrapped by every error about an answer that cannot be used.
-var ErrAnswer = errors.New("unusable answer")
+// ErrUnusableAnswer is wrapped by every error about an answer that cannot be used.
+var ErrUnusableAnswer = errors.New("unusable answer")
 
-// Name is the domain name of a number: its digits reversed, each a label (RFC 6116, 3.2).
-func Name(number, zone string) string {
+// DomainName is the domain name of a number: its digits reversed, each a label (RFC 6116, 3.2).
+func DomainName(number, zone string) string {
 	var b strings.Builder
 	for i := len(number) - 1; i >= 0; i-- {
 		b.WriteByte(number[i])
@@ -45,25 +45,25 @@
 	return b.String() + zone
 }
 
-// Ask sends one query and waits for its answer, over UDP and, where that is truncated, over TCP. An answer to another
+// Query sends one query and waits for its answer, over UDP and, where that is truncated, over TCP. An answer to another
 // question or with another id is not taken for this one's.
-func (c *Client) Ask(ctx context.Context, server int, number string) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.Most)
+func (c *Client) Query(ctx context.Context, server int, number string) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	q := new(dns.Msg)
-	q.SetQuestion(Name(number, c.Zone), dns.TypeNAPTR) // its id is random
+	q.SetQuestion(DomainName(number, c.Zone), dns.TypeNAPTR) // its id is random
 	q.SetEdns0(1232, false)
-	reply, err := c.exchange(ctx, "udp", server, q)
+	reply, err := c.roundTrip(ctx, "udp", server, q)
 	if err == nil && reply.Truncated {
-		reply, err = c.exchange(ctx, "tcp", server, q)
+		reply, err = c.roundTrip(ctx, "tcp", server, q)
 	}
 	if err != nil {
 		return Answer{}, err
 	}
-	return Read(reply)
+	return ParseAnswer(reply)
 }
 
-func (c *Client) exchange(ctx context.Context, network string, server int, q *dns.Msg) (*dns.Msg, error) {
+func (c *Client) roundTrip(ctx context.Context, network string, server int, q *dns.Msg) (*dns.Msg, error) {
 	d := dns.Client{Net: network}
 	conn, err := d.DialContext(ctx, c.Servers[server])
 	if err != nil {
@@ -89,27 +89,27 @@
 			return m, nil
 		}
 		if network == "tcp" {
-			return nil, fmt.Errorf("%w: %s answers another question", ErrAnswer, c.Servers[server])
+			return nil, fmt.Errorf("%w: %s answers another question", ErrUnusableAnswer, c.Servers[server])
 		}
 	}
 }
 
-var digits = regexp.MustCompile(`^\+?[0-9]{1,24}$`)
+var routingNumberPattern = regexp.MustCompile(`^\+?[0-9]{1,24}$`)
 
-// Read takes what an answer says. A name that does not exist is known not to be ported for as long as its zone says.
-func Read(m *dns.Msg) (Answer, error) {
+// ParseAnswer takes what an answer says. A name that does not exist is known not to be ported for as long as its zone says.
+func ParseAnswer(m *dns.Msg) (Answer, error) {
 	switch m.Rcode {
 	case dns.RcodeNameError:
 		a := Answer{}
 		for _, rr := range m.Ns {
 			if soa, ok := rr.(*dns.SOA); ok {
-				a.Age = policy.Tenths(min(soa.Hdr.Ttl, soa.Minttl)) * 10000
+				a.TTL = policy.Tenths(min(soa.Hdr.Ttl, soa.Minttl)) * 10000
 			}
 		}
 		return a, nil
 	case dns.RcodeSuccess:
 	default:
-		return Answer{}, fmt.Errorf("%w: %s", ErrAnswer, dns.RcodeToString[m.Rcode])
+		return Answer{}, fmt.Errorf("%w: %s", ErrUnusableAnswer, dns.RcodeToString[m.Rcode])
 	}
 	var best *dns.NAPTR
 	for _, rr := range m.Answer {
@@ -118,43 +118,43 @@
 			continue
 		}
 		if !strings.EqualFold(n.Hdr.Name, m.Question[0].Name) {
-			return Answer{}, fmt.Errorf("%w: a record of %s", ErrAnswer, n.Hdr.Name)
+			return Answer{}, fmt.Errorf("%w: a record of %s", ErrUnusableAnswer, n.Hdr.Name)
 		}
 		if best == nil || n.Order < best.Order || n.Order == best.Order && n.Preference < best.Preference {
 			best = n
 		} else if n.Order == best.Order && n.Preference == best.Preference && n.Regexp != best.Regexp {
-			return Answer{}, fmt.Errorf("%w: two records contradict each other", ErrAnswer)
+			return Answer{}, fmt.Errorf("%w: two records contradict each other", ErrUnusableAnswer)
 		}
 	}
 	if best == nil {
 		return Answer{Known: true}, nil
 	}
-	uri, err := uriOf(best.Regexp)
+	uri, err := telURI(best.Regexp)
 	if err != nil {
 		return Answer{}, err
 	}
-	a := Answer{Known: true, Age: policy.Tenths(best.Hdr.Ttl) * 10000}
+	a := Answer{Known: true, TTL: policy.Tenths(best.Hdr.Ttl) * 10000}
 	parts := strings.Split(uri, ";")
 	for _, p := range parts[1:] {
 		name, value, _ := strings.Cut(p, "=")
 		if strings.EqualFold(name, "rn") {
-			if !digits.MatchString(value) {
-				return Answer{}, fmt.Errorf("%w: routing number %q", ErrAnswer, value)
+			if !routingNumberPattern.MatchString(value) {
+				return Answer{}, fmt.Errorf("%w: routing number %q", ErrUnusableAnswer, value)
 			}
-			a.Port = numbers.Port{Ported: true, Number: strings.TrimPrefix(value, "+")}
+			a.Porting = numbers.Porting{Ported: true, RoutingNumber: strings.TrimPrefix(value, "+")}
 		}
 	}
 	return a, nil
 }
 
-// uriOf takes the tel URI out of a NAPTR's expression, of the one form that RFC 4769 gives: !^.*$!tel:...!
-func uriOf(expression string) (string, error) {
+// telURI takes the tel URI out of a NAPTR's expression, of the one form that RFC 4769 gives: !^.*$!tel:...!
+func telURI(expression string) (string, error) {
 	if len(expression) < 2 {
-		return "", fmt.Errorf("%w: expression %q", ErrAnswer, expression)
+		return "", fmt.Errorf("%w: expression %q", ErrUnusableAnswer, expression)
 	}
 	parts := strings.Split(expression[1:], expression[:1])
 	if len(parts) != 3 || parts[0] != "^.*$" || !strings.HasPrefix(strings.ToLower(parts[1]), "tel:") {
-		return "", fmt.Errorf("%w: expression %q", ErrAnswer, expression)
+		return "", fmt.Errorf("%w: expression %q", ErrUnusableAnswer, expression)
 	}
 	return parts[1][len("tel:"):], nil
 }
--- a/internal/enum/enum_test.go
+++ b/internal/enum/enum_test.go
@@ -13,25 +13,25 @@
 )
 
 func TestAnswersOfEverySort(t *testing.T) {
-	p, err := standin.NewPorted(map[string]string{Name("37129000001", "e164.test."): "37167000000"})
+	p, err := standin.NewPorted(map[string]string{DomainName("37129000001", "e164.test."): "37167000000"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Stop()
-	c := &Client{Servers: [2]string{p.At, p.At}, Zone: "e164.test.", Most: 300 * time.Millisecond}
+	c := &Client{Servers: [2]string{p.At, p.At}, Zone: "e164.test.", Timeout: 300 * time.Millisecond}
 	for _, k := range []struct {
 		how, number string
-		port        numbers.Port
+		port        numbers.Porting
 		known, fine bool
 	}{
-		{"", "37129000001", numbers.Port{Ported: true, Number: "37167000000"}, true, true}, {"", "37129000002", numbers.Port{}, false, true},
-		{"truncated", "37129000001", numbers.Port{Ported: true, Number: "37167000000"}, true, true}, {"silent", "37129000001", numbers.Port{}, false, false},
-		{"wrong", "37129000001", numbers.Port{}, false, false}, {"contradictory", "37129000001", numbers.Port{}, false, false},
-		{"other", "37129000001", numbers.Port{}, false, false},
+		{"", "37129000001", numbers.Porting{Ported: true, RoutingNumber: "37167000000"}, true, true}, {"", "37129000002", numbers.Porting{}, false, true},
+		{"truncated", "37129000001", numbers.Porting{Ported: true, RoutingNumber: "37167000000"}, true, true}, {"silent", "37129000001", numbers.Porting{}, false, false},
+		{"wrong", "37129000001", numbers.Porting{}, false, false}, {"contradictory", "37129000001", numbers.Porting{}, false, false},
+		{"other", "37129000001", numbers.Porting{}, false, false},
 	} {
 		p.Set(k.how, 0)
-		a, err := c.Ask(context.Background(), 0, k.number)
-		if (err == nil) != k.fine || a.Port != k.port || a.Known != k.known {
+		a, err := c.Query(context.Background(), 0, k.number)
+		if (err == nil) != k.fine || a.Porting != k.port || a.Known != k.known {
 			t.Errorf("%s %s: %+v, %v", k.how, k.number, a, err)
 		}
 	}
@@ -42,7 +42,7 @@
 		m := new(dns.Msg)
 		m.SetQuestion("1.e164.test.", dns.TypeNAPTR)
 		m.Answer = []dns.RR{&dns.NAPTR{Hdr: dns.RR_Header{Name: "1.e164.test."}, Flags: "u", Service: "E2U+pstn:tel", Regexp: e}}
-		if _, err := Read(m); !errors.Is(err, ErrAnswer) {
+		if _, err := ParseAnswer(m); !errors.Is(err, ErrUnusableAnswer) {
 			t.Errorf("%q: %v", e, err)
 		}
 	}
--- a/internal/exchange/numbering.go
+++ b/internal/exchange/numbering.go
@@ -12,8 +12,8 @@
 // destination from the first digits of the called number.
 type Numbering struct {
 	Versions    *numbers.Versions
-	Split       *numbers.Split
-	Portability *numbers.Inquirer                  // nil if portability is not queried
+	Split       *numbers.Distributor
+	Portability *numbers.PortabilityResolver       // nil if portability is not queried
 	UnixSecond  func(at policy.Tenths) int64       // converts an instant to Unix seconds
 	Instant     func(second int64) policy.Tenths   // converts Unix seconds to an instant
 	Changed     func(t *numbers.Table, why string) // called when a version takes effect; why: reason for a rollback, or ""
@@ -22,7 +22,7 @@
 // portReply is a reply of the portability client that has not been handled yet.
 type portReply struct {
 	call  uint32
-	port  numbers.Port
+	port  numbers.Porting
 	known bool
 }
 
@@ -41,8 +41,8 @@
 // Query sends a query to a portability server.
 func (n *PortabilityNet) Query(id uint32, server int, number string) { n.query(id, server, number) }
 
-// Told queues the portability result for a call; it is handled after the portability client has returned.
-func (n *PortabilityNet) Told(call uint32, port numbers.Port, known bool) {
+// LookupDone queues the portability result for a call; it is handled after the portability client has returned.
+func (n *PortabilityNet) LookupDone(call uint32, port numbers.Porting, known bool) {
 	n.exchange.portReplies = append(n.exchange.portReplies, portReply{call, port, known})
 }
 
@@ -64,15 +64,15 @@
 	call.table = numbering.Versions.Pin()
 	call.tableVersion = call.table.Version
 	x.expectAnswer(call)
-	result := call.table.Analyse(call.caller, call.digits, numbering.UnixSecond(x.now), numbering.Split.For(call.tableVersion), nil)
-	if result.Ask && numbering.Portability != nil {
-		deadline := numbers.WaitUntil(x.now, x.now+x.deployment.Bearers[call.request.Bearer].GoSTarget, call.abandonTime)
-		port, verdict := numbering.Portability.Ask(x.now, call.id, result.Number, deadline)
+	result := call.table.Analyse(call.caller, call.digits, numbering.UnixSecond(x.now), numbering.Split.ForVersion(call.tableVersion), nil)
+	if result.NeedsLookup && numbering.Portability != nil {
+		deadline := numbers.LookupDeadline(x.now, x.now+x.deployment.Bearers[call.request.Bearer].GoSTarget, call.abandonTime)
+		port, verdict := numbering.Portability.Lookup(x.now, call.id, result.Number, deadline)
 		switch verdict {
-		case numbers.Known:
+		case numbers.LookupAnswered:
 			x.applyPort(call, result, port)
 			return
-		case numbers.Wait:
+		case numbers.LookupPending:
 			call.analysis = result
 			return
 		}
@@ -96,9 +96,9 @@
 }
 
 // applyPort repeats the number analysis with the new number if the called number was ported.
-func (x *Exchange) applyPort(call *activeCall, result numbers.Result, port numbers.Port) {
+func (x *Exchange) applyPort(call *activeCall, result numbers.Result, port numbers.Porting) {
 	if port.Ported {
-		result = call.table.Again(call.caller, port.Number, x.numbering.UnixSecond(x.now), x.numbering.Split.For(call.tableVersion))
+		result = call.table.AnalysePorted(call.caller, port.RoutingNumber, x.numbering.UnixSecond(x.now), x.numbering.Split.ForVersion(call.tableVersion))
 	}
 	x.handleAnalysis(call, result)
 }
@@ -107,16 +107,16 @@
 // number table back.
 func (x *Exchange) handleAnalysis(call *activeCall, result numbers.Result) {
 	numbering := x.numbering
-	if reason, rollback := numbering.Versions.Analysed(call.table, result.Outcome != numbers.NoRoute, x.now); rollback {
+	if reason, rollback := numbering.Versions.RecordCall(call.table, result.Outcome != numbers.NoRoute, x.now); rollback {
 		if t, err := numbering.Versions.Rollback(reason, x.now); err == nil {
 			numbering.Changed(t, reason)
 		}
 	}
-	if result.Outcome != numbers.ToOffice {
+	if result.Outcome != numbers.ToExchange {
 		x.finish(call, Refused, isup.Cause(result.Cause), 0)
 		return
 	}
-	call.digits = result.Sent
+	call.digits = result.OutgoingDigits
 	x.routeCall(call, result.Exchange)
 }
 
@@ -126,7 +126,7 @@
 		return
 	}
 	if call.state == Analysing && x.numbering.Portability != nil {
-		x.numbering.Portability.Forget(call.id)
+		x.numbering.Portability.CancelLookup(call.id)
 	}
 	x.numbering.Versions.Unpin(call.table)
 	call.table = nil
@@ -139,11 +139,11 @@
 		return next
 	}
 	if x.numbering.Portability != nil {
-		if at, ok := x.numbering.Portability.Next(); ok {
+		if at, ok := x.numbering.Portability.NextTick(); ok {
 			next = at
 		}
 	}
-	if t, second := x.numbering.Versions.Waiting(); t != nil {
+	if t, second := x.numbering.Versions.Pending(); t != nil {
 		next = min(next, x.numbering.Instant(second))
 	}
 	return next
@@ -155,7 +155,7 @@
 	if numbering == nil {
 		return
 	}
-	if numbering.Versions.Due(numbering.UnixSecond(x.now), x.now) {
+	if numbering.Versions.ActivateDue(numbering.UnixSecond(x.now), x.now) {
 		numbering.Changed(numbering.Versions.Current(), "")
 	}
 	if numbering.Portability != nil {
--- a/internal/exchange/numbering_test.go
+++ b/internal/exchange/numbering_test.go
@@ -44,9 +44,9 @@
 	table := &numbers.Table{Version: version, Zone: zone}
 	var prefixes []numbers.Prefix
 	for exchange := range n {
-		table.Entries = append(table.Entries, numbers.Entry{Name: fmt.Sprint(exchange), Least: 9, Most: 9, Ported: exchange == 0,
+		table.Routes = append(table.Routes, numbers.Route{Name: fmt.Sprint(exchange), MinDigits: 9, MaxDigits: 9, MayBePorted: exchange == 0,
 			Choices: []numbers.Choice{{Shares: []numbers.Share{{Weight: 1, Exchange: (exchange + shift) % n}}}}})
-		prefixes = append(prefixes, numbers.Prefix{Digits: fmt.Sprintf("%03d", exchange), Entry: uint32(exchange)})
+		prefixes = append(prefixes, numbers.Prefix{Digits: fmt.Sprintf("%03d", exchange), Value: uint32(exchange)})
 	}
 	if err := table.Build(prefixes, n); err != nil {
 		t.Fatal(err)
@@ -59,11 +59,11 @@
 	var all []*portabilityServers
 	for _, node := range net.nodes {
 		servers := &portabilityServers{net: net, delay: 100, ported: map[string]string{}}
-		numbering := &Numbering{Versions: numbers.NewVersions(shiftedTable(t, 1, 0, len(net.nodes)), numbers.Trial{Window: 100000, Bound: 0.5, Least: 5}),
-			Split: numbers.NewSplit(100), UnixSecond: func(at policy.Tenths) int64 { return int64(at / 10000) },
+		numbering := &Numbering{Versions: numbers.NewVersions(shiftedTable(t, 1, 0, len(net.nodes)), numbers.Trial{Window: 100000, MaxIncrease: 0.5, MinFailures: 5}),
+			Split: numbers.NewDistributor(100), UnixSecond: func(at policy.Tenths) int64 { return int64(at / 10000) },
 			Instant: func(second int64) policy.Tenths { return policy.Tenths(second) * 10000 }, Changed: func(*numbers.Table, string) {}}
 		var err error
-		numbering.Portability, err = numbers.NewInquirer(numbers.Limits{Known: 50, Unknown: 50, Age: 100000, Out: 8, TimeOut: 10000, RetryShare: 0.1}, 1,
+		numbering.Portability, err = numbers.NewPortabilityResolver(numbers.ResolverLimits{MaxKnown: 50, MaxUnknown: 50, MaxAge: 100000, MaxPending: 8, QueryTimeout: 10000, RetryRatio: 0.1}, 1,
 			node.exchange.PortabilityNet(servers.query))
 		if err != nil {
 			t.Fatal(err)
@@ -85,7 +85,7 @@
 			}
 			to, ported := servers.ported[reply.number]
 			net.nodes[i].exchange.UpdateNumbering(net.now, func(n *Numbering) {
-				n.Portability.Answered(net.now, reply.id, numbers.Port{Ported: ported, Number: to}, true, 0)
+				n.Portability.HandleAnswer(net.now, reply.id, numbers.Porting{Ported: ported, RoutingNumber: to}, true, 0)
 			})
 		}
 		servers.replies = pending
@@ -135,13 +135,13 @@
 	if at := destinationOf(net, other); at != 2 {
 		t.Errorf("a call started with version 2 reached exchange %d", at)
 	}
-	if held := net.nodes[1].exchange.numbering.Versions.Held(); held != 2 {
+	if held := net.nodes[1].exchange.numbering.Versions.HeldCount(); held != 2 {
 		t.Errorf("%d versions held while calls use two", held)
 	}
 	net.hangUp(ref)
 	net.hangUp(other)
 	net.advanceWith(5000, all)
-	if held := net.nodes[1].exchange.numbering.Versions.Held(); held != 1 {
+	if held := net.nodes[1].exchange.numbering.Versions.HeldCount(); held != 1 {
 		t.Errorf("%d versions held with no call left", held)
 	}
 	net.requireIdle(t)
@@ -236,10 +236,10 @@
 	turn := net.now/10000/60 + 1 // the next full minute
 	timed := func(version uint64, early, late int) *numbers.Table {
 		minute := int(turn % 1440)
-		table := &numbers.Table{Version: version, Zone: zone, Entries: []numbers.Entry{{Name: "x", Least: 9, Most: 9, Choices: []numbers.Choice{
-			{When: &numbers.When{From: minute, To: minute + 60}, Shares: []numbers.Share{{Weight: 1, Exchange: late}}},
+		table := &numbers.Table{Version: version, Zone: zone, Routes: []numbers.Route{{Name: "x", MinDigits: 9, MaxDigits: 9, Choices: []numbers.Choice{
+			{Schedule: &numbers.Schedule{FromMinute: minute, ToMinute: minute + 60}, Shares: []numbers.Share{{Weight: 1, Exchange: late}}},
 			{Shares: []numbers.Share{{Weight: 1, Exchange: early}}}}}}}
-		if err := table.Build([]numbers.Prefix{{Digits: "001", Entry: 0}}, 3); err != nil {
+		if err := table.Build([]numbers.Prefix{{Digits: "001", Value: 0}}, 3); err != nil {
 			t.Fatal(err)
 		}
 		return table
@@ -304,7 +304,7 @@
 		net.requireNoViolations(t)
 		net.requireIdle(t)
 		for _, node := range net.nodes {
-			if held := node.exchange.numbering.Versions.Held(); held != 1 {
+			if held := node.exchange.numbering.Versions.HeldCount(); held != 1 {
 				t.Fatalf("exchange %d holds %d versions without a call", node.number, held)
 			}
 		}
--- a/internal/numberfile/file_test.go
+++ b/internal/numberfile/file_test.go
@@ -74,7 +74,7 @@
 			t.Errorf("%v: %+v", c.at, r)
 		}
 	}
-	if r := tab.Analyse("", "90000000", 0, nil, nil); r.Outcome != numbers.NoRoute || tab.Version != 7 || tab.Prefixes() != 2 {
+	if r := tab.Analyse("", "90000000", 0, nil, nil); r.Outcome != numbers.NoRoute || tab.Version != 7 || tab.PrefixCount() != 2 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -97,7 +97,7 @@
 // one and says so.
 func TestDamagedVersionsAreNeverTaken(t *testing.T) {
 	whole := Encode(source(t, rules, "37167,riga\n"))
-	if s, err := Decode(whole); err != nil || string(s.Prefix) != "37167,riga\n" {
+	if s, err := Decode(whole); err != nil || string(s.Prefixes) != "37167,riga\n" {
 		t.Fatal(err)
 	}
 	for n := range whole {
@@ -107,7 +107,7 @@
 		for bit := range 8 {
 			b := append([]byte{}, whole...)
 			b[n] ^= 1 << bit
-			if s, err := Decode(b); err == nil && string(s.Rules)+string(s.Prefix) != rules+"37167,riga\n" {
+			if s, err := Decode(b); err == nil && string(s.Rules)+string(s.Prefixes) != rules+"37167,riga\n" {
 				t.Fatalf("octet %d, bit %d: taken", n, bit)
 			}
 		}
@@ -119,22 +119,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if tab, _, err := st.InForce(5); tab != nil || err != nil {
+	if tab, _, err := st.LoadInForce(5); tab != nil || err != nil {
 		t.Fatal(tab, err)
 	}
 	for _, v := range []string{"1", "2", "3"} {
 		s := source(t, strings.Replace(rules, "version = 7", "version = "+v, 1), "37167,riga\n")
 		n := uint64(v[0] - '0')
-		if err := errors.Join(st.Keep(n, s), st.Note(Record{Version: n, What: "in force"})); err != nil {
+		if err := errors.Join(st.Save(n, s), st.AppendHistory(Record{Version: n, Event: "in force"})); err != nil {
 			t.Fatal(err)
 		}
 	}
-	os.WriteFile(st.file(3), []byte(magic+"{}"), 0o644) // damaged
-	os.Remove(st.file(2))                               // gone
+	os.WriteFile(st.path(3), []byte(magic+"{}"), 0o644) // damaged
+	os.Remove(st.path(2))                               // gone
 	f, _ := os.OpenFile(filepath.Join(st.dir, "history"), os.O_APPEND|os.O_WRONLY, 0)
 	f.WriteString(`{"version":9,"na`) // a kill in the middle of a line
 	f.Close()
-	tab, doubts, err := st.InForce(5)
+	tab, doubts, err := st.LoadInForce(5)
 	if err != nil || tab == nil || tab.Version != 1 || len(doubts) != 3 {
 		t.Fatalf("%v, doubts %q, %v", tab, doubts, err)
 	}
--- a/internal/numberfile/source.go
+++ b/internal/numberfile/source.go
@@ -23,10 +23,10 @@
 
 // Source is the text of one version: the rules, and the prefixes that they name as a file of their own, if any.
 type Source struct {
-	Name   string // of the rules' file, for messages
-	Rules  []byte
-	CSV    string // name of the prefixes' file
-	Prefix []byte
+	RulesFile  string // of the rules' file, for messages
+	Rules      []byte
+	PrefixFile string // name of the prefixes' file
+	Prefixes   []byte
 }
 
 // ReadSource reads the rules and the prefixes' file that they name, which stands beside them.
@@ -35,14 +35,14 @@
 	if err != nil {
 		return Source{}, fmt.Errorf("read table: %w", err)
 	}
-	s := Source{Name: name, Rules: rules}
+	s := Source{RulesFile: name, Rules: rules}
 	f, b := hclread.Parse(name, rules)
-	s.CSV = b.Text("prefixes", false, "")
+	s.PrefixFile = b.Text("prefixes", false, "")
 	if err := f.Err(); err != nil {
 		return s, err
 	}
-	if s.CSV != "" {
-		if s.Prefix, err = os.ReadFile(filepath.Join(filepath.Dir(name), s.CSV)); err != nil {
+	if s.PrefixFile != "" {
+		if s.Prefixes, err = os.ReadFile(filepath.Join(filepath.Dir(name), s.PrefixFile)); err != nil {
 			return s, fmt.Errorf("read prefixes: %w", err)
 		}
 	}
@@ -52,19 +52,19 @@
 // Table builds the table of a source. Its error has a line for each fault, with file, line and column; a table with any
 // fault is refused whole.
 func (s Source) Table(exchanges int) (*numbers.Table, error) {
-	f, b := hclread.Parse(s.Name, s.Rules)
+	f, b := hclread.Parse(s.RulesFile, s.Rules)
 	t := &numbers.Table{Name: b.Text("name", false, ""), Version: uint64(b.Whole("version", 1, math.MaxInt32, 0))}
 	b.Text("prefixes", false, "")
 	d := b.Only("dialling", false)
-	t.Dialling = numbers.Dialling{International: d.Text("international", false, "00"), National: d.Text("national", false, ""),
-		Country: d.Text("country", false, ""), ShortMost: d.Whole("short_most", 0, numbers.DigitsMost, 0)}
+	t.DialPlan = numbers.DialPlan{InternationalPrefix: d.Text("international", false, "00"), NationalPrefix: d.Text("national", false, ""),
+		CountryCode: d.Text("country", false, ""), MaxShortDigits: d.Whole("short_most", 0, numbers.MaxDigits, 0)}
 	d.Done()
 	var err error
 	if t.Zone, err = numbers.NewZone(b.Text("zone", false, "UTC")); err != nil {
 		b.FaultAt("zone", "%v", err)
 	}
 	for _, h := range b.Texts("holidays") {
-		t.Holidays = append(t.Holidays, day(b, "holidays", h))
+		t.Holidays = append(t.Holidays, parseDay(b, "holidays", h))
 	}
 	slices.Sort(t.Holidays)
 	var prefixes []numbers.Prefix
@@ -73,48 +73,48 @@
 		if _, twice := routes[n.Label]; twice {
 			n.Fault("route %q stands twice", n.Label)
 		}
-		id := uint32(len(t.Entries))
+		id := uint32(len(t.Routes))
 		routes[n.Label] = id
 		for _, p := range n.Texts("prefixes") {
-			prefixes = append(prefixes, numbers.Prefix{Digits: p, Entry: id})
+			prefixes = append(prefixes, numbers.Prefix{Digits: p, Value: id})
 		}
-		t.Entries = append(t.Entries, route(n, exchanges))
+		t.Routes = append(t.Routes, parseRoute(n, exchanges))
 	}
 	for _, n := range b.Blocks("screen", true) {
-		t.Screens = append(t.Screens, numbers.Screen{Name: n.Label, Callers: n.Text("callers", false, ""), Numbers: n.Text("numbers", true, "")})
+		t.Screens = append(t.Screens, numbers.Screen{Name: n.Label, CallerPrefix: n.Text("callers", false, ""), NumberPrefix: n.Text("numbers", true, "")})
 		n.Done()
 	}
 	b.Done()
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	if prefixes, err = s.csv(prefixes, routes); err != nil {
+	if prefixes, err = s.parsePrefixes(prefixes, routes); err != nil {
 		return nil, err
 	}
 	if err := t.Build(prefixes, exchanges); err != nil {
-		return nil, fmt.Errorf("%s: %w", s.Name, err)
+		return nil, fmt.Errorf("%s: %w", s.RulesFile, err)
 	}
 	return t, nil
 }
 
-func day(b *hclread.Block, name, text string) int {
+func parseDay(b *hclread.Block, name, text string) int {
 	t, err := time.Parse(time.DateOnly, text)
 	if err != nil {
 		b.FaultAt(name, "%q is no date such as 2026-11-18", text)
 		return 0
 	}
-	return numbers.Day(t.Date())
+	return numbers.DayNumber(t.Date())
 }
 
-func route(n *hclread.Block, exchanges int) numbers.Entry {
-	e := numbers.Entry{Name: n.Label, Least: n.Whole("least", 1, numbers.DigitsMost, 1), Most: n.Whole("most", 1, numbers.DigitsMost, numbers.DigitsMost),
-		Delete: n.Whole("delete", 0, numbers.DigitsMost, 0), Insert: n.Text("insert", false, ""), Priority: n.Flag("priority", false),
-		Emergency: n.Flag("emergency", false), Ported: n.Flag("ported", false)}
-	if e.Least > e.Most {
-		n.FaultAt("least", "least is %d, most %d", e.Least, e.Most)
+func parseRoute(n *hclread.Block, exchanges int) numbers.Route {
+	e := numbers.Route{Name: n.Label, MinDigits: n.Whole("least", 1, numbers.MaxDigits, 1), MaxDigits: n.Whole("most", 1, numbers.MaxDigits, numbers.MaxDigits),
+		DeleteDigits: n.Whole("delete", 0, numbers.MaxDigits, 0), InsertDigits: n.Text("insert", false, ""), Priority: n.Flag("priority", false),
+		Emergency: n.Flag("emergency", false), MayBePorted: n.Flag("ported", false)}
+	if e.MinDigits > e.MaxDigits {
+		n.FaultAt("least", "least is %d, most %d", e.MinDigits, e.MaxDigits)
 	}
 	for _, c := range n.Blocks("choice", false) {
-		e.Choices = append(e.Choices, choice(c, exchanges))
+		e.Choices = append(e.Choices, parseChoice(c, exchanges))
 	}
 	if len(e.Choices) == 0 {
 		n.Fault("route %q has no choice", n.Label)
@@ -125,14 +125,14 @@
 
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-func choice(c *hclread.Block, exchanges int) numbers.Choice {
+func parseChoice(c *hclread.Block, exchanges int) numbers.Choice {
 	var out numbers.Choice
-	w := numbers.When{}
+	w := numbers.Schedule{}
 	for _, d := range c.Texts("days") {
 		known := false
 		for i, name := range weekdays {
 			if d == name {
-				w.Days |= 1 << i
+				w.Weekdays |= 1 << i
 				known = true
 			}
 		}
@@ -145,21 +145,21 @@
 		if !both {
 			to = from
 		}
-		s := numbers.Span{From: day(c, "dates", from), To: day(c, "dates", to)}
+		s := numbers.DayRange{From: parseDay(c, "dates", from), To: parseDay(c, "dates", to)}
 		if s.To < s.From {
 			c.FaultAt("dates", "%q ends before it begins", d)
 		}
 		w.Dates = append(w.Dates, s)
 	}
-	w.From, w.To = minute(c, "from"), minute(c, "to")
-	if w.To <= w.From && c.Has("to") {
-		w.To += 24 * 60 // past midnight
+	w.FromMinute, w.ToMinute = parseMinute(c, "from"), parseMinute(c, "to")
+	if w.ToMinute <= w.FromMinute && c.Has("to") {
+		w.ToMinute += 24 * 60 // past midnight
 	}
 	switch c.One("holidays", "", "", "only", "never") {
 	case "only":
-		w.Holidays = true
+		w.OnlyHolidays = true
 	case "never":
-		w.NoHolidays = true
+		w.ExceptHolidays = true
 	}
 	for _, to := range c.Blocks("to", true) {
 		x, err := strconv.Atoi(to.Label)
@@ -177,13 +177,13 @@
 		c.Fault("a choice leads nowhere: it needs a block to or announce")
 	}
 	c.Done()
-	if w.Days != 0 || len(w.Dates) > 0 || w.From != w.To || w.Holidays || w.NoHolidays {
-		out.When = &w
+	if w.Weekdays != 0 || len(w.Dates) > 0 || w.FromMinute != w.ToMinute || w.OnlyHolidays || w.ExceptHolidays {
+		out.Schedule = &w
 	}
 	return out
 }
 
-func minute(c *hclread.Block, name string) int {
+func parseMinute(c *hclread.Block, name string) int {
 	text := c.Text(name, false, "00:00")
 	t, err := time.Parse("15:04", text)
 	if err != nil && text != "24:00" {
@@ -196,9 +196,9 @@
 	return t.Hour()*60 + t.Minute()
 }
 
-// csv reads lines of prefix and route.
-func (s Source) csv(all []numbers.Prefix, routes map[string]uint32) ([]numbers.Prefix, error) {
-	r := csv.NewReader(bytes.NewReader(s.Prefix))
+// parsePrefixes reads lines of prefix and route.
+func (s Source) parsePrefixes(all []numbers.Prefix, routes map[string]uint32) ([]numbers.Prefix, error) {
+	r := csv.NewReader(bytes.NewReader(s.Prefixes))
 	r.FieldsPerRecord, r.ReuseRecord, r.Comment = 2, true, '#'
 	for {
 		line, err := r.Read()
@@ -206,19 +206,19 @@
 			return all, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", s.CSV, err)
+			return nil, fmt.Errorf("%s: %w", s.PrefixFile, err)
 		}
 		id, ok := routes[line[1]]
 		if !ok {
 			at, col := r.FieldPos(1)
-			return nil, fmt.Errorf("%s:%d,%d: no route %q", s.CSV, at, col, line[1])
+			return nil, fmt.Errorf("%s:%d,%d: no route %q", s.PrefixFile, at, col, line[1])
 		}
 		for i := range len(line[0]) {
 			if !strings.ContainsRune("0123456789BC", rune(line[0][i])) {
 				at, col := r.FieldPos(0)
-				return nil, fmt.Errorf("%s:%d,%d: %q is no digit", s.CSV, at, col+i, line[0][i])
+				return nil, fmt.Errorf("%s:%d,%d: %q is no digit", s.PrefixFile, at, col+i, line[0][i])
 			}
 		}
-		all = append(all, numbers.Prefix{Digits: line[0], Entry: id})
+		all = append(all, numbers.Prefix{Digits: line[0], Value: id})
 	}
 }
--- a/internal/numberfile/store.go
+++ b/internal/numberfile/store.go
@@ -22,12 +22,12 @@
 
 // Record is one line of the history.
 type Record struct {
-	Version uint64    `json:"version"`
-	Name    string    `json:"name"`
-	At      time.Time `json:"at"`
-	What    string    `json:"what"` // in force, rolled back
-	Why     string    `json:"why,omitempty"`
-	Sum     string    `json:"sum"` // of the version's file
+	Version  uint64    `json:"version"`
+	Name     string    `json:"name"`
+	Time     time.Time `json:"at"`
+	Event    string    `json:"what"` // in force, rolled back
+	Reason   string    `json:"why,omitempty"`
+	Checksum string    `json:"sum"` // of the version's file
 }
 
 // ErrDamaged is wrapped where a kept version does not have its checksum.
@@ -43,25 +43,25 @@
 	return &Store{dir}, nil
 }
 
-func (s *Store) file(version uint64) string {
+func (s *Store) path(version uint64) string {
 	return filepath.Join(s.dir, fmt.Sprintf("table-%010d", version))
 }
 
 // Encode is a source as one file: a line that tells the format, a line of JSON with the parts' sizes and the checksum of
 // all after it, then the parts.
 func Encode(s Source) []byte {
-	body := append(append([]byte{}, s.Rules...), s.Prefix...)
+	body := append(append([]byte{}, s.Rules...), s.Prefixes...)
 	sum := sha256.Sum256(body)
-	head, _ := json.Marshal(header{s.Name, s.CSV, len(s.Rules), len(s.Prefix), hex.EncodeToString(sum[:])})
+	head, _ := json.Marshal(header{s.RulesFile, s.PrefixFile, len(s.Rules), len(s.Prefixes), hex.EncodeToString(sum[:])})
 	return append(append([]byte(magic), append(head, '\n')...), body...)
 }
 
 type header struct {
-	Name   string `json:"Name"`
-	CSV    string `json:"CSV"`
-	Rules  int    `json:"Rules"`
-	Prefix int    `json:"Prefix"`
-	Sum    string `json:"Sum"`
+	RulesFile    string `json:"Name"`
+	PrefixFile   string `json:"CSV"`
+	RulesOctets  int    `json:"Rules"`
+	PrefixOctets int    `json:"Prefix"`
+	Checksum     string `json:"Sum"`
 }
 
 // Decode reads what Encode wrote, and nothing else.
@@ -75,22 +75,22 @@
 	if err := json.Unmarshal(line, &h); !ok || err != nil {
 		return Source{}, fmt.Errorf("%w: its header does not read", ErrDamaged)
 	}
-	if h.Rules < 0 || h.Prefix < 0 || len(body) != h.Rules+h.Prefix {
-		return Source{}, fmt.Errorf("%w: %d octets, its header says %d and %d", ErrDamaged, len(body), h.Rules, h.Prefix)
+	if h.RulesOctets < 0 || h.PrefixOctets < 0 || len(body) != h.RulesOctets+h.PrefixOctets {
+		return Source{}, fmt.Errorf("%w: %d octets, its header says %d and %d", ErrDamaged, len(body), h.RulesOctets, h.PrefixOctets)
 	}
-	if sum := sha256.Sum256(body); hex.EncodeToString(sum[:]) != h.Sum {
+	if sum := sha256.Sum256(body); hex.EncodeToString(sum[:]) != h.Checksum {
 		return Source{}, ErrDamaged
 	}
-	return Source{Name: h.Name, Rules: body[:h.Rules], CSV: h.CSV, Prefix: body[h.Rules:]}, nil
+	return Source{RulesFile: h.RulesFile, Rules: body[:h.RulesOctets], PrefixFile: h.PrefixFile, Prefixes: body[h.RulesOctets:]}, nil
 }
 
-// Keep writes a version down, whole or not at all.
-func (s *Store) Keep(version uint64, src Source) error {
-	return whole(s.file(version), Encode(src))
+// Save writes a version down, whole or not at all.
+func (s *Store) Save(version uint64, src Source) error {
+	return writeFileAtomically(s.path(version), Encode(src))
 }
 
-// whole writes a file beside its place, makes sure that it is on the disk, and moves it there.
-func whole(name string, text []byte) error {
+// writeFileAtomically writes a file beside its place, makes sure that it is on the disk, and moves it there.
+func writeFileAtomically(name string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(name), ".writing-*")
 	if err != nil {
 		return fmt.Errorf("keep table: %w", err)
@@ -107,14 +107,14 @@
 	return nil
 }
 
-// Note adds a line to the history.
-func (s *Store) Note(r Record) error {
-	b, err := os.ReadFile(s.file(r.Version))
+// AppendHistory adds a line to the history.
+func (s *Store) AppendHistory(r Record) error {
+	b, err := os.ReadFile(s.path(r.Version))
 	if err != nil {
 		return fmt.Errorf("history of tables: %w", err)
 	}
 	sum := sha256.Sum256(b)
-	r.Sum = hex.EncodeToString(sum[:])
+	r.Checksum = hex.EncodeToString(sum[:])
 	line, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("history of tables: %w", err)
@@ -162,7 +162,7 @@
 
 // Load reads one version that was kept.
 func (s *Store) Load(version uint64, exchanges int) (*numbers.Table, error) {
-	b, err := os.ReadFile(s.file(version))
+	b, err := os.ReadFile(s.path(version))
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", version, err)
 	}
@@ -180,9 +180,9 @@
 	return t, nil
 }
 
-// InForce is the version that was in force last, or, where that is damaged, the last good one before it. doubts say what
+// LoadInForce is the version that was in force last, or, where that is damaged, the last good one before it. doubts say what
 // was passed over and why; no version at all is no error.
-func (s *Store) InForce(exchanges int) (t *numbers.Table, doubts []string, err error) {
+func (s *Store) LoadInForce(exchanges int) (t *numbers.Table, doubts []string, err error) {
 	all, bad, err := s.History()
 	if err != nil {
 		return nil, nil, err
--- a/internal/numbers/bench_test.go
+++ b/internal/numbers/bench_test.go
@@ -50,15 +50,15 @@
 		return func(d string) (uint32, bool) { e, _, ok := t.Find(d); return e, ok }
 	}},
 	{"map-by-length", func(all []Prefix) func(string) (uint32, bool) {
-		var by [DigitsMost + 1]map[string]uint32
+		var by [MaxDigits + 1]map[string]uint32
 		for _, p := range all {
 			if by[len(p.Digits)] == nil {
 				by[len(p.Digits)] = map[string]uint32{}
 			}
-			by[len(p.Digits)][strings.Clone(p.Digits)] = p.Entry // a table does not keep its source
+			by[len(p.Digits)][strings.Clone(p.Digits)] = p.Value // a table does not keep its source
 		}
 		return func(d string) (uint32, bool) {
-			for n := min(len(d), DigitsMost); n >= 0; n-- {
+			for n := min(len(d), MaxDigits); n >= 0; n-- {
 				if e, ok := by[n][d[:n]]; ok {
 					return e, true
 				}
@@ -76,7 +76,7 @@
 			for n := len(d); n >= 0; n-- {
 				i := sort.Search(len(sorted), func(i int) bool { return sorted[i].Digits >= d[:n] })
 				if i < len(sorted) && sorted[i].Digits == d[:n] {
-					return sorted[i].Entry, true
+					return sorted[i].Value, true
 				}
 			}
 			return 0, false
@@ -141,8 +141,8 @@
 // quiet takes queries and never answers.
 type quiet struct{}
 
-func (quiet) Query(uint32, int, string) {}
-func (quiet) Told(uint32, Port, bool)   {}
+func (quiet) Query(uint32, int, string)        {}
+func (quiet) LookupDone(uint32, Porting, bool) {}
 
 // BenchmarkStorm is the memory that ten million distinct unknown numbers leave behind, known as not there by a server that
 // answers each: the numbers known before must stay.
@@ -152,7 +152,7 @@
 		storm = 1_000_000
 	}
 	for range b.N {
-		q, err := NewInquirer(Limits{Known: 100000, Unknown: 10000, Age: 36000000, Out: 256, TimeOut: 10000, RetryShare: 0.1}, 1, quiet{})
+		q, err := NewPortabilityResolver(ResolverLimits{MaxKnown: 100000, MaxUnknown: 10000, MaxAge: 36000000, MaxPending: 256, QueryTimeout: 10000, RetryRatio: 0.1}, 1, quiet{})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -160,9 +160,9 @@
 		id := uint32(0)
 		ask := func(number string, known bool) {
 			now++
-			if _, v := q.Ask(now, 1, number, now+3000); v != Known {
+			if _, v := q.Lookup(now, 1, number, now+3000); v != LookupAnswered {
 				id++
-				q.Answered(now+10, id, Port{}, known, 0)
+				q.HandleAnswer(now+10, id, Porting{}, known, 0)
 			}
 		}
 		for i := range 100000 {
@@ -178,7 +178,7 @@
 		runtime.ReadMemStats(&after)
 		kept := 0
 		for i := range 100000 {
-			if _, v := q.Ask(now, 1, fmt.Sprint("good", i), now); v == Known {
+			if _, v := q.Lookup(now, 1, fmt.Sprint("good", i), now); v == LookupAnswered {
 				kept++
 			}
 		}
--- a/internal/numbers/inquire_test.go
+++ b/internal/numbers/inquire_test.go
@@ -11,7 +11,7 @@
 
 // office is two portability servers on paper and the calls that ask.
 type office struct {
-	q       *Inquirer
+	q       *PortabilityResolver
 	now     policy.Tenths
 	delay   [2]policy.Tenths // negative: silent
 	on      []flown
@@ -29,10 +29,10 @@
 	number string
 }
 
-func newOffice(l Limits) *office {
+func newOffice(l ResolverLimits) *office {
 	o := &office{now: 1000000, told: map[uint32]bool{}, known: map[uint32]bool{}, asked: map[string]int{}, until: map[uint32]policy.Tenths{}}
 	var err error
-	if o.q, err = NewInquirer(l, 3, o); err != nil {
+	if o.q, err = NewPortabilityResolver(l, 3, o); err != nil {
 		panic(err)
 	}
 	return o
@@ -46,7 +46,7 @@
 	}
 }
 
-func (o *office) Told(call uint32, p Port, known bool) {
+func (o *office) LookupDone(call uint32, p Porting, known bool) {
 	if o.told[call] {
 		o.broken = append(o.broken, fmt.Sprintf("call %d is told twice", call))
 	}
@@ -56,11 +56,11 @@
 	o.told[call], o.known[call] = true, known
 }
 
-func (o *office) ask(call uint32, number string, patience policy.Tenths) Verdict {
+func (o *office) ask(call uint32, number string, patience policy.Tenths) LookupStatus {
 	o.until[call] = o.now + patience
-	_, v := o.q.Ask(o.now, call, number, o.now+patience)
-	if v != Wait {
-		o.told[call], o.known[call] = true, v == Known
+	_, v := o.q.Lookup(o.now, call, number, o.now+patience)
+	if v != LookupPending {
+		o.told[call], o.known[call] = true, v == LookupAnswered
 	}
 	return v
 }
@@ -71,19 +71,19 @@
 		for i := 0; i < len(o.on); {
 			if f := o.on[i]; f.at <= o.now {
 				o.on = slices.Delete(o.on, i, i+1)
-				o.q.Answered(o.now, f.id, Port{Ported: true, Number: "9" + f.number}, true, 0)
+				o.q.HandleAnswer(o.now, f.id, Porting{Ported: true, RoutingNumber: "9" + f.number}, true, 0)
 			} else {
 				i++
 			}
 		}
-		if at, ok := o.q.Next(); ok && at <= o.now {
+		if at, ok := o.q.NextTick(); ok && at <= o.now {
 			o.q.Tick(o.now)
 		}
 	}
 }
 
-func limits() Limits {
-	return Limits{Known: 100, Unknown: 50, Age: 600000, Out: 64, TimeOut: 10000, RetryShare: 0.1}
+func limits() ResolverLimits {
+	return ResolverLimits{MaxKnown: 100, MaxUnknown: 50, MaxAge: 600000, MaxPending: 64, QueryTimeout: 10000, RetryRatio: 0.1}
 }
 
 func TestOneQueryServesAllWhoAskForANumber(t *testing.T) {
@@ -93,7 +93,7 @@
 		o.ask(call+1, "37129000001", 3000)
 	}
 	o.pass(1000)
-	if len(o.queries) != 1 || len(o.told) != 50 || o.ask(60, "37129000001", 3000) != Known || len(o.broken) > 0 {
+	if len(o.queries) != 1 || len(o.told) != 50 || o.ask(60, "37129000001", 3000) != LookupAnswered || len(o.broken) > 0 {
 		t.Fatalf("%d queries, %d told, broken %v", len(o.queries), len(o.told), o.broken)
 	}
 }
@@ -141,9 +141,9 @@
 	o.delay = [2]policy.Tenths{-1, 100}
 	for call := uint32(1); call <= 200; call++ {
 		o.ask(call, fmt.Sprint("3712", call), 3000)
-		for _, q := range append([]*query(nil), o.q.order...) { // whatever went to the first fails now
+		for _, q := range append([]*query(nil), o.q.sendOrder...) { // whatever went to the first fails now
 			if o.q.byID[q.id] == q && q.server == 0 {
-				o.q.Failed(o.now, q.id)
+				o.q.HandleFailure(o.now, q.id)
 			}
 		}
 		o.pass(200)
@@ -193,17 +193,17 @@
 		if n%20 == 0 {
 			o.pass(50)
 		}
-		if o.q.Out() > limits().Out {
-			t.Fatalf("%d queries out", o.q.Out())
+		if o.q.PendingCount() > limits().MaxPending {
+			t.Fatalf("%d queries out", o.q.PendingCount())
 		}
 	}
 	good := 0
 	for call := range uint32(80) {
-		if _, v := o.q.Ask(o.now, 500000+call, fmt.Sprint("good", call), o.now); v == Known {
+		if _, v := o.q.Lookup(o.now, 500000+call, fmt.Sprint("good", call), o.now); v == LookupAnswered {
 			good++
 		}
 	}
-	known, unknown := o.q.Remembered()
+	known, unknown := o.q.CachedCounts()
 	if good < 80 || known > 100 || unknown > 50 || len(o.broken) > 0 {
 		t.Fatalf("%d of 80 known numbers left, %d and %d remembered, broken %v", good, known, unknown, o.broken[:min(3, len(o.broken))])
 	}
@@ -211,7 +211,7 @@
 
 func TestCallNeverWaitsPastThePointWhereItCanBeServed(t *testing.T) {
 	for _, c := range []struct{ now, gos, leaves, want policy.Tenths }{{0, 12000, 90000, 3000}, {0, 12000, 4000, 1000}, {20000, 12000, 90000, 20000}} {
-		if got := WaitUntil(c.now, c.gos, c.leaves); got != c.want {
+		if got := LookupDeadline(c.now, c.gos, c.leaves); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
 	}
@@ -237,9 +237,9 @@
 			b.Run(server.name+"/"+use, func(b *testing.B) {
 				for range b.N {
 					l := limits()
-					l.Known, l.Unknown, l.TimeOut = 1000, 100, 10000
+					l.MaxKnown, l.MaxUnknown, l.QueryTimeout = 1000, 100, 10000
 					if use == "no-memory" {
-						l.Known, l.Unknown, l.Age = 1, 1, 1
+						l.MaxKnown, l.MaxUnknown, l.MaxAge = 1, 1, 1
 					}
 					o := newOffice(l)
 					chance := rand.New(rand.NewPCG(5, 5))
@@ -250,8 +250,8 @@
 						d := server.delay(o.now)
 						o.delay = [2]policy.Tenths{d, d}
 						if use == "plain" {
-							if waited[call] = d; d < 0 || d > l.TimeOut {
-								waited[call] = l.TimeOut
+							if waited[call] = d; d < 0 || d > l.QueryTimeout {
+								waited[call] = l.QueryTimeout
 							} else {
 								known++
 							}
@@ -259,7 +259,7 @@
 							continue
 						}
 						began[call] = o.now
-						o.ask(call, fmt.Sprint("3712", dialled.Uint64()), WaitUntil(o.now, o.now+gos, o.now+30000)-o.now)
+						o.ask(call, fmt.Sprint("3712", dialled.Uint64()), LookupDeadline(o.now, o.now+gos, o.now+30000)-o.now)
 						for end := o.now + 200; o.now < end; {
 							o.pass(50)
 							for c, at := range began {
--- a/internal/numbers/numbers_test.go
+++ b/internal/numbers/numbers_test.go
@@ -86,7 +86,7 @@
 		for end := at.AddDate(2, 0, 0); at.Before(end); at = at.Add(time.Minute) {
 			l, got := at.In(loc), z.Local(at.Unix())
 			y, m, d := l.Date()
-			if got.Minute != l.Hour()*60+l.Minute() || got.Day != Day(y, m, d) || got.Weekday() != int(l.Weekday()) {
+			if got.Minute != l.Hour()*60+l.Minute() || got.Day != DayNumber(y, m, d) || got.Weekday() != int(l.Weekday()) {
 				t.Fatalf("%s at %v: %+v, weekday %d", name, l, got, got.Weekday())
 			}
 		}
@@ -95,10 +95,10 @@
 
 func TestHoursThatComeTwiceOrNever(t *testing.T) {
 	z, _ := NewZone("Europe/Riga")
-	night := &When{From: 3 * 60, To: 4 * 60}
+	night := &Schedule{FromMinute: 3 * 60, ToMinute: 4 * 60}
 	count := func(day time.Time) (minutes int) {
 		for i := range 26 * 60 {
-			if night.Holds(z, nil, day.Add(time.Duration(i)*time.Minute).Unix()) {
+			if night.Contains(z, nil, day.Add(time.Duration(i)*time.Minute).Unix()) {
 				minutes++
 			}
 		}
@@ -117,23 +117,23 @@
 
 func TestSpansPastMidnightBelongToTheirFirstDay(t *testing.T) {
 	z, _ := NewZone("Europe/Riga")
-	w := &When{Days: 1 << 5, From: 22 * 60, To: 30 * 60, NoHolidays: true} // Friday ten to six
+	w := &Schedule{Weekdays: 1 << 5, FromMinute: 22 * 60, ToMinute: 30 * 60, ExceptHolidays: true} // Friday ten to six
 	loc, _ := time.LoadLocation("Europe/Riga")
-	holiday := []int{Day(2026, 5, 8)}
+	holiday := []int{DayNumber(2026, 5, 8)}
 	for _, c := range []struct {
 		day, hour int
 		want      bool
 	}{{1, 21, false}, {1, 22, true}, {2, 5, true}, {2, 6, false}, {2, 22, false}, {8, 23, false}, {9, 3, false}, {15, 23, true}} {
 		at := time.Date(2026, 5, c.day, c.hour, 0, 0, 0, loc)
-		if got := w.Holds(z, holiday, at.Unix()); got != c.want {
+		if got := w.Contains(z, holiday, at.Unix()); got != c.want {
 			t.Errorf("%v: %v", at, got)
 		}
 	}
 }
 
-func table(version uint64, entries []Entry, prefixes ...Prefix) *Table {
+func table(version uint64, entries []Route, prefixes ...Prefix) *Table {
 	z, _ := NewZone("Europe/Riga")
-	t := &Table{Version: version, Dialling: Dialling{International: "00", National: "", Country: "371", ShortMost: 3}, Zone: z, Entries: entries}
+	t := &Table{Version: version, DialPlan: DialPlan{InternationalPrefix: "00", NationalPrefix: "", CountryCode: "371", MaxShortDigits: 3}, Zone: z, Routes: entries}
 	if err := t.Build(prefixes, 10); err != nil {
 		panic(err)
 	}
@@ -143,12 +143,12 @@
 func to(exchange int) []Choice { return []Choice{{Shares: []Share{{1, exchange, 0}}}} }
 
 func TestNumbersFindTheirWay(t *testing.T) {
-	tab := table(1, []Entry{
-		{Name: "riga", Least: 11, Most: 11, Choices: to(3)},
-		{Name: "clinic", Least: 8, Most: 11, Delete: 3, Insert: "9", Priority: true, Choices: to(4)},
-		{Name: "emergency", Least: 3, Most: 3, Emergency: true, Choices: to(5)},
-		{Name: "closed", Least: 4, Most: 12, Choices: []Choice{{Shares: []Share{{1, -1, 22}}}}},
-		{Name: "moved", Least: 11, Most: 11, Ported: true, Choices: to(6)},
+	tab := table(1, []Route{
+		{Name: "riga", MinDigits: 11, MaxDigits: 11, Choices: to(3)},
+		{Name: "clinic", MinDigits: 8, MaxDigits: 11, DeleteDigits: 3, InsertDigits: "9", Priority: true, Choices: to(4)},
+		{Name: "emergency", MinDigits: 3, MaxDigits: 3, Emergency: true, Choices: to(5)},
+		{Name: "closed", MinDigits: 4, MaxDigits: 12, Choices: []Choice{{Shares: []Share{{1, -1, 22}}}}},
+		{Name: "moved", MinDigits: 11, MaxDigits: 11, MayBePorted: true, Choices: to(6)},
 	}, Prefix{"371670", 0}, Prefix{"37167012", 1}, Prefix{"112", 2}, Prefix{"372", 3}, Prefix{"3712", 4})
 	tab.Screens = []Screen{{"all", "", "3712900"}, {"one", "37167", "371670"}, {"even emergency", "", "112"}}
 	if err := tab.buildScreens(); err != nil {
@@ -161,28 +161,28 @@
 		sent            string
 		cause           uint8
 	}{
-		{"", "67000000", ToOffice, 3, "37167000000", 0}, {"", "0037167000000", ToOffice, 3, "37167000000", 0},
-		{"", "67012345", ToOffice, 4, "967012345", 0}, {"", "112", ToOffice, 5, "112", 0}, {"37160", "112", ToOffice, 5, "112", 0},
-		{"", "003725555", Announce, -1, "", 22}, {"", "6700000", TooFew, -1, "", 28}, {"", "670000000", TooMany, -1, "", 28},
-		{"", "0049301234", NoRoute, -1, "", 1}, {"", "29001234", Barred, -1, "", 21}, {"37160000000", "67000000", ToOffice, 3, "37167000000", 0},
-		{"37167111111", "67000000", Barred, -1, "", 21}, {"37167111111", "29001234", Barred, -1, "", 21}, {"", "28001234", ToOffice, 6, "37128001234", 0},
+		{"", "67000000", ToExchange, 3, "37167000000", 0}, {"", "0037167000000", ToExchange, 3, "37167000000", 0},
+		{"", "67012345", ToExchange, 4, "967012345", 0}, {"", "112", ToExchange, 5, "112", 0}, {"37160", "112", ToExchange, 5, "112", 0},
+		{"", "003725555", Announcement, -1, "", 22}, {"", "6700000", TooShort, -1, "", 28}, {"", "670000000", TooLong, -1, "", 28},
+		{"", "0049301234", NoRoute, -1, "", 1}, {"", "29001234", Barred, -1, "", 21}, {"37160000000", "67000000", ToExchange, 3, "37167000000", 0},
+		{"37167111111", "67000000", Barred, -1, "", 21}, {"37167111111", "29001234", Barred, -1, "", 21}, {"", "28001234", ToExchange, 6, "37128001234", 0},
 	} {
 		steps := 0
 		r := tab.Analyse(c.caller, c.dialled, 0, nil, func(string) { steps++ })
-		if r.Outcome != c.outcome || r.Exchange != c.exchange || r.Sent != c.sent || r.Cause != c.cause || steps < 2 {
+		if r.Outcome != c.outcome || r.Exchange != c.exchange || r.OutgoingDigits != c.sent || r.Cause != c.cause || steps < 2 {
 			t.Errorf("%s from %q: %+v in %d steps", c.dialled, c.caller, r, steps)
 		}
 	}
-	if r := tab.Analyse("", "28001234", 0, nil, nil); !r.Ask || tab.Again("", "37167000001", 0, nil).Exchange != 3 {
+	if r := tab.Analyse("", "28001234", 0, nil, nil); !r.NeedsLookup || tab.AnalysePorted("", "37167000001", 0, nil).Exchange != 3 {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestBadEntriesAreRefusedByName(t *testing.T) {
-	for _, e := range []Entry{{Name: "x", Least: 3, Most: 2, Choices: to(1)}, {Name: "x", Least: 3, Most: 25, Choices: to(1)},
-		{Name: "x", Least: 3, Most: 9, Delete: 4, Choices: to(1)}, {Name: "x", Least: 3, Most: 9, Insert: "1a", Choices: to(1)},
-		{Name: "x", Least: 3, Most: 9, Choices: to(10)}, {Name: "x", Least: 3, Most: 9, Choices: []Choice{{}}}} {
-		tab := &Table{Entries: []Entry{e}}
+	for _, e := range []Route{{Name: "x", MinDigits: 3, MaxDigits: 2, Choices: to(1)}, {Name: "x", MinDigits: 3, MaxDigits: 25, Choices: to(1)},
+		{Name: "x", MinDigits: 3, MaxDigits: 9, DeleteDigits: 4, Choices: to(1)}, {Name: "x", MinDigits: 3, MaxDigits: 9, InsertDigits: "1a", Choices: to(1)},
+		{Name: "x", MinDigits: 3, MaxDigits: 9, Choices: to(10)}, {Name: "x", MinDigits: 3, MaxDigits: 9, Choices: []Choice{{}}}} {
+		tab := &Table{Routes: []Route{e}}
 		if err := tab.Build([]Prefix{{"1", 0}}, 10); err == nil || !strings.Contains(err.Error(), `route "x"`) {
 			t.Errorf("%+v: %v", e, err)
 		}
@@ -202,8 +202,8 @@
 		if sum == 0 {
 			return
 		}
-		s := NewSplit(100)
-		pick := s.For(1)
+		s := NewDistributor(100)
+		pick := s.ForVersion(1)
 		given := make([]int, len(shares))
 		had := map[string]int{}
 		for n := 1; n <= 200; n++ {
@@ -221,36 +221,36 @@
 				t.Fatalf("caller %s got another share at its redial", again)
 			}
 		}
-		if len(s.had) > 100 {
-			t.Fatalf("%d callers are remembered", len(s.had))
+		if len(s.assigned) > 100 {
+			t.Fatalf("%d callers are remembered", len(s.assigned))
 		}
 	})
 }
 
 func TestCallKeepsItsVersionAndOldOnesAreFreed(t *testing.T) {
-	v := NewVersions(table(1, nil), Trial{Window: 100000, Bound: 0.2, Least: 5})
+	v := NewVersions(table(1, nil), Trial{Window: 100000, MaxIncrease: 0.2, MinFailures: 5})
 	first := v.Pin()
 	if err := v.Load(table(2, nil), 50, 10, 0); err != nil || v.Current().Version != 1 {
 		t.Fatal(err, v.Current().Version)
 	}
-	if v.Due(49, 1) || !v.Due(50, 2) {
+	if v.ActivateDue(49, 1) || !v.ActivateDue(50, 2) {
 		t.Fatal("not switched at its instant")
 	}
 	second := v.Pin()
-	if first.Version != 1 || second.Version != 2 || v.Held() != 2 {
-		t.Fatalf("%d, %d, %d held", first.Version, second.Version, v.Held())
+	if first.Version != 1 || second.Version != 2 || v.HeldCount() != 2 {
+		t.Fatalf("%d, %d, %d held", first.Version, second.Version, v.HeldCount())
 	}
 	v.Unpin(first)
-	if v.Held() != 1 {
-		t.Fatalf("%d versions held with no call on the old one", v.Held())
+	if v.HeldCount() != 1 {
+		t.Fatalf("%d versions held with no call on the old one", v.HeldCount())
 	}
 	for _, version := range []uint64{1, 2} {
-		if err := v.Load(table(version, nil), 0, 60, 3); !errors.Is(err, ErrOld) {
+		if err := v.Load(table(version, nil), 0, 60, 3); !errors.Is(err, ErrNotNewer) {
 			t.Fatalf("version %d: %v", version, err)
 		}
 	}
 	v.Load(table(4, nil), 100, 60, 3) // two changes at once: the newer waits
-	if err := v.Load(table(3, nil), 90, 60, 3); !errors.Is(err, ErrOld) {
+	if err := v.Load(table(3, nil), 90, 60, 3); !errors.Is(err, ErrNotNewer) {
 		t.Fatal(err)
 	}
 }
@@ -260,15 +260,15 @@
 		missed, of, before int
 		back               bool
 	}{{0, 100, 0, false}, {10, 100, 0, false}, {4, 5, 0, false}, {5, 6, 0, true}, {30, 60, 0, true}, {30, 60, 500, false}} {
-		v := NewVersions(table(1, nil), Trial{Window: 100000, Bound: 0.3, Least: 5})
+		v := NewVersions(table(1, nil), Trial{Window: 100000, MaxIncrease: 0.3, MinFailures: 5})
 		for range c.before { // half of the calls found no route all along
-			v.Analysed(v.Current(), false, 0)
-			v.Analysed(v.Current(), true, 0)
+			v.RecordCall(v.Current(), false, 0)
+			v.RecordCall(v.Current(), true, 0)
 		}
 		v.Load(table(2, nil), 0, 0, 0)
 		back := false
 		for n := range c.of {
-			why, must := v.Analysed(v.Current(), (n+1)*c.missed/c.of == n*c.missed/c.of, policy.Tenths(n))
+			why, must := v.RecordCall(v.Current(), (n+1)*c.missed/c.of == n*c.missed/c.of, policy.Tenths(n))
 			if must {
 				back = true
 				if _, err := v.Rollback(why, 10); err != nil {
@@ -281,15 +281,15 @@
 			t.Errorf("%+v: taken back %v", c, back)
 		}
 		if back {
-			if err := v.Load(table(2, nil), 0, 0, 0); !errors.Is(err, ErrRefused) || v.Current().Version != 1 {
+			if err := v.Load(table(2, nil), 0, 0, 0); !errors.Is(err, ErrRolledBack) || v.Current().Version != 1 {
 				t.Errorf("taken again: %v", err)
 			}
 		}
 	}
-	v := NewVersions(table(1, nil), Trial{Window: 100, Bound: 0.3, Least: 5})
+	v := NewVersions(table(1, nil), Trial{Window: 100, MaxIncrease: 0.3, MinFailures: 5})
 	v.Load(table(2, nil), 0, 0, 0)
 	for range 50 { // past its window it stays
-		if _, back := v.Analysed(v.Current(), false, 200); back {
+		if _, back := v.RecordCall(v.Current(), false, 200); back {
 			t.Fatal("taken back past its window")
 		}
 	}
@@ -298,7 +298,7 @@
 // Random loads, pins and roll backs: no version is freed under a call, none is kept without a reason.
 func TestVersionsUnderRandomUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := NewVersions(table(1, nil), Trial{Window: 1000, Bound: 0.5, Least: 3})
+		v := NewVersions(table(1, nil), Trial{Window: 1000, MaxIncrease: 0.5, MinFailures: 3})
 		var calls []*Table
 		next := uint64(2)
 		for range 60 {
@@ -321,8 +321,8 @@
 			for _, c := range calls {
 				held[c.Version] = true
 			}
-			if v.Held() != len(held) {
-				t.Fatalf("%d versions held, calls go by %v", v.Held(), held)
+			if v.HeldCount() != len(held) {
+				t.Fatalf("%d versions held, calls go by %v", v.HeldCount(), held)
 			}
 		}
 	})
--- a/internal/numbers/trie.go
+++ b/internal/numbers/trie.go
@@ -7,16 +7,16 @@
 	"slices"
 )
 
-// DigitsMost is the longest number analysed.
-const DigitsMost = 24
+// MaxDigits is the longest number analysed.
+const MaxDigits = 24
 
-// symbols are the digits a number can have: 0 to 9, and codes 11 and 12 of the networks' own short codes.
-const symbols = "0123456789BC"
+// digitSymbols are the digits a number can have: 0 to 9, and codes 11 and 12 of the networks' own short codes.
+const digitSymbols = "0123456789BC"
 
 // Prefix leads from the first digits of a number to an entry of a table.
 type Prefix struct {
 	Digits string
-	Entry  uint32
+	Value  uint32
 }
 
 // Trie finds the longest prefix of a number. Its nodes stand in one array, the children of a node side by side, found by
@@ -24,22 +24,22 @@
 // kept in it and compared there: in a sparse plan most prefixes part after a few digits, and without that each digit to the
 // end was a step into memory not read before. It never changes once built.
 type Trie struct {
-	nodes []node
-	size  int
+	nodes       []node
+	prefixCount int
 }
 
 // node stands behind some digits that are passed together, and has a bit for each digit that leads on.
 type node struct {
-	first  uint32 // index of the child of the lowest digit
-	entry  uint32 // 1 more than the entry of the prefix that ends here, 0 none
-	passed uint32 // digits before this node, four bits each, the first lowest
-	next   uint16
-	count  uint8 // of the digits passed
+	firstChild   uint32 // index of the child of the lowest digit
+	valuePlusOne uint32 // 1 more than the entry of the prefix that ends here, 0 none
+	skipped      uint32 // digits before this node, four bits each, the first lowest
+	children     uint16
+	skippedCount uint8 // of the digits passed
 }
 
-const passedMost = 8
+const maxSkippedDigits = 8
 
-func symbol(c byte) (uint, bool) {
+func digitValue(c byte) (uint, bool) {
 	switch {
 	case c >= '0' && c <= '9':
 		return uint(c - '0'), true
@@ -52,36 +52,36 @@
 // key orders prefixes as their digits do: five bits a digit, and 0 where there is none, so that a shorter one comes first.
 type key struct {
 	high, low uint64
-	at        uint32
+	index     uint32
 }
 
-const digitsInHalf = 12
+const digitsPerWord = 12
 
-func keyOf(digits string, at int) (key, error) {
-	if len(digits) > DigitsMost {
-		return key{}, fmt.Errorf("prefix %s has %d digits, %d at most", digits, len(digits), DigitsMost)
+func newKey(digits string, at int) (key, error) {
+	if len(digits) > MaxDigits {
+		return key{}, fmt.Errorf("prefix %s has %d digits, %d at most", digits, len(digits), MaxDigits)
 	}
-	k := key{at: uint32(at)}
+	k := key{index: uint32(at)}
 	for i := range len(digits) {
-		d, ok := symbol(digits[i])
+		d, ok := digitValue(digits[i])
 		if !ok {
 			return k, fmt.Errorf("prefix %q: %q is no digit", digits, digits[i])
 		}
-		if half := &k.high; i < digitsInHalf {
-			*half |= uint64(d+1) << (5 * (digitsInHalf - 1 - i))
+		if half := &k.high; i < digitsPerWord {
+			*half |= uint64(d+1) << (5 * (digitsPerWord - 1 - i))
 		} else {
-			k.low |= uint64(d+1) << (5 * (2*digitsInHalf - 1 - i))
+			k.low |= uint64(d+1) << (5 * (2*digitsPerWord - 1 - i))
 		}
 	}
 	return k, nil
 }
 
-// sorted puts prefixes in order, by numbers in place of strings: ten million are built in 11 s in place of 17.
-func sorted(all []Prefix) ([]Prefix, error) {
+// sortPrefixes puts prefixes in order, by numbers in place of strings: ten million are built in 11 s in place of 17.
+func sortPrefixes(all []Prefix) ([]Prefix, error) {
 	keys := make([]key, len(all))
 	for i, p := range all {
 		var err error
-		if keys[i], err = keyOf(p.Digits, i); err != nil {
+		if keys[i], err = newKey(p.Digits, i); err != nil {
 			return nil, err
 		}
 	}
@@ -93,8 +93,8 @@
 	})
 	out := make([]Prefix, len(all))
 	for i, k := range keys {
-		out[i] = all[k.at]
-		if i > 0 && out[i-1].Digits == out[i].Digits && out[i-1].Entry != out[i].Entry {
+		out[i] = all[k.index]
+		if i > 0 && out[i-1].Digits == out[i].Digits && out[i-1].Value != out[i].Value {
 			return nil, fmt.Errorf("prefix %s stands twice, and leads to two places", out[i].Digits)
 		}
 	}
@@ -104,11 +104,11 @@
 // NewTrie builds a trie. One prefix that stands twice with different entries, or has a digit that there is not, is an error
 // that names it.
 func NewTrie(unsorted []Prefix) (*Trie, error) {
-	all, err := sorted(unsorted)
+	all, err := sortPrefixes(unsorted)
 	if err != nil {
 		return nil, err
 	}
-	t := &Trie{nodes: make([]node, 1, len(all)+1), size: len(all)}
+	t := &Trie{nodes: make([]node, 1, len(all)+1), prefixCount: len(all)}
 	type span struct {
 		node     uint32
 		depth    int
@@ -118,18 +118,18 @@
 		var below []span
 		for _, s := range level {
 			n, from, depth := &t.nodes[s.node], s.from, s.depth
-			for from < s.to && n.count < passedMost && len(all[from].Digits) > depth && // sorted: what first and last share, all do
+			for from < s.to && n.skippedCount < maxSkippedDigits && len(all[from].Digits) > depth && // sorted: what first and last share, all do
 				len(all[s.to-1].Digits) > depth && all[from].Digits[depth] == all[s.to-1].Digits[depth] {
-				d, _ := symbol(all[from].Digits[depth])
-				n.passed |= uint32(d) << (4 * n.count)
-				n.count++
+				d, _ := digitValue(all[from].Digits[depth])
+				n.skipped |= uint32(d) << (4 * n.skippedCount)
+				n.skippedCount++
 				depth++
 			}
 			for from < s.to && len(all[from].Digits) == depth {
-				n.entry = all[from].Entry + 1
+				n.valuePlusOne = all[from].Value + 1
 				from++
 			}
-			n.first = uint32(len(t.nodes))
+			n.firstChild = uint32(len(t.nodes))
 			next := uint16(0)
 			for from < s.to {
 				c := all[from].Digits[depth]
@@ -137,13 +137,13 @@
 				for to < s.to && all[to].Digits[depth] == c {
 					to++
 				}
-				d, _ := symbol(c)
+				d, _ := digitValue(c)
 				next |= 1 << d
 				below = append(below, span{uint32(len(t.nodes)), depth + 1, from, to})
 				t.nodes = append(t.nodes, node{})
 				from = to
 			}
-			t.nodes[s.node].next = next // n may point to where the nodes were
+			t.nodes[s.node].children = next // n may point to where the nodes were
 		}
 		level = below
 	}
@@ -155,50 +155,50 @@
 func (t *Trie) Find(digits string) (entry uint32, length int, ok bool) {
 	n := &t.nodes[0]
 	for i := 0; ; i++ {
-		for passed, count := n.passed, n.count; count > 0; count-- {
+		for passed, count := n.skipped, n.skippedCount; count > 0; count-- {
 			if i == len(digits) {
 				return entry, length, ok
 			}
-			if d, is := symbol(digits[i]); !is || uint32(d) != passed&15 {
+			if d, is := digitValue(digits[i]); !is || uint32(d) != passed&15 {
 				return entry, length, ok
 			}
 			passed >>= 4
 			i++
 		}
-		if n.entry != 0 {
-			entry, length, ok = n.entry-1, i, true
+		if n.valuePlusOne != 0 {
+			entry, length, ok = n.valuePlusOne-1, i, true
 		}
 		if i == len(digits) {
 			return entry, length, ok
 		}
-		d, is := symbol(digits[i])
-		if !is || n.next&(1<<d) == 0 {
+		d, is := digitValue(digits[i])
+		if !is || n.children&(1<<d) == 0 {
 			return entry, length, ok
 		}
-		n = &t.nodes[n.first+uint32(bits.OnesCount16(n.next&(1<<d-1)))]
+		n = &t.nodes[n.firstChild+uint32(bits.OnesCount16(n.children&(1<<d-1)))]
 	}
 }
 
 // Len is the number of prefixes, Octets the memory that they take.
-func (t *Trie) Len() int    { return t.size }
-func (t *Trie) Octets() int { return len(t.nodes) * 16 }
+func (t *Trie) Len() int         { return t.prefixCount }
+func (t *Trie) MemoryBytes() int { return len(t.nodes) * 16 }
 
 // Walk calls for each prefix in rising order until told to stop.
 func (t *Trie) Walk(each func(digits string, entry uint32) bool) {
-	var path [DigitsMost + 1]byte
+	var path [MaxDigits + 1]byte
 	var down func(n node, depth int) bool
 	down = func(n node, depth int) bool {
-		for k := range n.count {
-			path[depth] = symbols[n.passed>>(4*k)&15]
+		for k := range n.skippedCount {
+			path[depth] = digitSymbols[n.skipped>>(4*k)&15]
 			depth++
 		}
-		if n.entry != 0 && !each(string(path[:depth]), n.entry-1) {
+		if n.valuePlusOne != 0 && !each(string(path[:depth]), n.valuePlusOne-1) {
 			return false
 		}
-		child := n.first
-		for d := range len(symbols) {
-			if n.next&(1<<d) != 0 {
-				path[depth] = symbols[d]
+		child := n.firstChild
+		for d := range len(digitSymbols) {
+			if n.children&(1<<d) != 0 {
+				path[depth] = digitSymbols[d]
 				if !down(t.nodes[child], depth+1) {
 					return false
 				}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -192,8 +192,8 @@
 // numbering reads what a site says of number analysis.
 func numbering(b *hclread.Block) *control.NumberAnalysis {
 	n := &control.NumberAnalysis{StoreFolder: b.Text("store", true, ""), InitialTable: b.Text("table", false, ""), MaxCallers: b.Whole("callers", 1, 1<<24, 100000),
-		Trial: numbers.Trial{Window: b.Span("trial_window", 0, forever, time.Minute), Bound: b.Number("trial_bound", 0, 1, 0.2),
-			Least: b.Whole("trial_least", 1, 1<<30, 20)}}
+		Trial: numbers.Trial{Window: b.Span("trial_window", 0, forever, time.Minute), MaxIncrease: b.Number("trial_bound", 0, 1, 0.2),
+			MinFailures: b.Whole("trial_least", 1, 1<<30, 20)}}
 	p := b.Only("portability", false)
 	if n.ENUMServers = p.Texts("servers"); len(n.ENUMServers) != 0 && len(n.ENUMServers) != 2 {
 		p.FaultAt("servers", "%d servers, two are needed (the same twice where there is one)", len(n.ENUMServers))
@@ -206,9 +206,9 @@
 	if n.ENUMZone = p.Text("zone", false, "e164.arpa."); !strings.HasSuffix(n.ENUMZone, ".") {
 		n.ENUMZone += "."
 	}
-	n.Limits = numbers.Limits{Known: p.Whole("known", 1, 1<<26, 100000), Unknown: p.Whole("unknown", 1, 1<<26, 10000),
-		Age: p.Span("age", time.Second, forever, time.Hour), Out: p.Whole("out", 1, 1<<16, 256),
-		TimeOut: p.Span("time_out", time.Millisecond, time.Minute, time.Second), RetryShare: p.Number("retry_share", 0, 1, 0.1)}
+	n.Limits = numbers.ResolverLimits{MaxKnown: p.Whole("known", 1, 1<<26, 100000), MaxUnknown: p.Whole("unknown", 1, 1<<26, 10000),
+		MaxAge: p.Span("age", time.Second, forever, time.Hour), MaxPending: p.Whole("out", 1, 1<<16, 256),
+		QueryTimeout: p.Span("time_out", time.Millisecond, time.Minute, time.Second), RetryRatio: p.Number("retry_share", 0, 1, 0.1)}
 	p.Done()
 	b.Done()
 	return n
