--- a/cmd/indigodrift/day.go
+++ b/cmd/indigodrift/day.go
@@ -16,11 +16,11 @@
 )
 
 func newDayCommand() *cobra.Command {
-	c := &cobra.Command{Use: "day", Short: "Play scripted days on loopback"}
+	c := &cobra.Command{Use: "day", Short: "Run scripted days on loopback"}
 	var seed int64
 	var onlyJSON bool
 	o := day.Options{Progress: os.Stderr}
-	run := &cobra.Command{Use: "run FILE", Short: "Play a day and judge the rules from its sockets", Args: cobra.ExactArgs(1),
+	run := &cobra.Command{Use: "run FILE", Short: "Run a day and check the rules against the messages on its sockets", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			s, err := day.Read(args[0])
 			if err != nil {
@@ -31,7 +31,7 @@
 			}
 			program, err := os.Executable()
 			if err != nil {
-				return fmt.Errorf("own program: %w", err)
+				return fmt.Errorf("locate own executable: %w", err)
 			}
 			if onlyJSON {
 				o.Progress = io.Discard
@@ -50,12 +50,12 @@
 			}
 			return nil
 		}}
-	run.Flags().Int64Var(&seed, "seed", -1, "seed in place of the file's")
-	run.Flags().BoolVar(&onlyJSON, "json", false, "print the last line alone")
-	run.Flags().StringVar(&o.Routing, "routing", "module", "module, or a baseline: direct, random")
-	run.Flags().StringVar(&o.Plant, "plant", "", "break a rule once: answer, copy, drain, cold, release")
-	run.Flags().StringVar(&o.Keep, "keep", "", "folder for the audit's log and the controllers' logs")
-	list := &cobra.Command{Use: "list [FOLDER]", Short: "List the days of a folder, examples/days if none is named", Args: cobra.MaximumNArgs(1),
+	run.Flags().Int64Var(&seed, "seed", -1, "seed that replaces the one in the file")
+	run.Flags().BoolVar(&onlyJSON, "json", false, "print only the last line")
+	run.Flags().StringVar(&o.Routing, "routing", "module", "routing: module, or a baseline, direct or random")
+	run.Flags().StringVar(&o.Plant, "plant", "", "break a rule once on purpose: answer, copy, drain, cold, release")
+	run.Flags().StringVar(&o.Keep, "keep", "", "folder for the audit log and the logs of the controllers")
+	list := &cobra.Command{Use: "list [FOLDER]", Short: "List the days in a folder, by default examples/days", Args: cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			folder := filepath.Join("examples", "days")
 			if len(args) > 0 {
@@ -79,7 +79,7 @@
 }
 
 func newAuditCommand() *cobra.Command {
-	return &cobra.Command{Use: "audit FILE...", Short: "Judge recorded traffic again", Args: cobra.MinimumNArgs(1),
+	return &cobra.Command{Use: "audit FILE...", Short: "Check recorded traffic against the rules", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			broken := 0
 			for _, name := range args {
--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -15,15 +15,15 @@
 )
 
 func newLedgerCommand() *cobra.Command {
-	c := &cobra.Command{Use: "ledger", Short: "Look at the file that calls are kept in over a restart"}
+	c := &cobra.Command{Use: "ledger", Short: "Read the file that preserves calls over a restart"}
 	read := func(name string) (ledger.Contents, error) {
 		b, err := os.ReadFile(name)
 		if err != nil {
-			return ledger.Contents{}, fmt.Errorf("ledger: %w", err)
+			return ledger.Contents{}, fmt.Errorf("read ledger: %w", err)
 		}
 		return ledger.Read(b), nil
 	}
-	inspect := &cobra.Command{Use: "inspect FILE", Short: "What it holds, in a few lines", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+	inspect := &cobra.Command{Use: "inspect FILE", Short: "Print a summary of the contents", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		l, err := read(args[0])
 		if err != nil {
 			return err
@@ -60,7 +60,7 @@
 		return nil
 	}}
 	var asJSON bool
-	dump := &cobra.Command{Use: "dump FILE", Short: "Every call that it holds", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+	dump := &cobra.Command{Use: "dump FILE", Short: "Print every stored call", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		l, err := read(args[0])
 		if err != nil {
 			return err
@@ -93,12 +93,12 @@
 		}
 		return nil
 	}}
-	dump.Flags().BoolVar(&asJSON, "json", false, "one line of JSON for each call")
+	dump.Flags().BoolVar(&asJSON, "json", false, "print one line of JSON for each call")
 	c.AddCommand(inspect, verify, dump)
 	return c
 }
 
-// formatTime is tenths of a millisecond since 1970 as people read it.
+// formatTime formats a time in tenths of a millisecond since 1970.
 func formatTime(tenths int64) string {
 	return time.Unix(0, tenths*100_000).Format("2006-01-02 15:04:05.000")
 }
--- a/cmd/indigodrift/main.go
+++ b/cmd/indigodrift/main.go
@@ -1,4 +1,4 @@
-// Command indigodrift is a call controller for networks of exchanges, with the scripted days that prove it.
+// Command indigodrift is a call controller for networks of exchanges. It also runs the scripted days and soak runs that test it.
 package main
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/spf13/cobra"
 )
 
-// exitCode is an error that has been told already and asks for an exit code.
+// exitCode is an error that has been printed already. It sets the exit code of the process.
 type exitCode int
 
 func (e exitCode) Error() string { return fmt.Sprintf("exit %d", int(e)) }
--- a/cmd/indigodrift/main_test.go
+++ b/cmd/indigodrift/main_test.go
@@ -15,7 +15,7 @@
 	"indigodrift/internal/control"
 )
 
-// TestMain lets the test binary be the program: a day starts its controllers from it.
+// TestMain runs the test binary as the program if INDIGODRIFT_BE_PROGRAM is set. A day starts its controllers in this way.
 func TestMain(m *testing.M) {
 	if os.Getenv("INDIGODRIFT_BE_PROGRAM") != "" {
 		main()
@@ -62,7 +62,7 @@
 	return v
 }
 
-// Phones at gateways, with exchanges as processes, a network that loses and doubles, a controller killed and gateways restarted.
+// Runs telephones at gateways with packet loss, gateway restarts and a controller process killed.
 func TestPhonesOnLoopbackWithProcessesKilled(t *testing.T) {
 	file := write(t, "day.hcl", `
 length           = "8s"
@@ -105,7 +105,7 @@
 	}
 }
 
-// Exchanges as processes on loopback, one killed and started again, one stopped for a second, links reset.
+// Runs controller processes on loopback: one is killed and restarted, one is stalled, and links are reset.
 func TestDayOnLoopbackWithProcessesKilled(t *testing.T) {
 	file := write(t, "day.hcl", `
 length           = "6s"
@@ -151,7 +151,7 @@
 	}
 	damaged := write(t, "ledger", string(b[:len(b)-3]))
 	if out, err := program("ledger", "verify", damaged).CombinedOutput(); err == nil || !strings.Contains(string(out), "whole up to octet") {
-		t.Fatalf("a ledger cut short: %v: %s", err, out)
+		t.Fatalf("truncated ledger: %v: %s", err, out)
 	}
 }
 
@@ -175,13 +175,13 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for range 100 { // until every controller has written its first line
+	for range 100 { // until every controller has a log file
 		time.Sleep(50 * time.Millisecond)
 		if up, _ := filepath.Glob(filepath.Join(dir, "controller-*.log")); len(up) == 3 {
 			break
 		}
 	}
-	if len(running(t, dir)) < 2 { // the day and its controllers name the folder
+	if len(running(t, dir)) < 2 { // the command lines of the day and its controllers contain the folder
 		t.Fatal("nothing was running before the interrupt")
 	}
 	c.Process.Signal(os.Interrupt)
@@ -257,13 +257,13 @@
 			break
 		}
 	}
-	if err := c.Wait(); err != nil || !strings.Contains(log, "settings are not taken, nothing changes") || !strings.Contains(log, "site.hcl:1") {
+	if err := c.Wait(); err != nil || !strings.Contains(log, "settings rejected, nothing changes") || !strings.Contains(log, "site.hcl:1") {
 		t.Fatalf("%v: %s", err, log)
 	}
 }
 
-// A process killed at any point while it reads, keeps or switches tables comes back with a whole version, never older than
-// the last it confirmed before.
+// Kills a process while it reads, stores and activates tables. After each restart a complete version must be in force that is
+// not older than the last one confirmed before the kill.
 func TestKillsDuringTableChanges(t *testing.T) {
 	dir := t.TempDir()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -298,7 +298,7 @@
 		}
 		if err != nil || r.Version < confirmed {
 			c.Process.Kill()
-			t.Fatalf("life %d: version %d, %v; %d was confirmed", life, r.Version, err, confirmed)
+			t.Fatalf("process %d: version %d, %v; %d was confirmed", life, r.Version, err, confirmed)
 		}
 		next = max(next, r.Version+1)
 		kill := time.AfterFunc(time.Duration(5+life*7)*time.Millisecond, func() { c.Process.Kill() })
@@ -308,7 +308,7 @@
 				break
 			}
 			if r.Error == "" {
-				confirmed = max(confirmed, r.Version-1) // its line of the history may still be on its way
+				confirmed = max(confirmed, r.Version-1) // its history record may not be written yet
 			}
 			next++
 		}
@@ -317,6 +317,6 @@
 		c.Wait()
 	}
 	if confirmed < 5 {
-		t.Fatalf("%d versions were confirmed in twelve lives", confirmed)
+		t.Fatalf("%d versions were confirmed by twelve processes", confirmed)
 	}
 }
--- a/cmd/indigodrift/numbers.go
+++ b/cmd/indigodrift/numbers.go
@@ -17,12 +17,12 @@
 )
 
 func newNumbersCommand() *cobra.Command {
-	c := &cobra.Command{Use: "numbers", Short: "Tables of number analysis: check, compare, explain, and change them in service"}
+	c := &cobra.Command{Use: "numbers", Short: "Check, compare and explain tables for number analysis, and change them in a running exchange"}
 	var exchanges int
-	c.PersistentFlags().IntVar(&exchanges, "exchanges", 999, "exchanges are numbered below this")
+	c.PersistentFlags().IntVar(&exchanges, "exchanges", 999, "number of exchanges in the network")
 	read := func(name string) (numberfile.Source, *numbers.Table, error) {
 		if b, err := os.ReadFile(name); err == nil {
-			if src, err := numberfile.Decode(b); err == nil { // a version as build wrote it
+			if src, err := numberfile.Decode(b); err == nil { // a file written by the build command
 				t, err := src.Table(exchanges)
 				return src, t, err
 			}
@@ -43,7 +43,7 @@
 		return err
 	}}
 	var out string
-	build := &cobra.Command{Use: "build TABLE -o FILE", Short: "Write a table and its prefixes as one file with a checksum", Args: cobra.ExactArgs(1),
+	build := &cobra.Command{Use: "build TABLE -o FILE", Short: "Write a table and its prefixes to one file with a checksum", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			src, _, err := read(args[0])
 			if err != nil {
@@ -66,11 +66,11 @@
 		}
 		t, err := time.Parse(time.RFC3339, at)
 		if err != nil {
-			return t, fmt.Errorf("--at is %q, not an instant such as 2026-12-01T22:00:00+02:00", at)
+			return t, fmt.Errorf("--at is %q, not a time such as 2026-12-01T22:00:00+02:00", at)
 		}
 		return t, nil
 	}
-	explain := &cobra.Command{Use: "explain NUMBER --table TABLE", Short: "Print each step by which a number finds its route", Args: cobra.ExactArgs(1),
+	explain := &cobra.Command{Use: "explain NUMBER --table TABLE", Short: "Print each step of the analysis of a number", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, t, err := read(table)
 			if err != nil {
@@ -89,10 +89,10 @@
 			}
 			return nil
 		}}
-	explain.Flags().StringVar(&table, "table", "", "the table")
-	explain.Flags().StringVar(&caller, "caller", "", "number of the caller")
+	explain.Flags().StringVar(&table, "table", "", "table to use")
+	explain.Flags().StringVar(&caller, "caller", "", "calling number")
 	explain.MarkFlagRequired("table")
-	diff := &cobra.Command{Use: "diff OLD NEW", Short: "Tell which share of traffic would go elsewhere", Args: cobra.ExactArgs(2),
+	diff := &cobra.Command{Use: "diff OLD NEW", Short: "Print the share of calls that would be routed differently", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, before, err := read(args[0])
 			if err != nil {
@@ -112,15 +112,15 @@
 			}
 			return printDifferences(dialled, before, after, instant.Unix())
 		}}
-	diff.Flags().StringVar(&sample, "numbers", "", "file of dialled numbers, a line each; without it numbers are drawn from both tables")
-	diff.Flags().IntVar(&count, "count", 10000, "numbers to draw")
-	diff.Flags().Uint64Var(&seed, "seed", 1, "of the draw")
+	diff.Flags().StringVar(&sample, "numbers", "", "file of dialled numbers, one per line; by default random numbers are drawn from both tables")
+	diff.Flags().IntVar(&count, "count", 10000, "how many numbers to draw")
+	diff.Flags().Uint64Var(&seed, "seed", 1, "seed of the draw")
 	for _, c := range []*cobra.Command{explain, diff} {
-		c.Flags().StringVar(&at, "at", "", "instant, now if absent")
+		c.Flags().StringVar(&at, "at", "", "time of the call, by default now")
 	}
 	tell := func(o control.Command) error {
 		failed := 0
-		for _, a := range strings.Split(address, ",") { // each exchange says for itself whether it could
+		for _, a := range strings.Split(address, ",") { // an error at one exchange does not stop the others
 			if err := sendCommand(a, o); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				failed++
@@ -131,7 +131,7 @@
 		}
 		return nil
 	}
-	load := &cobra.Command{Use: "load TABLE", Short: "Have a running exchange take a table, at once or at an instant", Args: cobra.ExactArgs(1),
+	load := &cobra.Command{Use: "load TABLE", Short: "Load a table into running exchanges, at once or at a given time", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			name, err := filepath.Abs(args[0])
 			if err != nil {
@@ -147,20 +147,20 @@
 			}
 			return tell(o)
 		}}
-	load.Flags().StringVar(&at, "at", "", "instant at which it comes into force")
-	rollback := &cobra.Command{Use: "rollback", Short: "Have a running exchange return to the table before", Args: cobra.NoArgs,
+	load.Flags().StringVar(&at, "at", "", "time at which the table comes into force")
+	rollback := &cobra.Command{Use: "rollback", Short: "Return to the previous table in running exchanges", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return tell(control.Command{Name: "rollback", Reason: why}) }}
-	rollback.Flags().StringVar(&why, "why", "", "reason, for the history")
-	versions := &cobra.Command{Use: "versions", Short: "Show the table in force at a running exchange", Args: cobra.NoArgs,
+	rollback.Flags().StringVar(&why, "why", "", "reason to record in the history")
+	versions := &cobra.Command{Use: "versions", Short: "Print the table in force at running exchanges", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return tell(control.Command{Name: "versions"}) }}
 	for _, c := range []*cobra.Command{load, rollback, versions} {
-		c.Flags().StringVar(&address, "control", "127.0.0.1:7900", "control sockets of the exchanges, comma-separated")
+		c.Flags().StringVar(&address, "control", "127.0.0.1:7900", "comma-separated control addresses of the exchanges")
 	}
 	c.AddCommand(check, build, diff, explain, load, rollback, versions)
 	return c
 }
 
-// sendCommand sends an order to one exchange and prints what is in force there.
+// sendCommand sends a command to one exchange and prints the version in force there.
 func sendCommand(address string, o control.Command) error {
 	r, err := control.SendCommand(address, o)
 	if err != nil {
@@ -177,13 +177,13 @@
 	return nil
 }
 
-// sampleNumbers is the numbers to compare two tables by: recorded ones, or some drawn under the prefixes of both.
+// sampleNumbers returns the numbers by which to compare tables: those in a file, or random ones under the prefixes of all tables.
 func sampleNumbers(file string, count int, seed uint64, tables ...*numbers.Table) ([]string, error) {
 	var all []string
 	if file != "" {
 		f, err := os.Open(file)
 		if err != nil {
-			return nil, fmt.Errorf("recorded traffic: %w", err)
+			return nil, fmt.Errorf("read numbers: %w", err)
 		}
 		defer f.Close()
 		in := bufio.NewScanner(f)
@@ -199,7 +199,7 @@
 		n, taken := t.PrefixCount(), 0
 		t.Walk(func(prefix string, entry uint32) bool {
 			n--
-			want := float64(count/len(tables)-taken) / float64(n+1) // of what is left, spread over the prefixes left
+			want := float64(count/len(tables)-taken) / float64(n+1) // share of the remaining numbers for each remaining prefix
 			for ; want > 0; want-- {
 				if want < 1 && chance.Float64() > want {
 					break
@@ -217,7 +217,7 @@
 	return all, nil
 }
 
-// printDifferences prints how many of the numbers go elsewhere, and the first of them.
+// printDifferences prints the share of the numbers that are routed differently, and the first of them.
 func printDifferences(dialled []string, before, after *numbers.Table, at int64) error {
 	const shown = 10
 	moved, lost, found := 0, 0, 0
--- a/cmd/indigodrift/platform.go
+++ b/cmd/indigodrift/platform.go
@@ -16,20 +16,20 @@
 	"github.com/spf13/cobra"
 )
 
-// Variables in which the platform tells a call controller about itself.
+// Environment variables that the platform sets for a call controller.
 const (
 	envConfig   = "GW_CONFIG"
 	envName     = "GW_NAME"
 	envListen   = "GW_LISTEN"
-	envLogLevel = "INDIGODRIFT_LOG" // the least level that is logged: debug, info, warn or error; info where it is not set
+	envLogLevel = "INDIGODRIFT_LOG" // minimum log level: debug, info, warn or error; info by default
 )
 
 func newPlatformCommand() *cobra.Command {
 	plant := ""
-	c := &cobra.Command{Use: "platform", Short: "Run one call controller on the platform, as GW_CONFIG tells", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "platform", Short: "Run one call controller on the platform, configured by GW_CONFIG", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return runOnPlatform(plant) }}
-	c.Flags().StringVar(&plant, "plant", "", "have a fault on purpose: release, answer, early, standing, crossing")
-	_ = c.Flags().MarkHidden("plant") // the flag exists
+	c.Flags().StringVar(&plant, "plant", "", "inject a fault: release, answer, early, standing, crossing")
+	_ = c.Flags().MarkHidden("plant") // cannot fail: the flag exists
 	return c
 }
 
@@ -52,7 +52,7 @@
 	}
 	for _, told := range []struct{ env, here string }{{envName, m.Name}, {envListen, m.Listen}} {
 		if v := os.Getenv(told.env); v != "" && v != told.here {
-			return fmt.Errorf("%s is %q, the configuration says %q", told.env, v, told.here)
+			return fmt.Errorf("%s is %q, but the configuration has %q", told.env, v, told.here)
 		}
 	}
 	if err := m.InjectFault(plant); err != nil {
@@ -70,7 +70,7 @@
 		for range hup {
 			next, err := platform.ReadConfig(file)
 			if err != nil {
-				log.Error("configuration is not taken, nothing changes", "why", err)
+				log.Error("configuration rejected, nothing changes", "why", err)
 				continue
 			}
 			again <- next
--- a/cmd/indigodrift/platform_test.go
+++ b/cmd/indigodrift/platform_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-// lines keeps what a process writes and waits for words in it.
+// logBuffer collects the output of a process and waits for a text in it.
 type lines struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -46,13 +46,13 @@
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); !strings.Contains(l.String(), words); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("never said %q in %s", words, l)
+			t.Fatalf("%q is not in the output: %s", words, l)
 		}
 	}
 }
 
-// On the platform: a configuration that cannot be used ends the start with code 2, its place and reason; a damaged one that
-// comes with SIGHUP changes nothing and is told of; SIGTERM ends with code 0.
+// An unusable configuration at the start exits with code 2, the file name and the reason. A malformed one on SIGHUP is logged
+// and changes nothing. SIGTERM exits with code 0.
 func TestPlatformConfigurationDamagedAndSignals(t *testing.T) {
 	if out, err := onPlatformProgram(write(t, "config.json", `{"listen":"127.0.0.1:0"}`)).CombinedOutput(); err == nil ||
 		err.(*exec.ExitError).ExitCode() != 2 || !strings.Contains(string(out), "config.json") || !strings.Contains(string(out), "board") {
@@ -77,16 +77,16 @@
 	}
 }
 
-// platformNet is what stands round one call controller on loopback: two switches, a notice board, callers.
+// platformNet is the environment of one call controller on loopback: two switches, a notice board and callers.
 type platformNet struct {
 	t        *testing.T
 	listen   string
 	switches [2]net.Listener
 	board    net.Listener
-	asked    chan uint64   // numbers that the controller asked the board from
-	boards   chan net.Conn // and the connections on which it did
+	asked    chan uint64   // event numbers from which the controller subscribed to the board
+	boards   chan net.Conn // the connections of these subscriptions
 	log      *lines
-	file     string // the configuration
+	file     string // configuration file
 }
 
 func newPlatformNet(t *testing.T) *platformNet {
@@ -101,7 +101,7 @@
 	n := &platformNet{t: t, switches: [2]net.Listener{open(), open()}, board: open(), asked: make(chan uint64, 9), boards: make(chan net.Conn, 9)}
 	here := open()
 	n.listen = here.Addr().String()
-	here.Close() // the controller takes this address, in each of its lives
+	here.Close() // each controller process listens on this address
 	go func() {
 		for {
 			c, err := n.board.Accept()
@@ -119,7 +119,7 @@
 	return n
 }
 
-// start starts one life of the controller; known are the board's events in text, up to the number rev.
+// start starts a controller process. known are the board's events in JSON, up to the number rev.
 func (n *platformNet) start(rev int, known string) *exec.Cmd {
 	n.t.Helper()
 	file := write(n.t, "config.json", fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","limits":{"memory_mb":64,"sockets":256},
@@ -148,7 +148,7 @@
 	return siptest.New(n.t, c)
 }
 
-// up is the controller's next connection to a switch, which tells the state of its group on it.
+// acceptLink accepts the controller's next connection to a switch, and reports the load of the switch on it.
 func (n *platformNet) up(sw int) *siptest.Peer {
 	n.t.Helper()
 	n.switches[sw].(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
@@ -177,9 +177,9 @@
 	return siptest.SetUp(id, "voice", 2000, fmt.Sprintf("dest:%d;width:1;via:-1%s", dest, more), "offer of "+id)
 }
 
-// The program itself on loopback, against switches, board and callers of this repository: calls of several callers, a switch
-// that the board tells of, a kill under standing calls, the next life that adopts them and passes releases on both ways, a
-// drain told by the board, and a planned end.
+// Runs the program against simulated switches, a board and callers: calls of several callers, a switch added by the board, a
+// kill with established calls, a new process that adopts them and forwards releases in both directions, a switch drained by
+// the board, and an orderly shutdown.
 func TestPlatformEndToEndWithAKillAndANextLife(t *testing.T) {
 	n := newPlatformNet(t)
 	entry := func(id, cell int, address, state string) string {
@@ -190,23 +190,23 @@
 	process := n.start(1, first)
 	sw := n.up(0)
 	if from := <-n.asked; from != 1 {
-		t.Errorf("the board was asked from %d", from)
+		t.Errorf("the controller subscribed to the board from event %d", from)
 	}
 	board1 := <-n.boards
 	callers := []*siptest.Peer{n.caller(), n.caller(), n.caller()}
 	ids := []string{"00000000000000a1", "00000000000000a2", "00000000000000a3"}
-	time.Sleep(50 * time.Millisecond) // the state of the group is read
+	time.Sleep(50 * time.Millisecond) // the load report of the switch is read
 	stands := func(c, far *siptest.Peer, id string, dest int) {
 		t.Helper()
 		c.Send(platformSetUp(id, dest, ""))
 		m := far.Expect(sip.Invite)
 		if m.CallID != id || string(m.Body) != "offer of "+id {
-			t.Fatalf("the switch heard %+v", m)
+			t.Fatalf("the switch received %+v", m)
 		}
 		far.Answer(m, "answer to "+id)
 		far.Expect(sip.Ack)
 		if got := c.Expect("200"); got.CallID != id || string(got.Body) != "answer to "+id {
-			t.Fatalf("the caller heard %+v", got)
+			t.Fatalf("the caller received %+v", got)
 		}
 	}
 	for i, c := range callers {
@@ -224,22 +224,22 @@
 	process = n.start(2, first+`,{"rev":2,"pool":{"reset":false,"instances":[`+entry(0xa2, 2, other.Address, "in_service")+`]}}`)
 	sw, sw2 = n.up(0), n.up(1)
 	if from := <-n.asked; from != 2 {
-		t.Errorf("after the kill the board was asked from %d", from)
+		t.Errorf("after the kill the controller subscribed to the board from event %d", from)
 	}
 	board2 := <-n.boards
 	c := n.caller()
 	c.Send(platformSetUp(ids[0], 1, ";at:s-000000a1"))
 	c.Send(platformSetUp(ids[1], 1, ";at:s-000000a1"))
 	time.Sleep(50 * time.Millisecond)
-	sw.Send(siptest.Release(ids[0], 16)) // from the switch's side
+	sw.Send(siptest.Release(ids[0], 16)) // from the switch
 	sw.Expect("200")
-	c.ExpectRelease(ids[0])             // and no answer to the set-ups with at
-	c.Send(siptest.Release(ids[1], 16)) // from the caller's
+	c.ExpectRelease(ids[0])             // set-ups with the parameter at are not answered
+	c.Send(siptest.Release(ids[1], 16)) // from the caller
 	c.Expect("200")
 	if m := sw.Expect(sip.Bye); m.CallID != ids[1] {
-		t.Errorf("the switch heard %+v", m)
+		t.Errorf("the switch received %+v", m)
 	}
-	sw.Send(siptest.Release(ids[2], 16)) // not announced by anybody
+	sw.Send(siptest.Release(ids[2], 16)) // of a call that no caller has adopted
 	sw.Expect("200")
 	c.ExpectRelease(ids[2])
 	stands(c, sw, "00000000000000c1", 1)
@@ -250,7 +250,7 @@
 	c.Send(platformSetUp("00000000000000c2", 2, ""))
 	c.Expect("503")
 	if m, ok := sw2.Receive(100 * time.Millisecond); ok {
-		t.Errorf("the draining switch heard %+v", m)
+		t.Errorf("the draining switch received %+v", m)
 	}
 
 	process.Process.Signal(syscall.SIGTERM)
@@ -265,7 +265,7 @@
 	}
 }
 
-// SIGTERM comes while the configuration is still being read: its file is a pipe that the program has opened and nobody has written to.
+// Sends SIGTERM while the program reads its configuration from a pipe that is still empty.
 func TestPlatformIsToldToEndWhileItStarts(t *testing.T) {
 	file := t.TempDir() + "/config.json"
 	if err := syscall.Mkfifo(file, 0o600); err != nil {
@@ -290,8 +290,8 @@
 	}
 }
 
-// A new configuration, a drain on its heels, both once more, and the board of old away: the new one is asked, what is taken meanwhile is
-// answered, and the end is a planned one.
+// Sends SIGHUP with a new board address, SIGTERM, and both again, while the old board is gone. The controller must connect to the
+// new board, answer the calls accepted meanwhile, and shut down in order.
 func TestPlatformReloadsAndDrainsAtOnce(t *testing.T) {
 	n := newPlatformNet(t)
 	next, err := net.Listen("tcp", "127.0.0.1:0")
@@ -329,7 +329,7 @@
 	}
 	c.Send(platformSetUp("00000000000000a3", 1, "")) // never answered by the switch
 	if m, ok := c.Receive(4 * time.Second); !ok || m.Status < 400 || m.CallID != "00000000000000a3" {
-		t.Errorf("the caller heard %v %+v", ok, m)
+		t.Errorf("the caller received %v %+v", ok, m)
 	}
 	if err := process.Wait(); err != nil || strings.Count(n.log.String(), "draining") != 1 {
 		t.Error(err, n.log)
--- a/cmd/indigodrift/release_test.go
+++ b/cmd/indigodrift/release_test.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	toldWithin    = time.Second     // from a switch's release to its caller's, by the protocol
-	toldAfterLoss = 8 * time.Second // where the release could not be sent
+	toldWithin    = time.Second     // limit of the protocol between a switch's release and the caller's
+	toldAfterLoss = 8 * time.Second // limit if the switch could not send its release
 )
 
 func switchEntries(address string) string {
@@ -22,12 +22,12 @@
 {"cell":1,"hostPort":%q,"instanceId":"s-000000a1","lifecycle":"in_service"}]}}`, address)
 }
 
-// standingCalls starts a controller with one switch and sets calls up, on callers' connections in turn.
+// establishCalls starts a controller with one switch and sets up calls, in turn on the connections of callers.
 func standingCalls(t *testing.T, connections, calls int) (sw *siptest.Peer, callers []*siptest.Peer, ids []string) {
 	n := newPlatformNet(t)
 	n.start(1, switchEntries(n.switches[0].Addr().String()))
 	sw = n.up(0)
-	time.Sleep(50 * time.Millisecond) // the state of the group is read
+	time.Sleep(50 * time.Millisecond) // the load report of the switch is read
 	for range connections {
 		callers = append(callers, n.caller())
 	}
@@ -46,13 +46,13 @@
 	caller.Send(sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: caller.Expect("200").CallID, CSeq: 1})
 }
 
-// told keeps when callers were first told of each call's end.
+// releaseLog records when callers received the first release of each call.
 type told struct {
 	mu sync.Mutex
 	at map[string]time.Time
 }
 
-// listen reads a caller's connection to its end; answer is called for each release.
+// listen reads a caller's connection until it closes, and calls answer for each release.
 func (x *told) listen(c *siptest.Peer, answer func(sip.Message)) {
 	for {
 		m, ok := c.Receive(20 * time.Second)
@@ -71,7 +71,7 @@
 	}
 }
 
-// releaseEach has the switch release calls one after the other, and wants their callers told in time.
+// releaseEach releases calls at the switch one after the other, and checks that the callers receive the releases in time.
 func releaseEach(t *testing.T, sw *siptest.Peer, callers []*siptest.Peer, ids []string, answer func(*siptest.Peer, sip.Message)) {
 	t.Helper()
 	x := &told{at: map[string]time.Time{}}
@@ -95,17 +95,17 @@
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d of %d callers were not told within %v", late, len(ids), toldWithin)
+		t.Errorf("%d of %d callers received no release within %v", late, len(ids), toldWithin)
 	}
 }
 
-// Guards against releases that are kept unwritten, while calls are answered, since callers do not send the optional 200 to BYE.
+// Guards against releases that are held back because callers do not send the optional 200 to BYE.
 func TestCallersWhoAnswerNoReleaseAreToldOfEachCall(t *testing.T) {
 	sw, callers, ids := standingCalls(t, 2, 24)
 	releaseEach(t, sw, callers, ids, func(*siptest.Peer, sip.Message) {})
 }
 
-// Guards against releases that come late since the optional 200 to an earlier BYE comes late.
+// Guards against releases that are late because the optional 200 to an earlier BYE is late.
 func TestCallersWhoAnswerReleasesLateAreToldOfEachCallInTime(t *testing.T) {
 	const late = 900 * time.Millisecond
 	sw, callers, ids := standingCalls(t, 2, 24)
@@ -114,10 +114,10 @@
 	})
 }
 
-// Guards against a connection that takes no more releases since its caller did not answer those of calls it does not know.
+// Guards against a connection blocked for releases because its caller did not answer releases of calls unknown to it.
 func TestReleasesOfUnknownCallsDoNotKeepLaterReleasesBack(t *testing.T) {
 	sw, callers, ids := standingCalls(t, 1, 6)
-	for i := range 3 { // of an earlier life of the controller, whose callers have forgotten them
+	for i := range 3 { // calls of an earlier controller process, unknown to the callers
 		sw.Send(siptest.Release(fmt.Sprintf("%016x", 0x900+i), 16))
 		sw.Expect("200")
 	}
@@ -133,7 +133,7 @@
 	})
 }
 
-// Guards against a release that is lost on a connection that has fallen silent, when another one to the switch is open already.
+// Guards against losing a release on a connection that is silent, when another connection to the switch is already open.
 func TestReleaseLostOnASilentConnectionIsFetchedOnANewOne(t *testing.T) {
 	n := newPlatformNet(t)
 	proxy, err := faultproxy.Listen("127.0.0.1:0", n.switches[0].Addr().String(), faultproxy.Shape{}, 1)
@@ -147,7 +147,7 @@
 	caller := n.caller()
 	const id = "0000000000000100"
 	setUpOnPlatform(caller, first, id)
-	go func() { // signs of life are answered as long as they come
+	go func() { // answers keepalives while they arrive
 		for {
 			if _, ok := first.Receive(20 * time.Second); !ok {
 				return
@@ -155,11 +155,11 @@
 		}
 	}()
 	proxy.SilenceOne()
-	second := n.up(0) // opened since the first is silent
+	second := n.up(0) // opened because the first is silent
 	go second.Receive(20 * time.Second)
-	first.Send(siptest.Release(id, 16)) // where the set-up was: it does not arrive
+	first.Send(siptest.Release(id, 16)) // lost on the silent connection of the set-up
 	go func() {
-		for { // the switch repeats it on the next connection that opens
+		for { // the switch repeats it on its next connection
 			c, err := n.switches[0].Accept()
 			if err != nil {
 				return
@@ -172,11 +172,12 @@
 	}()
 	n.switches[0].(*net.TCPListener).SetDeadline(time.Time{})
 	if m, ok := caller.Receive(toldAfterLoss); !ok || m.Method != sip.Bye {
-		t.Errorf("the caller was not told within %v: %v %+v", toldAfterLoss, ok, m)
+		t.Errorf("the caller received no release within %v: %v %+v", toldAfterLoss, ok, m)
 	}
 }
 
-// Guards against calls that stand for good where a release and its one repetition are both lost, the second with the switch's connection.
+// Guards against calls that are never released when a release and its only repetition are both lost, the latter with the
+// switch's connection.
 func TestReleaseThatIsLostTwiceIsToldInTime(t *testing.T) {
 	n := newPlatformNet(t)
 	proxy, err := faultproxy.Listen("127.0.0.1:0", n.switches[0].Addr().String(), faultproxy.Shape{}, 1)
@@ -192,18 +193,18 @@
 	setUpOnPlatform(caller, first, id)
 	go first.Receive(20 * time.Second)
 	proxy.Silence()
-	first.Send(siptest.Release(id, 16)) // on the connection of the set-up, which is silent
+	first.Send(siptest.Release(id, 16)) // lost on the silent connection of the set-up
 	n.switches[0].(*net.TCPListener).SetDeadline(time.Now().Add(toldAfterLoss))
 	c, err := n.switches[0].Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	proxy.Silence() // the switch vanishes as it repeats the release on the next connection
+	proxy.Silence() // loses the repetition on the next connection too
 	next := siptest.New(t, c)
 	next.Send(siptest.Release(id, 16))
 	go next.Receive(20 * time.Second)
-	go func() { // later ones work, and the release comes on none of them
+	go func() { // later connections work, but carry no release
 		for {
 			later, err := n.switches[0].Accept()
 			if err != nil {
@@ -215,6 +216,6 @@
 		}
 	}()
 	if m, ok := caller.Receive(toldAfterLoss); !ok || m.Method != sip.Bye {
-		t.Errorf("the caller was not told within %v: %v %+v", toldAfterLoss, ok, m)
+		t.Errorf("the caller received no release within %v: %v %+v", toldAfterLoss, ok, m)
 	}
 }
--- a/cmd/indigodrift/route_try_test.go
+++ b/cmd/indigodrift/route_try_test.go
@@ -15,7 +15,8 @@
 	tryCallID      = "0000000000000100"
 )
 
-// brokenTry is a controller with one switch, which has read a call's first set-up and broken its answer off, and reads the second.
+// brokenTry is a controller with one switch, which truncated its answer to the first set-up of a call and has received the
+// second.
 type brokenTry struct {
 	*platformNet
 	caller *siptest.Peer
@@ -23,12 +24,12 @@
 	second sip.Message
 }
 
-// breakFirstAnswer sets one call up whose first answer breaks off within a message, which ends its connection.
+// breakFirstAnswer starts a call and closes the connection in the middle of the first answer.
 func breakFirstAnswer(t *testing.T) *brokenTry {
 	n := newPlatformNet(t)
 	n.start(1, switchEntries(n.switches[0].Addr().String()))
 	first := n.up(0)
-	time.Sleep(50 * time.Millisecond) // the state of the group is read
+	time.Sleep(50 * time.Millisecond) // the load report of the switch is read
 	caller := n.caller()
 	caller.Send(platformSetUp(tryCallID, 1, ""))
 	m := first.Expect(sip.Invite)
@@ -39,35 +40,35 @@
 	first.Close()
 	next := n.up(0)
 	second, ok := next.Receive(2 * time.Second)
-	if ok && second.Method == sip.Bye { // of what the first try may have left there; it has crossed the switch's own
+	if ok && second.Method == sip.Bye { // release of the first try, which crosses the switch's own
 		second = next.Expect(sip.Invite)
 	}
 	if second.Method != sip.Invite || second.CallID != tryCallID || second.CSeq != 2 {
-		t.Fatalf("the switch read %+v", second)
+		t.Fatalf("the switch received %+v", second)
 	}
 	return &brokenTry{platformNet: n, caller: caller, sw: next, second: second}
 }
 
-// answers has the switch set the second try up, as it works on it for a while.
+// answerSecondTry answers the second set-up after a processing delay.
 func (b *brokenTry) answers() {
 	time.Sleep(75 * time.Millisecond)
 	b.sw.Answer(b.second, "answer to the second try")
 }
 
-// wantsTheCallToStand wants the second answer to reach the caller, and no further try.
+// checkEstablished checks that the second answer reaches the caller and that no further try is sent.
 func (b *brokenTry) wantsTheCallToStand() {
 	b.t.Helper()
 	if m, ok := b.caller.Receive(2 * netReleaseTime); !ok || m.Status != sip.OK || string(m.Body) != "answer to the second try" {
-		b.t.Errorf("the caller read %v %+v", ok, m)
+		b.t.Errorf("the caller received %v %+v", ok, m)
 	}
 	for until := time.Now().Add(2 * netReleaseTime); time.Now().Before(until); {
 		if m, ok := b.sw.Receive(time.Until(until)); ok && (m.Method == sip.Invite || m.Method == sip.Bye || m.Method == sip.Cancel) {
-			b.t.Errorf("the switch read %s, CSeq %d", m.Method, m.CSeq)
+			b.t.Errorf("the switch received %s, CSeq %d", m.Method, m.CSeq)
 		}
 	}
 }
 
-// Guards against a try that is taken for over, and its call sent again too soon, when the reset comes of what an earlier try left at that switch.
+// Guards against ending a try, and sending the call again too soon, when a switch resets what an earlier try left there.
 func TestResetOfABrokenTryDoesNotEndTheNextOne(t *testing.T) {
 	b := breakFirstAnswer(t)
 	time.Sleep(10 * time.Millisecond)
@@ -76,8 +77,9 @@
 	b.wantsTheCallToStand()
 }
 
-// Guards against a call that is sent again too soon, or answered and never released, when the release comes of what an earlier try left standing: by
-// its cause the call stood and is over, so its caller is refused and the try that is out is taken back.
+// Guards against a call that is sent again too soon, or answered and never released, when a switch releases the call that an
+// earlier try established. The cause says that the call was established and is over, so the caller is refused and the pending
+// try is cancelled.
 func TestReleaseOfABrokenTryEndsTheCallOnBothSides(t *testing.T) {
 	for _, cause := range []int{16, 41} {
 		t.Run(fmt.Sprint(cause), func(t *testing.T) {
@@ -85,9 +87,9 @@
 			time.Sleep(10 * time.Millisecond)
 			b.sw.Send(siptest.Release(tryCallID, cause))
 			if m, ok := b.caller.Receive(netReleaseTime); !ok || m.Status != sip.ServerInternalError {
-				t.Errorf("the caller read %v %+v", ok, m)
+				t.Errorf("the caller received %v %+v", ok, m)
 			}
-			b.answers() // it crosses the CANCEL
+			b.answers() // crosses the CANCEL
 			var read []string
 			for until := time.Now().Add(3 * netReleaseTime); time.Now().Before(until); {
 				if m, ok := b.sw.Receive(time.Until(until)); ok && m.Method != "" && m.Method != sip.Ack {
@@ -95,23 +97,23 @@
 				}
 			}
 			if got := strings.Join(read, " "); got != "CANCEL BYE" {
-				t.Errorf("the switch read %q", got)
+				t.Errorf("the switch received %q", got)
 			}
 		})
 	}
 }
 
-// Guards against a call that stands at its switch for nobody, when the release of an earlier try there is taken for its own.
+// Guards against a call that stays established at its switch only, when the release of an earlier try is taken for its own.
 func TestReleaseOfABrokenTryWhileTheNextStandsLeavesNothingStanding(t *testing.T) {
 	b := breakFirstAnswer(t)
 	b.answers()
 	b.wantsTheCallToStand()
-	b.sw.Send(siptest.Release(tryCallID, 16)) // of either try: nothing on the wire tells which
+	b.sw.Send(siptest.Release(tryCallID, 16)) // may belong to either try: the message does not say
 	b.caller.ExpectRelease(tryCallID)
 	for until := time.Now().Add(toldWithin); ; {
 		m, ok := b.sw.Receive(time.Until(until))
 		if !ok {
-			t.Fatal("the caller was told that its call is over, the switch was not")
+			t.Fatal("the caller received a release, the switch did not")
 		}
 		if m.Method == sip.Bye && m.CallID == tryCallID {
 			return
@@ -119,7 +121,7 @@
 	}
 }
 
-// Guards against calls that no further try can serve: a switch need not repeat the number of the set-up's CSeq in its answer.
+// Guards against rejecting the answer to a further try: a switch need not repeat the CSeq number of the set-up in its answer.
 func TestAnswerToAFurtherTryIsTakenWhateverItsCSeqNumber(t *testing.T) {
 	b := breakFirstAnswer(t)
 	b.second.CSeq = 1
--- a/cmd/indigodrift/serve.go
+++ b/cmd/indigodrift/serve.go
@@ -23,11 +23,11 @@
 	var file, format, level, routing, plant string
 	c := &cobra.Command{Use: "serve -f SITE", Short: "Run one exchange until SIGTERM, then drain", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return serve(file, format, level, routing, plant) }}
-	c.Flags().StringVarP(&file, "file", "f", "", "settings of the exchange")
-	c.Flags().StringVar(&format, "log", "text", "form of the log: text or json")
-	c.Flags().StringVar(&level, "level", "info", "least level logged: debug, info, warn, error")
+	c.Flags().StringVarP(&file, "file", "f", "", "settings file of the exchange")
+	c.Flags().StringVar(&format, "log", "text", "log format: text or json")
+	c.Flags().StringVar(&level, "level", "info", "minimum log level: debug, info, warn, error")
 	c.Flags().StringVar(&routing, "routing", "module", "for scripted days: module, direct or random")
-	c.Flags().StringVar(&plant, "plant", "", "for scripted days: a rule to break")
+	c.Flags().StringVar(&plant, "plant", "", "for scripted days: rule to break on purpose")
 	c.MarkFlagRequired("file")
 	c.Flags().MarkHidden("routing")
 	c.Flags().MarkHidden("plant")
@@ -55,7 +55,7 @@
 	case "json":
 		handler = slog.NewJSONHandler(os.Stderr, options)
 	default:
-		return fmt.Errorf("--log is %q, it can be text or json", format)
+		return fmt.Errorf("--log is %q, not text or json", format)
 	}
 	s, err := site.Read(file)
 	if err != nil {
@@ -68,7 +68,7 @@
 	case "direct", "random":
 		build = baseline.Build(routing == "random")
 	default:
-		return fmt.Errorf("--routing is %q, it can be module, direct or random", routing)
+		return fmt.Errorf("--routing is %q, not module, direct or random", routing)
 	}
 	var wrong *day.Wrong
 	if plant != "" {
@@ -99,11 +99,11 @@
 			again, err := site.Read(file)
 			switch {
 			case err != nil:
-				log.Error("settings are not taken, nothing changes", "why", err)
+				log.Error("settings rejected, nothing changes", "why", err)
 			case station.Reload(again):
-				log.Info("settings read again")
+				log.Info("settings reloaded")
 			default:
-				log.Warn("settings read again; what changed needs a restart")
+				log.Warn("settings reloaded; some changes need a restart")
 			}
 		}
 	}()
--- a/cmd/indigodrift/soak.go
+++ b/cmd/indigodrift/soak.go
@@ -14,21 +14,21 @@
 )
 
 func newSoakCommand() *cobra.Command {
-	c := &cobra.Command{Use: "soak", Short: "Run real controllers among faults drawn from seeds, and judge the rules from their sockets", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "soak", Short: "Run controller processes with random faults and check the rules against the messages on their sockets", Args: cobra.NoArgs}
 	o := soak.Options{Out: os.Stdout}
 	c.Flags().Uint64Var(&o.From, "from", 1, "first seed")
-	c.Flags().IntVar(&o.Seeds, "seeds", 5, "how many seeds")
-	c.Flags().IntVar(&o.Parallel, "parallel", 2, "runs side by side")
-	c.Flags().DurationVar(&o.Length, "length", 12*time.Second, "time with calls and faults in each run")
-	c.Flags().StringVar(&o.Folder, "keep", "", "folder for events and logs of the controllers")
-	c.Flags().StringVar(&o.Program, "program", "", "another build of the program to run the controllers with")
-	c.Flags().StringVar(&o.Only, "only", "", "the one unusual way in which set-ups end, and no faults: full, error, moot, broke, released, dropped, reset-unread, spoilt, cut, short, never, late, reset-read, twice, ahead")
-	c.Flags().StringVar(&o.Plant, "plant", "", "a fault the controllers have on purpose: release, answer, early, standing, crossing")
+	c.Flags().IntVar(&o.Seeds, "seeds", 5, "number of seeds")
+	c.Flags().IntVar(&o.Parallel, "parallel", 2, "number of parallel runs")
+	c.Flags().DurationVar(&o.Length, "length", 12*time.Second, "duration of calls and faults in each run")
+	c.Flags().StringVar(&o.Folder, "keep", "", "folder for the events and the logs of the controllers")
+	c.Flags().StringVar(&o.Program, "program", "", "executable of the controllers, by default this one")
+	c.Flags().StringVar(&o.Only, "only", "", "run without faults, and end set-ups in one abnormal way only: full, error, moot, broke, released, dropped, reset-unread, spoilt, cut, short, never, late, reset-read, twice, ahead")
+	c.Flags().StringVar(&o.Plant, "plant", "", "fault to inject into the controllers: release, answer, early, standing, crossing")
 	c.RunE = func(*cobra.Command, []string) error {
 		if o.Program == "" {
 			own, err := os.Executable()
 			if err != nil {
-				return fmt.Errorf("own program: %w", err)
+				return fmt.Errorf("locate own executable: %w", err)
 			}
 			o.Program = own
 		}
--- a/cmd/indigodrift/soak_test.go
+++ b/cmd/indigodrift/soak_test.go
@@ -11,14 +11,14 @@
 	"indigodrift/internal/soak"
 )
 
-// soakRun says what one run of the soak in a test plays.
+// soakRun is one run of the soak command with one seed.
 type soakRun struct {
 	from  uint64
-	plant string // a fault that the controllers have on purpose
-	only  string // the one unusual way in which set-ups end
+	plant string // fault to inject into the controllers
+	only  string // the one abnormal way in which set-ups end
 }
 
-// soakLength is short enough for a test and long enough for faults to meet calls that stand; soakParallel runs go side by side.
+// soakLength is short enough for a test and long enough for faults to affect established calls.
 const (
 	soakLength   = 8 * time.Second
 	soakParallel = 8
@@ -44,8 +44,8 @@
 	return string(out), err
 }
 
-// The judge of the soak must find faults that controllers have on purpose, name the rule and tell how to play the seed again: each rule on what
-// is told, and the release time after each way in which a try can end.
+// The soak must detect injected faults, name the broken rule and print how to repeat the seed. The runs cover the rules on
+// releases and answers, and the release time after each way in which a try can end.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	runs := map[soakRun]soak.Rule{
 		{from: 15, plant: "release"}:                soak.RuleTold,
@@ -62,12 +62,12 @@
 	all.Wait()
 }
 
-// A release by a switch that ends whatever try of its call is out must be found as a call that goes on at its switch.
+// If a release by a switch ends whichever try of its call is pending, the soak must report a call that goes on at its switch.
 func TestSoakFindsPlantedCrossing(t *testing.T) {
 	findsPlantedFault(t, soakRun{from: 3, plant: "crossing", only: "never"}, soak.RuleBothSides)
 }
 
-// findsPlantedFault plays a run with a planted fault: it must fail, name the rule and tell how to play the seed again.
+// findsPlantedFault checks that a run with an injected fault fails, names the rule and prints how to repeat the seed.
 func findsPlantedFault(t *testing.T, run soakRun, rule soak.Rule) {
 	out, err := run.play()
 	again := fmt.Sprintf("--seeds 1 --length %v --plant %s", soakLength, run.plant)
@@ -76,7 +76,7 @@
 	}
 }
 
-// A few seeds of the soak with real processes: what docs/soak.md lists as drawn.
+// Runs a few seeds with all the random faults that docs/soak.md lists.
 func TestSoakKeepsTheRules(t *testing.T) {
 	var all sync.WaitGroup
 	for _, seed := range []uint64{2, 7, 24, 36, 47} {
@@ -89,7 +89,8 @@
 	all.Wait()
 }
 
-// Guards against a release of an earlier try that meets a later one: set-ups whose answers are lost and whose calls run and are released all the same.
+// Guards against a release of an earlier try being applied to a later one. The answers to set-ups are lost, but the calls are
+// established and released at the switch.
 func TestSoakKeepsTheRulesWhereAnswersAreLost(t *testing.T) {
 	var all sync.WaitGroup
 	for _, end := range []string{"cut", "reset-read", "never"} {
--- a/cmd/indigodrift/standin.go
+++ b/cmd/indigodrift/standin.go
@@ -13,7 +13,7 @@
 )
 
 func newStandinCommand() *cobra.Command {
-	c := &cobra.Command{Use: "standin", Short: "Run a stand-in of a day by itself"}
+	c := &cobra.Command{Use: "standin", Short: "Run one stand-in of a scripted day"}
 	for _, part := range []string{"switch", "register", "subscribers"} {
 		var file, addresses string
 		var number int
@@ -27,8 +27,8 @@
 				defer cancel()
 				return day.Alone(ctx, s, part, number, addresses, func(at string) { fmt.Println("listening on", at) })
 			}}
-		one.Flags().StringVarP(&file, "file", "f", "", "the day")
-		one.Flags().IntVar(&number, "exchange", 0, "which exchange's switch")
+		one.Flags().StringVarP(&file, "file", "f", "", "script of the day")
+		one.Flags().IntVar(&number, "exchange", 0, "exchange whose switch to run")
 		one.Flags().StringVar(&addresses, "switches", "", "comma-separated addresses of the day's switches, for subscribers")
 		one.MarkFlagRequired("file")
 		c.AddCommand(one)
--- a/internal/enum/enum.go
+++ b/internal/enum/enum.go
@@ -1,6 +1,6 @@
-// Package enum asks about portability over DNS: ENUM (RFC 6116) with the pstn service of RFC 4769, whose npdi and rn tell
-// that a number was ported and what to route by. It sends and reads; when to ask, whom, and how long to wait is
-// internal/numbers' Inquirer's.
+// Package enum implements portability queries over DNS: ENUM (RFC 6116) with the pstn service of RFC 4769, whose npdi and rn
+// parameters say that a number is ported and give its routing number. When to query, which server and how long to wait is up to
+// numbers.PortabilityResolver.
 package enum
 
 import (
@@ -18,24 +18,24 @@
 	"github.com/miekg/dns"
 )
 
-// Client asks a pair of servers.
+// Client queries a pair of servers.
 type Client struct {
 	Servers [2]string // addresses with ports
-	Zone    string    // such as e164.arpa.
+	Zone    string    // domain suffix such as e164.arpa.
 	Timeout time.Duration
 }
 
-// Answer is what came of one query.
+// Answer is the result of a query.
 type Answer struct {
 	Porting numbers.Porting
 	Known   bool          // the server knows the number
-	TTL     policy.Tenths // how long that may be believed
+	TTL     policy.Tenths // how long the answer may be cached, 0 if the server does not say
 }
 
 // ErrUnusableAnswer is wrapped by every error about an answer that cannot be used.
 var ErrUnusableAnswer = errors.New("unusable answer")
 
-// DomainName is the domain name of a number: its digits reversed, each a label (RFC 6116, 3.2).
+// DomainName returns the domain name of a number: its digits in reverse order, each a label (RFC 6116, 3.2).
 func DomainName(number, zone string) string {
 	var b strings.Builder
 	for i := len(number) - 1; i >= 0; i-- {
@@ -45,13 +45,13 @@
 	return b.String() + zone
 }
 
-// Query sends one query and waits for its answer, over UDP and, where that is truncated, over TCP. An answer to another
-// question or with another id is not taken for this one's.
+// Query queries a server over UDP, and again over TCP if the answer is truncated. An answer with another ID or to another
+// question is ignored over UDP and an error over TCP.
 func (c *Client) Query(ctx context.Context, server int, number string) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	q := new(dns.Msg)
-	q.SetQuestion(DomainName(number, c.Zone), dns.TypeNAPTR) // its id is random
+	q.SetQuestion(DomainName(number, c.Zone), dns.TypeNAPTR) // with a random ID
 	q.SetEdns0(1232, false)
 	reply, err := c.roundTrip(ctx, "udp", server, q)
 	if err == nil && reply.Truncated {
@@ -73,14 +73,14 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	if err := conn.WriteMsg(q); err != nil {
-		return nil, fmt.Errorf("ask %s: %w", c.Servers[server], err)
+		return nil, fmt.Errorf("query %s: %w", c.Servers[server], err)
 	}
-	for { // what answers something else is passed over until the time is up
+	for { // over UDP, unrelated and malformed messages are ignored until the timeout
 		m, err := conn.ReadMsg()
 		var broken net.Error
 		if err != nil {
 			if ctx.Err() != nil || errors.As(err, &broken) || network == "tcp" {
-				return nil, fmt.Errorf("answer of %s: %w", c.Servers[server], err)
+				return nil, fmt.Errorf("read answer of %s: %w", c.Servers[server], err)
 			}
 			continue
 		}
@@ -89,14 +89,14 @@
 			return m, nil
 		}
 		if network == "tcp" {
-			return nil, fmt.Errorf("%w: %s answers another question", ErrUnusableAnswer, c.Servers[server])
+			return nil, fmt.Errorf("%w: %s answered another question", ErrUnusableAnswer, c.Servers[server])
 		}
 	}
 }
 
 var routingNumberPattern = regexp.MustCompile(`^\+?[0-9]{1,24}$`)
 
-// ParseAnswer takes what an answer says. A name that does not exist is known not to be ported for as long as its zone says.
+// ParseAnswer interprets an answer. If the name does not exist, the number is unknown for the negative TTL of the zone.
 func ParseAnswer(m *dns.Msg) (Answer, error) {
 	switch m.Rcode {
 	case dns.RcodeNameError:
@@ -118,12 +118,12 @@
 			continue
 		}
 		if !strings.EqualFold(n.Hdr.Name, m.Question[0].Name) {
-			return Answer{}, fmt.Errorf("%w: a record of %s", ErrUnusableAnswer, n.Hdr.Name)
+			return Answer{}, fmt.Errorf("%w: record for another name, %s", ErrUnusableAnswer, n.Hdr.Name)
 		}
 		if best == nil || n.Order < best.Order || n.Order == best.Order && n.Preference < best.Preference {
 			best = n
 		} else if n.Order == best.Order && n.Preference == best.Preference && n.Regexp != best.Regexp {
-			return Answer{}, fmt.Errorf("%w: two records contradict each other", ErrUnusableAnswer)
+			return Answer{}, fmt.Errorf("%w: contradictory records", ErrUnusableAnswer)
 		}
 	}
 	if best == nil {
@@ -147,7 +147,7 @@
 	return a, nil
 }
 
-// telURI takes the tel URI out of a NAPTR's expression, of the one form that RFC 4769 gives: !^.*$!tel:...!
+// telURI returns the tel URI, without its scheme, of a NAPTR regular expression of the form in RFC 4769: !^.*$!tel:...!
 func telURI(expression string) (string, error) {
 	if len(expression) < 2 {
 		return "", fmt.Errorf("%w: expression %q", ErrUnusableAnswer, expression)
--- a/internal/numberfile/numberfile_test.go
+++ b/internal/numberfile/numberfile_test.go
@@ -83,8 +83,8 @@
 	for _, c := range []struct{ from, to, csv, want string }{
 		{`to "2" {}`, `to "9" {}`, "", `t.hcl:27,5: exchange "9"`}, {"least = 11", "least = 40", "", "t.hcl:11,11: least is 40"},
 		{`"mon", "tue"`, `"mon", "noday"`, "", `t.hcl:14,12: day "noday"`}, {"Europe/Riga", "Europe/Nowhere", "", "t.hcl:3,8: time zone"},
-		{"22:00", "25:00", "", "t.hcl:15,12"}, {"", "", "37167,riga\n371x,riga\n", `p.csv:2,4: 'x' is no digit`},
-		{"", "", "37167,riga\n3712,jelgava\n", `p.csv:2,6: no route "jelgava"`}, {"", "", "1,riga\n1,riga,x\n", "p.csv: record on line 2"},
+		{"22:00", "25:00", "", "t.hcl:15,12"}, {"", "", "37167,riga\n371x,riga\n", `p.csv:2,4: 'x' is not a digit`},
+		{"", "", "37167,riga\n3712,jelgava\n", `p.csv:2,6: route "jelgava" is not defined`}, {"", "", "1,riga\n1,riga,x\n", "p.csv: record on line 2"},
 	} {
 		_, err := source(t, strings.Replace(rules, c.from, c.to, 1), c.csv).Table(5)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -93,8 +93,7 @@
 	}
 }
 
-// A kept version cut at any octet, or with any one changed, is never taken for good; the store falls back to the last good
-// one and says so.
+// A stored version that is truncated at any octet is rejected, and a flipped bit never yields other rules or prefixes.
 func TestDamagedVersionsAreNeverTaken(t *testing.T) {
 	whole := Encode(source(t, rules, "37167,riga\n"))
 	if s, err := Decode(whole); err != nil || string(s.Prefixes) != "37167,riga\n" {
@@ -102,13 +101,13 @@
 	}
 	for n := range whole {
 		if _, err := Decode(whole[:n]); !errors.Is(err, ErrDamaged) {
-			t.Fatalf("cut to %d of %d octets: %v", n, len(whole), err)
+			t.Fatalf("truncated to %d of %d octets: %v", n, len(whole), err)
 		}
 		for bit := range 8 {
 			b := append([]byte{}, whole...)
 			b[n] ^= 1 << bit
 			if s, err := Decode(b); err == nil && string(s.Rules)+string(s.Prefixes) != rules+"37167,riga\n" {
-				t.Fatalf("octet %d, bit %d: taken", n, bit)
+				t.Fatalf("octet %d, bit %d: damaged file was accepted", n, bit)
 			}
 		}
 	}
@@ -130,12 +129,12 @@
 		}
 	}
 	os.WriteFile(st.path(3), []byte(magic+"{}"), 0o644) // damaged
-	os.Remove(st.path(2))                               // gone
+	os.Remove(st.path(2))                               // missing
 	f, _ := os.OpenFile(filepath.Join(st.dir, "history"), os.O_APPEND|os.O_WRONLY, 0)
-	f.WriteString(`{"version":9,"na`) // a kill in the middle of a line
+	f.WriteString(`{"version":9,"na`) // killed while writing a line
 	f.Close()
 	tab, doubts, err := st.LoadInForce(5)
 	if err != nil || tab == nil || tab.Version != 1 || len(doubts) != 3 {
-		t.Fatalf("%v, doubts %q, %v", tab, doubts, err)
+		t.Fatalf("%v, warnings %q, %v", tab, doubts, err)
 	}
 }
--- a/internal/numberfile/source.go
+++ b/internal/numberfile/source.go
@@ -1,6 +1,6 @@
-// Package numberfile reads tables for number analysis, rules in HCL and prefixes in CSV, and keeps the versions that a
-// controller was given: whole files with a checksum each, and a history of what was in force. It decides nothing about a
-// number; internal/numbers does.
+// Package numberfile parses tables for number analysis, with rules in HCL and prefixes in CSV, and stores the versions that a
+// controller has loaded: a file with a checksum for each version, and a history of the versions in force. The analysis of
+// numbers is in internal/numbers.
 package numberfile
 
 import (
@@ -21,15 +21,15 @@
 	"indigodrift/internal/numbers"
 )
 
-// Source is the text of one version: the rules, and the prefixes that they name as a file of their own, if any.
+// Source is the text of one version: the rules and, if the rules name one, the separate file of prefixes.
 type Source struct {
-	RulesFile  string // of the rules' file, for messages
+	RulesFile  string // name of the rules file, for messages
 	Rules      []byte
-	PrefixFile string // name of the prefixes' file
+	PrefixFile string // name of the CSV file of prefixes, "" for none
 	Prefixes   []byte
 }
 
-// ReadSource reads the rules and the prefixes' file that they name, which stands beside them.
+// ReadSource reads a rules file and the file of prefixes that it names in the same folder.
 func ReadSource(name string) (Source, error) {
 	rules, err := os.ReadFile(name)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return s, nil
 }
 
-// Table builds the table of a source. Its error has a line for each fault, with file, line and column; a table with any
-// fault is refused whole.
+// Table parses a source and builds its table for a network with a number of exchanges. The error has a line for each fault with
+// file, line and column.
 func (s Source) Table(exchanges int) (*numbers.Table, error) {
 	f, b := hclread.Parse(s.RulesFile, s.Rules)
 	t := &numbers.Table{Name: b.Text("name", false, ""), Version: uint64(b.Whole("version", 1, math.MaxInt32, 0))}
@@ -71,7 +71,7 @@
 	routes := map[string]uint32{}
 	for _, n := range b.Blocks("route", true) {
 		if _, twice := routes[n.Label]; twice {
-			n.Fault("route %q stands twice", n.Label)
+			n.Fault("route %q is defined twice", n.Label)
 		}
 		id := uint32(len(t.Routes))
 		routes[n.Label] = id
@@ -100,7 +100,7 @@
 func parseDay(b *hclread.Block, name, text string) int {
 	t, err := time.Parse(time.DateOnly, text)
 	if err != nil {
-		b.FaultAt(name, "%q is no date such as 2026-11-18", text)
+		b.FaultAt(name, "%q is not a date such as 2026-11-18", text)
 		return 0
 	}
 	return numbers.DayNumber(t.Date())
@@ -111,7 +111,7 @@
 		DeleteDigits: n.Whole("delete", 0, numbers.MaxDigits, 0), InsertDigits: n.Text("insert", false, ""), Priority: n.Flag("priority", false),
 		Emergency: n.Flag("emergency", false), MayBePorted: n.Flag("ported", false)}
 	if e.MinDigits > e.MaxDigits {
-		n.FaultAt("least", "least is %d, most %d", e.MinDigits, e.MaxDigits)
+		n.FaultAt("least", "least is %d, more than most, which is %d", e.MinDigits, e.MaxDigits)
 	}
 	for _, c := range n.Blocks("choice", false) {
 		e.Choices = append(e.Choices, parseChoice(c, exchanges))
@@ -137,7 +137,7 @@
 			}
 		}
 		if !known {
-			c.FaultAt("days", "day %q, it can be %s", d, strings.Join(weekdays, ", "))
+			c.FaultAt("days", "day %q is not one of %s", d, strings.Join(weekdays, ", "))
 		}
 	}
 	for _, d := range c.Texts("dates") {
@@ -164,7 +164,7 @@
 	for _, to := range c.Blocks("to", true) {
 		x, err := strconv.Atoi(to.Label)
 		if err != nil || x < 0 || x >= exchanges {
-			to.Fault("exchange %q, exchanges are numbered below %d", to.Label, exchanges)
+			to.Fault("exchange %q is not a number below %d", to.Label, exchanges)
 		}
 		out.Shares = append(out.Shares, numbers.Share{Weight: to.Whole("weight", 0, 1e6, 1), Exchange: x})
 		to.Done()
@@ -174,7 +174,7 @@
 		a.Done()
 	}
 	if len(out.Shares) == 0 {
-		c.Fault("a choice leads nowhere: it needs a block to or announce")
+		c.Fault("choice has no destination: it needs a \"to\" or \"announce\" block")
 	}
 	c.Done()
 	if w.Weekdays != 0 || len(w.Dates) > 0 || w.FromMinute != w.ToMinute || w.OnlyHolidays || w.ExceptHolidays {
@@ -187,7 +187,7 @@
 	text := c.Text(name, false, "00:00")
 	t, err := time.Parse("15:04", text)
 	if err != nil && text != "24:00" {
-		c.FaultAt(name, "%q is no time of day such as 08:30", text)
+		c.FaultAt(name, "%q is not a time of day such as 08:30", text)
 		return 0
 	}
 	if text == "24:00" {
@@ -196,7 +196,7 @@
 	return t.Hour()*60 + t.Minute()
 }
 
-// parsePrefixes reads lines of prefix and route.
+// parsePrefixes appends the prefixes of the CSV file, whose lines are a prefix and the label of a route.
 func (s Source) parsePrefixes(all []numbers.Prefix, routes map[string]uint32) ([]numbers.Prefix, error) {
 	r := csv.NewReader(bytes.NewReader(s.Prefixes))
 	r.FieldsPerRecord, r.ReuseRecord, r.Comment = 2, true, '#'
@@ -211,12 +211,12 @@
 		id, ok := routes[line[1]]
 		if !ok {
 			at, col := r.FieldPos(1)
-			return nil, fmt.Errorf("%s:%d,%d: no route %q", s.PrefixFile, at, col, line[1])
+			return nil, fmt.Errorf("%s:%d,%d: route %q is not defined", s.PrefixFile, at, col, line[1])
 		}
 		for i := range len(line[0]) {
 			if !strings.ContainsRune("0123456789BC", rune(line[0][i])) {
 				at, col := r.FieldPos(0)
-				return nil, fmt.Errorf("%s:%d,%d: %q is no digit", s.PrefixFile, at, col+i, line[0][i])
+				return nil, fmt.Errorf("%s:%d,%d: %q is not a digit", s.PrefixFile, at, col+i, line[0][i])
 			}
 		}
 		all = append(all, numbers.Prefix{Digits: line[0], Value: id})
--- a/internal/numbers/bench_test.go
+++ b/internal/numbers/bench_test.go
@@ -13,7 +13,7 @@
 	"indigodrift/policy"
 )
 
-// plan makes prefixes as a country's plan has them: of 5 to 9 digits, under a country code, spread over all digits.
+// plan returns random prefixes like those of a national numbering plan: a country code and at least 5 more digits.
 func plan(n int) []Prefix {
 	chance := rand.New(rand.NewPCG(7, uint64(n)))
 	seen := make(map[string]bool, n)
@@ -35,7 +35,7 @@
 	return all
 }
 
-// finder is one way of search: the trie, or a baseline of ours.
+// finder is a search method: the trie, or a baseline to compare it with.
 type finder struct {
 	name string
 	make func(all []Prefix) func(digits string) (uint32, bool)
@@ -55,7 +55,7 @@
 			if by[len(p.Digits)] == nil {
 				by[len(p.Digits)] = map[string]uint32{}
 			}
-			by[len(p.Digits)][strings.Clone(p.Digits)] = p.Value // a table does not keep its source
+			by[len(p.Digits)][strings.Clone(p.Digits)] = p.Value // as a table, which does not retain its source
 		}
 		return func(d string) (uint32, bool) {
 			for n := min(len(d), MaxDigits); n >= 0; n-- {
@@ -84,7 +84,7 @@
 	}},
 }
 
-// BenchmarkFind is one search, the memory of each prefix and the time to build, for three sizes and three ways.
+// BenchmarkFind measures a search, the memory per prefix and the build time for three sizes and three search methods.
 func BenchmarkFind(b *testing.B) {
 	for _, n := range []int{10_000, 1_000_000, 10_000_000} {
 		if testing.Short() && n > 1_000_000 {
@@ -94,7 +94,7 @@
 		chance := rand.New(rand.NewPCG(9, 9))
 		dialled := make([]string, 4096)
 		for i := range dialled {
-			for dialled[i] = all[chance.IntN(n)].Digits; len(dialled[i]) < 15; { // E.164 numbers at their longest
+			for dialled[i] = all[chance.IntN(n)].Digits; len(dialled[i]) < 15; { // the maximum length of an E.164 number
 				dialled[i] += string(rune('0' + chance.IntN(10)))
 			}
 		}
@@ -127,7 +127,7 @@
 	}
 }
 
-// BenchmarkSwitch is what the owner of a table does when a version comes into force: one pointer, whatever its size.
+// BenchmarkSwitch measures the activation of a version, which swaps a pointer whatever the size of the table.
 func BenchmarkSwitch(b *testing.B) {
 	v := NewVersions(&Table{Version: 1}, Trial{})
 	for n := uint64(2); b.Loop(); n++ {
@@ -138,14 +138,14 @@
 	}
 }
 
-// quiet takes queries and never answers.
+// discardNet accepts queries and never answers them.
 type quiet struct{}
 
 func (quiet) Query(uint32, int, string)        {}
 func (quiet) LookupDone(uint32, Porting, bool) {}
 
-// BenchmarkStorm is the memory that ten million distinct unknown numbers leave behind, known as not there by a server that
-// answers each: the numbers known before must stay.
+// BenchmarkStorm measures the memory retained after look-ups of ten million distinct numbers that the server reports as unknown,
+// and how many of the numbers known before stay cached.
 func BenchmarkStorm(b *testing.B) {
 	storm := 10_000_000
 	if testing.Short() {
--- a/internal/numbers/decay.go
+++ b/internal/numbers/decay.go
@@ -6,5 +6,5 @@
 	"indigodrift/policy"
 )
 
-// decayFactor is what is left of a weight after a time.
+// decayFactor returns the part of a weight that remains after an age.
 func decayFactor(age, half policy.Tenths) float64 { return math.Exp2(-float64(age) / float64(half)) }
--- a/internal/numbers/distributor.go
+++ b/internal/numbers/distributor.go
@@ -1,13 +1,13 @@
 package numbers
 
-// Distributor divides calls between the shares of a choice so that after any number of calls each share has had its part to
-// within one call, and a caller who dials again gets what it got before. It belongs to one controller, not to a table: a
-// table's next version starts from even.
+// Distributor distributes calls over the shares of a choice in proportion to their weights. After any number of calls each
+// share is within one call of its proportion, and a caller who redials gets the same share. It belongs to a controller, not to
+// a table, and starts afresh with each new version of the table.
 type Distributor struct {
 	version         uint64
-	deficits        map[choiceKey][]float64 // what each share is behind (above 0) or ahead
+	deficits        map[choiceKey][]float64 // calls that each share is behind its proportion; negative when ahead
 	assigned        map[callerKey]int
-	assignmentOrder []callerKey // as remembered, oldest first
+	assignmentOrder []callerKey // keys of assigned, oldest first
 	maxCallers      int
 }
 
@@ -18,15 +18,15 @@
 	caller string
 }
 
-// NewDistributor remembers so many callers at most; the oldest are forgotten first.
+// NewDistributor returns a Distributor that remembers the shares of at most maxCallers callers. The oldest are forgotten first.
 func NewDistributor(callers int) *Distributor {
 	return &Distributor{deficits: map[choiceKey][]float64{}, assigned: map[callerKey]int{}, maxCallers: callers}
 }
 
-// ForVersion is the Pick of a version of the table.
+// ForVersion returns the ShareSelector for a version of the table.
 func (s *Distributor) ForVersion(version uint64) ShareSelector {
 	return func(entry, choice int, shares []Share, caller string) int {
-		if version > s.version { // a call that still goes by an older one shares its count
+		if version > s.version { // calls pinned to an older version use the counts of the newest
 			s.version = version
 			clear(s.deficits)
 			clear(s.assigned)
--- a/internal/numbers/numbers_test.go
+++ b/internal/numbers/numbers_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-// The trie against a plain search, over every number of up to four digits and random longer ones.
+// Compares the trie with a linear search for all numbers from 0 to 999, with and without leading zeros, and random longer ones.
 func TestLongestPrefixAgainstPlainSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := map[string]uint32{}
@@ -36,13 +36,13 @@
 			for n := len(number); n >= 0; n-- {
 				if e, is := plain[number[:n]]; is {
 					if !ok || length != n || entry != e {
-						t.Fatalf("%s: entry %d by %d digits, %v; want %d by %d", number, entry, length, ok, e, n)
+						t.Fatalf("%s: got value %d with %d digits, %v; want %d with %d", number, entry, length, ok, e, n)
 					}
 					return
 				}
 			}
 			if ok {
-				t.Fatalf("%s: entry %d, want none", number, entry)
+				t.Fatalf("%s: got value %d, want none", number, entry)
 			}
 		}
 		for n := range 1000 {
@@ -55,7 +55,7 @@
 		walked := map[string]uint32{}
 		trie.Walk(func(d string, e uint32) bool { walked[d] = e; return true })
 		if len(walked) != len(plain) {
-			t.Fatalf("%d prefixes walked, %d put in", len(walked), len(plain))
+			t.Fatalf("%d prefixes walked, %d inserted", len(walked), len(plain))
 		}
 	})
 }
@@ -65,7 +65,7 @@
 		all  []Prefix
 		want string
 	}{
-		{[]Prefix{{"371", 1}, {"371", 2}}, "prefix 371 stands twice"}, {[]Prefix{{"37x", 1}}, `prefix "37x"`},
+		{[]Prefix{{"371", 1}, {"371", 2}}, "prefix 371 is defined twice"}, {[]Prefix{{"37x", 1}}, `prefix "37x"`},
 		{[]Prefix{{strings.Repeat("1", 25), 1}}, "25 digits"},
 	} {
 		if _, err := NewTrie(c.all); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Each minute of two years in a zone with clock changes against the library's calendar.
+// Compares local times with package time for each minute of two years, which contain changes of the clock.
 func TestLocalTimeMinuteByMinute(t *testing.T) {
 	for _, name := range []string{"Europe/Riga", "America/Bogota", "Australia/Lord_Howe"} {
 		z, err := NewZone(name)
@@ -110,14 +110,14 @@
 	}{{time.Date(2026, 3, 28, 20, 0, 0, 0, time.UTC), 0}, {time.Date(2026, 10, 24, 20, 0, 0, 0, time.UTC), 120},
 		{time.Date(2026, 6, 1, 20, 0, 0, 0, time.UTC), 60}} {
 		if got := count(c.utc); got != c.want {
-			t.Errorf("%v: three to four o'clock holds for %d minutes, want %d", c.utc, got, c.want)
+			t.Errorf("%v: 3:00 to 4:00 contains %d minutes, want %d", c.utc, got, c.want)
 		}
 	}
 }
 
 func TestSpansPastMidnightBelongToTheirFirstDay(t *testing.T) {
 	z, _ := NewZone("Europe/Riga")
-	w := &Schedule{Weekdays: 1 << 5, FromMinute: 22 * 60, ToMinute: 30 * 60, ExceptHolidays: true} // Friday ten to six
+	w := &Schedule{Weekdays: 1 << 5, FromMinute: 22 * 60, ToMinute: 30 * 60, ExceptHolidays: true} // Friday 22:00 to Saturday 6:00
 	loc, _ := time.LoadLocation("Europe/Riga")
 	holiday := []int{DayNumber(2026, 5, 8)}
 	for _, c := range []struct {
@@ -189,7 +189,7 @@
 	}
 }
 
-// After any number of calls each share has its part to within one call; a caller who dials again gets what it got.
+// After any number of calls each share is close to its proportion, and a caller who redials gets the same share.
 func TestSharesHoldOverFewCallsAsOverMany(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var shares []Share
@@ -214,15 +214,15 @@
 			for i, x := range shares {
 				want := float64(n) * float64(x.Weight) / float64(sum)
 				if d := float64(given[i]) - want; d > 1.0001 || d < -float64(len(shares)) {
-					t.Fatalf("after %d calls share %d of %v has %d, %.2f is its part", n, i, shares, given[i], want)
+					t.Fatalf("after %d calls share %d of %v has %d, want %.2f", n, i, shares, given[i], want)
 				}
 			}
 			if again := fmt.Sprint(max(1, n-50)); pick(0, 0, shares, again) != had[again] {
-				t.Fatalf("caller %s got another share at its redial", again)
+				t.Fatalf("caller %s got another share when redialling", again)
 			}
 		}
 		if len(s.assigned) > 100 {
-			t.Fatalf("%d callers are remembered", len(s.assigned))
+			t.Fatalf("%d callers are remembered, the limit is 100", len(s.assigned))
 		}
 	})
 }
@@ -234,7 +234,7 @@
 		t.Fatal(err, v.Current().Version)
 	}
 	if v.ActivateDue(49, 1) || !v.ActivateDue(50, 2) {
-		t.Fatal("not switched at its instant")
+		t.Fatal("not activated at its activation time")
 	}
 	second := v.Pin()
 	if first.Version != 1 || second.Version != 2 || v.HeldCount() != 2 {
@@ -242,14 +242,14 @@
 	}
 	v.Unpin(first)
 	if v.HeldCount() != 1 {
-		t.Fatalf("%d versions held with no call on the old one", v.HeldCount())
+		t.Fatalf("%d versions held without a call on the old one", v.HeldCount())
 	}
 	for _, version := range []uint64{1, 2} {
 		if err := v.Load(table(version, nil), 0, 60, 3); !errors.Is(err, ErrNotNewer) {
 			t.Fatalf("version %d: %v", version, err)
 		}
 	}
-	v.Load(table(4, nil), 100, 60, 3) // two changes at once: the newer waits
+	v.Load(table(4, nil), 100, 60, 3) // of two scheduled versions the newer stays pending
 	if err := v.Load(table(3, nil), 90, 60, 3); !errors.Is(err, ErrNotNewer) {
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 		back               bool
 	}{{0, 100, 0, false}, {10, 100, 0, false}, {4, 5, 0, false}, {5, 6, 0, true}, {30, 60, 0, true}, {30, 60, 500, false}} {
 		v := NewVersions(table(1, nil), Trial{Window: 100000, MaxIncrease: 0.3, MinFailures: 5})
-		for range c.before { // half of the calls found no route all along
+		for range c.before { // half of the calls find no route before the change
 			v.RecordCall(v.Current(), false, 0)
 			v.RecordCall(v.Current(), true, 0)
 		}
@@ -278,24 +278,24 @@
 			}
 		}
 		if back != c.back {
-			t.Errorf("%+v: taken back %v", c, back)
+			t.Errorf("%+v: rolled back %v", c, back)
 		}
 		if back {
 			if err := v.Load(table(2, nil), 0, 0, 0); !errors.Is(err, ErrRolledBack) || v.Current().Version != 1 {
-				t.Errorf("taken again: %v", err)
+				t.Errorf("a version rolled back was accepted again: %v", err)
 			}
 		}
 	}
 	v := NewVersions(table(1, nil), Trial{Window: 100, MaxIncrease: 0.3, MinFailures: 5})
 	v.Load(table(2, nil), 0, 0, 0)
-	for range 50 { // past its window it stays
+	for range 50 { // no rollback after the trial window
 		if _, back := v.RecordCall(v.Current(), false, 200); back {
-			t.Fatal("taken back past its window")
+			t.Fatal("rolled back after the trial window")
 		}
 	}
 }
 
-// Random loads, pins and roll backs: no version is freed under a call, none is kept without a reason.
+// Applies random loads, pins and rollbacks. Guards against dropping a version that calls use and keeping one that none uses.
 func TestVersionsUnderRandomUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewVersions(table(1, nil), Trial{Window: 1000, MaxIncrease: 0.5, MinFailures: 3})
@@ -322,7 +322,7 @@
 				held[c.Version] = true
 			}
 			if v.HeldCount() != len(held) {
-				t.Fatalf("%d versions held, calls go by %v", v.HeldCount(), held)
+				t.Fatalf("%d versions held, in use are %v", v.HeldCount(), held)
 			}
 		}
 	})
--- a/internal/numbers/resolver.go
+++ b/internal/numbers/resolver.go
@@ -8,57 +8,57 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Porting is what portability says of a number.
+// Porting is the result of a portability look-up.
 type Porting struct {
 	Ported        bool
-	RoutingNumber string // what to route by, when ported
+	RoutingNumber string // number to route by, if ported
 }
 
-// PortabilityNet carries the wishes of an Inquirer out. Its methods must not call back.
+// PortabilityNet is the output of a PortabilityResolver. Its methods must not call the resolver.
 type PortabilityNet interface {
-	Query(id uint32, server int, number string)    // ask a server
-	LookupDone(call uint32, p Porting, known bool) // a call that waited: what is known, or nothing came in time
+	Query(id uint32, server int, number string)    // sends a query to a server
+	LookupDone(call uint32, p Porting, known bool) // reports the result to a call with a pending look-up; known is false if none came in time
 }
 
 // ResolverLimits of an Inquirer.
 type ResolverLimits struct {
-	MaxKnown     int           // numbers remembered as ported, or asked about and found not to be
-	MaxUnknown   int           // numbers remembered that no server knows
-	MaxAge       policy.Tenths // how long the first are believed, the second a tenth of it
-	MaxPending   int           // queries out at once
-	QueryTimeout policy.Tenths // after which a query is taken as unanswered
-	RetryRatio   float64       // repeats a query, on average
+	MaxKnown     int           // cached numbers that a server knows, ported or not
+	MaxUnknown   int           // cached numbers that no server knows
+	MaxAge       policy.Tenths // maximum time in the cache of known numbers; a tenth of it for unknown ones
+	MaxPending   int           // queries pending at once
+	QueryTimeout policy.Tenths // after which a query counts as unanswered
+	RetryRatio   float64       // retries per query, on average
 }
 
-// LookupStatus of an inquiry.
+// LookupStatus is the immediate result of a look-up.
 type LookupStatus uint8
 
 const (
-	LookupAnswered LookupStatus = iota // from memory
-	LookupPending                      // Told will come
-	LookupSkipped                      // not asked, or not waited for: go by the donor's route
+	LookupAnswered LookupStatus = iota // answered from the cache
+	LookupPending                      // LookupDone will be called
+	LookupSkipped                      // not queried, or not worth waiting for: use the route of the number as dialled
 )
 
 const (
 	serverCount = 2
 
-	answerTimeHalfLife   = policy.Tenths(20000) // half-life of what answer times tell
-	maxUnanswered        = 5                    // queries in a row without any answer: the server is dead
-	initialProbeInterval = policy.Tenths(5000)  // then it is asked this often, doubling, to learn of its recovery
+	answerTimeHalfLife   = policy.Tenths(20000) // half-life of answer time samples
+	maxUnanswered        = 5                    // a server is considered dead after this many unanswered queries in a row
+	initialProbeInterval = policy.Tenths(5000)  // of a dead server; doubles with each unanswered probe
 	maxProbeInterval     = policy.Tenths(80000)
-	slowerServerSampling = 16 // one query in so many goes to the server that looks worse
-	lookupTimeDivisor    = 4  // part of the time to the GoS target that a call may wait: the rest is for its route tries
-	maxRetryTokens       = 10 // repeats that may be made at once
-	skippedSampling      = 8  // of queries that a slow server could not answer in time, one in so many is still sent
+	slowerServerSampling = 16 // one query in 16 goes to the slower server to measure it
+	lookupTimeDivisor    = 4  // a look-up may take a quarter of the time to the GoS target; the rest is for route tries
+	maxRetryTokens       = 10 // retries that may be sent in a burst
+	skippedSampling      = 8  // one in 8 queries that a slow server cannot answer in time is sent all the same
 	unknownAgeDivisor    = 10
 )
 
-// server is what is known of one portability server.
+// server is the state of one portability server.
 type server struct {
-	answerTimeSum float64 // decaying mean of answer times, in tenths
+	answerTimeSum float64 // decaying sum of answer times
 	answerWeight  float64
 	updatedAt     policy.Tenths
-	unanswered    int // queries in a row without an answer
+	unanswered    int // unanswered queries in a row
 	nextProbe     policy.Tenths
 	probeInterval policy.Tenths
 	probing       bool
@@ -85,8 +85,8 @@
 	expires policy.Tenths
 }
 
-// PortabilityResolver decides about portability look-ups: what is remembered, what is asked, which of two servers, how long a call
-// waits, and what to do while servers are slow or dead.
+// PortabilityResolver manages portability look-ups: the cache, which number to query and at which of two servers, how long a
+// call waits, and how to proceed while servers are slow or dead.
 type PortabilityResolver struct {
 	limits      ResolverLimits
 	net         PortabilityNet
@@ -95,14 +95,14 @@
 	unknown     *simplelru.LRU[string, policy.Tenths]
 	byNumber    map[string]*query
 	byID        map[uint32]*query
-	sendOrder   []*query // as sent, so that map order decides nothing
+	sendOrder   []*query // in the order sent, so that iteration is deterministic
 	nextID      uint32
 	servers     [serverCount]server
-	retryTokens float64 // tokens
+	retryTokens float64 // token bucket that limits retries
 	skipped     int
 }
 
-// NewPortabilityResolver makes an inquirer that knows nothing yet.
+// NewPortabilityResolver returns a resolver with an empty cache. seed makes its random choices reproducible.
 func NewPortabilityResolver(l ResolverLimits, seed uint64, out PortabilityNet) (*PortabilityResolver, error) {
 	known, err := simplelru.NewLRU[string, cacheEntry](l.MaxKnown, nil)
 	if err != nil {
@@ -116,13 +116,13 @@
 		byNumber: map[string]*query{}, byID: map[uint32]*query{}, retryTokens: maxRetryTokens}, nil
 }
 
-// LookupDeadline is how long a call may wait for a look-up: a quarter of what is left to its GoS target, never past its
-// caller's time. The rest is for its route tries.
+// LookupDeadline returns the time until which a call may wait for a look-up: a quarter of the time left to its GoS target or to
+// the caller's abandon time, whichever is earlier. The rest is for its route tries.
 func LookupDeadline(now, gosAt, leavesAt policy.Tenths) policy.Tenths {
 	return now + max(0, min(gosAt, leavesAt)-now)/lookupTimeDivisor
 }
 
-// Lookup looks a number up for a call that may wait until an instant.
+// Lookup looks a number up for a call that may wait until a deadline.
 func (q *PortabilityResolver) Lookup(now policy.Tenths, call uint32, number string, until policy.Tenths) (Porting, LookupStatus) {
 	if r, ok := q.known.Get(number); ok && now < r.expires {
 		return r.porting, LookupAnswered
@@ -130,7 +130,7 @@
 	if t, ok := q.unknown.Get(number); ok && now < t {
 		return Porting{}, LookupAnswered
 	}
-	if o := q.byNumber[number]; o != nil { // one query serves all who ask for the number
+	if o := q.byNumber[number]; o != nil { // one query serves all calls that look up the number
 		if q.expectedDelay(now, o.server)-(now-o.sentAt) > until-now && !o.isRetry {
 			return Porting{}, LookupSkipped
 		}
@@ -144,8 +144,8 @@
 	}
 	inTime := q.expectedDelay(now, to) <= until-now
 	if !inTime && !probe {
-		// A slow server: no call waits for it, but some queries go out all the same. They tell when it is quick again, and
-		// what they bring is remembered for the number's next call. A dead one is probed alone.
+		// No call waits for a slow server, but a sample of the queries is sent. They measure when it has recovered, and
+		// their answers are cached for the next call to the number. A dead server gets probes only.
 		if q.skipped++; q.skipped%skippedSampling != 0 {
 			return Porting{}, LookupSkipped
 		}
@@ -168,8 +168,8 @@
 	return o
 }
 
-// expectedDelay is the answer time to reckon with from a server: the mean of late answers, or the age of the oldest query that
-// it has not answered.
+// expectedDelay estimates the answer time of a server: the greater of the mean of recent answers and the age of its oldest
+// pending query.
 func (q *PortabilityResolver) expectedDelay(now policy.Tenths, to int) policy.Tenths {
 	s := &q.servers[to]
 	worst := policy.Tenths(0)
@@ -185,8 +185,8 @@
 	return worst
 }
 
-// chooseServer picks the server to ask: the quicker of those that live, at times the other; a dead one only when it is its time
-// to be probed.
+// chooseServer returns the server to query: a dead one whose probe is due, else the faster of those alive, or occasionally the
+// slower to measure it.
 func (q *PortabilityResolver) chooseServer(now policy.Tenths) (to int, probe, ok bool) {
 	var alive []int
 	for i := range q.servers {
@@ -214,8 +214,8 @@
 	return better, false, true
 }
 
-// HandleAnswer takes a server's answer to a query; known tells that it knows the number, age how long that may be believed
-// (0: as long as the limits say). An answer that nobody waits for any more is remembered all the same.
+// HandleAnswer handles the answer to a query. known is true if the server knows the number. age is how long the answer may be
+// cached, or 0 for the limit of the resolver. An answer for which no call waits any longer is cached as well.
 func (q *PortabilityResolver) HandleAnswer(now policy.Tenths, id uint32, p Porting, known bool, age policy.Tenths) {
 	o := q.byID[id]
 	if o == nil {
@@ -243,18 +243,18 @@
 		f := decayFactor(now-s.updatedAt, answerTimeHalfLife)
 		s.answerTimeSum, s.answerWeight, s.updatedAt = s.answerTimeSum*f, s.answerWeight*f, now
 	}
-	const newer = 0.8 // what earlier answers still weigh after each later one
+	const newer = 0.8 // factor on the weight of earlier answers for each new one
 	s.answerTimeSum, s.answerWeight = s.answerTimeSum*newer+float64(took), s.answerWeight*newer+1
 }
 
-// HandleFailure takes a server's word that it cannot answer now, or a way there that broke: like no answer, but at once.
+// HandleFailure handles an error reply or a failed connection. It counts as an unanswered query without waiting for the timeout.
 func (q *PortabilityResolver) HandleFailure(now policy.Tenths, id uint32) {
 	if o := q.byID[id]; o != nil {
 		q.handleUnanswered(now, o)
 	}
 }
 
-// handleUnanswered counts a query against its server and, where the budget and a caller's time allow, asks the other.
+// handleUnanswered records a failure of the server and retries at the other one if the retry budget and the calls' deadlines allow.
 func (q *PortabilityResolver) handleUnanswered(now policy.Tenths, o *query) {
 	s := &q.servers[o.server]
 	s.unanswered++
@@ -296,7 +296,7 @@
 	}
 }
 
-// CancelLookup takes back what a call waits for: its caller has left.
+// CancelLookup removes a call from the look-up that it waits for, since its caller has abandoned.
 func (q *PortabilityResolver) CancelLookup(call uint32) {
 	for _, o := range q.sendOrder {
 		if q.byID[o.id] != o {
@@ -311,7 +311,7 @@
 	}
 }
 
-// Tick ends waits and queries whose time has come.
+// Tick ends the waits and queries whose deadline has passed.
 func (q *PortabilityResolver) Tick(now policy.Tenths) {
 	for _, o := range append([]*query(nil), q.sendOrder...) {
 		if q.byID[o.id] != o {
@@ -332,7 +332,7 @@
 	}
 }
 
-// NextTick is when Tick must be called next; false when nothing waits.
+// NextTick returns when Tick must be called next, or false if no query is pending.
 func (q *PortabilityResolver) NextTick() (at policy.Tenths, ok bool) {
 	for _, o := range q.sendOrder {
 		if q.byID[o.id] != o {
@@ -348,8 +348,10 @@
 	return at, ok
 }
 
-// CachedCounts counts the numbers held in memory, Out the queries out.
+// CachedCounts returns how many known and unknown numbers are cached.
 func (q *PortabilityResolver) CachedCounts() (known, unknown int) {
 	return q.known.Len(), q.unknown.Len()
 }
+
+// PendingCount returns how many queries are pending.
 func (q *PortabilityResolver) PendingCount() int { return len(q.byNumber) }
--- a/internal/numbers/resolver_test.go
+++ b/internal/numbers/resolver_test.go
@@ -9,11 +9,11 @@
 	"indigodrift/policy"
 )
 
-// office is two portability servers on paper and the calls that ask.
+// testNet simulates two portability servers and the calls that look numbers up.
 type office struct {
 	q       *PortabilityResolver
 	now     policy.Tenths
-	delay   [2]policy.Tenths // negative: silent
+	delay   [2]policy.Tenths // negative: the server does not answer
 	on      []flown
 	told    map[uint32]bool
 	known   map[uint32]bool
@@ -48,10 +48,10 @@
 
 func (o *office) LookupDone(call uint32, p Porting, known bool) {
 	if o.told[call] {
-		o.broken = append(o.broken, fmt.Sprintf("call %d is told twice", call))
+		o.broken = append(o.broken, fmt.Sprintf("call %d got two results", call))
 	}
 	if o.now > o.until[call]+100 {
-		o.broken = append(o.broken, fmt.Sprintf("call %d waits %d past its time", call, o.now-o.until[call]))
+		o.broken = append(o.broken, fmt.Sprintf("call %d waited %d past its deadline", call, o.now-o.until[call]))
 	}
 	o.told[call], o.known[call] = true, known
 }
@@ -94,7 +94,7 @@
 	}
 	o.pass(1000)
 	if len(o.queries) != 1 || len(o.told) != 50 || o.ask(60, "37129000001", 3000) != LookupAnswered || len(o.broken) > 0 {
-		t.Fatalf("%d queries, %d told, broken %v", len(o.queries), len(o.told), o.broken)
+		t.Fatalf("%d queries, %d results, violations %v", len(o.queries), len(o.told), o.broken)
 	}
 }
 
@@ -102,7 +102,7 @@
 	for _, c := range []struct {
 		name        string
 		delay       policy.Tenths
-		least, most int // queries in 20 s of trouble with 50 calls a second
+		least, most int // bounds of queries in 20 s of fault with 50 calls/s
 	}{{"slow", 8000, 50, 700}, {"dead", -1, 5, 60}} {
 		o := newOffice(limits())
 		o.delay = [2]policy.Tenths{100, 100}
@@ -127,21 +127,21 @@
 		offer(1000)
 		during := len(o.queries) - before
 		o.delay = [2]policy.Tenths{100, 100}
-		offer(800) // learns of the recovery
+		offer(800) // time to detect the recovery
 		if known := offer(100); known < 90 || during < c.least || during > c.most || len(o.broken) > 0 {
-			t.Errorf("%s: %d queries during, %d of 100 known after, broken %v, waited %d", c.name, during, known, o.broken, waited)
+			t.Errorf("%s: %d queries during the fault, %d of 100 known after it, violations %v, waited %d", c.name, during, known, o.broken, waited)
 		}
 	}
 }
 
-// A server that answers at once that it cannot, or nonsense, is as good as dead: the calls go on without it at once, and the
-// other is asked.
+// A server that immediately returns errors or malformed answers is treated as dead: the calls do not wait for it, and the
+// other server is queried.
 func TestServerThatFailsAtOnceIsLeft(t *testing.T) {
 	o := newOffice(limits())
 	o.delay = [2]policy.Tenths{-1, 100}
 	for call := uint32(1); call <= 200; call++ {
 		o.ask(call, fmt.Sprint("3712", call), 3000)
-		for _, q := range append([]*query(nil), o.q.sendOrder...) { // whatever went to the first fails now
+		for _, q := range append([]*query(nil), o.q.sendOrder...) { // all queries to the first server fail
 			if o.q.byID[q.id] == q && q.server == 0 {
 				o.q.HandleFailure(o.now, q.id)
 			}
@@ -155,7 +155,7 @@
 		}
 	}
 	if known < 95 || len(o.broken) > 0 {
-		t.Fatalf("%d of the last 100 calls were told; broken %v", known, o.broken)
+		t.Fatalf("%d of the last 100 calls got an answer; violations %v", known, o.broken)
 	}
 }
 
@@ -173,12 +173,12 @@
 		}
 	}
 	if known < 90 {
-		t.Fatalf("%d of the last 100 calls were told with one of two servers dead", known)
+		t.Fatalf("%d of the last 100 calls got an answer with one of two servers dead", known)
 	}
 }
 
-// A storm of numbers that nobody knows: memory, queries out and repeats stay within their bounds, and the numbers asked for
-// all the time stay in memory.
+// During a storm of unknown numbers the caches and the pending queries stay within their limits, and known numbers are
+// not evicted.
 func TestStormOfUnknownNumbersIsBounded(t *testing.T) {
 	o := newOffice(limits())
 	o.delay = [2]policy.Tenths{100, 100}
@@ -194,7 +194,7 @@
 			o.pass(50)
 		}
 		if o.q.PendingCount() > limits().MaxPending {
-			t.Fatalf("%d queries out", o.q.PendingCount())
+			t.Fatalf("%d queries pending", o.q.PendingCount())
 		}
 	}
 	good := 0
@@ -205,7 +205,7 @@
 	}
 	known, unknown := o.q.CachedCounts()
 	if good < 80 || known > 100 || unknown > 50 || len(o.broken) > 0 {
-		t.Fatalf("%d of 80 known numbers left, %d and %d remembered, broken %v", good, known, unknown, o.broken[:min(3, len(o.broken))])
+		t.Fatalf("%d of 80 known numbers left, %d known and %d unknown cached, violations %v", good, known, unknown, o.broken[:min(3, len(o.broken))])
 	}
 }
 
@@ -217,9 +217,9 @@
 	}
 }
 
-// BenchmarkGoS is the share of calls whose look-up and route together take no longer than the GoS target, 50 calls a second
-// for a minute to 2,000 numbers of which few are dialled most, by what the server does and what is used against it: all of
-// it, no memory of answers, or a plain look-up that waits for its answer until it times out.
+// BenchmarkGoS measures the share of calls whose look-up and route together meet the GoS target, at 50 calls/s for a minute to
+// 2,000 numbers with a Zipf distribution. It varies the behaviour of the server and compares the resolver, the resolver
+// without a cache, and a plain look-up that waits for its answer until the timeout.
 func BenchmarkGoS(b *testing.B) {
 	const gos, calls = policy.Tenths(12000), 3000
 	for _, server := range []struct {
--- a/internal/numbers/schedule.go
+++ b/internal/numbers/schedule.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Zone turns instants into local days and minutes. It holds a zone's changes of clock, read from the library's calendar
-// when a table is built, so that an analysis costs a search in a few dozen numbers and the same table gives the same
-// answer wherever it is read.
+// Zone converts Unix times into local days and minutes. It holds the transitions of a time zone, read from the time zone database
+// when a table is built, so that a conversion is a search in a few dozen entries and a table gives the same result wherever it is
+// read.
 type Zone struct {
 	Name        string
-	transitions []transition // in order; the first holds for all time before
+	transitions []transition // in order; the first also applies to all earlier times
 }
 
 type transition struct {
-	at     int64 // seconds since 1970
-	offset int32 // seconds east
+	at     int64 // Unix seconds
+	offset int32 // seconds east of UTC
 }
 
-// Tables are for the present: changes of clock are read for these years.
+// Transitions are read for these years only, which cover the lifetime of a table.
 const (
 	firstYear = 2020
 	lastYear  = 2045
 )
 
-// NewZone reads a zone by its name in the library's calendar, such as Europe/Riga.
+// NewZone reads a zone by its name in the time zone database, such as Europe/Riga.
 func NewZone(name string) (*Zone, error) {
 	loc, err := time.LoadLocation(name)
 	if err != nil {
@@ -43,7 +43,7 @@
 		if next.IsZero() {
 			break
 		}
-		if !next.After(t) { // the calendar can name the instant itself as the end: without this the search never ended
+		if !next.After(t) { // ZoneBounds may return t itself as the end; without this step the loop would not end
 			next = t.Add(time.Hour)
 		}
 		t = next
@@ -51,19 +51,19 @@
 	return z, nil
 }
 
-// offset is how far a zone's clocks are ahead at an instant, in seconds.
+// offset returns the offset from UTC at a time, in seconds.
 func (z *Zone) offset(at int64) int32 {
 	i := sort.Search(len(z.transitions), func(i int) bool { return z.transitions[i].at > at })
 	return z.transitions[max(0, i-1)].offset
 }
 
-// LocalTime is a local time of day: the day counted from 1970-01-01, and the minute of it.
+// LocalTime is a local time: the day counted from 1970-01-01, and the minute of that day.
 type LocalTime struct {
 	Day    int
 	Minute int
 }
 
-// Local tells what a zone's clocks show at an instant.
+// Local returns the local time at a time in Unix seconds.
 func (z *Zone) Local(at int64) LocalTime {
 	s := at + int64(z.offset(at))
 	day := s / 86400
@@ -73,28 +73,28 @@
 	return LocalTime{int(day), int((s - day*86400) / 60)}
 }
 
-// Weekday is 0 for Sunday, as the library counts.
+// Weekday returns the day of the week, 0 for Sunday as in time.Weekday.
 func (l LocalTime) Weekday() int { return ((l.Day+4)%7 + 7) % 7 }
 
-// DayNumber counts the days from 1970-01-01 to a date.
+// DayNumber returns the number of days from 1970-01-01 to a date.
 func DayNumber(year int, month time.Month, day int) int {
 	return int(time.Date(year, month, day, 0, 0, 0, 0, time.UTC).Unix() / 86400)
 }
 
-// Schedule says at which local times something holds. An hour that comes twice counts both times; a time that never comes
-// never does. A span that runs past midnight belongs to the day it began on.
+// Schedule is a set of local times. When clocks go back, a repeated hour is included both times; an hour that clocks skip never
+// occurs. A range that runs past midnight belongs to the day on which it begins.
 type Schedule struct {
-	Weekdays             uint8      // bit d set: weekday d, 0 Sunday; 0 any
-	Dates                []DayRange // of days, both ends in; none any
-	FromMinute, ToMinute int        // minutes of the day, To past 1440 into the next; both 0 all day
-	OnlyHolidays         bool       // holds on holidays only
-	ExceptHolidays       bool       // never on holidays
+	Weekdays             uint8      // bit d for weekday d, Sunday is 0; 0 for any day
+	Dates                []DayRange // empty for any date
+	FromMinute, ToMinute int        // minutes of the day, ToMinute over 1440 runs into the next day; both 0 for all day
+	OnlyHolidays         bool       // on holidays only
+	ExceptHolidays       bool       // except on holidays
 }
 
-// DayRange is a range of days, both ends in.
+// DayRange is an inclusive range of day numbers.
 type DayRange struct{ From, To int }
 
-// Contains tells whether an instant is within, in a zone, given the days that are holidays in rising order.
+// Contains reports whether a time in Unix seconds is within the schedule. holidays are day numbers in ascending order.
 func (w *Schedule) Contains(z *Zone, holidays []int, at int64) bool {
 	now := z.Local(at)
 	if w.FromMinute == 0 && w.ToMinute == 0 {
--- a/internal/numbers/table.go
+++ b/internal/numbers/table.go
@@ -1,7 +1,8 @@
-// Package numbers finds where a called number leads: longest prefix, screening, routes by time and share, portability,
-// and which version of the table a call goes by. It is pure: no file, socket or clock; the instant and what arrived are
-// handed in. internal/numberfile reads and keeps tables, internal/enum asks about portability, internal/exchange calls
-// Analyse for each call that begins at it.
+// Package numbers implements number analysis: longest-prefix matching, screening, routes by time of day and by weight, number
+// portability, and versions of the routing table. It uses no file, socket or clock; callers pass in times and replies.
+//
+// internal/numberfile parses and stores tables, internal/enum queries portability servers, and internal/exchange calls
+// Analyse for each call that originates at it.
 package numbers
 
 import (
@@ -9,75 +10,75 @@
 	"strings"
 )
 
-// Kind of a number as dialled.
+// Kind is the kind of a number as dialled.
 type Kind uint8
 
 const (
 	National      Kind = iota
-	International      // after the international prefix
-	Short              // a short code, taken as it stands
+	International      // dialled with the international prefix
+	Short              // a short code, analysed as dialled
 )
 
 func (k Kind) String() string { return [...]string{"national", "international", "short"}[k] }
 
-// DialPlan says how numbers are dialled here.
+// DialPlan describes how numbers are dialled at an exchange.
 type DialPlan struct {
-	InternationalPrefix string // what is dialled before an international number, such as 00
-	NationalPrefix      string // what is dialled before a national one, such as 0 or nothing
-	CountryCode         string // own country code
-	MaxShortDigits      int    // a number of so few digits is a short code
+	InternationalPrefix string // dialled before an international number, such as 00
+	NationalPrefix      string // dialled before a national number, such as 0; may be empty
+	CountryCode         string // country code of the exchange
+	MaxShortDigits      int    // a number of at most this many digits is a short code
 }
 
-// Outcome is what becomes of a number.
+// Outcome is the result of analysing a number.
 type Outcome uint8
 
 const (
-	NoRoute      Outcome = iota // nothing fits: vacant
-	ToExchange                  // an exchange serves it
-	Announcement                // an announcement: the cause is told
-	Barred                      // screened out
-	TooShort                    // digits are missing
-	TooLong                     // there are more than its range has
+	NoRoute      Outcome = iota // no prefix or no choice matches
+	ToExchange                  // route to an exchange
+	Announcement                // play an announcement and report its cause
+	Barred                      // barred by a screen
+	TooShort                    // fewer digits than the route needs
+	TooLong                     // more digits than the route allows
 )
 
 func (o Outcome) String() string {
 	return [...]string{"no route", "to an exchange", "announcement", "barred", "too short", "too long"}[o]
 }
 
-// Share is one destination of a route and its part of the calls.
+// Share is one destination of a choice and its weight in the distribution of calls.
 type Share struct {
 	Weight   int
-	Exchange int   // -1: an announcement
-	Cause    uint8 // Q.850, when an announcement
+	Exchange int   // -1 for an announcement
+	Cause    uint8 // Q.850 cause of an announcement
 }
 
-// Choice is a route that holds at some times; of several that hold, the first counts.
+// Choice is an alternative of a route that is valid at some times. The first valid choice of a route is used.
 type Choice struct {
-	Schedule *Schedule // nil always
+	Schedule *Schedule // nil: always valid
 	Shares   []Share
 }
 
-// Route is what a prefix leads to.
+// Route describes how numbers that match one of its prefixes are handled.
 type Route struct {
 	Name         string
-	MinDigits    int // digits of the whole number, normalised
+	MinDigits    int // of the whole normalised number
 	MaxDigits    int
-	DeleteDigits int    // digits taken off the front
-	InsertDigits string // digits put there
+	DeleteDigits int    // number of leading digits to remove
+	InsertDigits string // digits to put in their place
 	Priority     bool
-	Emergency    bool // never barred, never ported
-	MayBePorted  bool // portability is asked for
+	Emergency    bool // never barred, no portability look-up
+	MayBePorted  bool // a portability look-up is needed
 	Choices      []Choice
 }
 
-// Screen bars numbers for callers.
+// Screen bars numbers with one prefix for callers with another.
 type Screen struct {
 	Name         string
-	CallerPrefix string // prefix of the callers it is for, "" all
-	NumberPrefix string // prefix of the numbers barred
+	CallerPrefix string // "" for all callers
+	NumberPrefix string // numbers that are barred
 }
 
-// Table is one version of all rules. It never changes once built; Check must have passed before it is used.
+// Table is one version of the routing rules. Build must succeed before it is used; it is immutable after that.
 type Table struct {
 	Version         uint64
 	Name            string
@@ -87,11 +88,12 @@
 	Routes          []Route
 	Screens         []Screen
 	routesByPrefix  *Trie
-	screensByCaller *Trie // screens by caller: entries are lists below
+	screensByCaller *Trie // values are indices into barredPrefixes
 	barredPrefixes  [][]string
 }
 
-// Build checks a table and makes its search; exchanges are numbered below a bound. The error names the entry at fault.
+// Build validates a table and builds its tries. exchanges is the number of exchanges in the network. An error names the route or
+// prefix at fault.
 func (t *Table) Build(prefixes []Prefix, exchanges int) error {
 	for i := range t.Routes {
 		if err := t.Routes[i].check(exchanges); err != nil {
@@ -100,7 +102,7 @@
 	}
 	for _, p := range prefixes {
 		if int(p.Value) >= len(t.Routes) {
-			return fmt.Errorf("prefix %s leads to route %d, of %d", p.Digits, p.Value, len(t.Routes))
+			return fmt.Errorf("prefix %s refers to route %d of %d", p.Digits, p.Value, len(t.Routes))
 		}
 	}
 	var err error
@@ -112,32 +114,32 @@
 
 func (e *Route) check(exchanges int) error {
 	if e.MinDigits < 1 || e.MaxDigits > MaxDigits || e.MinDigits > e.MaxDigits {
-		return fmt.Errorf("numbers of %d to %d digits, 1 to %d can be", e.MinDigits, e.MaxDigits, MaxDigits)
+		return fmt.Errorf("length range of %d to %d digits is not within 1 to %d", e.MinDigits, e.MaxDigits, MaxDigits)
 	}
 	if e.DeleteDigits < 0 || e.DeleteDigits > e.MinDigits || e.MaxDigits-e.DeleteDigits+len(e.InsertDigits) > MaxDigits || e.MinDigits-e.DeleteDigits+len(e.InsertDigits) < 1 {
-		return fmt.Errorf("taking %d digits off and putting %q there leaves no number or too long a one", e.DeleteDigits, e.InsertDigits)
+		return fmt.Errorf("deleting %d digits and inserting %q gives an empty or too long number", e.DeleteDigits, e.InsertDigits)
 	}
 	for _, c := range []byte(e.InsertDigits) {
 		if _, ok := digitValue(c); !ok {
-			return fmt.Errorf("%q is no digit to insert", c)
+			return fmt.Errorf("%q in the inserted digits is not a digit", c)
 		}
 	}
 	for _, c := range e.Choices {
 		sum := 0
 		for _, s := range c.Shares {
 			if s.Weight < 0 || s.Exchange >= exchanges {
-				return fmt.Errorf("weight %d to exchange %d, exchanges are numbered below %d", s.Weight, s.Exchange, exchanges)
+				return fmt.Errorf("share with weight %d to exchange %d: exchanges are numbered below %d and weights are not negative", s.Weight, s.Exchange, exchanges)
 			}
 			sum += s.Weight
 		}
 		if sum == 0 {
-			return fmt.Errorf("a choice without any weight")
+			return fmt.Errorf("the weights of a choice add up to zero")
 		}
 	}
 	return nil
 }
 
-// buildScreens joins what holds for a caller's prefix with what holds for each shorter one.
+// buildScreens collects, for each caller prefix, the prefixes barred for it and for every shorter caller prefix.
 func (t *Table) buildScreens() error {
 	by := map[string][]string{}
 	for _, s := range t.Screens {
@@ -158,7 +160,7 @@
 	return err
 }
 
-// Normalise turns what was dialled into a number with its country code, or a short code.
+// Normalise converts dialled digits into a number with country code, or a short code.
 func (d *DialPlan) Normalise(dialled string) (number string, kind Kind) {
 	switch {
 	case len(dialled) <= d.MaxShortDigits:
@@ -171,35 +173,35 @@
 	return d.CountryCode + dialled, National
 }
 
-// Result is where a number leads.
+// Result is the result of an analysis.
 type Result struct {
 	Outcome        Outcome
 	Version        uint64
 	Kind           Kind
 	Number         string // normalised
-	OutgoingDigits string // digits that go on to the next exchange
-	RouteIndex     int    // -1 none
-	MatchedDigits  int    // digits of the prefix
-	ChoiceIndex    int    // -1 none holds now
+	OutgoingDigits string // digits sent to the next exchange
+	RouteIndex     int    // -1 for none
+	MatchedDigits  int    // length of the matched prefix
+	ChoiceIndex    int    // -1 if none is valid now
 	Shares         []Share
-	ShareIndex     int // index in Shares
+	ShareIndex     int // index into Shares
 	Exchange       int
 	Cause          uint8
 	Priority       bool
-	NeedsLookup    bool // portability should be asked first
+	NeedsLookup    bool // a portability look-up should precede the route
 }
 
-// ShareSelector chooses one of several shares for a caller; the caller's redial must get the same.
+// ShareSelector returns the index of the share for a caller. It must return the same share when the caller redials.
 type ShareSelector func(entry, choice int, shares []Share, caller string) int
 
-// Causes of Q.850 that an analysis itself gives.
+// Q.850 causes that the analysis itself returns.
 const (
 	causeUnallocatedNumber = 1
-	causeCallRejected      = 21 // call rejected
-	causeInvalidFormat     = 28 // invalid number format
+	causeCallRejected      = 21
+	causeInvalidFormat     = 28
 )
 
-// Analyse finds where a dialled number leads at an instant (seconds since 1970). trace, if given, is told each step.
+// Analyse finds the route of a dialled number at a time in Unix seconds. trace, if not nil, is called with each step.
 func (t *Table) Analyse(caller, dialled string, at int64, pick ShareSelector, trace func(string)) Result {
 	say := func(format string, args ...any) {
 		if trace != nil {
@@ -211,7 +213,7 @@
 	return t.route(Result{Version: t.Version, Kind: kind, Number: number, RouteIndex: -1, ChoiceIndex: -1, Exchange: -1}, caller, at, pick, true, say)
 }
 
-// AnalysePorted finds where a number leads that portability has changed; it is not asked for once more.
+// AnalysePorted finds the route of a routing number returned by a portability look-up. It never asks for another look-up.
 func (t *Table) AnalysePorted(caller, number string, at int64, pick ShareSelector) Result {
 	return t.route(Result{Version: t.Version, Number: number, RouteIndex: -1, ChoiceIndex: -1, Exchange: -1}, caller, at, pick, false, func(string, ...any) {})
 }
@@ -275,7 +277,7 @@
 	return r
 }
 
-// barred tells which screen bars a number for a caller.
+// barred returns the barred prefix that matches a number for a caller.
 func (t *Table) barred(caller, number string) (string, bool) {
 	list, _, ok := t.screensByCaller.Find(caller)
 	if !ok {
@@ -289,9 +291,9 @@
 	return "", false
 }
 
-// PrefixCount is how many prefixes the table has; Octets the memory of its search.
+// PrefixCount returns the number of prefixes of the table and MemoryBytes the memory of the trie that they take.
 func (t *Table) PrefixCount() int { return t.routesByPrefix.Len() }
 func (t *Table) MemoryBytes() int { return t.routesByPrefix.MemoryBytes() }
 
-// Walk calls for each prefix in rising order.
+// Walk calls each for every prefix in ascending order until it returns false.
 func (t *Table) Walk(each func(digits string, entry uint32) bool) { t.routesByPrefix.Walk(each) }
--- a/internal/numbers/trie.go
+++ b/internal/numbers/trie.go
@@ -7,34 +7,36 @@
 	"slices"
 )
 
-// MaxDigits is the longest number analysed.
+// MaxDigits is the greatest number of digits of a number that is analysed.
 const MaxDigits = 24
 
-// digitSymbols are the digits a number can have: 0 to 9, and codes 11 and 12 of the networks' own short codes.
+// digitSymbols are the digits of a number: 0 to 9, and codes 11 and 12, which only short codes internal to the networks use.
 const digitSymbols = "0123456789BC"
 
-// Prefix leads from the first digits of a number to an entry of a table.
+// Prefix maps the leading digits of a number to a value, such as the index of a route.
 type Prefix struct {
 	Digits string
 	Value  uint32
 }
 
-// Trie finds the longest prefix of a number. Its nodes stand in one array, the children of a node side by side, found by
-// counting the bits below the digit's, with no pointer for the collector to follow. Digits that lead to one node alone are
-// kept in it and compared there: in a sparse plan most prefixes part after a few digits, and without that each digit to the
-// end was a step into memory not read before. It never changes once built.
+// Trie finds the longest prefix of a number. It is immutable.
+//
+// The nodes are in one array without pointers, so the garbage collector need not scan it. The children of a node are
+// adjacent; a child's index is found by counting the bits of lower digits. The trie is path-compressed: a run of digits
+// without a branch is stored in one node. In a sparse plan most prefixes diverge after a few digits, so this saves one cache
+// miss for each further digit.
 type Trie struct {
 	nodes       []node
 	prefixCount int
 }
 
-// node stands behind some digits that are passed together, and has a bit for each digit that leads on.
+// node is reached by one digit, matches the skipped digits and has one child for each bit of children.
 type node struct {
-	firstChild   uint32 // index of the child of the lowest digit
-	valuePlusOne uint32 // 1 more than the entry of the prefix that ends here, 0 none
-	skipped      uint32 // digits before this node, four bits each, the first lowest
+	firstChild   uint32 // index of the child for the lowest digit
+	valuePlusOne uint32 // value of the prefix that ends here plus 1, or 0 for none
+	skipped      uint32 // digits to match first, four bits each, the first in the lowest bits
 	children     uint16
-	skippedCount uint8 // of the digits passed
+	skippedCount uint8 // number of digits in skipped
 }
 
 const maxSkippedDigits = 8
@@ -49,7 +51,7 @@
 	return 0, false
 }
 
-// key orders prefixes as their digits do: five bits a digit, and 0 where there is none, so that a shorter one comes first.
+// key sorts prefixes by their digits. Each digit takes five bits. A missing digit is 0, so a shorter prefix sorts first.
 type key struct {
 	high, low uint64
 	index     uint32
@@ -59,13 +61,13 @@
 
 func newKey(digits string, at int) (key, error) {
 	if len(digits) > MaxDigits {
-		return key{}, fmt.Errorf("prefix %s has %d digits, %d at most", digits, len(digits), MaxDigits)
+		return key{}, fmt.Errorf("prefix %s has %d digits, the maximum is %d", digits, len(digits), MaxDigits)
 	}
 	k := key{index: uint32(at)}
 	for i := range len(digits) {
 		d, ok := digitValue(digits[i])
 		if !ok {
-			return k, fmt.Errorf("prefix %q: %q is no digit", digits, digits[i])
+			return k, fmt.Errorf("prefix %q: %q is not a digit", digits, digits[i])
 		}
 		if half := &k.high; i < digitsPerWord {
 			*half |= uint64(d+1) << (5 * (digitsPerWord - 1 - i))
@@ -76,7 +78,8 @@
 	return k, nil
 }
 
-// sortPrefixes puts prefixes in order, by numbers in place of strings: ten million are built in 11 s in place of 17.
+// sortPrefixes returns the prefixes in order of their digits. It compares integer keys instead of strings, which cuts the
+// build of a trie of ten million prefixes from 17 s to 11 s.
 func sortPrefixes(all []Prefix) ([]Prefix, error) {
 	keys := make([]key, len(all))
 	for i, p := range all {
@@ -95,14 +98,14 @@
 	for i, k := range keys {
 		out[i] = all[k.index]
 		if i > 0 && out[i-1].Digits == out[i].Digits && out[i-1].Value != out[i].Value {
-			return nil, fmt.Errorf("prefix %s stands twice, and leads to two places", out[i].Digits)
+			return nil, fmt.Errorf("prefix %s is defined twice with different routes", out[i].Digits)
 		}
 	}
 	return out, nil
 }
 
-// NewTrie builds a trie. One prefix that stands twice with different entries, or has a digit that there is not, is an error
-// that names it.
+// NewTrie builds a trie. It returns an error that names the prefix if a prefix occurs twice with different values, is too long
+// or has an invalid digit.
 func NewTrie(unsorted []Prefix) (*Trie, error) {
 	all, err := sortPrefixes(unsorted)
 	if err != nil {
@@ -114,11 +117,11 @@
 		depth    int
 		from, to int
 	}
-	for level := []span{{0, 0, 0, len(all)}}; len(level) > 0; { // a node's children are made together, and so stand side by side
+	for level := []span{{0, 0, 0, len(all)}}; len(level) > 0; { // breadth first: the children of a node become adjacent
 		var below []span
 		for _, s := range level {
 			n, from, depth := &t.nodes[s.node], s.from, s.depth
-			for from < s.to && n.skippedCount < maxSkippedDigits && len(all[from].Digits) > depth && // sorted: what first and last share, all do
+			for from < s.to && n.skippedCount < maxSkippedDigits && len(all[from].Digits) > depth && // sorted: digits common to the first and the last are common to all
 				len(all[s.to-1].Digits) > depth && all[from].Digits[depth] == all[s.to-1].Digits[depth] {
 				d, _ := digitValue(all[from].Digits[depth])
 				n.skipped |= uint32(d) << (4 * n.skippedCount)
@@ -143,7 +146,7 @@
 				t.nodes = append(t.nodes, node{})
 				from = to
 			}
-			t.nodes[s.node].children = next // n may point to where the nodes were
+			t.nodes[s.node].children = next // append may have moved the array that n points into
 		}
 		level = below
 	}
@@ -151,7 +154,7 @@
 	return t, nil
 }
 
-// Find returns the entry of the longest prefix of a number and how many digits it has; false when none fits.
+// Find returns the value and the length of the longest prefix of a number. It returns false if no prefix matches.
 func (t *Trie) Find(digits string) (entry uint32, length int, ok bool) {
 	n := &t.nodes[0]
 	for i := 0; ; i++ {
@@ -179,11 +182,11 @@
 	}
 }
 
-// Len is the number of prefixes, Octets the memory that they take.
+// Len returns the number of prefixes and MemoryBytes the memory that the nodes take.
 func (t *Trie) Len() int         { return t.prefixCount }
 func (t *Trie) MemoryBytes() int { return len(t.nodes) * 16 }
 
-// Walk calls for each prefix in rising order until told to stop.
+// Walk calls each for every prefix in ascending order until it returns false.
 func (t *Trie) Walk(each func(digits string, entry uint32) bool) {
 	var path [MaxDigits + 1]byte
 	var down func(n node, depth int) bool
--- a/internal/numbers/versions.go
+++ b/internal/numbers/versions.go
@@ -7,61 +7,61 @@
 	"indigodrift/policy"
 )
 
-// Trial says when a new version is taken back: once at least Least of the calls analysed within Window after the switch
-// found no route, and they are more than Bound of all, over what share found none before.
+// Trial sets when a new version is rolled back automatically: when at least MinFailures of the calls analysed within Window after
+// its activation found no route, and their ratio exceeds the ratio before the activation by more than MaxIncrease.
 type Trial struct {
 	Window      policy.Tenths
 	MaxIncrease float64
 	MinFailures int
 }
 
-// pinnedTable is one version and the calls that go by it.
+// pinnedTable is a version and the number of calls that use it.
 type pinnedTable struct {
 	table *Table
 	pins  int
 }
 
-// Versions holds the versions of one controller's table: the one in force, one that waits for its instant, and older ones
-// that calls still go by. The one in force is switched by one pointer; a call keeps what it pinned until it lets it go.
+// Versions manages the versions of a controller's table: the current one, a pending one with its activation time, and older ones
+// that calls still use. Activating a version swaps one pointer; a call keeps the version that it pinned until it unpins it.
 type Versions struct {
 	current              *pinnedTable
-	previous             *Table // what a roll back returns to
+	previous             *Table // version that a rollback returns to
 	superseded           map[uint64]*pinnedTable
 	pending              *Table
-	activationTime       int64 // seconds since 1970, the instant at which it takes effect
+	activationTime       int64 // of pending, in Unix seconds
 	rejected             map[uint64]string
 	trial                Trial
-	activatedAt          policy.Tenths // when the one in force was switched to
-	trialCalls           int           // analysed by it within the trial
+	activatedAt          policy.Tenths // when the current version was activated
+	trialCalls           int           // calls analysed during the trial of the current version
 	trialFailures        int
-	baselineFailureRatio float64 // that found no route before the switch, a decaying mean
+	baselineFailureRatio float64 // decaying mean of the share of calls without a route outside trials
 }
 
-// Errors of a change of version.
+// Errors of a version change.
 var (
-	ErrNotNewer   = errors.New("the version is not newer than the one in force or waiting")
+	ErrNotNewer   = errors.New("the version is not newer than the one in force or pending")
 	ErrRolledBack = errors.New("the version was taken back before")
 	ErrNoPrevious = errors.New("there is no version to return to")
 )
 
-// NewVersions starts with a version in force.
+// NewVersions returns Versions with t in force.
 func NewVersions(t *Table, trial Trial) *Versions {
 	return &Versions{current: &pinnedTable{table: t}, superseded: map[uint64]*pinnedTable{}, rejected: map[uint64]string{}, trial: trial}
 }
 
-// Current is the version in force.
+// Current returns the version in force.
 func (v *Versions) Current() *Table { return v.current.table }
 
-// Pending is the version that waits and its instant, nil when none does.
+// Pending returns the pending version and its activation time in Unix seconds, or nil if none is pending.
 func (v *Versions) Pending() (*Table, int64) { return v.pending, v.activationTime }
 
-// Pin has a new call go by the version in force.
+// Pin returns the version in force for a new call, which must unpin it at its end.
 func (v *Versions) Pin() *Table {
 	v.current.pins++
 	return v.current.table
 }
 
-// Unpin lets a call's version go. One that no call goes by any more, and is not in force, is freed.
+// Unpin releases the version of a call. A version that is not in force is dropped with its last call.
 func (v *Versions) Unpin(t *Table) {
 	if t == v.current.table {
 		v.current.pins--
@@ -74,10 +74,11 @@
 	}
 }
 
-// HeldCount counts the versions that are held: the one in force, one to return to, and old ones with calls.
+// HeldCount returns the number of versions in use: the one in force and the superseded ones with calls.
 func (v *Versions) HeldCount() int { return 1 + len(v.superseded) }
 
-// Load takes a version to come into force at an instant, at once if that has passed. Of two that wait the newer stays.
+// Load schedules a version for activation at a time in Unix seconds, or activates it at once if that has passed. A newer version
+// replaces one that is pending.
 func (v *Versions) Load(t *Table, at, clock int64, now policy.Tenths) error {
 	if why, bad := v.rejected[t.Version]; bad {
 		return fmt.Errorf("version %d: %w: %s", t.Version, ErrRolledBack, why)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// ActivateDue switches to the version that waits, once its instant has come, and tells whether it did.
+// ActivateDue activates the pending version if its activation time has come, and reports whether it did.
 func (v *Versions) ActivateDue(clock int64, now policy.Tenths) bool {
 	if v.pending == nil || clock < v.activationTime {
 		return false
@@ -102,12 +103,12 @@
 	return true
 }
 
-// activate is the one place where another version comes into force.
+// activate puts a version into force and starts its trial.
 func (v *Versions) activate(t *Table, now policy.Tenths) {
 	if v.current.pins > 0 {
 		v.superseded[v.current.table.Version] = v.current
 	}
-	if h := v.superseded[t.Version]; h != nil && h.table == t { // it comes back while calls still go by it
+	if h := v.superseded[t.Version]; h != nil && h.table == t { // a rollback to a version that calls still use
 		delete(v.superseded, t.Version)
 		v.current = h
 	} else {
@@ -116,7 +117,7 @@
 	v.activatedAt, v.trialCalls, v.trialFailures = now, 0, 0
 }
 
-// Rollback returns to the version before; the one in force will not be taken again.
+// Rollback returns to the previous version. Load rejects the version rolled back from then on.
 func (v *Versions) Rollback(why string, now policy.Tenths) (*Table, error) {
 	if v.previous == nil {
 		return nil, ErrNoPrevious
@@ -128,11 +129,11 @@
 	return t, nil
 }
 
-// baselineWeight is how much one call moves the mean of calls without a route.
+// baselineWeight is the weight of one call in the baseline ratio of calls without a route.
 const baselineWeight = 0.01
 
-// RecordCall counts a call that was analysed by a version: a call by the one in force, within its trial, may end the trial.
-// It tells the reason when the version must be taken back.
+// RecordCall counts a call that a version analysed. If the version in force fails its trial, it returns true and the reason, and the
+// caller must roll back.
 func (v *Versions) RecordCall(t *Table, found bool, now policy.Tenths) (why string, back bool) {
 	if t != v.current.table {
 		return "", false
@@ -148,7 +149,7 @@
 	v.trialCalls++
 	v.trialFailures += int(missed)
 	if share := float64(v.trialFailures) / float64(v.trialCalls); v.trialFailures >= v.trial.MinFailures && share > v.baselineFailureRatio+v.trial.MaxIncrease {
-		return fmt.Sprintf("%d of %d calls found no route, %.3f before", v.trialFailures, v.trialCalls, v.baselineFailureRatio), true
+		return fmt.Sprintf("%d of %d calls found no route, ratio before %.3f", v.trialFailures, v.trialCalls, v.baselineFailureRatio), true
 	}
 	return "", false
 }
