--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -35,233 +35,233 @@
 	Width     int
 }
 
-// Site is what the agent of one exchange is told.
-type Site struct {
-	Own      int
-	Point    uint16
-	Seed     uint64
-	Life     uint32 // no two starts of the program have the same: call ids, transactions and requests count from it
-	Gateways []Gateway
-	Map      mgcp.DigitMap
-	Abandon  []policy.Tenths // of each bearer type
-	GoS      policy.Tenths   // the tightest target
-	DialMost policy.Tenths   // until the digits are there
-	RingMost policy.Tenths   // until somebody picks up
-	Media    string          // where the own switch takes media for calls that leave by circuits
-	Notified []string        // the site's call agents, as gateways are to name them
-	Self     int             // which of them this is
-	Rate     float64         // gateways a second that may be brought into service
-	Queue    int             // reports that may wait for it
+// Config is what the agent of one exchange is told.
+type Config struct {
+	OwnExchange       int
+	PointCode         uint16
+	Seed              uint64
+	Incarnation       uint32 // no two starts of the program have the same: call ids, transactions and requests count from it
+	Gateways          []Gateway
+	DigitMap          mgcp.DigitMap
+	AbandonTimes      []policy.Tenths // of each bearer type
+	GoSTarget         policy.Tenths   // the tightest target
+	MaxDialTime       policy.Tenths   // until the digits are there
+	MaxRingTime       policy.Tenths   // until somebody picks up
+	MediaAddress      string          // where the own switch takes media for calls that leave by circuits
+	NotifiedEntities  []string        // the site's call agents, as gateways are to name them
+	OwnEntity         int             // which of them this is
+	RestartRate       float64         // gateways a second that may be brought into service
+	MaxQueuedRestarts int             // reports that may wait for it
 }
 
-// Carrier carries out what the agent asks. Its methods must not call back.
-type Carrier interface {
+// Output carries out what the agent asks. Its methods must not call back.
+type Output interface {
 	Send(to netip.AddrPort, m mgcp.Message)
 	Offer(point, cic uint16, m isup.Message) // to the exchange, from the line side
 	Note(text string)
 	Told(line int, words string) // why a call of a line came to nothing
 }
 
-// Hear is what a gateway listens for at an endpoint, Mode what its connection does.
-type Hear uint8
+// RequestedEvents is what a gateway listens for at an endpoint, Mode what its connection does.
+type RequestedEvents uint8
 
 const (
-	HearNothing Hear = iota
-	HearLift
-	HearDigits
-	HearHang
+	DetectNothing RequestedEvents = iota
+	DetectOffHook
+	DetectDigits
+	DetectOnHook
 )
 
 // Mode of a connection (RFC 3435, 3.2.2.6).
 type Mode uint8
 
 const (
-	NoMedia Mode = iota // there is no connection
-	Receive
-	Both
+	NoMode Mode = iota // there is no connection
+	ReceiveOnly
+	SendReceive
 )
 
 func (m Mode) String() string { return [...]string{"", "recvonly", "sendrecv"}[m] }
 
-type wish struct {
-	hear Hear
-	tone gateways.Tone
-	mode Mode
+type endpointState struct {
+	events RequestedEvents
+	tone   gateways.Tone
+	mode   Mode
 }
 
-// place is where a call stands between the agent and the exchange: a circuit of a block of lines.
-type place struct{ point, cic uint16 }
-
-// talk is one call at one line.
-type talk struct {
-	call    uint32 // its id is this and the agent's life
-	conn    string // connection id, "" not known
-	local   string // session descriptions
-	remote  string
-	told    string // the remote one that the gateway has
-	sending string // and the one on its way there
-	digits  string
-	leaves  policy.Tenths
-	hop     place
+// circuitKey is where a call stands between the agent and the exchange: a circuit of a block of lines.
+type circuitKey struct{ point, cic uint16 }
+
+// lineCall is one call at one line.
+type lineCall struct {
+	id             uint32 // its id is this and the agent's life
+	connectionID   string // connection id, "" not known
+	localSession   string // session descriptions
+	remoteSession  string
+	appliedSession string // the remote one that the gateway has
+	pendingSession string // and the one on its way there
+	digits         string
+	deadline       policy.Tenths
+	circuit        circuitKey
 }
 
-type line struct {
-	state    State
-	conn     Connection
-	want     wish
-	has      wish
-	sent     wish // what the command that is out asks for
-	refusals uint8
-	audit    bool  // ask what it holds, once nothing else is to be done
-	lastMark uint8 // what a call to the last number is to be marked with
-	gw       int32
-	out      uint32 // transaction that is out, 0 none
-	request  uint32 // id of the last notification request sent, and of the last one that was heard of
-	heard    uint32
-	guard    policy.Tenths
-	retryAt  policy.Tenths
-	by       policy.Tenths // what is sent now is of use to a call until then
-	last     uint64        // digest of the last number
-	talk     *talk
-	held     *talk // whose connection the gateway holds
-	sentTalk *talk
-	unsure   *talk // a command to make its connection was given up: it may be there
-	auditAt  policy.Tenths
-	left     []string // connections of no call, to be deleted
+type lineRecord struct {
+	state          State
+	connection     ConnectionState
+	desired        endpointState
+	applied        endpointState
+	pending        endpointState // what the command that is out asks for
+	refusals       uint8
+	auditDue       bool  // ask what it holds, once nothing else is to be done
+	lastFlags      uint8 // what a call to the last number is to be marked with
+	gateway        int32
+	transaction    uint32 // transaction that is out, 0 none
+	requestID      uint32 // id of the last notification request sent, and of the last one that was heard of
+	notifiedID     uint32
+	guardAt        policy.Tenths
+	retryAt        policy.Tenths
+	answerDeadline policy.Tenths // what is sent now is of use to a call until then
+	lastNumber     uint64        // digest of the last number
+	call           *lineCall
+	connectedCall  *lineCall // whose connection the gateway holds
+	pendingCall    *lineCall
+	uncertainCall  *lineCall // a command to make its connection was given up: it may be there
+	auditAt        policy.Tenths
+	orphaned       []string // connections of no call, to be deleted
 }
 
-type gateway struct {
+type gatewayRecord struct {
 	Gateway
-	first    int // index of its first line
-	at       int // which of its addresses is in use
-	presence gateways.Presence
-	sender   *mgcp.Sender
-	receiver *mgcp.Receiver
-	step     joinStep
-	out      uint32 // transaction for all its endpoints
-	waiting  []report
-	suspect  bool // commands are repeated without an answer
-	dueAt    policy.Tenths
-	auditAt  policy.Tenths
-	next     int // line to be audited next
+	lineOffset    int // index of its first line
+	addressIndex  int // which of its addresses is in use
+	presence      gateways.Presence
+	sender        *mgcp.Sender
+	receiver      *mgcp.Receiver
+	joinStep      joinStep
+	transaction   uint32 // transaction for all its endpoints
+	queuedReports []queuedReport
+	suspect       bool // commands are repeated without an answer
+	timerAt       policy.Tenths
+	auditAt       policy.Tenths
+	nextAudit     int // line to be audited next
 }
 
-// report is one that is answered when its gateway's turn comes.
-type report struct {
-	m    mgcp.Message
-	from netip.AddrPort
+// queuedReport is one that is answered when its gateway's turn comes.
+type queuedReport struct {
+	message mgcp.Message
+	from    netip.AddrPort
 }
 
-type dueKind uint8
+type timerKind uint8
 
 const (
-	dueLine dueKind = iota
-	dueGateway
-	dueDoor
+	lineTimer timerKind = iota
+	gatewayTimer
+	admissionTimer
 )
 
-type due struct {
-	at   policy.Tenths
-	kind dueKind
-	n    int
+type timer struct {
+	at    policy.Tenths
+	kind  timerKind
+	index int
 }
 
-type dues []due
+type timerHeap []timer
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
-func (d *dues) Pop() any          { n := len(*d) - 1; x := (*d)[n]; *d = (*d)[:n]; return x }
+func (d timerHeap) Len() int           { return len(d) }
+func (d timerHeap) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d timerHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *timerHeap) Push(x any)        { *d = append(*d, x.(timer)) }
+func (d *timerHeap) Pop() any          { n := len(*d) - 1; x := (*d)[n]; *d = (*d)[:n]; return x }
 
-type told struct {
-	hop place
-	m   isup.Message
+type queuedMessage struct {
+	circuit circuitKey
+	message isup.Message
 }
 
-type outKind uint8
+type commandKind uint8
 
 const (
-	outLine outKind = iota
-	outGateway
-	outProbe
+	lineCommand commandKind = iota
+	gatewayCommand
+	probeCommand
 )
 
-type pending struct {
-	kind outKind
-	n    int // line, or gateway
-	verb mgcp.Verb
-	at   policy.Tenths
+type outstandingCommand struct {
+	kind   commandKind
+	index  int // line, or gateway
+	verb   mgcp.Verb
+	sentAt policy.Tenths
 }
 
 // Counts of what came of calls and gateways.
 type Counts struct {
-	Dialled, Stood, Refused, Failed, Rung, TurnedAway int
-	Joined, Lost, Leftovers, Contradictions, Stale    int
-	Faults                                            int // moves that no table has
-	Incomplete                                        int // messages cut short
-	Sent                                              int // datagrams
+	Dialled, Answered, Refused, Failed, Rung, Rejected                          int
+	Joined, Lost, OrphanedConnections, ConflictingResponses, StaleNotifications int
+	InvalidTransitions                                                          int // moves that no table has
+	IncompleteMessages                                                          int // messages cut short
+	DatagramsSent                                                               int // datagrams
 }
 
 const (
-	toneMost      = policy.Tenths(300000) // a tone is given for so long, then the off-hook warning
-	lateAnswer    = 500                   // tenths after a caller's time at which a call that the exchange never answered is given up
-	auditEvery    = policy.Tenths(300000) // a line of each gateway is audited so often, whatever it does
-	settled       = policy.Tenths(100000) // and each so long after a connection was deleted
-	identityFirst = 1 << 23               // calls from lines at gateways: references above those that the switch gives
-	identityMost  = identityFirst - 1
-	refusalsMost  = 6
-	addressesMost = 4
-	allEndpoints  = "aaln/*"
+	maxToneTime          = policy.Tenths(300000) // a tone is given for so long, then the off-hook warning
+	lateAnswerMargin     = 500                   // tenths after a caller's time at which a call that the exchange never answered is given up
+	auditInterval        = policy.Tenths(300000) // a line of each gateway is audited so often, whatever it does
+	auditDelay           = policy.Tenths(100000) // and each so long after a connection was deleted
+	firstGatewayIdentity = 1 << 23               // calls from lines at gateways: references above those that the switch gives
+	identityMask         = firstGatewayIdentity - 1
+	maxRefusals          = 6
+	maxAddresses         = 4
+	allEndpoints         = "aaln/*"
 )
 
 // Agent is the call agent of one exchange.
 type Agent struct {
-	site      Site
-	out       Carrier
-	now       policy.Tenths
-	gws       []gateway
-	lines     []line
-	byName    map[string]int
-	byNumber  map[int]int
-	byAddress map[netip.AddrPort]int
-	contrary  func(mgcp.Message) // takes a second answer that differs, while responses are read
-	taken     map[place]int      // calls of the exchange to lines
-	queue     []told
-	outs      map[uint32]pending
-	timers    dues
-	ids       *mgcp.IDs
-	nextCall  uint32
-	nextReq   uint32
-	identity  uint32
-	doorAt    policy.Tenths
-	door      *gateways.Restarts
-	waits     policy.Tenths // how long what is read now has waited
-	settling  bool
-
-	Counts     Counts
-	Unexpected [states][events]int
+	config           Config
+	output           Output
+	now              policy.Tenths
+	gateways         []gatewayRecord
+	lines            []lineRecord
+	gatewayByName    map[string]int
+	lineByNumber     map[int]int
+	gatewayByAddress map[netip.AddrPort]int
+	onConflict       func(mgcp.Message) // takes a second answer that differs, while responses are read
+	lineByCircuit    map[circuitKey]int // calls of the exchange to lines
+	queue            []queuedMessage
+	outstanding      map[uint32]outstandingCommand
+	timers           timerHeap
+	transactionIDs   *mgcp.TransactionIDs
+	lastCallID       uint32
+	lastRequestID    uint32
+	lastIdentity     uint32
+	admissionAt      policy.Tenths
+	restarts         *gateways.RestartLimiter
+	callDelay        policy.Tenths // how long what is read now has waited
+	processing       bool
+
+	Counts           Counts
+	UnexpectedEvents [stateCount][eventCount]int
 }
 
 // New makes the agent; Tick at once brings the gateways whose addresses are known into service, at the door's pace.
-func New(site Site, out Carrier, now policy.Tenths) *Agent {
-	a := &Agent{site: site, out: out, now: now, byName: map[string]int{}, byNumber: map[int]int{}, byAddress: map[netip.AddrPort]int{}, taken: map[place]int{}, outs: map[uint32]pending{},
-		ids: mgcp.NewIDs(site.Life * 7919), nextReq: site.Life << 12, identity: site.Life & identityMost,
-		door: gateways.NewRestarts(gateways.Limits{Rate: site.Rate, Queue: max(site.Queue, len(site.Gateways)), GoS: site.GoS}, now)}
+func New(site Config, out Output, now policy.Tenths) *Agent {
+	a := &Agent{config: site, output: out, now: now, gatewayByName: map[string]int{}, lineByNumber: map[int]int{}, gatewayByAddress: map[netip.AddrPort]int{}, lineByCircuit: map[circuitKey]int{}, outstanding: map[uint32]outstandingCommand{},
+		transactionIDs: mgcp.NewTransactionIDs(site.Incarnation * 7919), lastRequestID: site.Incarnation << 12, lastIdentity: site.Incarnation & identityMask,
+		restarts: gateways.NewRestartLimiter(gateways.Limits{Rate: site.RestartRate, MaxQueued: max(site.MaxQueuedRestarts, len(site.Gateways)), GoSTarget: site.GoSTarget}, now)}
 	for i, g := range site.Gateways {
-		gw := gateway{Gateway: g, first: len(a.lines), receiver: mgcp.NewReceiver()}
-		gw.sender = mgcp.NewSender(a.ids, site.Seed+uint64(i), (*ends)(a))
-		a.byName[strings.ToLower(g.Name)] = i
-		a.gws = append(a.gws, gw)
+		gw := gatewayRecord{Gateway: g, lineOffset: len(a.lines), receiver: mgcp.NewReceiver()}
+		gw.sender = mgcp.NewSender(a.transactionIDs, site.Seed+uint64(i), (*senderOutput)(a))
+		a.gatewayByName[strings.ToLower(g.Name)] = i
+		a.gateways = append(a.gateways, gw)
 		for _, from := range g.Addresses {
-			a.byAddress[from] = i
+			a.gatewayByAddress[from] = i
 		}
 		for n := range g.Endpoints {
-			a.byNumber[g.FirstLine+n] = len(a.lines)
-			a.lines = append(a.lines, line{gw: int32(i)})
+			a.lineByNumber[g.FirstLine+n] = len(a.lines)
+			a.lines = append(a.lines, lineRecord{gateway: int32(i)})
 		}
 		if len(g.Addresses) > 0 { // it may have been served by an earlier life of this program
-			a.enter(i)
+			a.admit(i)
 		}
 	}
 	return a
@@ -275,55 +275,57 @@
 	return a.timers[0].at, true
 }
 
-func (a *Agent) at(at policy.Tenths, kind dueKind, n int) { heap.Push(&a.timers, due{at, kind, n}) }
+func (a *Agent) schedule(at policy.Tenths, kind timerKind, n int) {
+	heap.Push(&a.timers, timer{at, kind, n})
+}
 
 // Tick does what has fallen due.
 func (a *Agent) Tick(now policy.Tenths) {
 	a.now = now
 	for len(a.timers) > 0 && a.timers[0].at <= now {
-		d := heap.Pop(&a.timers).(due)
+		d := heap.Pop(&a.timers).(timer)
 		switch d.kind {
-		case dueLine:
-			l := &a.lines[d.n]
-			if l.guard == d.at {
-				l.guard = 0
-				a.happen(d.n, expired, input{})
+		case lineTimer:
+			l := &a.lines[d.index]
+			if l.guardAt == d.at {
+				l.guardAt = 0
+				a.handleEvent(d.index, guardExpired, eventData{})
 			}
 			if l.auditAt == d.at {
-				l.auditAt, l.audit = 0, true
-				a.push(d.n)
+				l.auditAt, l.auditDue = 0, true
+				a.reconcile(d.index)
 			}
 			if l.retryAt == d.at {
 				l.retryAt = 0
-				a.again(d.n)
+				a.retryLine(d.index)
 			}
-		case dueGateway:
-			if g := &a.gws[d.n]; g.dueAt == d.at {
-				g.dueAt = 0
+		case gatewayTimer:
+			if g := &a.gateways[d.index]; g.timerAt == d.at {
+				g.timerAt = 0
 				g.sender.Tick(now)
-				a.look(d.n)
+				a.superviseGateway(d.index)
 			}
-		case dueDoor:
-			if a.doorAt == d.at {
-				a.doorAt = 0
-				for _, gw := range a.door.Tick(now) {
-					a.join(int(gw))
+		case admissionTimer:
+			if a.admissionAt == d.at {
+				a.admissionAt = 0
+				for _, gw := range a.restarts.Tick(now) {
+					a.startJoin(int(gw))
 				}
-				a.watchDoor()
+				a.scheduleAdmission()
 			}
 		}
-		a.settle()
+		a.processQueue()
 	}
 }
 
-// Waits tells how long what the program reads now has waited; the door follows it.
-func (a *Agent) Waits(now, wait policy.Tenths) {
-	a.waits = wait
-	a.door.CallsWait(now, wait)
+// SetCallDelay tells how long what the program reads now has waited; the door follows it.
+func (a *Agent) SetCallDelay(now, wait policy.Tenths) {
+	a.callDelay = wait
+	a.restarts.SetCallDelay(now, wait)
 }
 
-// Lines counts the lines in a state.
-func (a *Agent) Lines(s State) (n int) {
+// CountLines counts the lines in a state.
+func (a *Agent) CountLines(s State) (n int) {
 	for i := range a.lines {
 		if a.lines[i].state == s {
 			n++
@@ -332,121 +334,121 @@
 	return n
 }
 
-// Telling counts the lines whose gateway has not answered a command that is still of use to a call: a program that ended now would
+// LinesAwaitingResponse counts the lines whose gateway has not answered a command that is still of use to a call: a program that ended now would
 // leave callers without their answer where the network lost it.
-func (a *Agent) Telling(now policy.Tenths) (n int) {
+func (a *Agent) LinesAwaitingResponse(now policy.Tenths) (n int) {
 	for i := range a.lines {
-		if l := &a.lines[i]; l.out != 0 && now < l.by {
+		if l := &a.lines[i]; l.transaction != 0 && now < l.answerDeadline {
 			n++
 		}
 	}
 	return n
 }
 
-// Hear takes what the exchange sends to its line side, and tells whether it is for a line at a gateway. It only notes it; Settle
+// HandleISUP takes what the exchange sends to its line side, and tells whether it is for a line at a gateway. It only notes it; Settle
 // follows.
-func (a *Agent) Hear(point, cic uint16, m isup.Message) bool {
-	p := place{point, cic}
+func (a *Agent) HandleISUP(point, cic uint16, m isup.Message) bool {
+	p := circuitKey{point, cic}
 	if point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint {
-		a.queue = append(a.queue, told{p, m})
+		a.queue = append(a.queue, queuedMessage{p, m})
 		return true
 	}
-	if _, ours := a.taken[p]; ours {
-		a.queue = append(a.queue, told{p, m})
+	if _, ours := a.lineByCircuit[p]; ours {
+		a.queue = append(a.queue, queuedMessage{p, m})
 		return true
 	}
 	if m.Type != isup.IAM {
 		return false
 	}
 	number, err := strconv.Atoi(m.Digits)
-	if err != nil || number/1000000 != a.site.Own {
+	if err != nil || number/1000000 != a.config.OwnExchange {
 		return false
 	}
-	i, ours := a.byNumber[number%1000000]
+	i, ours := a.lineByNumber[number%1000000]
 	if ours {
-		a.taken[p] = i
-		a.queue = append(a.queue, told{p, m})
+		a.lineByCircuit[p] = i
+		a.queue = append(a.queue, queuedMessage{p, m})
 	}
 	return ours
 }
 
-// Takes tells whether a circuit of a block of lines is a call at one of its lines.
-func (a *Agent) Takes(point, cic uint16) bool {
-	_, ours := a.taken[place{point, cic}]
+// HasCircuit tells whether a circuit of a block of lines is a call at one of its lines.
+func (a *Agent) HasCircuit(point, cic uint16) bool {
+	_, ours := a.lineByCircuit[circuitKey{point, cic}]
 	return ours || point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint
 }
 
-// Settle does what follows from what the exchange sent.
-func (a *Agent) Settle(now policy.Tenths) {
+// ProcessQueue does what follows from what the exchange sent.
+func (a *Agent) ProcessQueue(now policy.Tenths) {
 	a.now = now
-	a.settle()
+	a.processQueue()
 }
 
-func (a *Agent) settle() {
-	if a.settling {
+func (a *Agent) processQueue() {
+	if a.processing {
 		return
 	}
-	a.settling = true
-	defer func() { a.settling = false }()
+	a.processing = true
+	defer func() { a.processing = false }()
 	for len(a.queue) > 0 {
 		t := a.queue[0]
 		a.queue = a.queue[1:]
-		i, toLine := a.taken[t.hop]
+		i, toLine := a.lineByCircuit[t.circuit]
 		if !toLine {
-			i = int(t.hop.point-exchange.FirstGatewayPoint)<<12 + int(t.hop.cic)
+			i = int(t.circuit.point-exchange.FirstGatewayPoint)<<12 + int(t.circuit.cic)
 		}
 		if i >= len(a.lines) {
 			continue
 		}
-		k := a.lines[i].talk
-		switch t.m.Type {
+		k := a.lines[i].call
+		switch t.message.Type {
 		case isup.IAM:
-			if a.gws[a.lines[i].gw].suspect || a.gws[a.lines[i].gw].presence.Standing() != gateways.Serving {
-				a.toExchange(t.hop, isup.Message{Type: isup.REL, Cause: isup.OutOfOrder, Location: isup.User})
+			if a.gateways[a.lines[i].gateway].suspect || a.gateways[a.lines[i].gateway].presence.State() != gateways.Serving {
+				a.sendToExchange(t.circuit, isup.Message{Type: isup.REL, Cause: isup.OutOfOrder, Location: isup.User})
 				continue
 			}
-			a.happen(i, called, input{hop: t.hop, m: t.m})
+			a.handleEvent(i, incomingCall, eventData{circuit: t.circuit, message: t.message})
 		case isup.ANM:
-			if k != nil && k.hop == t.hop {
-				a.happen(i, answered, input{m: t.m})
+			if k != nil && k.circuit == t.circuit {
+				a.handleEvent(i, callAnswered, eventData{message: t.message})
 			}
 		case isup.REL:
 			if toLine {
-				delete(a.taken, t.hop)
+				delete(a.lineByCircuit, t.circuit)
 			}
-			if k != nil && k.hop == t.hop {
-				a.happen(i, released, input{m: t.m})
+			if k != nil && k.circuit == t.circuit {
+				a.handleEvent(i, callReleased, eventData{message: t.message})
 			}
 		}
 	}
 }
 
-// toExchange passes a message of a line's on.
-func (a *Agent) toExchange(hop place, m isup.Message) {
+// sendToExchange passes a message of a line's on.
+func (a *Agent) sendToExchange(hop circuitKey, m isup.Message) {
 	if m.Type == isup.REL {
-		delete(a.taken, hop)
+		delete(a.lineByCircuit, hop)
 	}
 	m.CIC = hop.cic
-	a.out.Offer(hop.point, hop.cic, m)
+	a.output.Offer(hop.point, hop.cic, m)
 }
 
 func (a *Agent) pointOf(i int) uint16 { return exchange.FirstGatewayPoint + uint16(i>>12) }
 func (a *Agent) cicOf(i int) uint16   { return uint16(i & isup.MaxCIC) }
 
 func (a *Agent) numberOf(i int) string {
-	g := &a.gws[a.lines[i].gw]
-	return exchange.LineNumber(a.site.Own, uint32(g.FirstLine+i-g.first))
+	g := &a.gateways[a.lines[i].gateway]
+	return exchange.LineNumber(a.config.OwnExchange, uint32(g.FirstLine+i-g.lineOffset))
 }
 
-// endpoint is the name of a line; find the line of a name, -1 for all of a gateway's, and whether there is such a one.
-func (a *Agent) endpoint(i int) string {
-	g := &a.gws[a.lines[i].gw]
-	return "aaln/" + strconv.Itoa(i-g.first+1) + "@" + g.Name
+// endpointName is the name of a line; find the line of a name, -1 for all of a gateway's, and whether there is such a one.
+func (a *Agent) endpointName(i int) string {
+	g := &a.gateways[a.lines[i].gateway]
+	return "aaln/" + strconv.Itoa(i-g.lineOffset+1) + "@" + g.Name
 }
 
-func (a *Agent) find(name string) (gw, i int, ok bool) {
+func (a *Agent) findEndpoint(name string) (gw, i int, ok bool) {
 	local, domain, _ := strings.Cut(name, "@")
-	gw, ok = a.byName[strings.ToLower(domain)]
+	gw, ok = a.gatewayByName[strings.ToLower(domain)]
 	if !ok {
 		return 0, 0, false
 	}
@@ -455,12 +457,12 @@
 		return gw, -1, true
 	}
 	n, err := strconv.Atoi(number)
-	if term != "aaln" || err != nil || n < 1 || n > a.gws[gw].Endpoints {
+	if term != "aaln" || err != nil || n < 1 || n > a.gateways[gw].Endpoints {
 		return gw, 0, false
 	}
-	return gw, a.gws[gw].first + n - 1, true
+	return gw, a.gateways[gw].lineOffset + n - 1, true
 }
 
 func numberDigest(digits string) uint64 { return max(1, xxhash.Sum64String(digits)) }
 
-func (a *Agent) callID(k *talk) string { return fmt.Sprintf("%X%08X", a.site.Life, k.call) }
+func (a *Agent) callID(k *lineCall) string { return fmt.Sprintf("%X%08X", a.config.Incarnation, k.id) }
--- a/internal/callagent/callagent_test.go
+++ b/internal/callagent/callagent_test.go
@@ -49,7 +49,7 @@
 	mixed  bool // some of what is sent is overtaken by what follows
 	late   map[policy.Tenths][]func()
 	serial int
-	calls  map[place]string // offered to the exchange, or from it: "asked", "stands"
+	calls  map[circuitKey]string // offered to the exchange, or from it: "asked", "stands"
 	ended  int
 	began  int
 }
@@ -60,12 +60,12 @@
 }
 
 func (f fromGateway) Transmit(m mgcp.Message, _ int) {
-	f.r.post(func() { f.r.a.Datagram(f.r.now, where, m, 0) })
+	f.r.post(func() { f.r.a.HandleMessage(f.r.now, where, m, 0) })
 }
-func (f fromGateway) Ended(uint32, mgcp.Fate, mgcp.Message)  {}
-func (f fromGateway) Contradicted(uint32, int, mgcp.Message) {}
-func (r *rig) Note(string)                                   {}
-func (r *rig) Told(int, string)                              {}
+func (f fromGateway) HandleOutcome(uint32, mgcp.Outcome, mgcp.Message) {}
+func (f fromGateway) HandleConflict(uint32, int, mgcp.Message)         {}
+func (r *rig) Note(string)                                             {}
+func (r *rig) Told(int, string)                                        {}
 func (r *rig) post(do func()) {
 	switch {
 	case r.chance.Float64() < r.loss:
@@ -79,7 +79,7 @@
 
 // Offer is the exchange: it answers calls at random, later.
 func (r *rig) Offer(point, cic uint16, m isup.Message) {
-	p := place{point, cic}
+	p := circuitKey{point, cic}
 	switch m.Type {
 	case isup.IAM:
 		if r.calls[p] != "" {
@@ -112,17 +112,17 @@
 func (r *rig) receive(m mgcp.Message) {
 	if m.Verb == "" {
 		for _, s := range r.snd {
-			s.Response(r.now, m)
+			s.HandleResponse(r.now, m)
 		}
 		return
 	}
 	local, domain, _ := strings.Cut(m.Endpoint, "@")
 	var gw, n int
 	fmt.Sscanf(domain, "gw%d", &gw)
-	carryOut, again := r.rcv[gw].Command(r.now, m)
+	carryOut, again := r.rcv[gw].HandleCommand(r.now, m)
 	if again != nil {
 		reply := *again
-		r.post(func() { r.a.Datagram(r.now, where, reply, 0) })
+		r.post(func() { r.a.HandleMessage(r.now, where, reply, 0) })
 	}
 	if !carryOut {
 		return
@@ -138,8 +138,8 @@
 			r.endpoint(&which[i], m, &reply)
 		}
 	}
-	done := r.rcv[gw].Done(r.now, reply)
-	r.post(func() { r.a.Datagram(r.now, where, done, 0) })
+	done := r.rcv[gw].StoreResponse(r.now, reply)
+	r.post(func() { r.a.HandleMessage(r.now, where, done, 0) })
 }
 
 func (r *rig) endpoint(p *phone, m mgcp.Message, reply *mgcp.Message) {
@@ -160,13 +160,13 @@
 		reply.Params = []mgcp.Param{{Name: "I", Value: strings.Join(ids, ",")}, {Name: "ES", Value: state}}
 		return
 	case asks && p.off && strings.Contains(want, "L/hd"):
-		reply.Code = mgcp.OffHook
+		reply.Code = mgcp.CodeOffHook
 		return
 	case asks && !p.off && strings.Contains(want, "L/hu"):
-		reply.Code = mgcp.OnHook
+		reply.Code = mgcp.CodeOnHook
 		return
 	case named && !p.conns[id] && m.Verb != mgcp.CreateConnection:
-		reply.Code = mgcp.NoConnection
+		reply.Code = mgcp.CodeUnknownConnection
 		return
 	case m.Verb == mgcp.CreateConnection:
 		if len(p.conns) > 0 && !r.mixed {
@@ -246,23 +246,23 @@
 		}
 	}
 	out := map[int]int{} // commands out for a line
-	for _, p := range r.a.outs {
-		if p.kind == outLine {
-			if out[p.n]++; out[p.n] > 1 {
-				r.t.Fatalf("two commands are out for line %d", p.n)
+	for _, p := range r.a.outstanding {
+		if p.kind == lineCommand {
+			if out[p.index]++; out[p.index] > 1 {
+				r.t.Fatalf("two commands are out for line %d", p.index)
 			}
 		}
 	}
 	for i := range r.a.lines {
 		l := &r.a.lines[i]
-		if (l.state == Opening || l.state == Calling || l.state == Talking || l.state == Taking || l.state == Ringing) != (l.talk != nil) {
-			r.t.Fatalf("line %d is %v, call %v", i, l.state, l.talk)
+		if (l.state == CreatingConnection || l.state == Calling || l.state == Talking || l.state == Incoming || l.state == Ringing) != (l.call != nil) {
+			r.t.Fatalf("line %d is %v, call %v", i, l.state, l.call)
 		}
-		if (l.conn.there() && l.unsure == nil) != (l.has.mode != NoMedia) || (l.conn == Unsure) && l.unsure == nil || r.a.Counts.Faults > 0 {
-			r.t.Fatalf("line %d: connection %v, has %v, unsure %v, %d faults", i, l.conn, l.has, l.unsure, r.a.Counts.Faults)
+		if (l.connection.there() && l.uncertainCall == nil) != (l.applied.mode != NoMode) || (l.connection == ConnectionUncertain) && l.uncertainCall == nil || r.a.Counts.InvalidTransitions > 0 {
+			r.t.Fatalf("line %d: connection %v, has %v, unsure %v, %d faults", i, l.connection, l.applied, l.uncertainCall, r.a.Counts.InvalidTransitions)
 		}
-		if l.out != 0 {
-			if p, ok := r.a.outs[l.out]; !ok || p.kind != outLine || p.n != i {
+		if l.transaction != 0 {
+			if p, ok := r.a.outstanding[l.transaction]; !ok || p.kind != lineCommand || p.index != i {
 				r.t.Fatalf("line %d waits for a command that is not out", i)
 			}
 		}
@@ -270,10 +270,10 @@
 }
 
 func newRig(t *rapid.T, seed uint64) *rig {
-	r := &rig{t: t, now: 1 << 30, chance: rand.New(rand.NewPCG(seed, 3)), late: map[policy.Tenths][]func(){}, calls: map[place]string{}}
-	m, _ := mgcp.ParseMap("(xxx)")
-	site := Site{Own: 4, Point: 5, Seed: seed, Life: 7, Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 100000, RingMost: 200000, Media: "127.0.0.1", Rate: 100, Queue: 10}
-	ids := mgcp.NewIDs(1)
+	r := &rig{t: t, now: 1 << 30, chance: rand.New(rand.NewPCG(seed, 3)), late: map[policy.Tenths][]func(){}, calls: map[circuitKey]string{}}
+	m, _ := mgcp.ParseDigitMap("(xxx)")
+	site := Config{OwnExchange: 4, PointCode: 5, Seed: seed, Incarnation: 7, DigitMap: m, AbandonTimes: []policy.Tenths{90000}, GoSTarget: 12000, MaxDialTime: 100000, MaxRingTime: 200000, MediaAddress: "127.0.0.1", RestartRate: 100, MaxQueuedRestarts: 10}
+	ids := mgcp.NewTransactionIDs(1)
 	for gw := range 2 {
 		site.Gateways = append(site.Gateways, Gateway{Name: fmt.Sprintf("gw%d", gw), Addresses: []netip.AddrPort{where}, Endpoints: 3, FirstLine: 10 * gw, Width: 1})
 		r.phones = append(r.phones, make([]phone, 3))
@@ -288,16 +288,18 @@
 }
 
 // fromExchange has the exchange say something of a call.
-func (r *rig) fromExchange(p place, m isup.Message) {
+func (r *rig) fromExchange(p circuitKey, m isup.Message) {
 	m.CIC = p.cic
-	if !r.a.Hear(p.point, p.cic, m) {
+	if !r.a.HandleISUP(p.point, p.cic, m) {
 		r.t.Fatalf("%v is not taken", p)
 	}
-	r.a.Settle(r.now)
+	r.a.ProcessQueue(r.now)
 }
 
 // there tells whether the gateway holds a connection, or may.
-func (c Connection) there() bool { return c == Made || c == Changing || c == Deleting }
+func (c ConnectionState) there() bool {
+	return c == ConnectionCreated || c == ConnectionModifying || c == ConnectionDeleting
+}
 
 // Users, the exchange and the network do anything in any order. After each step every line is whole; once all is quiet and well
 // again every phone is idle, no connection is left and every call has ended once.
@@ -305,7 +307,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRig(t, rapid.Uint64().Draw(t, "seed"))
 		r.pass(20000)
-		if n := r.a.Lines(Idle); n != 6 {
+		if n := r.a.CountLines(Idle); n != 6 {
 			t.Fatalf("%d lines of 6 came into service", n)
 		}
 		r.loss = rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
@@ -331,11 +333,11 @@
 				}
 			case 4, 5: // the exchange ends, or answers, a call
 				for i := range r.a.lines {
-					k := r.a.lines[i].talk
-					if k == nil || r.calls[k.hop] == "" || k.hop.point < exchange.FirstCalledPoint && r.a.lines[i].state == Opening {
+					k := r.a.lines[i].call
+					if k == nil || r.calls[k.circuit] == "" || k.circuit.point < exchange.FirstCalledPoint && r.a.lines[i].state == CreatingConnection {
 						continue
 					}
-					hop := k.hop
+					hop := k.circuit
 					if what == 4 && r.calls[hop] == "asked" && hop.point < exchange.FirstCalledPoint {
 						r.calls[hop] = "stands"
 						r.fromExchange(hop, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: session}})
@@ -348,7 +350,7 @@
 				}
 			case 6: // a call for a phone
 				incoming++
-				hop := place{exchange.FirstCalledPoint, incoming}
+				hop := circuitKey{exchange.FirstCalledPoint, incoming}
 				r.calls[hop] = "ringing"
 				r.began++
 				r.fromExchange(hop, isup.Message{Type: isup.IAM, Digits: exchange.LineNumber(4, uint32(10*gw+n)), UserInfo: isup.UserInfo{Present: isup.PartTimeLeft, TimeLeft: 50000}})
@@ -388,16 +390,16 @@
 
 // A gateway that moved while the program was down is not at its address in the settings: it is followed to where it speaks from.
 func TestGatewayIsFollowedToWhereItSpeaksFrom(t *testing.T) {
-	m, _ := mgcp.ParseMap("(xxx)")
+	m, _ := mgcp.ParseDigitMap("(xxx)")
 	there := netip.MustParseAddrPort("127.0.0.1:3000")
 	var sent []netip.AddrPort
 	out := carrier{send: func(to netip.AddrPort, _ mgcp.Message) { sent = append(sent, to) }}
-	a := New(Site{Own: 4, Point: 5, Life: 7, Map: m, Abandon: []policy.Tenths{90000}, GoS: 12000, Rate: 100, Queue: 10,
+	a := New(Config{OwnExchange: 4, PointCode: 5, Incarnation: 7, DigitMap: m, AbandonTimes: []policy.Tenths{90000}, GoSTarget: 12000, RestartRate: 100, MaxQueuedRestarts: 10,
 		Gateways: []Gateway{{Name: "gw", Addresses: []netip.AddrPort{where}, Endpoints: 1, Width: 1}}}, out, 1000)
 	if len(sent) != 1 || sent[0] != where {
 		t.Fatal(sent)
 	}
-	a.Datagram(2000, there, mgcp.Message{Verb: mgcp.Notify, Transaction: 5, Endpoint: "aaln/1@gw", Params: []mgcp.Param{{Name: "X", Value: "1"}, {Name: "O", Value: "L/hd"}}}, 0)
+	a.HandleMessage(2000, there, mgcp.Message{Verb: mgcp.Notify, Transaction: 5, Endpoint: "aaln/1@gw", Params: []mgcp.Param{{Name: "X", Value: "1"}, {Name: "O", Value: "L/hd"}}}, 0)
 	if last := sent[len(sent)-1]; last != there || len(sent) != 3 { // its answer, and the first command again
 		t.Fatal(sent)
 	}
@@ -414,12 +416,12 @@
 
 // Each state says what becomes of each event, or that it changes nothing; a line that is called is answered in every state.
 func TestEveryStateAnswersACall(t *testing.T) {
-	for s := range states {
-		if moves[s][called].do == nil || moves[s][lost].do == nil {
+	for s := range stateCount {
+		if transitions[s][incomingCall].action == nil || transitions[s][endpointLost].action == nil {
 			t.Errorf("%v: a call, or the loss of the gateway, is passed over", s)
 		}
-		for e, m := range moves[s] {
-			if m.do != nil && m.to >= states {
+		for e, m := range transitions[s] {
+			if m.action != nil && m.next >= stateCount {
 				t.Errorf("%v, %v: to nowhere", s, event(e))
 			}
 		}
--- a/internal/callagent/connection.go
+++ b/internal/callagent/connection.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Connection is where the one connection of an endpoint stands, as far as is known. connect is the one place that changes it.
+// ConnectionState is where the one connection of an endpoint stands, as far as is known. connect is the one place that changes it.
 //
 //	None     -> Making
 //	Making   -> Made, None (refused), Unsure (given up unanswered)
@@ -12,34 +12,34 @@
 //	Unsure   -> None, Deleting: it may be there and is deleted by its call's id
 //
 // Whatever it is, a gateway that starts anew or is lost makes it None.
-type Connection uint8
+type ConnectionState uint8
 
 const (
-	None Connection = iota
-	Making
-	Made
-	Changing
-	Deleting
-	Unsure
+	ConnectionNone ConnectionState = iota
+	ConnectionCreating
+	ConnectionCreated
+	ConnectionModifying
+	ConnectionDeleting
+	ConnectionUncertain
 )
 
 var connectionNames = [...]string{"none", "making", "made", "changing", "deleting", "unsure"}
 
-func (c Connection) String() string { return connectionNames[c] }
+func (c ConnectionState) String() string { return connectionNames[c] }
 
-var connectionMay = [...][]Connection{None: {Making}, Making: {Made, None, Unsure}, Made: {Changing, Deleting, None},
-	Changing: {Made, None, Deleting}, Deleting: {None, Made, Unsure}, Unsure: {Deleting, None}}
+var connectionTransitions = [...][]ConnectionState{ConnectionNone: {ConnectionCreating}, ConnectionCreating: {ConnectionCreated, ConnectionNone, ConnectionUncertain}, ConnectionCreated: {ConnectionModifying, ConnectionDeleting, ConnectionNone},
+	ConnectionModifying: {ConnectionCreated, ConnectionNone, ConnectionDeleting}, ConnectionDeleting: {ConnectionNone, ConnectionCreated, ConnectionUncertain}, ConnectionUncertain: {ConnectionDeleting, ConnectionNone}}
 
-// connect changes where a line's connection stands.
-func (a *Agent) connect(i int, to Connection) {
+// setConnection changes where a line's connection stands.
+func (a *Agent) setConnection(i int, to ConnectionState) {
 	l := &a.lines[i]
-	fits := l.conn == to || to == None
-	for _, may := range connectionMay[l.conn] {
+	fits := l.connection == to || to == ConnectionNone
+	for _, may := range connectionTransitions[l.connection] {
 		fits = fits || may == to
 	}
 	if !fits {
-		a.Counts.Faults++
-		a.out.Note(fmt.Sprintf("fault: a connection at %s goes from %v to %v", a.endpoint(i), l.conn, to))
+		a.Counts.InvalidTransitions++
+		a.output.Note(fmt.Sprintf("fault: a connection at %s goes from %v to %v", a.endpointName(i), l.connection, to))
 	}
-	l.conn = to
+	l.connection = to
 }
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -10,16 +10,16 @@
 type State uint8
 
 const (
-	Away    State = iota // its gateway, or it alone, is out of service
-	Idle                 // on hook
-	Dialing              // off hook, dial tone, digits come
-	Opening              // a number is known; its connection is being made
-	Calling              // offered to the exchange
-	Talking              // the call stands, in either direction
-	Hearing              // off hook with a tone: refused, failed, over
-	Taking               // a call for it: its connection is being made and its phone is to ring
-	Ringing              // its phone rings; the call stands
-	states
+	OutOfService       State = iota // its gateway, or it alone, is out of service
+	Idle                            // on hook
+	Dialing                         // off hook, dial tone, digits come
+	CreatingConnection              // a number is known; its connection is being made
+	Calling                         // offered to the exchange
+	Talking                         // the call stands, in either direction
+	HearingTone                     // off hook with a tone: refused, failed, over
+	Incoming                        // a call for it: its connection is being made and its phone is to ring
+	Ringing                         // its phone rings; the call stands
+	stateCount
 )
 
 func (s State) String() string {
@@ -30,22 +30,22 @@
 type event uint8
 
 const (
-	lifted     event = iota // the receiver, to dial
-	turnedAway              // lifted, but the program has no room for another call
-	hungUp
-	flashed
-	dialled    // a whole number
-	misdialled // digits that are no number
-	opened     // the connection is made, and what was asked with it obeyed
-	unopened   // it cannot be made
-	answered   // the exchange: the call stands
-	released   // the exchange: it is over
-	called     // the exchange: a call for this line
-	vanished   // the connection of the call is gone from the gateway
-	lost       // the gateway, or this endpoint
-	back       // it is there again, on hook as far as is known
-	expired    // the guard of the state
-	events
+	offHook         event = iota // the receiver, to dial
+	offHookRejected              // lifted, but the program has no room for another call
+	onHook
+	hookFlash
+	numberDialled    // a whole number
+	numberInvalid    // digits that are no number
+	connectionReady  // the connection is made, and what was asked with it obeyed
+	connectionFailed // it cannot be made
+	callAnswered     // the exchange: the call stands
+	callReleased     // the exchange: it is over
+	incomingCall     // the exchange: a call for this line
+	connectionLost   // the connection of the call is gone from the gateway
+	endpointLost     // the gateway, or this endpoint
+	endpointBack     // it is there again, on hook as far as is known
+	guardExpired     // the guard of the state
+	eventCount
 )
 
 func (e event) String() string {
@@ -53,209 +53,228 @@
 		"vanished", "lost", "back", "expired"}[e]
 }
 
-// input is what an event brings.
-type input struct {
-	digits string
-	age    policy.Tenths // how long ago it happened, as far as is known
-	hop    place         // called
-	m      isup.Message  // answered, released, called
+// eventData is what an event brings.
+type eventData struct {
+	digits  string
+	age     policy.Tenths // how long ago it happened, as far as is known
+	circuit circuitKey    // called
+	message isup.Message  // answered, released, called
 }
 
-type move struct {
-	to State
-	do func(*Agent, int, input)
+type transition struct {
+	next   State
+	action func(*Agent, int, eventData)
 }
 
-// moves is the whole of a line's life. What is not in it changes nothing: a notification is answered by the door before it
+// transitions is the whole of a line's life. What is not in it changes nothing: a notification is answered by the door before it
 // comes here, a call by the exchange gets its answer from refuse, and every other is counted.
-var moves = [states][events]move{
-	Away: {back: {Idle, (*Agent).rest}, lost: {Away, (*Agent).stay}, called: {Away, (*Agent).refuse}},
-	Idle: {lifted: {Dialing, (*Agent).giveTone}, turnedAway: {Hearing, (*Agent).turnAway}, called: {Taking, (*Agent).take},
-		lost: {Away, (*Agent).rest}, back: {Idle, (*Agent).rest}, hungUp: {Idle, (*Agent).stay}},
-	Dialing: {dialled: {Opening, (*Agent).open}, misdialled: {Hearing, (*Agent).wrongNumber}, expired: {Hearing, (*Agent).wrongNumber},
-		flashed: {Dialing, (*Agent).giveTone}, hungUp: {Idle, (*Agent).rest}, called: {Dialing, (*Agent).refuse},
-		lost: {Away, (*Agent).rest}, back: {Idle, (*Agent).rest}},
-	Opening: {opened: {Calling, (*Agent).offer}, unopened: {Hearing, (*Agent).fail}, expired: {Hearing, (*Agent).fail}, vanished: {Hearing, (*Agent).fail},
-		hungUp: {Idle, (*Agent).rest}, flashed: {Opening, (*Agent).stay}, called: {Opening, (*Agent).refuse}, lost: {Away, (*Agent).rest}, back: {Idle, (*Agent).rest}},
-	Calling: {answered: {Talking, (*Agent).through}, released: {Hearing, (*Agent).tellCause}, expired: {Hearing, (*Agent).giveUp},
-		vanished: {Hearing, (*Agent).giveUp}, hungUp: {Idle, (*Agent).hangUp}, flashed: {Calling, (*Agent).stay},
-		called: {Calling, (*Agent).refuse}, lost: {Away, (*Agent).cut}, back: {Idle, (*Agent).cut}},
-	Talking: {released: {Hearing, (*Agent).tellCause}, vanished: {Hearing, (*Agent).giveUp}, hungUp: {Idle, (*Agent).hangUp},
-		flashed: {Talking, (*Agent).stay}, called: {Talking, (*Agent).refuse}, lost: {Away, (*Agent).cut}, back: {Idle, (*Agent).cut}},
-	Hearing: {hungUp: {Idle, (*Agent).rest}, expired: {Hearing, (*Agent).warn}, flashed: {Dialing, (*Agent).giveTone},
-		called: {Hearing, (*Agent).refuse}, lost: {Away, (*Agent).rest}, back: {Idle, (*Agent).rest}},
-	Taking: {opened: {Ringing, (*Agent).ringing}, unopened: {Idle, (*Agent).unable}, vanished: {Idle, (*Agent).unable}, released: {Idle, (*Agent).rest},
+var transitions = [stateCount][eventCount]transition{
+	OutOfService: {endpointBack: {Idle, (*Agent).goIdle}, endpointLost: {OutOfService, (*Agent).noAction}, incomingCall: {OutOfService, (*Agent).refuseCall}},
+	Idle: {offHook: {Dialing, (*Agent).startDialling}, offHookRejected: {HearingTone, (*Agent).rejectOverload}, incomingCall: {Incoming, (*Agent).startIncoming},
+		endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}, onHook: {Idle, (*Agent).noAction}},
+	Dialing: {numberDialled: {CreatingConnection, (*Agent).startCall}, numberInvalid: {HearingTone, (*Agent).rejectNumber}, guardExpired: {HearingTone, (*Agent).rejectNumber},
+		hookFlash: {Dialing, (*Agent).startDialling}, onHook: {Idle, (*Agent).goIdle}, incomingCall: {Dialing, (*Agent).refuseCall},
+		endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
+	CreatingConnection: {connectionReady: {Calling, (*Agent).offerCall}, connectionFailed: {HearingTone, (*Agent).failSetUp}, guardExpired: {HearingTone, (*Agent).failSetUp}, connectionLost: {HearingTone, (*Agent).failSetUp},
+		onHook: {Idle, (*Agent).goIdle}, hookFlash: {CreatingConnection, (*Agent).noAction}, incomingCall: {CreatingConnection, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
+	Calling: {callAnswered: {Talking, (*Agent).connectCall}, callReleased: {HearingTone, (*Agent).playCause}, guardExpired: {HearingTone, (*Agent).failCall},
+		connectionLost: {HearingTone, (*Agent).failCall}, onHook: {Idle, (*Agent).clearCall}, hookFlash: {Calling, (*Agent).noAction},
+		incomingCall: {Calling, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
+	Talking: {callReleased: {HearingTone, (*Agent).playCause}, connectionLost: {HearingTone, (*Agent).failCall}, onHook: {Idle, (*Agent).clearCall},
+		hookFlash: {Talking, (*Agent).noAction}, incomingCall: {Talking, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
+	HearingTone: {onHook: {Idle, (*Agent).goIdle}, guardExpired: {HearingTone, (*Agent).warnOffHook}, hookFlash: {Dialing, (*Agent).startDialling},
+		incomingCall: {HearingTone, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
+	Incoming: {connectionReady: {Ringing, (*Agent).answerExchange}, connectionFailed: {Idle, (*Agent).failIncoming}, connectionLost: {Idle, (*Agent).failIncoming}, callReleased: {Idle, (*Agent).goIdle},
 		// Glare: the user lifted to dial as the call came and has not heard it ring. The call finds the line engaged.
-		lifted: {Dialing, (*Agent).glare}, turnedAway: {Dialing, (*Agent).glare}, hungUp: {Taking, (*Agent).stay},
-		called: {Taking, (*Agent).refuse}, lost: {Away, (*Agent).cut}, back: {Idle, (*Agent).cut}},
-	Ringing: {lifted: {Talking, (*Agent).pickUp}, turnedAway: {Talking, (*Agent).pickUp}, released: {Idle, (*Agent).rest}, expired: {Idle, (*Agent).noAnswer},
-		vanished: {Idle, (*Agent).unable}, hungUp: {Ringing, (*Agent).stay}, called: {Ringing, (*Agent).refuse},
-		lost: {Away, (*Agent).cut}, back: {Idle, (*Agent).cut}},
+		offHook: {Dialing, (*Agent).resolveGlare}, offHookRejected: {Dialing, (*Agent).resolveGlare}, onHook: {Incoming, (*Agent).noAction},
+		incomingCall: {Incoming, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
+	Ringing: {offHook: {Talking, (*Agent).pickUpCall}, offHookRejected: {Talking, (*Agent).pickUpCall}, callReleased: {Idle, (*Agent).goIdle}, guardExpired: {Idle, (*Agent).releaseUnanswered},
+		connectionLost: {Idle, (*Agent).failIncoming}, onHook: {Ringing, (*Agent).noAction}, incomingCall: {Ringing, (*Agent).refuseCall},
+		endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
 }
 
-// happen is the one place where a line changes its state.
-func (a *Agent) happen(i int, e event, in input) {
+// handleEvent is the one place where a line changes its state.
+func (a *Agent) handleEvent(i int, e event, in eventData) {
 	l := &a.lines[i]
-	m := moves[l.state][e]
-	if m.do == nil {
-		a.Unexpected[l.state][e]++
-		a.push(i)
+	m := transitions[l.state][e]
+	if m.action == nil {
+		a.UnexpectedEvents[l.state][e]++
+		a.reconcile(i)
 		return
 	}
-	l.state = m.to
-	m.do(a, i, in)
-	a.push(i)
+	l.state = m.next
+	m.action(a, i, in)
+	a.reconcile(i)
 }
 
-// wish has a line be so from now on; push brings the gateway there.
-func (a *Agent) wish(i int, hear Hear, tone gateways.Tone, mode Mode, guard policy.Tenths) {
+// setDesired has a line be so from now on; push brings the gateway there.
+func (a *Agent) setDesired(i int, hear RequestedEvents, tone gateways.Tone, mode Mode, guard policy.Tenths) {
 	l := &a.lines[i]
-	l.want = wish{hear, tone, mode}
-	if mode == NoMedia {
-		l.talk = nil
+	l.desired = endpointState{hear, tone, mode}
+	if mode == NoMode {
+		l.call = nil
 	}
-	l.guard = guard
+	l.guardAt = guard
 	if guard > 0 {
-		a.at(guard, dueLine, i)
+		a.schedule(guard, lineTimer, i)
 	}
 }
 
-func (a *Agent) stay(int, input) {}
+func (a *Agent) noAction(int, eventData) {}
 
-// rest leaves a line on hook with nothing going on; away, nothing is asked of it.
-func (a *Agent) rest(i int, _ input) { a.wish(i, HearLift, gateways.Silence, NoMedia, 0) }
+// goIdle leaves a line on hook with nothing going on; away, nothing is asked of it.
+func (a *Agent) goIdle(i int, _ eventData) {
+	a.setDesired(i, DetectOffHook, gateways.Silence, NoMode, 0)
+}
 
-func (a *Agent) giveTone(i int, _ input) {
-	a.wish(i, HearDigits, gateways.DialTone, NoMedia, a.now+a.site.DialMost)
-	a.lines[i].has.hear, a.lines[i].has.tone = HearNothing, gateways.Silence // also after a flash: the digits begin anew
+func (a *Agent) startDialling(i int, _ eventData) {
+	a.setDesired(i, DetectDigits, gateways.DialTone, NoMode, a.now+a.config.MaxDialTime)
+	a.lines[i].applied.events, a.lines[i].applied.tone = DetectNothing, gateways.Silence // also after a flash: the digits begin anew
 }
 
-// hears has a user hear a tone. It is the final answer of a call, or the end of one, and does not wait behind a command that the
+// playTone has a user hear a tone. It is the final answer of a call, or the end of one, and does not wait behind a command that the
 // gateway has not answered: that one is given up, and what it may have made is deleted by the call's id with the tone.
-func (a *Agent) hears(i int, t gateways.Tone) {
-	if a.lines[i].out != 0 {
-		a.abandon(i)
+func (a *Agent) playTone(i int, t gateways.Tone) {
+	if a.lines[i].transaction != 0 {
+		a.abandonCommand(i)
 	}
-	a.wish(i, HearHang, t, NoMedia, a.now+toneMost)
+	a.setDesired(i, DetectOnHook, t, NoMode, a.now+maxToneTime)
 }
 
-func (a *Agent) turnAway(i int, _ input)    { a.Counts.TurnedAway++; a.hears(i, gateways.Congestion) }
-func (a *Agent) wrongNumber(i int, _ input) { a.hears(i, gateways.Reorder) }
-func (a *Agent) warn(i int, _ input) {
-	a.wish(i, HearHang, gateways.OffHookWarning, NoMedia, 0)
+func (a *Agent) rejectOverload(i int, _ eventData) {
+	a.Counts.Rejected++
+	a.playTone(i, gateways.Congestion)
+}
+func (a *Agent) rejectNumber(i int, _ eventData) { a.playTone(i, gateways.Reorder) }
+func (a *Agent) warnOffHook(i int, _ eventData) {
+	a.setDesired(i, DetectOnHook, gateways.OffHookWarning, NoMode, 0)
 }
 
-// open takes a dialled number: the caller's time runs from here.
-func (a *Agent) open(i int, in input) {
+// startCall takes a dialled number: the caller's time runs from here.
+func (a *Agent) startCall(i int, in eventData) {
 	l := &a.lines[i]
-	l.by = a.now - in.age + a.site.Abandon[a.gws[l.gw].Bearer]
-	left := l.by - a.now
-	left -= gateways.AnswerRoom(a.gws[l.gw].sender.Wait(), left, a.gws[l.gw].sender.Loss())
-	a.nextCall++
-	l.talk = &talk{call: a.nextCall, digits: in.digits, leaves: a.now + left, hop: place{a.pointOf(i), a.cicOf(i)}}
+	l.answerDeadline = a.now - in.age + a.config.AbandonTimes[a.gateways[l.gateway].Bearer]
+	left := l.answerDeadline - a.now
+	left -= gateways.AnswerMargin(a.gateways[l.gateway].sender.RetransmissionTimeout(), left, a.gateways[l.gateway].sender.LossRate())
+	a.lastCallID++
+	l.call = &lineCall{id: a.lastCallID, digits: in.digits, deadline: a.now + left, circuit: circuitKey{a.pointOf(i), a.cicOf(i)}}
 	a.Counts.Dialled++
-	a.wish(i, HearHang, gateways.Silence, Receive, l.talk.leaves)
+	a.setDesired(i, DetectOnHook, gateways.Silence, ReceiveOnly, l.call.deadline)
 }
 
-// offer gives the call to the exchange, with the time that is left of the caller's.
-func (a *Agent) offer(i int, _ input) {
+// offerCall gives the call to the exchange, with the time that is left of the caller's.
+func (a *Agent) offerCall(i int, _ eventData) {
 	l := &a.lines[i]
-	k, g := l.talk, &a.gws[l.gw]
+	k, g := l.call, &a.gateways[l.gateway]
 	marks := uint8(0)
-	if l.last == numberDigest(k.digits) { // it was turned away or cut, and comes again
-		marks = l.lastMark
+	if l.lastNumber == numberDigest(k.digits) { // it was turned away or cut, and comes again
+		marks = l.lastFlags
 	}
-	l.last, l.lastMark = numberDigest(k.digits), isup.FlagRedial
-	a.identity = (a.identity + 1) & identityMost
-	says := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall | isup.PartSession, TimeLeft: uint32(max(1, k.leaves-a.now)), Bearer: uint8(g.Bearer),
-		Flags: marks, Session: k.local}
-	l.guard = k.leaves + policy.Tenths(lateAnswer)
-	a.at(l.guard, dueLine, i)
-	a.toExchange(k.hop, isup.Message{Type: isup.IAM, Digits: k.digits, Caller: a.numberOf(i), Width: g.Width,
-		Ref: isup.Reference{Point: a.site.Point, Identity: a.identity | identityFirst}, UserInfo: says})
+	l.lastNumber, l.lastFlags = numberDigest(k.digits), isup.FlagRedial
+	a.lastIdentity = (a.lastIdentity + 1) & identityMask
+	says := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall | isup.PartSession, TimeLeft: uint32(max(1, k.deadline-a.now)), Bearer: uint8(g.Bearer),
+		Flags: marks, Session: k.localSession}
+	l.guardAt = k.deadline + policy.Tenths(lateAnswerMargin)
+	a.schedule(l.guardAt, lineTimer, i)
+	a.sendToExchange(k.circuit, isup.Message{Type: isup.IAM, Digits: k.digits, Caller: a.numberOf(i), Width: g.Width,
+		Ref: isup.Reference{Point: a.config.PointCode, Identity: a.lastIdentity | firstGatewayIdentity}, UserInfo: says})
 }
 
-// through joins caller and called: the call stands.
-func (a *Agent) through(i int, in input) {
+// connectCall joins caller and called: the call stands.
+func (a *Agent) connectCall(i int, in eventData) {
 	l := &a.lines[i]
-	a.Counts.Stood++
-	l.last, l.lastMark = numberDigest(l.talk.digits), isup.FlagDisconnectedBefore
-	l.talk.remote = a.sessionOf(in.m.UserInfo, l.talk.hop)
-	a.wish(i, HearHang, gateways.Silence, Both, 0)
+	a.Counts.Answered++
+	l.lastNumber, l.lastFlags = numberDigest(l.call.digits), isup.FlagDisconnectedBefore
+	l.call.remoteSession = a.remoteSessionOf(in.message.UserInfo, l.call.circuit)
+	a.setDesired(i, DetectOnHook, gateways.Silence, SendReceive, 0)
 }
 
-// tellCause lets a user hear why the call is over, or never was.
-func (a *Agent) tellCause(i int, in input) {
+// playCause lets a user hear why the call is over, or never was.
+func (a *Agent) playCause(i int, in eventData) {
 	l := &a.lines[i]
-	tone, words := gateways.ToneFor(in.m.Cause)
-	if in.m.Cause == isup.NormalClearing {
-		l.last = 0
+	tone, words := gateways.ToneFor(in.message.Cause)
+	if in.message.Cause == isup.NormalClearing {
+		l.lastNumber = 0
 	}
 	if tone == gateways.Reorder {
 		a.Counts.Failed++
 	} else {
 		a.Counts.Refused++
 	}
-	a.out.Told(i, words)
-	a.hears(i, tone)
+	a.output.Told(i, words)
+	a.playTone(i, tone)
 }
 
-// fail answers a call that never came to the exchange; giveUp one that is there.
-func (a *Agent) fail(i int, _ input) {
+// failSetUp answers a call that never came to the exchange; failCall one that is there.
+func (a *Agent) failSetUp(i int, _ eventData) {
 	a.Counts.Failed++
-	a.out.Told(i, "the gateway did not make the connection in time")
-	a.hears(i, gateways.Reorder)
+	a.output.Told(i, "the gateway did not make the connection in time")
+	a.playTone(i, gateways.Reorder)
 }
 
-func (a *Agent) giveUp(i int, _ input) {
-	a.release(i, isup.NetworkOutOfOrder)
+func (a *Agent) failCall(i int, _ eventData) {
+	a.sendRelease(i, isup.NetworkOutOfOrder)
 	a.Counts.Failed++
-	a.out.Told(i, "the connection at the gateway is gone")
-	a.hears(i, gateways.Reorder)
+	a.output.Told(i, "the connection at the gateway is gone")
+	a.playTone(i, gateways.Reorder)
 }
 
-func (a *Agent) release(i int, c isup.Cause) {
-	if k := a.lines[i].talk; k != nil {
-		a.toExchange(k.hop, isup.Message{Type: isup.REL, Cause: c, Location: isup.User})
+func (a *Agent) sendRelease(i int, c isup.Cause) {
+	if k := a.lines[i].call; k != nil {
+		a.sendToExchange(k.circuit, isup.Message{Type: isup.REL, Cause: c, Location: isup.User})
 	}
 }
 
-func (a *Agent) hangUp(i int, in input) { a.release(i, isup.NormalClearing); a.rest(i, in) }
-func (a *Agent) cut(i int, in input)    { a.release(i, isup.NetworkOutOfOrder); a.rest(i, in) }
+func (a *Agent) clearCall(i int, in eventData) {
+	a.sendRelease(i, isup.NormalClearing)
+	a.goIdle(i, in)
+}
+func (a *Agent) disconnectCall(i int, in eventData) {
+	a.sendRelease(i, isup.NetworkOutOfOrder)
+	a.goIdle(i, in)
+}
 
-// refuse answers a call for a line that cannot take it.
-func (a *Agent) refuse(i int, in input) {
+// refuseCall answers a call for a line that cannot take it.
+func (a *Agent) refuseCall(i int, in eventData) {
 	c := isup.UserBusy
-	if a.lines[i].state == Away {
+	if a.lines[i].state == OutOfService {
 		c = isup.OutOfOrder
 	}
-	a.toExchange(in.hop, isup.Message{Type: isup.REL, Cause: c, Location: isup.User})
+	a.sendToExchange(in.circuit, isup.Message{Type: isup.REL, Cause: c, Location: isup.User})
 }
 
-// take has a phone ring: its connection, the ring and the caller's ring-back go out as one command.
-func (a *Agent) take(i int, in input) {
-	a.nextCall++
-	if in.m.UserInfo.Present&isup.PartTimeLeft != 0 {
-		a.lines[i].by = a.now + policy.Tenths(in.m.UserInfo.TimeLeft)
+// startIncoming has a phone ring: its connection, the ring and the caller's ring-back go out as one command.
+func (a *Agent) startIncoming(i int, in eventData) {
+	a.lastCallID++
+	if in.message.UserInfo.Present&isup.PartTimeLeft != 0 {
+		a.lines[i].answerDeadline = a.now + policy.Tenths(in.message.UserInfo.TimeLeft)
 	}
-	a.lines[i].talk = &talk{call: a.nextCall, hop: in.hop, remote: a.sessionOf(in.m.UserInfo, in.hop)}
+	a.lines[i].call = &lineCall{id: a.lastCallID, circuit: in.circuit, remoteSession: a.remoteSessionOf(in.message.UserInfo, in.circuit)}
 	a.Counts.Rung++
-	a.wish(i, HearLift, gateways.Ring, Both, 0)
+	a.setDesired(i, DetectOffHook, gateways.Ring, SendReceive, 0)
 }
 
-// ringing tells the exchange that the phone rings: the way is there from end to end, and the call stands. Whether somebody
+// answerExchange tells the exchange that the phone rings: the way is there from end to end, and the call stands. Whether somebody
 // picks up is not the network's.
-func (a *Agent) ringing(i int, _ input) {
+func (a *Agent) answerExchange(i int, _ eventData) {
 	l := &a.lines[i]
-	l.guard = a.now + a.site.RingMost
-	a.at(l.guard, dueLine, i)
-	a.toExchange(l.talk.hop, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: l.talk.local}})
+	l.guardAt = a.now + a.config.MaxRingTime
+	a.schedule(l.guardAt, lineTimer, i)
+	a.sendToExchange(l.call.circuit, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: l.call.localSession}})
 }
 
-func (a *Agent) unable(i int, in input) { a.release(i, isup.TemporaryFailure); a.rest(i, in) }
-func (a *Agent) noAnswer(i int, in input) {
-	a.release(i, isup.NoAnswer)
-	a.rest(i, in)
+func (a *Agent) failIncoming(i int, in eventData) {
+	a.sendRelease(i, isup.TemporaryFailure)
+	a.goIdle(i, in)
+}
+func (a *Agent) releaseUnanswered(i int, in eventData) {
+	a.sendRelease(i, isup.NoAnswer)
+	a.goIdle(i, in)
+}
+func (a *Agent) resolveGlare(i int, in eventData) {
+	a.sendRelease(i, isup.UserBusy)
+	a.startDialling(i, in)
+}
+func (a *Agent) pickUpCall(i int, _ eventData) {
+	a.setDesired(i, DetectOnHook, gateways.Silence, SendReceive, 0)
 }
-func (a *Agent) glare(i int, in input) { a.release(i, isup.UserBusy); a.giveTone(i, in) }
-func (a *Agent) pickUp(i int, _ input) { a.wish(i, HearHang, gateways.Silence, Both, 0) }
--- a/internal/callagent/session.go
+++ b/internal/callagent/session.go
@@ -31,12 +31,12 @@
 		if len(text) <= isup.MaxSessionSize {
 			return string(text), nil
 		}
-		return ownSession(c.Address.Address, m.MediaName.Port.Value), nil
+		return pcmuSession(c.Address.Address, m.MediaName.Port.Value), nil
 	}
 	return "", errors.New("session description without an audio stream that has a port and an address")
 }
 
-// ownSession describes PCMU at an address and a port.
-func ownSession(address string, port int) string {
+// pcmuSession describes PCMU at an address and a port.
+func pcmuSession(address string, port int) string {
 	return "v=0\r\no=- 0 0 IN IP4 " + address + "\r\ns=-\r\nc=IN IP4 " + address + "\r\nt=0 0\r\nm=audio " + strconv.Itoa(port) + " RTP/AVP 0\r\n"
 }
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -20,7 +20,7 @@
 // Gateways holds the settings for MGCP gateways.
 type Gateways struct {
 	ListenAddress string // address where the call agent receives datagrams
-	callagent.Site
+	callagent.Config
 }
 
 // datagram holds the messages of one datagram from a gateway.
@@ -52,8 +52,8 @@
 // newAgentAdapter creates the call agent.
 func newAgentAdapter(s *Server, settings *Gateways) *agentAdapter {
 	a := &agentAdapter{server: s, listenAddress: settings.ListenAddress, sendQueue: make(chan packet, maxQueuedDatagrams)}
-	agentSettings := settings.Site
-	agentSettings.Life = uint32(time.Now().Unix()) // two starts within a second would share call IDs, but the first had no time to use any
+	agentSettings := settings.Config
+	agentSettings.Incarnation = uint32(time.Now().Unix()) // two starts within a second would share call IDs, but the first had no time to use any
 	a.agent = callagent.New(agentSettings, a, s.clock.Now())
 	return a
 }
@@ -84,7 +84,7 @@
 
 // read decodes datagrams and queues them for the event loop until the socket is closed.
 func (a *agentAdapter) read(conn net.PacketConn) {
-	buf := make([]byte, mgcp.DatagramMost+1)
+	buf := make([]byte, mgcp.MaxDatagramSize+1)
 	for {
 		size, from, err := conn.ReadFrom(buf)
 		if err != nil {
@@ -138,15 +138,15 @@
 		return
 	}
 	unexpected := 0
-	for _, row := range a.agent.Unexpected {
+	for _, row := range a.agent.UnexpectedEvents {
 		for _, count := range row {
 			unexpected += count
 		}
 	}
 	counts := a.agent.Counts
-	a.server.log.Info("gateway counters", "dialled", counts.Dialled, "stood", counts.Stood, "refused", counts.Refused, "failed", counts.Failed, "rung", counts.Rung, "turned away", counts.TurnedAway,
-		"joined", counts.Joined, "lost", counts.Lost, "leftovers", counts.Leftovers, "contradictions", counts.Contradictions, "stale", counts.Stale, "cut short", counts.Incomplete,
-		"unexpected", unexpected, "faults", counts.Faults, "datagrams", counts.Sent)
+	a.server.log.Info("gateway counters", "dialled", counts.Dialled, "stood", counts.Answered, "refused", counts.Refused, "failed", counts.Failed, "rung", counts.Rung, "turned away", counts.Rejected,
+		"joined", counts.Joined, "lost", counts.Lost, "leftovers", counts.OrphanedConnections, "contradictions", counts.ConflictingResponses, "stale", counts.StaleNotifications, "cut short", counts.IncompleteMessages,
+		"unexpected", unexpected, "faults", counts.InvalidTransitions, "datagrams", counts.DatagramsSent)
 }
 
 // pendingCommands counts the lines whose gateway has not answered a command that a call still depends on.
@@ -154,31 +154,31 @@
 	if a == nil {
 		return 0
 	}
-	return a.agent.Telling(now)
+	return a.agent.LinesAwaitingResponse(now)
 }
 
 // settle lets the agent handle what the exchange sent to its lines during an event.
 func (a *agentAdapter) settle(now policy.Tenths) {
 	if a != nil {
-		a.agent.Settle(now)
+		a.agent.ProcessQueue(now)
 	}
 }
 
 // deliver passes a message to the agent if it is for a line at a gateway, and reports whether it is.
 func (a *agentAdapter) deliver(point uint16, m isup.Message) bool {
-	return a != nil && a.agent.Hear(point, m.CIC, m)
+	return a != nil && a.agent.HandleISUP(point, m.CIC, m)
 }
 
 // hasLine reports whether a call's side is a line at a gateway.
 func (a *agentAdapter) hasLine(leg recovery.Leg) bool {
-	return a != nil && !leg.Trunk && a.agent.Takes(leg.Point, leg.CIC)
+	return a != nil && !leg.Trunk && a.agent.HasCircuit(leg.Point, leg.CIC)
 }
 
 // handleDatagram passes the messages of a datagram to the agent.
 func (a *agentAdapter) handleDatagram(now policy.Tenths, d datagram) {
-	a.agent.Waits(now, now-d.readAt)
+	a.agent.SetCallDelay(now, now-d.readAt)
 	for _, m := range d.messages {
-		a.agent.Datagram(now, d.from, m, now-d.readAt)
+		a.agent.HandleMessage(now, d.from, m, now-d.readAt)
 	}
 }
 
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -30,9 +30,9 @@
 // gatewaySettings returns settings with a number of gateways that have so many endpoints each. The rate limits how many gateways
 // a second are brought into service.
 func gatewaySettings(own, gateways, endpoints int, rate float64) *Gateways {
-	digitMap, _ := mgcp.ParseMap("(xxxxxxxxx)")
-	settings := &Gateways{Site: callagent.Site{Own: own, Point: exchange.PointCode(own), Map: digitMap, Abandon: []policy.Tenths{90000}, GoS: 12000, DialMost: 200000,
-		RingMost: 600000, Media: "127.0.0.1", Rate: rate, Queue: 1 << 15}}
+	digitMap, _ := mgcp.ParseDigitMap("(xxxxxxxxx)")
+	settings := &Gateways{Config: callagent.Config{OwnExchange: own, PointCode: exchange.PointCode(own), DigitMap: digitMap, AbandonTimes: []policy.Tenths{90000}, GoSTarget: 12000, MaxDialTime: 200000,
+		MaxRingTime: 600000, MediaAddress: "127.0.0.1", RestartRate: rate, MaxQueuedRestarts: 1 << 15}}
 	for n := range gateways {
 		settings.Gateways = append(settings.Gateways, callagent.Gateway{Name: fmt.Sprintf("gw%d", n), Endpoints: endpoints, FirstLine: 100 + n*endpoints, Width: 1})
 	}
@@ -56,7 +56,7 @@
 func (h *agentHarness) Told(int, string)         {}
 func (h *agentHarness) Answered(exchange.Answer) {}
 func (h *agentHarness) Transmit(to exchange.Hop, m isup.Message) {
-	if to.Side == exchange.Line && h.agent != nil && h.agent.Hear(to.Point, m.CIC, m) {
+	if to.Side == exchange.Line && h.agent != nil && h.agent.HandleISUP(to.Point, m.CIC, m) {
 		return
 	}
 	h.encoded, _ = isup.Append(h.encoded[:0], m)
@@ -82,9 +82,9 @@
 		panic(err)
 	}
 	for _, m := range all {
-		h.agent.Datagram(h.now, gatewayAddress, m, 0)
+		h.agent.HandleMessage(h.now, gatewayAddress, m, 0)
 	}
-	h.agent.Settle(h.now)
+	h.agent.ProcessQueue(h.now)
 }
 
 // receiveTrunk passes a message from a trunk to the exchange.
@@ -95,7 +95,7 @@
 	}
 	h.exchange.Receive(h.now, from, m, 0)
 	if h.agent != nil {
-		h.agent.Settle(h.now)
+		h.agent.ProcessQueue(h.now)
 	}
 }
 
@@ -141,7 +141,7 @@
 		}
 	}
 	h.exchange.Listed(h.now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}, {ID: 6, Number: 2, Ready: true}})
-	site := gatewaySettings(0, gateways, endpoints, 1e6).Site
+	site := gatewaySettings(0, gateways, endpoints, 1e6).Config
 	for i := range site.Gateways {
 		site.Gateways[i].Addresses = []netip.AddrPort{gatewayAddress}
 	}
@@ -154,7 +154,7 @@
 			h.now = max(h.now, min(at, h.now+100))
 			h.agent.Tick(h.now)
 		}
-		if h.agent.Lines(callagent.Idle) == gateways*endpoints {
+		if h.agent.CountLines(callagent.Idle) == gateways*endpoints {
 			break
 		}
 	}
@@ -166,7 +166,7 @@
 // exchange, decision module, encoding.
 func BenchmarkCallByGatewayAndByTrunk(b *testing.B) {
 	h := newAgentHarness(1, 24)
-	if h.agent.Lines(callagent.Idle) != 24 {
+	if h.agent.CountLines(callagent.Idle) != 24 {
 		b.Fatal("the gateway did not come into service")
 	}
 	var byGateway, byTrunk time.Duration
@@ -250,7 +250,7 @@
 		h.datagrams = nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		if n := h.agent.Lines(callagent.Idle); n != 4167*24 {
+		if n := h.agent.CountLines(callagent.Idle); n != 4167*24 {
 			b.Fatalf("%d lines are idle", n)
 		}
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/(4167*24), "B/endpoint")
@@ -436,7 +436,7 @@
 		delete(e.otherSide, there)
 	}
 	m.CIC = there[1]
-	e.agent.Hear(there[0], there[1], m)
+	e.agent.HandleISUP(there[0], there[1], m)
 }
 
 // run serves the agent's socket and timers until ctx ends.
@@ -476,9 +476,9 @@
 			all, _ := mgcp.Decode(text)
 			at := <-from
 			for _, m := range all {
-				e.agent.Datagram(e.now, at, m, 0)
+				e.agent.HandleMessage(e.now, at, m, 0)
 			}
-			e.agent.Settle(e.now)
+			e.agent.ProcessQueue(e.now)
 		}
 	}
 }
@@ -499,7 +499,7 @@
 				b.Fatal(err)
 			}
 			baseline := &directExchange{conn: conn, now: 1 << 32, otherSide: map[[2]uint16][2]uint16{}}
-			site := gatewaySettings(0, 2, phones, 1e6).Site
+			site := gatewaySettings(0, 2, phones, 1e6).Config
 			baseline.agent = callagent.New(site, baseline, baseline.now)
 			ctx, cancel := context.WithCancel(context.Background())
 			go baseline.run(ctx)
--- a/internal/gateways/decisions_test.go
+++ b/internal/gateways/decisions_test.go
@@ -18,14 +18,14 @@
 	for _, c := range []struct {
 		verb mgcp.Verb
 		code int
-		want Reading
+		want Result
 	}{
-		{mgcp.CreateConnection, 200, Obeyed}, {mgcp.DeleteConnection, 250, Obeyed}, {mgcp.DeleteConnection, 515, Obeyed}, {mgcp.ModifyConnection, 515, NoConnection},
-		{mgcp.NotificationRequest, 401, LiftedNow}, {mgcp.NotificationRequest, 402, HungUpNow}, {mgcp.NotificationRequest, 400, NotNow},
-		{mgcp.NotificationRequest, 409, NotNow}, {mgcp.CreateConnection, 403, Cannot}, {mgcp.NotificationRequest, 403, NotNow}, {mgcp.CreateConnection, 500, NoEndpoint},
-		{mgcp.AuditEndpoint, 521, Elsewhere}, {mgcp.NotificationRequest, 513, Cannot}, {mgcp.CreateConnection, 899, Cannot}, {mgcp.CreateConnection, 405, NoEndpoint},
+		{mgcp.CreateConnection, 200, Succeeded}, {mgcp.DeleteConnection, 250, Succeeded}, {mgcp.DeleteConnection, 515, Succeeded}, {mgcp.ModifyConnection, 515, ConnectionGone},
+		{mgcp.NotificationRequest, 401, IsOffHook}, {mgcp.NotificationRequest, 402, IsOnHook}, {mgcp.NotificationRequest, 400, RetryLater},
+		{mgcp.NotificationRequest, 409, RetryLater}, {mgcp.CreateConnection, 403, Failed}, {mgcp.NotificationRequest, 403, RetryLater}, {mgcp.CreateConnection, 500, EndpointUnavailable},
+		{mgcp.AuditEndpoint, 521, OtherCallAgent}, {mgcp.NotificationRequest, 513, Failed}, {mgcp.CreateConnection, 899, Failed}, {mgcp.CreateConnection, 405, EndpointUnavailable},
 	} {
-		if got := ReadCode(c.verb, c.code); got != c.want {
+		if got := ResultOf(c.verb, c.code); got != c.want {
 			t.Errorf("%s %d: %d, want %d", c.verb, c.code, got, c.want)
 		}
 	}
@@ -37,15 +37,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		wait, left := policy.Tenths(rapid.IntRange(500, 40000).Draw(t, "wait")), policy.Tenths(rapid.IntRange(1, 100000).Draw(t, "left"))
 		loss := rapid.Float64Range(0, 1).Draw(t, "loss")
-		room := AnswerRoom(wait, left, loss)
+		room := AnswerMargin(wait, left, loss)
 		if room < 0 || room > left/2 || room < min(left/2, wait+2*wait) {
 			t.Fatalf("room %d of %d, wait %d", room, left, wait)
 		}
-		if AnswerRoom(wait, left, min(1, loss+0.2)) < room || AnswerRoom(wait+100, left, loss) < room {
+		if AnswerMargin(wait, left, min(1, loss+0.2)) < room || AnswerMargin(wait+100, left, loss) < room {
 			t.Fatalf("less room for a worse network")
 		}
 	})
-	if a, b := AnswerRoom(2000, 90000, 0), AnswerRoom(2000, 90000, 0.3); a >= b {
+	if a, b := AnswerMargin(2000, 90000, 0), AnswerMargin(2000, 90000, 0.3); a >= b {
 		t.Fatalf("%d without loss, %d with", a, b)
 	}
 }
@@ -62,7 +62,7 @@
 			}
 		}
 		slices.Sort(want)
-		got, gone := Leftovers(ids, live)
+		got, gone := OrphanedConnections(ids, live)
 		if !slices.Equal(got, want) || gone != (live != "" && !slices.Contains(ids, live)) {
 			t.Fatalf("left %v gone %v of %v, live %q", got, gone, ids, live)
 		}
@@ -121,7 +121,7 @@
 					want = Leaving
 				}
 			case 3:
-				if p.Stay(); want == Leaving || want == Joining {
+				if p.CancelLeave(); want == Leaving || want == Joining {
 					want = Serving
 				}
 			case 4:
@@ -131,10 +131,10 @@
 				}
 				want, ever = Absent, true
 			case 5:
-				p.Heard(now)
+				p.Received(now)
 			case 6:
-				ask, next := p.Due(now)
-				if ask && now-lastAsk < min(probeFirst, quietMost) && lastAsk > 0 {
+				ask, next := p.ProbeDue(now)
+				if ask && now-lastAsk < min(initialProbeInterval, keepaliveInterval) && lastAsk > 0 {
 					t.Fatalf("asked twice within %d", now-lastAsk)
 				}
 				if ask {
@@ -144,12 +144,12 @@
 					t.Fatalf("to be looked at in the past")
 				}
 			}
-			if p.Standing() != want {
-				t.Fatalf("%v, want %v", p.Standing(), want)
+			if p.State() != want {
+				t.Fatalf("%v, want %v", p.State(), want)
 			}
 		}
 		if ever && want == Absent {
-			if ask, _ := p.Due(now + 2*probeMost); !ask {
+			if ask, _ := p.ProbeDue(now + 2*maxProbeInterval); !ask {
 				t.Fatal("an absent gateway is not asked for any more")
 			}
 		}
--- a/internal/gateways/read.go
+++ b/internal/gateways/read.go
@@ -9,59 +9,61 @@
 	"indigodrift/policy"
 )
 
-// Reading is what a response to a command means for the endpoint and its call.
-type Reading uint8
+// Result is what a response to a command means for the endpoint and its call.
+type Result uint8
 
 const (
-	Obeyed       Reading = iota // the endpoint is as it was asked to be
-	LiftedNow                   // its phone is off hook, which nobody has told us
-	HungUpNow                   // its phone is on hook, which nobody has told us
-	NotNow                      // it cannot now: once more after a while
-	NoConnection                // the connection that was named is not there any more
-	NoEndpoint                  // there is no such endpoint, or it is out of service
-	Elsewhere                   // it belongs to another call agent
-	Cannot                      // it will never do this
+	Succeeded           Result = iota // the endpoint is as it was asked to be
+	IsOffHook                         // its phone is off hook, which nobody has told us
+	IsOnHook                          // its phone is on hook, which nobody has told us
+	RetryLater                        // it cannot now: once more after a while
+	ConnectionGone                    // the connection that was named is not there any more
+	EndpointUnavailable               // there is no such endpoint, or it is out of service
+	OtherCallAgent                    // it belongs to another call agent
+	Failed                            // it will never do this
 )
 
-// ReadCode reads a return code (RFC 3435, 2.4; RFC 3661, 4) for a verb.
-func ReadCode(verb mgcp.Verb, code int) Reading {
+// ResultOf reads a return code (RFC 3435, 2.4; RFC 3661, 4) for a verb.
+func ResultOf(verb mgcp.Verb, code int) Result {
 	switch code {
-	case mgcp.OffHook:
-		return LiftedNow
-	case mgcp.OnHook:
-		return HungUpNow
-	case mgcp.NoConnection, mgcp.NoCall:
+	case mgcp.CodeOffHook:
+		return IsOffHook
+	case mgcp.CodeOnHook:
+		return IsOnHook
+	case mgcp.CodeUnknownConnection, mgcp.CodeUnknownCall:
 		if verb == mgcp.DeleteConnection { // what was to be gone is gone
-			return Obeyed
+			return Succeeded
 		}
-		return NoConnection
-	case mgcp.NoEndpoint, mgcp.NotReady, mgcp.EndpointStarts, mgcp.Restarting, mgcp.Hardware:
-		return NoEndpoint
-	case mgcp.Redirected:
-		return Elsewhere
-	case mgcp.NoResources, mgcp.NoResourcesEver, mgcp.NoBandwidth, mgcp.NoRoom:
+		return ConnectionGone
+	case mgcp.CodeUnknownEndpoint, mgcp.CodeEndpointNotReady, mgcp.CodeEndpointRestarting, mgcp.CodeRestarting, mgcp.CodeHardwareFailure:
+		return EndpointUnavailable
+	case mgcp.CodeRedirected:
+		return OtherCallAgent
+	case mgcp.CodeNoResources, mgcp.CodeInsufficientResources, mgcp.CodeNoBandwidth, mgcp.CodeInsufficientBandwidth:
 		if verb == mgcp.CreateConnection || verb == mgcp.ModifyConnection { // the call cannot be had; the next one perhaps
-			return Cannot
+			return Failed
 		}
-		return NotNow
+		return RetryLater
 	}
-	switch mgcp.KindOf(code) {
+	switch mgcp.ClassOf(code) {
 	case mgcp.Success:
-		return Obeyed
+		return Succeeded
 	case mgcp.TransientError:
-		return NotNow
+		return RetryLater
 	}
-	return Cannot
+	return Failed
 }
 
 // Waits between repeats of what an endpoint cannot do now.
 const (
-	laterFirst = policy.Tenths(2000)
-	laterMost  = policy.Tenths(80000)
+	initialRetryDelay = policy.Tenths(2000)
+	maxRetryDelay     = policy.Tenths(80000)
 )
 
-// LaterWait is how long to wait before something is asked for again, refused so many times in a row.
-func LaterWait(refusals int) policy.Tenths { return min(laterMost, laterFirst<<min(refusals, 8)) }
+// RetryDelay is how long to wait before something is asked for again, refused so many times in a row.
+func RetryDelay(refusals int) policy.Tenths {
+	return min(maxRetryDelay, initialRetryDelay<<min(refusals, 8))
+}
 
 // Tone is what a user hears, or how a phone rings.
 type Tone uint8
@@ -81,8 +83,8 @@
 }
 
 // ToneFor tells which tone goes with a cause (Q.850), and the words that go into the log and to staff.
-func ToneFor(c isup.Cause) (Tone, string) {
-	switch c {
+func ToneFor(cause isup.Cause) (Tone, string) {
+	switch cause {
 	case isup.NormalClearing, isup.NormalUnspecified:
 		return Busy, "the far end hung up"
 	case isup.UserBusy:
@@ -103,47 +105,47 @@
 
 // A final answer is given time to be told so often that one in a thousand stays unheard at the loss seen, within bounds.
 const (
-	unheard      = 0.001
-	answersLeast = 3
-	answersMost  = 8
+	maxUndelivered   = 0.001
+	minTransmissions = 3
+	maxTransmissions = 8
 )
 
-// AnswerRoom is how much of a caller's time is kept for telling its answer to the gateway, which may have to be told several
+// AnswerMargin is how much of a caller's time is kept for telling its answer to the gateway, which may have to be told several
 // times with waits that double; wait is the first of them, loss the share of commands to that gateway that had to be repeated
 // of late. Half of the time left bounds it, or a bad network would have no time to set up calls.
-func AnswerRoom(wait, left policy.Tenths, loss float64) policy.Tenths {
-	times := answersLeast
-	for p := math.Pow(loss, answersLeast); p > unheard && times < answersMost; p *= loss {
-		times++
+func AnswerMargin(timeout, remaining policy.Tenths, loss float64) policy.Tenths {
+	transmissions := minTransmissions
+	for undelivered := math.Pow(loss, minTransmissions); undelivered > maxUndelivered && transmissions < maxTransmissions; undelivered *= loss {
+		transmissions++
 	}
-	room := policy.Tenths(0)
-	for i := range times - 1 {
-		room += wait << i
+	margin := policy.Tenths(0)
+	for i := range transmissions - 1 {
+		margin += timeout << i
 	}
-	return min(room, left/2)
+	return min(margin, remaining/2)
 }
 
-// DoorShut tells whether a user who lifts the receiver now should hear congestion in place of dial tone: calls wait longer for
-// the program than a part of the tightest GoS target, so that the call would likely be late, and to let it dial adds to what is
+// Overloaded tells whether a user who lifts the receiver now should hear congestion in place of dial tone: calls wait longer for
+// the program than a part of the tightest GoSTarget target, so that the call would likely be late, and to let it dial adds to what is
 // late already. Those who have dialled go on.
-func DoorShut(wait, gos policy.Tenths) bool { return wait > gos/2 }
+func Overloaded(callDelay, gosTarget policy.Tenths) bool { return callDelay > gosTarget/2 }
 
-// Leftovers picks from what an endpoint holds the connections of no live call. It was asked while no command of ours was out on
+// OrphanedConnections picks from what an endpoint holds the connections of no live call. It was asked while no command of ours was out on
 // that endpoint, so that none is being made that we do not know yet; live is the connection of the call that goes on there, ""
 // none. gone: the live one is not there.
-func Leftovers(held []string, live string) (left []string, gone bool) {
-	gone = live != ""
+func OrphanedConnections(held []string, live string) (orphaned []string, liveGone bool) {
+	liveGone = live != ""
 	for _, id := range held {
 		if id == live && live != "" {
-			gone = false
+			liveGone = false
 			continue
 		}
-		left = append(left, id)
+		orphaned = append(orphaned, id)
 	}
-	slices.Sort(left)
-	return left, gone
+	slices.Sort(orphaned)
+	return orphaned, liveGone
 }
 
 // Stale tells whether a notification under request id got says less than was heard under request id heard: ids count up, and
 // one from before the last that was heard had been overtaken on its way.
-func Stale(got, heard uint32) bool { return int32(got-heard) < 0 }
+func Stale(id, lastID uint32) bool { return int32(id-lastID) < 0 }
--- a/internal/gateways/restarts.go
+++ b/internal/gateways/restarts.go
@@ -8,133 +8,133 @@
 	"indigodrift/policy"
 )
 
-// Verdict on a restart that a gateway reports (RSIP, RFC 3435, 2.3.12).
-type Verdict uint8
+// Admission on a restart that a gateway reports (RSIP, RFC 3435, 2.3.12).
+type Admission uint8
 
 const (
-	Now     Verdict = iota // take it into service and answer
-	Later                  // answer that it is being carried out; Tick will name it
-	Refused                // answer that there is no room now (403): the gateway comes again with its random delay
+	Admitted Admission = iota // take it into service and answer
+	Queued                    // answer that it is being carried out; Tick will name it
+	Rejected                  // answer that there is no room now (403): the gateway comes again with its random delay
 )
 
 const (
-	depth       = policy.Tenths(5000)   // restarts of so long may be answered at once after a quiet time
-	waitMost    = policy.Tenths(150000) // none is kept past what a gateway repeats its report for, with room to spare
-	callsFirst  = 0.5                   // of its pace, what is left to restarts while calls wait longer than they should
-	easyBelow   = 0.05                  // below which they are not, and the pace may grow
-	doubles     = 1000.0                // tenths in which it doubles then
-	paceMost    = 64                    // times the stated rate that it grows to
-	pressedFrom = 0.2                   // share of the tightest GoS target that calls wait for the program, from which they are pressed
+	burstTime          = policy.Tenths(5000)   // restarts of so long may be answered at once after a quiet time
+	maxQueueTime       = policy.Tenths(150000) // none is kept past what a gateway repeats its report for, with room to spare
+	overloadRateShare  = 0.5                   // of its pace, what is left to restarts while calls wait longer than they should
+	lightDelayShare    = 0.05                  // below which they are not, and the pace may grow
+	rateDoublingTime   = 1000.0                // tenths in which it doubles then
+	maxRateMultiple    = 64                    // times the stated rate that it grows to
+	overloadDelayShare = 0.2                   // share of the tightest GoSTarget target that calls wait for the program, from which they are pressed
 )
 
 // Limits of the door.
 type Limits struct {
-	Rate  float64       // gateways a second that are taken into service whatever calls wait, half of it while they wait long
-	Queue int           // reports that may wait
-	GoS   policy.Tenths // the tightest GoS target of calls
+	Rate      float64       // gateways a second that are taken into service whatever calls wait, half of it while they wait long
+	MaxQueued int           // reports that may wait
+	GoSTarget policy.Tenths // the tightest GoSTarget target of calls
 }
 
-type report struct {
-	endpoint uint32
-	since    policy.Tenths
+type queuedRestart struct {
+	gateway  uint32
+	queuedAt policy.Tenths
 }
 
-// Restarts paces gateways back into service after a district's power returns: each costs an answer, a request for
+// RestartLimiter paces gateways back into service after a district's power returns: each costs an answer, a request for
 // notifications and an audit, and ten thousand in a second would hold up every call. Calls come first: while they wait,
 // restarts go at a part of their pace.
-type Restarts struct {
-	l       Limits
-	tokens  float64
-	at      policy.Tenths
-	queue   []report
-	waiting map[uint32]policy.Tenths // endpoint: since when it waits
-	pace    float64
-	told    policy.Tenths // when the calls' wait was last told
+type RestartLimiter struct {
+	limits     Limits
+	tokens     float64
+	refilledAt policy.Tenths
+	queue      []queuedRestart
+	queuedAt   map[uint32]policy.Tenths // endpoint: since when it waits
+	rate       float64
+	delaySetAt policy.Tenths // when the calls' wait was last told
 }
 
-// NewRestarts makes a door that nobody waits at.
-func NewRestarts(l Limits, now policy.Tenths) *Restarts {
-	r := &Restarts{l: l, at: now, told: now, waiting: map[uint32]policy.Tenths{}, pace: l.Rate}
-	r.tokens = r.most()
+// NewRestartLimiter makes a door that nobody waits at.
+func NewRestartLimiter(limits Limits, now policy.Tenths) *RestartLimiter {
+	r := &RestartLimiter{limits: limits, refilledAt: now, delaySetAt: now, queuedAt: map[uint32]policy.Tenths{}, rate: limits.Rate}
+	r.tokens = r.maxTokens()
 	return r
 }
 
-func (r *Restarts) most() float64 { return max(1, r.pace*float64(depth)/10000) }
+func (r *RestartLimiter) maxTokens() float64 { return max(1, r.rate*float64(burstTime)/10000) }
 
-func (r *Restarts) refill(now policy.Tenths) {
-	if now > r.at {
-		r.tokens = min(r.most(), r.tokens+r.pace*float64(now-r.at)/10000)
-		r.at = now
+func (r *RestartLimiter) refill(now policy.Tenths) {
+	if now > r.refilledAt {
+		r.tokens = min(r.maxTokens(), r.tokens+r.rate*float64(now-r.refilledAt)/10000)
+		r.refilledAt = now
 	}
 }
 
-// CallsWait tells how long calls wait for the program now; the pace follows it: it grows while they do not wait, as a fixed one
+// SetCallDelay tells how long calls wait for the program now; the pace follows it: it grows while they do not wait, as a fixed one
 // either holds gateways off from a program that has time, or is no limit when it has none.
-func (r *Restarts) CallsWait(now, wait policy.Tenths) {
+func (r *RestartLimiter) SetCallDelay(now, delay policy.Tenths) {
 	r.refill(now)
-	share := float64(wait) / float64(max(1, r.l.GoS))
+	delayShare := float64(delay) / float64(max(1, r.limits.GoSTarget))
 	switch {
-	case share > pressedFrom:
-		r.pace = r.l.Rate * callsFirst
-	case share < easyBelow:
-		r.pace = min(paceMost*r.l.Rate, max(r.l.Rate, r.pace)*math.Exp2(float64(now-r.told)/doubles))
+	case delayShare > overloadDelayShare:
+		r.rate = r.limits.Rate * overloadRateShare
+	case delayShare < lightDelayShare:
+		r.rate = min(maxRateMultiple*r.limits.Rate, max(r.limits.Rate, r.rate)*math.Exp2(float64(now-r.delaySetAt)/rateDoublingTime))
 	default:
-		r.pace = max(r.l.Rate, r.pace)
+		r.rate = max(r.limits.Rate, r.rate)
 	}
-	r.told = now
+	r.delaySetAt = now
 }
 
-// Report takes a gateway's report. One that is repeated while it waits keeps its place.
-func (r *Restarts) Report(now policy.Tenths, endpoint uint32) Verdict {
+// Admit takes a gateway's report. One that is repeated while it waits keeps its place.
+func (r *RestartLimiter) Admit(now policy.Tenths, gateway uint32) Admission {
 	r.refill(now)
-	if _, waits := r.waiting[endpoint]; waits {
-		return Later
+	if _, waits := r.queuedAt[gateway]; waits {
+		return Queued
 	}
 	if len(r.queue) == 0 && r.tokens >= 1 {
 		r.tokens--
-		return Now
+		return Admitted
 	}
-	if len(r.queue) >= r.l.Queue || r.wait() > waitMost {
-		return Refused
+	if len(r.queue) >= r.limits.MaxQueued || r.queueTime() > maxQueueTime {
+		return Rejected
 	}
-	r.queue = append(r.queue, report{endpoint, now})
-	r.waiting[endpoint] = now
-	return Later
+	r.queue = append(r.queue, queuedRestart{gateway, now})
+	r.queuedAt[gateway] = now
+	return Queued
 }
 
-// wait is how long one that comes now would wait.
-func (r *Restarts) wait() policy.Tenths {
-	return policy.Tenths(float64(len(r.queue)) / max(1e-9, r.pace) * 10000)
+// queueTime is how long one that comes now would wait.
+func (r *RestartLimiter) queueTime() policy.Tenths {
+	return policy.Tenths(float64(len(r.queue)) / max(1e-9, r.rate) * 10000)
 }
 
-// Gone forgets a gateway that no longer waits for an answer.
-func (r *Restarts) Gone(endpoint uint32) { delete(r.waiting, endpoint) }
+// Remove forgets a gateway that no longer waits for an answer.
+func (r *RestartLimiter) Remove(gateway uint32) { delete(r.queuedAt, gateway) }
 
 // Tick names the gateways whose turn has come, in the order in which they first reported.
-func (r *Restarts) Tick(now policy.Tenths) (turn []uint32) {
+func (r *RestartLimiter) Tick(now policy.Tenths) (admitted []uint32) {
 	r.refill(now)
 	for len(r.queue) > 0 {
 		first := r.queue[0]
-		if since, waits := r.waiting[first.endpoint]; waits && since == first.since {
+		if since, waits := r.queuedAt[first.gateway]; waits && since == first.queuedAt {
 			if r.tokens < 1 {
-				return turn
+				return admitted
 			}
 			r.tokens--
-			delete(r.waiting, first.endpoint)
-			turn = append(turn, first.endpoint)
+			delete(r.queuedAt, first.gateway)
+			admitted = append(admitted, first.gateway)
 		}
 		r.queue = r.queue[1:]
 	}
-	return turn
+	return admitted
 }
 
 // Next is when Tick must be called next; false when nobody waits.
-func (r *Restarts) Next(now policy.Tenths) (policy.Tenths, bool) {
+func (r *RestartLimiter) Next(now policy.Tenths) (policy.Tenths, bool) {
 	if len(r.queue) == 0 {
 		return 0, false
 	}
-	return now + max(1, policy.Tenths((1-min(1, r.tokens))/r.pace*10000)), true
+	return now + max(1, policy.Tenths((1-min(1, r.tokens))/r.rate*10000)), true
 }
 
 // Waiting counts the gateways that wait.
-func (r *Restarts) Waiting() int { return len(r.waiting) }
+func (r *RestartLimiter) Waiting() int { return len(r.queuedAt) }
--- a/internal/gateways/restarts_test.go
+++ b/internal/gateways/restarts_test.go
@@ -13,7 +13,7 @@
 // back within the time that the pace promises, none is taken twice, and the first of calls' time is kept.
 func TestDistrictComesBackAtTheStatedPace(t *testing.T) {
 	const gateways, rate = 10000, 500
-	r := NewRestarts(Limits{Rate: rate, Queue: 4000, GoS: 12000}, 0)
+	r := NewRestartLimiter(Limits{Rate: rate, MaxQueued: 4000, GoSTarget: 12000}, 0)
 	chance := rand.New(rand.NewPCG(1, 1))
 	due := make([]policy.Tenths, gateways)
 	for i := range due {
@@ -33,10 +33,10 @@
 				continue
 			}
 			due[e] = 0
-			switch r.Report(now, e) {
-			case Now:
+			switch r.Admit(now, e) {
+			case Admitted:
 				take(e)
-			case Refused:
+			case Rejected:
 				due[e] = now + 1 + policy.Tenths(chance.IntN(100000))
 			}
 		}
@@ -56,12 +56,12 @@
 
 func TestRestartsGiveWayToCalls(t *testing.T) {
 	count := func(wait policy.Tenths) (n int) {
-		r := NewRestarts(Limits{Rate: 100, Queue: 5000, GoS: 12000}, 0)
+		r := NewRestartLimiter(Limits{Rate: 100, MaxQueued: 5000, GoSTarget: 12000}, 0)
 		for e := range uint32(3000) {
-			r.Report(1, e)
+			r.Admit(1, e)
 		}
 		for now := policy.Tenths(0); now < 100000; now += 100 {
-			r.CallsWait(now, wait)
+			r.SetCallDelay(now, wait)
 			n += len(r.Tick(now))
 		}
 		return n
@@ -74,7 +74,7 @@
 // Against a plain queue: order of first report kept, nobody twice without a new report, bounds kept.
 func TestRestartsAgainstAPlainQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewRestarts(Limits{Rate: 50, Queue: 10, GoS: 12000}, 0)
+		r := NewRestartLimiter(Limits{Rate: 50, MaxQueued: 10, GoSTarget: 12000}, 0)
 		var plain []uint32
 		now := policy.Tenths(0)
 		for range 100 {
@@ -88,15 +88,15 @@
 						at = i
 					}
 				}
-				v := r.Report(now, e)
-				if at >= 0 && v != Later || v == Now && len(plain) > 0 {
+				v := r.Admit(now, e)
+				if at >= 0 && v != Queued || v == Admitted && len(plain) > 0 {
 					t.Fatalf("endpoint %d at place %d of %v: %d", e, at, plain, v)
 				}
-				if v == Later && at < 0 {
+				if v == Queued && at < 0 {
 					plain = append(plain, e)
 				}
 			case 2:
-				r.Gone(e)
+				r.Remove(e)
 				for i, w := range plain {
 					if w == e {
 						plain = append(plain[:i], plain[i+1:]...)
--- a/internal/mgcp/digitmap.go
+++ b/internal/mgcp/digitmap.go
@@ -7,112 +7,112 @@
 // DigitMap tells when the digits dialled so far are enough (RFC 3435, 2.1.5): strings of digits, ranges, x for any digit, a
 // dot for any number of what stands before it, and T for the timer.
 type DigitMap struct {
-	text    string
-	options [][]element
+	text         string
+	alternatives [][]element
 }
 
 type element struct {
-	set    uint16 // digits 0 to 9, then *, #, A, B, C, D
-	timer  bool
-	repeat bool
+	digits   uint16 // digits 0 to 9, then *, #, A, B, C, D
+	timer    bool
+	repeated bool
 }
 
 const (
-	signs       = "0123456789*#ABCD"
-	timerSign   = 'T'
-	optionsMost = 64
-	lengthMost  = 64
+	symbols         = "0123456789*#ABCD"
+	timerSymbol     = 'T'
+	maxAlternatives = 64
+	maxElements     = 64
 )
 
-// Match is what digits dialled so far amount to.
-type Match uint8
+// MatchResult is what digits dialled so far amount to.
+type MatchResult uint8
 
 const (
-	Partial   Match = iota // more may come
-	Full                   // one option is met, and none longer can be
-	Ambiguous              // one is met, and a longer one may be: the short timer tells
-	NoMatch                // nothing can be met any more
+	PartialMatch   MatchResult = iota // more may come
+	FullMatch                         // one option is met, and none longer can be
+	AmbiguousMatch                    // one is met, and a longer one may be: the short timer tells
+	NoMatch                           // nothing can be met any more
 )
 
-// ParseMap reads a digit map, with or without its brackets.
-func ParseMap(text string) (DigitMap, error) {
-	d := DigitMap{text: text}
+// ParseDigitMap reads a digit map, with or without its brackets.
+func ParseDigitMap(text string) (DigitMap, error) {
+	digitMap := DigitMap{text: text}
 	inner := strings.TrimSpace(text)
 	if strings.HasPrefix(inner, "(") {
 		if !strings.HasSuffix(inner, ")") {
-			return d, bad("digit map %q has no end", text)
+			return digitMap, malformed("digit map %q has no end", text)
 		}
 		inner = inner[1 : len(inner)-1]
 	}
-	for _, option := range strings.Split(inner, "|") {
-		parsed, err := parseOption(strings.TrimSpace(option))
+	for _, alternative := range strings.Split(inner, "|") {
+		parsed, err := parseAlternative(strings.TrimSpace(alternative))
 		if err != nil {
-			return d, bad("digit map %q: %v", text, err)
+			return digitMap, malformed("digit map %q: %v", text, err)
 		}
-		if d.options = append(d.options, parsed); len(d.options) > optionsMost {
-			return d, bad("digit map of over %d options", optionsMost)
+		if digitMap.alternatives = append(digitMap.alternatives, parsed); len(digitMap.alternatives) > maxAlternatives {
+			return digitMap, malformed("digit map of over %d options", maxAlternatives)
 		}
 	}
-	return d, nil
+	return digitMap, nil
 }
 
-func parseOption(option string) ([]element, error) {
-	var all []element
-	for i := 0; i < len(option); i++ {
-		switch c := upper(option[i]); {
-		case c == timerSign:
-			all = append(all, element{timer: true})
+func parseAlternative(text string) ([]element, error) {
+	var elements []element
+	for i := 0; i < len(text); i++ {
+		switch c := upper(text[i]); {
+		case c == timerSymbol:
+			elements = append(elements, element{timer: true})
 		case c == 'X':
-			all = append(all, element{set: 1<<10 - 1})
+			elements = append(elements, element{digits: 1<<10 - 1})
 		case c == '.':
-			if len(all) == 0 || all[len(all)-1].repeat || all[len(all)-1].timer {
-				return nil, bad("a dot with nothing before it")
+			if len(elements) == 0 || elements[len(elements)-1].repeated || elements[len(elements)-1].timer {
+				return nil, malformed("a dot with nothing before it")
 			}
-			all[len(all)-1].repeat = true
+			elements[len(elements)-1].repeated = true
 		case c == '[':
-			end := strings.IndexByte(option[i:], ']')
+			end := strings.IndexByte(text[i:], ']')
 			if end < 0 {
-				return nil, bad("a range without its end")
+				return nil, malformed("a range without its end")
 			}
-			set, err := parseRange(option[i+1 : i+end])
+			digits, err := parseRange(text[i+1 : i+end])
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, element{set: set})
+			elements = append(elements, element{digits: digits})
 			i += end
 		default:
-			at := strings.IndexByte(signs, c)
-			if at < 0 {
-				return nil, bad("%q", option[i])
+			symbol := strings.IndexByte(symbols, c)
+			if symbol < 0 {
+				return nil, malformed("%q", text[i])
 			}
-			all = append(all, element{set: 1 << at})
+			elements = append(elements, element{digits: 1 << symbol})
 		}
 	}
-	if len(all) == 0 || len(all) > lengthMost {
-		return nil, bad("an option of %d signs", len(all))
+	if len(elements) == 0 || len(elements) > maxElements {
+		return nil, malformed("an option of %d signs", len(elements))
 	}
-	return all, nil
+	return elements, nil
 }
 
-func parseRange(text string) (set uint16, err error) {
+func parseRange(text string) (digits uint16, err error) {
 	for i := 0; i < len(text); i++ {
-		from := strings.IndexByte(signs, upper(text[i]))
+		from := strings.IndexByte(symbols, upper(text[i]))
 		to := from
 		if i+2 < len(text) && text[i+1] == '-' {
-			to = strings.IndexByte(signs, upper(text[i+2]))
+			to = strings.IndexByte(symbols, upper(text[i+2]))
 			i += 2
 		}
 		if from < 0 || to < from {
-			return 0, bad("range %q", text)
+			return 0, malformed("range %q", text)
 		}
 		for d := from; d <= to; d++ {
-			set |= 1 << d
+			digits |= 1 << d
 		}
 	}
-	if set == 0 {
-		return 0, bad("an empty range")
+	if digits == 0 {
+		return 0, malformed("an empty range")
 	}
-	return set, nil
+	return digits, nil
 }
 
 func upper(c byte) byte {
@@ -123,57 +123,57 @@
 }
 
 // Match tells what digits amount to; they may end with T, where the timer ran out.
-func (d DigitMap) Match(dialled string) Match {
-	met, more := false, false
-	for _, o := range d.options {
-		m, l := match(o, dialled)
-		met, more = met || m, more || l
+func (d DigitMap) Match(dialled string) MatchResult {
+	complete, partial := false, false
+	for _, alternative := range d.alternatives {
+		m, longer := matchAlternative(alternative, dialled)
+		complete, partial = complete || m, partial || longer
 	}
 	switch {
-	case met && more:
-		return Ambiguous
-	case met:
-		return Full
-	case more:
-		return Partial
+	case complete && partial:
+		return AmbiguousMatch
+	case complete:
+		return FullMatch
+	case partial:
+		return PartialMatch
 	}
 	return NoMatch
 }
 
-// match follows one option: all places in it that the digits may have come to, at once. met: it may end here; more: it may
+// matchAlternative follows one option: all places in it that the digits may have come to, at once. met: it may end here; more: it may
 // go on.
-func match(o []element, dialled string) (met, more bool) {
-	at := make([]bool, len(o)+1)
-	at[0] = true
-	skip(o, at)
+func matchAlternative(alternative []element, dialled string) (complete, partial bool) {
+	positions := make([]bool, len(alternative)+1)
+	positions[0] = true
+	skipRepeated(alternative, positions)
 	for i := range len(dialled) {
 		c := upper(dialled[i])
-		sign := strings.IndexByte(signs, c)
-		next := make([]bool, len(o)+1)
-		for p, e := range o {
-			if !at[p] || c == timerSign != e.timer || !e.timer && (sign < 0 || e.set&(1<<sign) == 0) {
+		symbol := strings.IndexByte(symbols, c)
+		next := make([]bool, len(alternative)+1)
+		for p, e := range alternative {
+			if !positions[p] || c == timerSymbol != e.timer || !e.timer && (symbol < 0 || e.digits&(1<<symbol) == 0) {
 				continue
 			}
-			if e.repeat {
+			if e.repeated {
 				next[p] = true
 			} else {
 				next[p+1] = true
 			}
 		}
-		skip(o, next)
-		at = next
+		skipRepeated(alternative, next)
+		positions = next
 	}
-	for p := range o {
-		more = more || at[p]
+	for p := range alternative {
+		partial = partial || positions[p]
 	}
-	return at[len(o)], more
+	return positions[len(alternative)], partial
 }
 
-// skip lets a repeated sign stand for none.
-func skip(o []element, at []bool) {
-	for p, e := range o {
-		if at[p] && e.repeat {
-			at[p+1] = true
+// skipRepeated lets a repeated sign stand for none.
+func skipRepeated(alternative []element, positions []bool) {
+	for p, e := range alternative {
+		if positions[p] && e.repeated {
+			positions[p+1] = true
 		}
 	}
 }
--- a/internal/mgcp/events.go
+++ b/internal/mgcp/events.go
@@ -11,63 +11,63 @@
 	Args       string // what stands between the brackets
 }
 
-const eventsMost = 64
+const maxEvents = 64
 
 // ParseEvents reads a list of events. Commas within brackets part nothing.
 func ParseEvents(list string) ([]Event, error) {
-	var all []Event
-	depth, from := 0, 0
+	var events []Event
+	depth, start := 0, 0
 	for i := 0; i <= len(list); i++ {
 		switch {
 		case i < len(list) && (list[i] == '(' || list[i] == '['):
 			depth++
 		case i < len(list) && (list[i] == ')' || list[i] == ']'):
 			if depth--; depth < 0 {
-				return nil, bad("event list %q: a bracket that was not opened", list)
+				return nil, malformed("event list %q: a bracket that was not opened", list)
 			}
 		case i == len(list) || list[i] == ',' && depth == 0:
-			one := strings.TrimSpace(list[from:i])
-			from = i + 1
-			if one == "" && strings.TrimSpace(list) == "" {
+			item := strings.TrimSpace(list[start:i])
+			start = i + 1
+			if item == "" && strings.TrimSpace(list) == "" {
 				return nil, nil
 			}
-			e, err := parseEvent(one)
+			e, err := parseEvent(item)
 			if err != nil {
 				return nil, err
 			}
-			if all = append(all, e); len(all) > eventsMost {
-				return nil, bad("over %d events", eventsMost)
+			if events = append(events, e); len(events) > maxEvents {
+				return nil, malformed("over %d events", maxEvents)
 			}
 		}
 	}
 	if depth != 0 {
-		return nil, bad("event list %q: a bracket that is not closed", list)
+		return nil, malformed("event list %q: a bracket that is not closed", list)
 	}
-	return all, nil
+	return events, nil
 }
 
 func parseEvent(text string) (Event, error) {
-	var e Event
+	var event Event
 	name := text
-	if at := strings.IndexByte(text, '('); at >= 0 {
+	if bracket := strings.IndexByte(text, '('); bracket >= 0 {
 		if !strings.HasSuffix(text, ")") {
-			return e, bad("event %q", text)
+			return event, malformed("event %q", text)
 		}
-		name, e.Args = strings.TrimSpace(text[:at]), text[at+1:len(text)-1]
+		name, event.Args = strings.TrimSpace(text[:bracket]), text[bracket+1:len(text)-1]
 	}
-	name, e.Connection, _ = strings.Cut(name, "@")
+	name, event.Connection, _ = strings.Cut(name, "@")
 	if p, n, ok := strings.Cut(name, "/"); ok {
-		e.Package, name = strings.ToUpper(p), n
+		event.Package, name = strings.ToUpper(p), n
 	}
-	e.Name = name
-	if e.Name == "" || !plain(e.Name) || !plain(e.Package) || !plain(e.Connection) {
-		return e, bad("event %q", text)
+	event.Name = name
+	if event.Name == "" || !isPlain(event.Name) || !isPlain(event.Package) || !isPlain(event.Connection) {
+		return event, malformed("event %q", text)
 	}
-	return e, nil
+	return event, nil
 }
 
-// plain tells whether a part of an event holds nothing but signs that stand for themselves.
-func plain(part string) bool {
+// isPlain tells whether a part of an event holds nothing but signs that stand for themselves.
+func isPlain(part string) bool {
 	for i := range len(part) {
 		if c := part[i]; c <= ' ' || c >= 127 || strings.IndexByte("()@/,", c) >= 0 {
 			return false
@@ -98,34 +98,34 @@
 
 // Packages of events that calls need (RFC 3660): generic media, DTMF, line, trunk.
 const (
-	Generic = "G"
-	DTMF    = "D"
-	Line    = "L"
-	Trunk   = "T"
+	PackageGeneric = "G"
+	PackageDTMF    = "D"
+	PackageLine    = "L"
+	PackageTrunk   = "T"
 )
 
 // Digits reads what was dialled from observed events: the D events in their order, T where the timer ran out.
 func Digits(observed []Event) string {
 	var b []byte
 	for _, e := range observed {
-		if (e.Package == DTMF || e.Package == "") && len(e.Name) == 1 && strings.ContainsRune(signs+"T", rune(upper(e.Name[0]))) {
+		if (e.Package == PackageDTMF || e.Package == "") && len(e.Name) == 1 && strings.ContainsRune(symbols+"T", rune(upper(e.Name[0]))) {
 			b = append(b, upper(e.Name[0]))
 		}
 	}
 	return string(b)
 }
 
-// Dialled writes digits as observed events.
-func Dialled(digits string) []Event {
-	all := make([]Event, 0, len(digits))
+// DigitEvents writes digits as observed events.
+func DigitEvents(digits string) []Event {
+	events := make([]Event, 0, len(digits))
 	for i := range len(digits) {
-		all = append(all, Event{Package: DTMF, Name: digits[i : i+1]})
+		events = append(events, Event{Package: PackageDTMF, Name: digits[i : i+1]})
 	}
-	return all
+	return events
 }
 
-// List writes events as a parameter has them.
-func List(events []Event) string {
+// FormatEvents writes events as a parameter has them.
+func FormatEvents(events []Event) string {
 	var b strings.Builder
 	for i, e := range events {
 		if i > 0 {
--- a/internal/mgcp/events_test.go
+++ b/internal/mgcp/events_test.go
@@ -47,7 +47,7 @@
 				if err != nil || ok && list != "" && len(events) == 0 {
 					t.Errorf("%s: %s: %v %v", f, name, events, err)
 				}
-				back, err := ParseEvents(List(events))
+				back, err := ParseEvents(FormatEvents(events))
 				if err != nil || !reflect.DeepEqual(back, events) {
 					t.Errorf("%s: %v reads back as %v, %v", f, events, back, err)
 				}
@@ -71,9 +71,9 @@
 			want = append(want, Event{Package: rapid.SampledFrom([]string{"", "L", "D", "G", "T"}).Draw(t, "package"), Name: rapid.StringMatching(`[a-z0-9]{1,4}|\[[0-9#*T]{1,5}\]`).Draw(t, "name"),
 				Connection: rapid.SampledFrom([]string{"", "$", "*", "A1"}).Draw(t, "connection"), Args: rapid.StringMatching(`([A-Z](\([a-z], [a-z]\))?)?`).Draw(t, "args")})
 		}
-		got, err := ParseEvents(List(want))
+		got, err := ParseEvents(FormatEvents(want))
 		if err != nil || len(got) != len(want) || len(want) > 0 && !reflect.DeepEqual(got, want) {
-			t.Fatalf("%q: %v, %v", List(want), got, err)
+			t.Fatalf("%q: %v, %v", FormatEvents(want), got, err)
 		}
 	})
 	for _, text := range []string{"L/hd(", "L/hd)", ",", "L/", "L/hd,", "a b", strings.Repeat("a,", 70) + "a"} {
@@ -84,7 +84,7 @@
 }
 
 func TestDialledDigitsReadBack(t *testing.T) {
-	if got := Digits(Dialled("0123#*T")); got != "0123#*T" {
+	if got := Digits(DigitEvents("0123#*T")); got != "0123#*T" {
 		t.Fatal(got)
 	}
 	if got := Digits([]Event{{"L", "hd", "", ""}, {"D", "1", "", ""}, {"", "t", "", ""}, {"G", "2", "", ""}}); got != "1T" {
@@ -98,28 +98,28 @@
 	chance := rand.New(rand.NewPCG(1, 1))
 	var tenth [10]int
 	for range 10000 {
-		tenth[RestartWait(WaitTrunk, chance)*10/WaitTrunk]++
+		tenth[RestartDelay(TrunkMaxRestartDelay, chance)*10/TrunkMaxRestartDelay]++
 	}
 	for i, n := range tenth {
 		if n < 800 || n > 1200 {
 			t.Errorf("%d of 10000 in part %d", n, i)
 		}
 	}
-	d := Disconnected{Least: DisconLeast, Most: DisconMost}
+	d := DisconnectedProcedure{MinWait: DisconnectedMinWait, MaxWait: DisconnectedMaxWait}
 	now := policy.Tenths(1000)
-	at := d.Begin(now, DisconFirst, chance)
-	if at < now || at > now+DisconFirst {
+	at := d.Start(now, DisconnectedInitialWait, chance)
+	if at < now || at > now+DisconnectedInitialWait {
 		t.Fatalf("first report after %d", at-now)
 	}
 	before := policy.Tenths(0)
 	for range 12 {
 		now = at
-		if at = d.Unanswered(now); at-now < DisconLeast || at-now > DisconMost || at-now < before {
+		if at = d.NextReport(now); at-now < DisconnectedMinWait || at-now > DisconnectedMaxWait || at-now < before {
 			t.Fatalf("waits %d after %d", at-now, before)
 		}
 		before = at - now
 	}
-	if before != DisconMost || d.Noticed(now+10, now) != now+DisconLeast {
+	if before != DisconnectedMaxWait || d.ReportAfterEvent(now+10, now) != now+DisconnectedMinWait {
 		t.Fatal(before)
 	}
 }
@@ -131,7 +131,7 @@
 	if err != nil {
 		return
 	}
-	if again, err := ParseEvents(List(all)); err != nil || !reflect.DeepEqual(again, all) {
+	if again, err := ParseEvents(FormatEvents(all)); err != nil || !reflect.DeepEqual(again, all) {
 		t.Fatalf("%q: %v, then %v %v", text, all, again, err)
 	}
 }
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -13,7 +13,7 @@
 )
 
 func anyMessage(t *rapid.T) Message {
-	m := Message{Transaction: rapid.Uint32Range(1, TransactionMost).Draw(t, "transaction")}
+	m := Message{Transaction: rapid.Uint32Range(1, MaxTransactionID).Draw(t, "transaction")}
 	if rapid.Bool().Draw(t, "command") {
 		m.Verb = rapid.SampledFrom(verbs).Draw(t, "verb")
 		m.Endpoint = rapid.SampledFrom([]string{"aaln/1@gw.example", "*@gw.example", "ds/*/$@[10.0.0.1]", "x@y"}).Draw(t, "endpoint")
@@ -28,7 +28,7 @@
 	if rapid.Bool().Draw(t, "session") {
 		m.Session = []byte("v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\n")
 		if rapid.Bool().Draw(t, "second") {
-			m.Second = []byte("v=0\r\n")
+			m.SecondSession = []byte("v=0\r\n")
 		}
 	}
 	return m
@@ -81,7 +81,7 @@
 		}
 	}
 	for _, text := range []string{"", "200 1201 OK", "NTFY 1 a@b MGCP 1.0\nO: D/0, D/0", "\n", ".", "RQNT\n", "RQNT 0 a@b MGCP 1.0\n", "RQNT 1000000000 a@b MGCP 1.0\n", "RQNT 1 a MGCP 1.0\n", "RQNT 1 a@b MGCP 0.1\n",
-		"DANCE 1 a@b MGCP 1.0\n", "RQNT 1 a*b/1@c MGCP 1.0\n", "RQNT 1 a//1@c MGCP 1.0\n", "200 1\nnothing\n", "2x0 1\n", "200 1\n: x\n", strings.Repeat("x", DatagramMost+1)} {
+		"DANCE 1 a@b MGCP 1.0\n", "RQNT 1 a*b/1@c MGCP 1.0\n", "RQNT 1 a//1@c MGCP 1.0\n", "200 1\nnothing\n", "2x0 1\n", "200 1\n: x\n", strings.Repeat("x", MaxDatagramSize+1)} {
 		if _, err := Decode([]byte(text)); !errors.Is(err, ErrMessage) {
 			t.Errorf("%.30q: %v", text, err)
 		}
@@ -106,7 +106,7 @@
 			options, expressions = append(options, option.String()), append(expressions, expression.String())
 		}
 		text := "(" + strings.Join(options, "|") + ")"
-		d, err := ParseMap(text)
+		d, err := ParseDigitMap(text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -121,14 +121,14 @@
 		}
 		for _, s := range all {
 			m := d.Match(s)
-			if met := m == Full || m == Ambiguous; met != whole.MatchString(s) {
+			if met := m == FullMatch || m == AmbiguousMatch; met != whole.MatchString(s) {
 				t.Fatalf("%s on %q: %d, the expression %v", text, s, m, whole.MatchString(s))
 			}
 			longer := false
 			for _, l := range all {
 				longer = longer || len(l) > len(s) && strings.HasPrefix(l, s) && whole.MatchString(l)
 			}
-			if longer && (m == NoMatch || m == Full) {
+			if longer && (m == NoMatch || m == FullMatch) {
 				t.Fatalf("%s on %q: %d, but something longer fits", text, s, m)
 			}
 		}
@@ -137,7 +137,7 @@
 
 func TestDigitMapsOfNoForm(t *testing.T) {
 	for _, text := range []string{"", "200 1201 OK", "NTFY 1 a@b MGCP 1.0\nO: D/0, D/0", "()", "(1|)", "(1", "[1", "[]", "[4-2]", ".", "1..", "y", "T.", strings.Repeat("1", 65), strings.Repeat("1|", 70) + "1"} {
-		if _, err := ParseMap(text); !errors.Is(err, ErrMessage) {
+		if _, err := ParseDigitMap(text); !errors.Is(err, ErrMessage) {
 			t.Errorf("%.20q: %v", text, err)
 		}
 	}
--- a/internal/mgcp/transaction_test.go
+++ b/internal/mgcp/transaction_test.go
@@ -24,7 +24,7 @@
 	work    policy.Tenths // the receiver needs so long
 	doing   []packet
 	carried map[uint32]int
-	ended   map[uint32]Fate
+	ended   map[uint32]Outcome
 	sends   int
 	broken  []string
 	against []int // codes of second answers
@@ -37,8 +37,8 @@
 }
 
 func newWire(seed uint64) *wire {
-	w := &wire{now: 1000000, r: NewReceiver(), chance: rand.New(rand.NewPCG(seed, 1)), carried: map[uint32]int{}, ended: map[uint32]Fate{}, work: 50}
-	w.s = NewSender(NewIDs(5), seed, w)
+	w := &wire{now: 1000000, r: NewReceiver(), chance: rand.New(rand.NewPCG(seed, 1)), carried: map[uint32]int{}, ended: map[uint32]Outcome{}, work: 50}
+	w.s = NewSender(NewTransactionIDs(5), seed, w)
 	return w
 }
 
@@ -56,8 +56,8 @@
 
 func (w *wire) Transmit(m Message, _ int) { w.sends++; w.put(m, false) }
 
-func (w *wire) Ended(id uint32, f Fate, r Message) {
-	if f == Suspect {
+func (w *wire) HandleOutcome(id uint32, f Outcome, r Message) {
+	if f == PeerSuspect {
 		return
 	}
 	if _, twice := w.ended[id]; twice {
@@ -81,11 +81,11 @@
 			w.on = slices.Delete(w.on, i, i+1)
 			switch {
 			case p.back:
-				w.s.Response(w.now, p.m)
+				w.s.HandleResponse(w.now, p.m)
 			case p.m.IsAcknowledgement():
-				w.r.Acknowledged(p.m.Transaction)
+				w.r.HandleAck(p.m.Transaction)
 			default:
-				carryOut, reply := w.r.Command(w.now, p.m)
+				carryOut, reply := w.r.HandleCommand(w.now, p.m)
 				if carryOut {
 					w.carried[p.m.Transaction]++
 					w.doing = append(w.doing, packet{at: w.now + w.work, m: p.m})
@@ -98,7 +98,7 @@
 		for i := 0; i < len(w.doing); {
 			if d := w.doing[i]; d.at <= w.now {
 				w.doing = slices.Delete(w.doing, i, i+1)
-				w.put(w.r.Done(w.now, Message{Transaction: d.m.Transaction, Code: 200}), true)
+				w.put(w.r.StoreResponse(w.now, Message{Transaction: d.m.Transaction, Code: 200}), true)
 			} else {
 				i++
 			}
@@ -132,9 +132,9 @@
 			t.Fatal(w.broken)
 		}
 		w.pass(THist + TMax)
-		w.r.forget(w.now)
-		if w.r.Kept() > 0 {
-			t.Fatalf("%d responses are kept for ever", w.r.Kept())
+		w.r.purge(w.now)
+		if w.r.StoredResponses() > 0 {
+			t.Fatalf("%d responses are kept for ever", w.r.StoredResponses())
 		}
 	})
 }
@@ -151,7 +151,7 @@
 	w.loss = 1
 	w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
 	w.pass(TMax)
-	if extra := w.sends - 51; extra != goneAt {
+	if extra := w.sends - 51; extra != maxRetransmissions {
 		t.Fatalf("%d repeats to a peer that is gone", extra)
 	}
 	w = newWire(1)
@@ -172,7 +172,7 @@
 
 func TestIdsAreNotUsedAgainBeforeTheirTime(t *testing.T) {
 	w := newWire(2)
-	w.s.ids.next = idMost - 1
+	w.s.ids.next = maxID - 1
 	seen := map[uint32]policy.Tenths{}
 	for range 30 {
 		id := w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
@@ -181,26 +181,26 @@
 		}
 		seen[id] = w.now
 		w.pass(500)
-		w.s.ids.next = idMost - 1 // as if a thousand million commands had passed
+		w.s.ids.next = maxID - 1 // as if a thousand million commands had passed
 	}
 }
 
 func TestAcknowledgementsAreWrittenAsRanges(t *testing.T) {
-	if got := ranges([]uint32{6234, 6235, 6236, 6257, 6259}); got != "6234-6236, 6257, 6259" {
+	if got := formatIDRanges([]uint32{6234, 6235, 6236, 6257, 6259}); got != "6234-6236, 6257, 6259" {
 		t.Fatal(got)
 	}
 }
 
-func (w *wire) Contradicted(id uint32, first int, r Message) { w.against = append(w.against, r.Code) }
+func (w *wire) HandleConflict(id uint32, first int, r Message) { w.against = append(w.against, r.Code) }
 
 // The first of two different answers counts, and the second is told of; a repeat of the first is not.
 func TestSecondOtherAnswerIsToldOf(t *testing.T) {
 	w := newWire(3)
 	id := w.s.Send(w.now, Message{Verb: CreateConnection, Endpoint: "a@b"})
 	answer := Message{Transaction: id, Code: 200, Params: []Param{{"I", "1"}}}
-	w.s.Response(w.now+10, answer)
-	w.s.Response(w.now+20, answer)
-	w.s.Response(w.now+30, Message{Transaction: id, Code: 200, Params: []Param{{"I", "2"}}})
+	w.s.HandleResponse(w.now+10, answer)
+	w.s.HandleResponse(w.now+20, answer)
+	w.s.HandleResponse(w.now+30, Message{Transaction: id, Code: 200, Params: []Param{{"I", "2"}}})
 	if w.ended[id] != Answered || len(w.against) != 1 || len(w.broken) > 0 {
 		t.Fatal(w.ended, w.against, w.broken)
 	}
@@ -215,12 +215,12 @@
 		m    Message
 		want bool
 	}{{off, true}, {off, false}, {on, true}, {on, false}} {
-		carryOut, reply := r.Command(policy.Tenths(1000+i), c.m)
+		carryOut, reply := r.HandleCommand(policy.Tenths(1000+i), c.m)
 		if carryOut != c.want || carryOut == (reply != nil) {
 			t.Fatalf("command %d: carried out %v, reply %v", i, carryOut, reply)
 		}
 		if carryOut {
-			r.Done(policy.Tenths(1000+i), Message{Transaction: 7, Code: 200})
+			r.StoreResponse(policy.Tenths(1000+i), Message{Transaction: 7, Code: 200})
 		}
 	}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -128,25 +128,25 @@
 // gateways reads what a site says of its MGCP gateways.
 func gateways(b *hclread.Block, d *policy.Deployment, bearers map[string]int) *control.Gateways {
 	g := &control.Gateways{ListenAddress: b.Address("listen", false)}
-	g.Own, g.Point, g.Seed = d.OwnExchange, exchange.PointCode(d.OwnExchange), d.Seed
-	g.DialMost = b.Span("dial_most", time.Second, time.Hour, 20*time.Second)
-	g.RingMost = b.Span("ring_most", time.Second, time.Hour, time.Minute)
-	g.Rate = b.Number("restarts_per_second", 0.1, 1e6, 200)
-	g.Queue = b.Whole("restarts_queue", 1, 1<<20, 16384)
-	g.Media = b.Text("media", false, "127.0.0.1")
-	if _, err := netip.ParseAddr(g.Media); err != nil {
-		b.FaultAt("media", "%q is not an address", g.Media)
+	g.OwnExchange, g.PointCode, g.Seed = d.OwnExchange, exchange.PointCode(d.OwnExchange), d.Seed
+	g.MaxDialTime = b.Span("dial_most", time.Second, time.Hour, 20*time.Second)
+	g.MaxRingTime = b.Span("ring_most", time.Second, time.Hour, time.Minute)
+	g.RestartRate = b.Number("restarts_per_second", 0.1, 1e6, 200)
+	g.MaxQueuedRestarts = b.Whole("restarts_queue", 1, 1<<20, 16384)
+	g.MediaAddress = b.Text("media", false, "127.0.0.1")
+	if _, err := netip.ParseAddr(g.MediaAddress); err != nil {
+		b.FaultAt("media", "%q is not an address", g.MediaAddress)
 	}
 	var err error
-	if g.Map, err = mgcp.ParseMap(b.Text("digit_map", false, "(xxxxxxxxx)")); err != nil {
+	if g.DigitMap, err = mgcp.ParseDigitMap(b.Text("digit_map", false, "(xxxxxxxxx)")); err != nil {
 		b.FaultAt("digit_map", "%v", err)
 	}
-	g.Notified = b.Texts("notified")
-	g.Self = b.Whole("notified_self", 0, max(0, len(g.Notified)-1), 0)
+	g.NotifiedEntities = b.Texts("notified")
+	g.OwnEntity = b.Whole("notified_self", 0, max(0, len(g.NotifiedEntities)-1), 0)
 	for _, t := range d.Bearers {
-		g.Abandon = append(g.Abandon, t.AbandonTime)
-		if g.GoS == 0 || t.GoSTarget < g.GoS {
-			g.GoS = t.GoSTarget
+		g.AbandonTimes = append(g.AbandonTimes, t.AbandonTime)
+		if g.GoSTarget == 0 || t.GoSTarget < g.GoSTarget {
+			g.GoSTarget = t.GoSTarget
 		}
 	}
 	names, lines := map[string]bool{}, map[int]string{}
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -126,12 +126,12 @@
 	phones  []phone
 	calls   []*PhoneCall
 	quirk   Quirk
-	ids     *mgcp.IDs
+	ids     *mgcp.TransactionIDs
 	sender  *mgcp.Sender
 	rcv     *mgcp.Receiver
 	out     map[uint32]func(ok bool)
 	agent   int
-	discon  mgcp.Disconnected
+	discon  mgcp.DisconnectedProcedure
 	lost    bool
 	down    bool // as noted
 	stale   bool // what is being carried out is older than transactions are kept
@@ -210,12 +210,12 @@
 		g.all.Go(func() { g.read(conn) })
 	}
 	g.lives++
-	g.ids, g.rcv, g.out = mgcp.NewIDs(uint32(g.lives)*1000), mgcp.NewReceiver(), map[uint32]func(bool){}
+	g.ids, g.rcv, g.out = mgcp.NewTransactionIDs(uint32(g.lives)*1000), mgcp.NewReceiver(), map[uint32]func(bool){}
 	g.sender = mgcp.NewSender(g.ids, g.chance.Uint64(), (*gatewayOut)(g))
-	g.discon = mgcp.Disconnected{Least: tenths(g.p.Disconnected), Most: tenths(8 * g.p.Disconnected)}
+	g.discon = mgcp.DisconnectedProcedure{MinWait: tenths(g.p.Disconnected), MaxWait: tenths(8 * g.p.Disconnected)}
 	g.lost = true
 	life := g.lives
-	g.after(time.Duration(mgcp.RestartWait(tenths(g.p.RestartWait), g.chance))*100*time.Microsecond, func() { g.report("restart", life) })
+	g.after(time.Duration(mgcp.RestartDelay(tenths(g.p.RestartWait), g.chance))*100*time.Microsecond, func() { g.report("restart", life) })
 }
 
 // mark notes when the gateway cannot reach its call agent, or has not yet, and when it can again.
@@ -244,7 +244,7 @@
 }
 
 func (g *Gateway) read(conn net.PacketConn) {
-	buf := make([]byte, mgcp.DatagramMost)
+	buf := make([]byte, mgcp.MaxDatagramSize)
 	for {
 		n, from, err := conn.ReadFrom(buf)
 		if err != nil {
@@ -359,16 +359,16 @@
 	g := (*Gateway)(o)
 	g.transmit(g.p.Agents[g.agent%len(g.p.Agents)], m)
 }
-func (o *gatewayOut) Contradicted(uint32, int, mgcp.Message) {}
-func (o *gatewayOut) Ended(id uint32, fate mgcp.Fate, r mgcp.Message) {
+func (o *gatewayOut) HandleConflict(uint32, int, mgcp.Message) {}
+func (o *gatewayOut) HandleOutcome(id uint32, fate mgcp.Outcome, r mgcp.Message) {
 	g := (*Gateway)(o)
-	if fate == mgcp.Suspect {
+	if fate == mgcp.PeerSuspect {
 		g.agent++ // another address of the notified entity
 		return
 	}
 	done := g.out[id]
 	delete(g.out, id)
-	if r.Code == mgcp.Redirected {
+	if r.Code == mgcp.CodeRedirected {
 		if n, ok := r.Param("N"); ok {
 			if at, err := netip.ParseAddrPort(n[strings.LastIndexByte(n, '@')+1:]); err == nil {
 				g.p.Agents = append([]netip.AddrPort{at}, g.p.Agents...)
@@ -377,13 +377,13 @@
 		}
 	}
 	if done != nil {
-		done(fate == mgcp.Answered && mgcp.KindOf(r.Code) == mgcp.Success)
+		done(fate == mgcp.Answered && mgcp.ClassOf(r.Code) == mgcp.Success)
 	}
 }
 
 func (g *Gateway) command(m mgcp.Message, done func(ok bool)) {
 	if g.quirk.ReuseIDs { // RFC 3435 asks for THist between two uses
-		g.ids = mgcp.NewIDs(uint32(g.chance.IntN(3)))
+		g.ids = mgcp.NewTransactionIDs(uint32(g.chance.IntN(3)))
 		g.sender = mgcp.NewSender(g.ids, g.chance.Uint64(), (*gatewayOut)(g))
 	}
 	id := g.sender.Send(g.now(), m)
@@ -401,7 +401,7 @@
 			g.mark()
 			return
 		}
-		at := g.discon.Unanswered(g.now())
+		at := g.discon.NextReport(g.now())
 		g.after(time.Duration(at-g.now())*100*time.Microsecond, func() { g.report(method, life) })
 	})
 }
@@ -412,7 +412,7 @@
 	}
 	g.lost = true
 	g.mark()
-	at, life := g.discon.Begin(g.now(), tenths(g.p.Disconnected), g.chance), g.lives
+	at, life := g.discon.Start(g.now(), tenths(g.p.Disconnected), g.chance), g.lives
 	g.after(time.Duration(at-g.now())*100*time.Microsecond, func() { g.report("disconnected", life) })
 }
 
@@ -421,18 +421,18 @@
 	for _, m := range all {
 		switch {
 		case m.IsAcknowledgement():
-			g.rcv.Acknowledged(m.Transaction)
+			g.rcv.HandleAck(m.Transaction)
 		case m.Verb == "":
-			g.sender.Response(g.now(), m)
+			g.sender.HandleResponse(g.now(), m)
 		default:
-			carryOut, again := g.rcv.Command(g.now(), m)
+			carryOut, again := g.rcv.HandleCommand(g.now(), m)
 			if again != nil {
 				g.transmit(r.from, *again)
 			}
 			if carryOut {
 				reply := g.carryOut(m)
 				reply.Transaction = m.Transaction
-				g.transmit(r.from, g.rcv.Done(g.now(), reply))
+				g.transmit(r.from, g.rcv.StoreResponse(g.now(), reply))
 				if m.Verb == mgcp.CreateConnection && g.chance.Float64() < g.quirk.TwoAnswers {
 					g.secondAnswer(m, reply, r.from)
 				}
@@ -444,7 +444,7 @@
 // secondAnswer contradicts the first: another connection, which it makes as well.
 func (g *Gateway) secondAnswer(m, reply mgcp.Message, to netip.AddrPort) {
 	local, _, _ := strings.Cut(m.Endpoint, "@")
-	if i, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/")); err == nil && reply.Code == mgcp.Done {
+	if i, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/")); err == nil && reply.Code == mgcp.CodeOK {
 		id := g.connect(i-1, "", false)
 		reply.Params = []mgcp.Param{{Name: "I", Value: id}}
 		g.transmit(to, reply)
--- a/internal/standin/phone.go
+++ b/internal/standin/phone.go
@@ -23,7 +23,7 @@
 	}
 	i, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/"))
 	if i--; err != nil || i < 0 || i >= len(g.phones) {
-		return mgcp.Message{Code: mgcp.NoEndpoint}
+		return mgcp.Message{Code: mgcp.CodeUnknownEndpoint}
 	}
 	p := &g.phones[i]
 	switch m.Verb {
@@ -36,10 +36,10 @@
 		for _, c := range p.conns {
 			ids = append(ids, c.id)
 		}
-		return mgcp.Message{Code: mgcp.Done, Params: []mgcp.Param{{Name: "I", Value: strings.Join(ids, ", ")}, {Name: "ES", Value: state}}}
+		return mgcp.Message{Code: mgcp.CodeOK, Params: []mgcp.Param{{Name: "I", Value: strings.Join(ids, ", ")}, {Name: "ES", Value: state}}}
 	case mgcp.NotificationRequest, mgcp.CreateConnection, mgcp.ModifyConnection, mgcp.DeleteConnection:
 	default:
-		return mgcp.Message{Code: mgcp.UnknownVerb}
+		return mgcp.Message{Code: mgcp.CodeUnknownCommand}
 	}
 	if s, _ := m.Param("S"); strings.HasPrefix(s, "L/rg") && !p.off && g.chance.Float64() < g.quirk.Glare { // lifted to dial, at that instant
 		g.lift(i)
@@ -48,7 +48,7 @@
 	if code := g.refuses(i, m); code != 0 {
 		return mgcp.Message{Code: code}
 	}
-	reply := mgcp.Message{Code: mgcp.Done}
+	reply := mgcp.Message{Code: mgcp.CodeOK}
 	id, _ := m.Param("I")
 	mode, _ := m.Param("M")
 	at := -1
@@ -70,16 +70,16 @@
 					p.conns = append(p.conns[:n], p.conns[n+1:]...)
 				}
 			}
-			reply.Code = mgcp.Deleted
+			reply.Code = mgcp.CodeConnectionDeleted
 			break
 		}
 		if at < 0 {
-			return mgcp.Message{Code: mgcp.NoConnection}
+			return mgcp.Message{Code: mgcp.CodeUnknownConnection}
 		}
 		if m.Verb == mgcp.DeleteConnection {
 			g.note(audit.Connection, i, p.ref, p.conns[at].number, 0)
 			p.conns = append(p.conns[:at], p.conns[at+1:]...)
-			reply.Code = mgcp.Deleted
+			reply.Code = mgcp.CodeConnectionDeleted
 		} else if mode == "sendrecv" {
 			p.conns[at].both = true
 		}
@@ -107,15 +107,15 @@
 	off := g.phones[i].off
 	switch {
 	case off && (strings.Contains(r, "L/hd") || strings.Contains(s, "L/rg")):
-		return mgcp.OffHook
+		return mgcp.CodeOffHook
 	case !off && strings.Contains(r, "L/hu"):
-		return mgcp.OnHook
+		return mgcp.CodeOnHook
 	}
 	return 0
 }
 
 func (g *Gateway) forAll(m mgcp.Message) mgcp.Message {
-	reply := mgcp.Message{Code: mgcp.Done}
+	reply := mgcp.Message{Code: mgcp.CodeOK}
 	switch m.Verb {
 	case mgcp.AuditEndpoint:
 		for i := range g.phones {
@@ -131,7 +131,7 @@
 			}
 			g.phones[i].conns = nil
 		}
-		reply.Code = mgcp.Deleted
+		reply.Code = mgcp.CodeConnectionDeleted
 	case mgcp.NotificationRequest:
 		for i := range g.phones {
 			if code := g.refuses(i, m); code != 0 {
@@ -142,7 +142,7 @@
 			g.request(i, m)
 		}
 	default:
-		return mgcp.Message{Code: mgcp.AllOf}
+		return mgcp.Message{Code: mgcp.CodeAllOfTooComplicated}
 	}
 	return reply
 }
@@ -160,7 +160,7 @@
 	p.lift, p.hang, p.flash, p.digits = strings.Contains(r, "L/hd"), strings.Contains(r, "L/hu"), strings.Contains(r, "L/hf"), strings.Contains(r, "D/")
 	p.dialled = ""
 	if d, ok := m.Param("D"); ok {
-		p.dmap, _ = mgcp.ParseMap(d)
+		p.dmap, _ = mgcp.ParseDigitMap(d)
 	}
 	signal, _, _ := strings.Cut(s, ",")
 	p.tone, p.ring = strings.TrimSpace(signal), strings.HasPrefix(signal, "L/rg")
@@ -187,11 +187,11 @@
 	switch {
 	case !p.armed:
 		p.pending = append(p.pending, e)
-	case e.Package == mgcp.DTMF && p.digits:
+	case e.Package == mgcp.PackageDTMF && p.digits:
 		p.tone = ""
 		p.dialled += e.Name
-		if m := p.dmap.Match(p.dialled); m == mgcp.Full || m == mgcp.NoMatch || strings.HasSuffix(p.dialled, "T") {
-			g.notify(i, mgcp.Dialled(p.dialled))
+		if m := p.dmap.Match(p.dialled); m == mgcp.FullMatch || m == mgcp.NoMatch || strings.HasSuffix(p.dialled, "T") {
+			g.notify(i, mgcp.DigitEvents(p.dialled))
 		}
 	case e.Name == "hd" && p.lift, e.Name == "hu" && p.hang, e.Name == "hf" && p.flash:
 		g.notify(i, []mgcp.Event{e})
@@ -205,9 +205,9 @@
 	if hook {
 		p.unacked++
 	}
-	ref, life, digits := p.ref, g.lives, observed[0].Package == mgcp.DTMF
+	ref, life, digits := p.ref, g.lives, observed[0].Package == mgcp.PackageDTMF
 	g.command(mgcp.Message{Verb: mgcp.Notify, Endpoint: fmt.Sprintf("aaln/%d@%s", i+1, g.p.Name),
-		Params: []mgcp.Param{{Name: "X", Value: p.request}, {Name: "O", Value: mgcp.List(observed)}}}, func(ok bool) {
+		Params: []mgcp.Param{{Name: "X", Value: p.request}, {Name: "O", Value: mgcp.FormatEvents(observed)}}}, func(ok bool) {
 		if life != g.lives {
 			return
 		}
@@ -279,7 +279,7 @@
 	if !p.off {
 		p.off, p.ring = true, false
 		g.note(audit.Hook, i, p.ref, 0, 1)
-		g.noticed(i, mgcp.Event{Package: mgcp.Line, Name: "hd"})
+		g.noticed(i, mgcp.Event{Package: mgcp.PackageLine, Name: "hd"})
 	}
 }
 
@@ -294,7 +294,7 @@
 	p.off, p.tone, p.waiting, p.stands, p.call = false, "", false, false, nil
 	p.turn++
 	g.note(audit.Hook, i, p.ref, 0, 0)
-	g.noticed(i, mgcp.Event{Package: mgcp.Line, Name: "hu"})
+	g.noticed(i, mgcp.Event{Package: mgcp.PackageLine, Name: "hu"})
 }
 
 // begin has a user make a call, if the phone is free.
@@ -332,11 +332,11 @@
 		if n == len(c.Digits)-1 {
 			g.dialled(i, c)
 		}
-		g.noticed(i, mgcp.Event{Package: mgcp.DTMF, Name: c.Digits[n : n+1]})
+		g.noticed(i, mgcp.Event{Package: mgcp.PackageDTMF, Name: c.Digits[n : n+1]})
 		if n < len(c.Digits)-1 && wait < 4*time.Second {
 			g.press(i, c, turn, n+1)
 		} else if n < len(c.Digits)-1 { // the time-out and the digit fall together
-			g.noticed(i, mgcp.Event{Package: mgcp.DTMF, Name: "T"})
+			g.noticed(i, mgcp.Event{Package: mgcp.PackageDTMF, Name: "T"})
 			g.press(i, c, turn, n+1)
 		}
 	})
@@ -362,7 +362,7 @@
 			return
 		}
 		if flash {
-			g.noticed(i, mgcp.Event{Package: mgcp.Line, Name: "hf"})
+			g.noticed(i, mgcp.Event{Package: mgcp.PackageLine, Name: "hf"})
 		}
 		if hang {
 			g.putDown(i)
