--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -115,7 +115,7 @@
 	auditDue       bool  // ask what it holds, once nothing else is to be done
 	lastFlags      uint8 // what a call to the last number is to be marked with
 	gateway        int32
-	transaction    uint32 // transaction that is out, 0 none
+	transactionID  uint32 // transaction that is out, 0 none
 	requestID      uint32 // id of the last notification request sent, and of the last one that was heard of
 	notifiedID     uint32
 	guardAt        policy.Tenths
@@ -138,7 +138,7 @@
 	sender        *mgcp.Sender
 	receiver      *mgcp.Receiver
 	joinStep      joinStep
-	transaction   uint32 // transaction for all its endpoints
+	transactionID uint32 // transaction for all its endpoints
 	queuedReports []queuedReport
 	suspect       bool // commands are repeated without an answer
 	timerAt       policy.Tenths
@@ -168,13 +168,13 @@
 
 type timerHeap []timer
 
-func (d timerHeap) Len() int           { return len(d) }
-func (d timerHeap) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d timerHeap) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *timerHeap) Push(x any)        { *d = append(*d, x.(timer)) }
-func (d *timerHeap) Pop() any          { n := len(*d) - 1; x := (*d)[n]; *d = (*d)[:n]; return x }
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
+func (h *timerHeap) Pop() any          { n := len(*h) - 1; x := (*h)[n]; *h = (*h)[:n]; return x }
 
-type queuedMessage struct {
+type queuedISUP struct {
 	circuit circuitKey
 	message isup.Message
 }
@@ -227,7 +227,7 @@
 	gatewayByAddress map[netip.AddrPort]int
 	onConflict       func(mgcp.Message) // takes a second answer that differs, while responses are read
 	lineByCircuit    map[circuitKey]int // calls of the exchange to lines
-	queue            []queuedMessage
+	queue            []queuedISUP
 	outstanding      map[uint32]outstandingCommand
 	timers           timerHeap
 	transactionIDs   *mgcp.TransactionIDs
@@ -244,23 +244,23 @@
 }
 
 // New makes the agent; Tick at once brings the gateways whose addresses are known into service, at the door's pace.
-func New(site Config, out Output, now policy.Tenths) *Agent {
-	a := &Agent{config: site, output: out, now: now, gatewayByName: map[string]int{}, lineByNumber: map[int]int{}, gatewayByAddress: map[netip.AddrPort]int{}, lineByCircuit: map[circuitKey]int{}, outstanding: map[uint32]outstandingCommand{},
-		transactionIDs: mgcp.NewTransactionIDs(site.Incarnation * 7919), lastRequestID: site.Incarnation << 12, lastIdentity: site.Incarnation & identityMask,
-		restarts: gateways.NewRestartLimiter(gateways.Limits{Rate: site.RestartRate, MaxQueued: max(site.MaxQueuedRestarts, len(site.Gateways)), GoSTarget: site.GoSTarget}, now)}
-	for i, g := range site.Gateways {
-		gw := gatewayRecord{Gateway: g, lineOffset: len(a.lines), receiver: mgcp.NewReceiver()}
-		gw.sender = mgcp.NewSender(a.transactionIDs, site.Seed+uint64(i), (*senderOutput)(a))
-		a.gatewayByName[strings.ToLower(g.Name)] = i
-		a.gateways = append(a.gateways, gw)
-		for _, from := range g.Addresses {
-			a.gatewayByAddress[from] = i
+func New(config Config, output Output, now policy.Tenths) *Agent {
+	a := &Agent{config: config, output: output, now: now, gatewayByName: map[string]int{}, lineByNumber: map[int]int{}, gatewayByAddress: map[netip.AddrPort]int{}, lineByCircuit: map[circuitKey]int{}, outstanding: map[uint32]outstandingCommand{},
+		transactionIDs: mgcp.NewTransactionIDs(config.Incarnation * 7919), lastRequestID: config.Incarnation << 12, lastIdentity: config.Incarnation & identityMask,
+		restarts: gateways.NewRestartLimiter(gateways.Limits{Rate: config.RestartRate, MaxQueued: max(config.MaxQueuedRestarts, len(config.Gateways)), GoSTarget: config.GoSTarget}, now)}
+	for i, settings := range config.Gateways {
+		record := gatewayRecord{Gateway: settings, lineOffset: len(a.lines), receiver: mgcp.NewReceiver()}
+		record.sender = mgcp.NewSender(a.transactionIDs, config.Seed+uint64(i), (*commandOutput)(a))
+		a.gatewayByName[strings.ToLower(settings.Name)] = i
+		a.gateways = append(a.gateways, record)
+		for _, address := range settings.Addresses {
+			a.gatewayByAddress[address] = i
 		}
-		for n := range g.Endpoints {
-			a.lineByNumber[g.FirstLine+n] = len(a.lines)
+		for n := range settings.Endpoints {
+			a.lineByNumber[settings.FirstLine+n] = len(a.lines)
 			a.lines = append(a.lines, lineRecord{gateway: int32(i)})
 		}
-		if len(g.Addresses) > 0 { // it may have been served by an earlier life of this program
+		if len(settings.Addresses) > 0 { // it may have been served by an earlier life of this program
 			a.admit(i)
 		}
 	}
@@ -283,33 +283,33 @@
 func (a *Agent) Tick(now policy.Tenths) {
 	a.now = now
 	for len(a.timers) > 0 && a.timers[0].at <= now {
-		d := heap.Pop(&a.timers).(timer)
-		switch d.kind {
+		due := heap.Pop(&a.timers).(timer)
+		switch due.kind {
 		case lineTimer:
-			l := &a.lines[d.index]
-			if l.guardAt == d.at {
-				l.guardAt = 0
-				a.handleEvent(d.index, guardExpired, eventData{})
+			line := &a.lines[due.index]
+			if line.guardAt == due.at {
+				line.guardAt = 0
+				a.handleEvent(due.index, guardExpired, eventData{})
 			}
-			if l.auditAt == d.at {
-				l.auditAt, l.auditDue = 0, true
-				a.reconcile(d.index)
+			if line.auditAt == due.at {
+				line.auditAt, line.auditDue = 0, true
+				a.reconcile(due.index)
 			}
-			if l.retryAt == d.at {
-				l.retryAt = 0
-				a.retryLine(d.index)
+			if line.retryAt == due.at {
+				line.retryAt = 0
+				a.retryLine(due.index)
 			}
 		case gatewayTimer:
-			if g := &a.gateways[d.index]; g.timerAt == d.at {
-				g.timerAt = 0
-				g.sender.Tick(now)
-				a.superviseGateway(d.index)
+			if gateway := &a.gateways[due.index]; gateway.timerAt == due.at {
+				gateway.timerAt = 0
+				gateway.sender.Tick(now)
+				a.superviseGateway(due.index)
 			}
 		case admissionTimer:
-			if a.admissionAt == d.at {
+			if a.admissionAt == due.at {
 				a.admissionAt = 0
-				for _, gw := range a.restarts.Tick(now) {
-					a.startJoin(int(gw))
+				for _, gatewayIndex := range a.restarts.Tick(now) {
+					a.startJoin(int(gatewayIndex))
 				}
 				a.scheduleAdmission()
 			}
@@ -325,9 +325,9 @@
 }
 
 // CountLines counts the lines in a state.
-func (a *Agent) CountLines(s State) (n int) {
+func (a *Agent) CountLines(state State) (n int) {
 	for i := range a.lines {
-		if a.lines[i].state == s {
+		if a.lines[i].state == state {
 			n++
 		}
 	}
@@ -338,7 +338,7 @@
 // leave callers without their answer where the network lost it.
 func (a *Agent) LinesAwaitingResponse(now policy.Tenths) (n int) {
 	for i := range a.lines {
-		if l := &a.lines[i]; l.transaction != 0 && now < l.answerDeadline {
+		if line := &a.lines[i]; line.transactionID != 0 && now < line.answerDeadline {
 			n++
 		}
 	}
@@ -347,35 +347,35 @@
 
 // HandleISUP takes what the exchange sends to its line side, and tells whether it is for a line at a gateway. It only notes it; Settle
 // follows.
-func (a *Agent) HandleISUP(point, cic uint16, m isup.Message) bool {
-	p := circuitKey{point, cic}
+func (a *Agent) HandleISUP(point, cic uint16, msg isup.Message) bool {
+	circuit := circuitKey{point, cic}
 	if point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint {
-		a.queue = append(a.queue, queuedMessage{p, m})
+		a.queue = append(a.queue, queuedISUP{circuit, msg})
 		return true
 	}
-	if _, ours := a.lineByCircuit[p]; ours {
-		a.queue = append(a.queue, queuedMessage{p, m})
+	if _, found := a.lineByCircuit[circuit]; found {
+		a.queue = append(a.queue, queuedISUP{circuit, msg})
 		return true
 	}
-	if m.Type != isup.IAM {
+	if msg.Type != isup.IAM {
 		return false
 	}
-	number, err := strconv.Atoi(m.Digits)
+	number, err := strconv.Atoi(msg.Digits)
 	if err != nil || number/1000000 != a.config.OwnExchange {
 		return false
 	}
-	i, ours := a.lineByNumber[number%1000000]
-	if ours {
-		a.lineByCircuit[p] = i
-		a.queue = append(a.queue, queuedMessage{p, m})
+	i, found := a.lineByNumber[number%1000000]
+	if found {
+		a.lineByCircuit[circuit] = i
+		a.queue = append(a.queue, queuedISUP{circuit, msg})
 	}
-	return ours
+	return found
 }
 
 // HasCircuit tells whether a circuit of a block of lines is a call at one of its lines.
 func (a *Agent) HasCircuit(point, cic uint16) bool {
-	_, ours := a.lineByCircuit[circuitKey{point, cic}]
-	return ours || point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint
+	_, found := a.lineByCircuit[circuitKey{point, cic}]
+	return found || point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint
 }
 
 // ProcessQueue does what follows from what the exchange sent.
@@ -391,78 +391,80 @@
 	a.processing = true
 	defer func() { a.processing = false }()
 	for len(a.queue) > 0 {
-		t := a.queue[0]
+		queued := a.queue[0]
 		a.queue = a.queue[1:]
-		i, toLine := a.lineByCircuit[t.circuit]
-		if !toLine {
-			i = int(t.circuit.point-exchange.FirstGatewayPoint)<<12 + int(t.circuit.cic)
+		i, incoming := a.lineByCircuit[queued.circuit]
+		if !incoming {
+			i = int(queued.circuit.point-exchange.FirstGatewayPoint)<<12 + int(queued.circuit.cic)
 		}
 		if i >= len(a.lines) {
 			continue
 		}
-		k := a.lines[i].call
-		switch t.message.Type {
+		call := a.lines[i].call
+		switch queued.message.Type {
 		case isup.IAM:
 			if a.gateways[a.lines[i].gateway].suspect || a.gateways[a.lines[i].gateway].presence.State() != gateways.Serving {
-				a.sendToExchange(t.circuit, isup.Message{Type: isup.REL, Cause: isup.OutOfOrder, Location: isup.User})
+				a.sendToExchange(queued.circuit, isup.Message{Type: isup.REL, Cause: isup.OutOfOrder, Location: isup.User})
 				continue
 			}
-			a.handleEvent(i, incomingCall, eventData{circuit: t.circuit, message: t.message})
+			a.handleEvent(i, incomingCall, eventData{circuit: queued.circuit, message: queued.message})
 		case isup.ANM:
-			if k != nil && k.circuit == t.circuit {
-				a.handleEvent(i, callAnswered, eventData{message: t.message})
+			if call != nil && call.circuit == queued.circuit {
+				a.handleEvent(i, callAnswered, eventData{message: queued.message})
 			}
 		case isup.REL:
-			if toLine {
-				delete(a.lineByCircuit, t.circuit)
+			if incoming {
+				delete(a.lineByCircuit, queued.circuit)
 			}
-			if k != nil && k.circuit == t.circuit {
-				a.handleEvent(i, callReleased, eventData{message: t.message})
+			if call != nil && call.circuit == queued.circuit {
+				a.handleEvent(i, callReleased, eventData{message: queued.message})
 			}
 		}
 	}
 }
 
 // sendToExchange passes a message of a line's on.
-func (a *Agent) sendToExchange(hop circuitKey, m isup.Message) {
-	if m.Type == isup.REL {
-		delete(a.lineByCircuit, hop)
+func (a *Agent) sendToExchange(circuit circuitKey, msg isup.Message) {
+	if msg.Type == isup.REL {
+		delete(a.lineByCircuit, circuit)
 	}
-	m.CIC = hop.cic
-	a.output.Offer(hop.point, hop.cic, m)
+	msg.CIC = circuit.cic
+	a.output.Offer(circuit.point, circuit.cic, msg)
 }
 
 func (a *Agent) pointOf(i int) uint16 { return exchange.FirstGatewayPoint + uint16(i>>12) }
 func (a *Agent) cicOf(i int) uint16   { return uint16(i & isup.MaxCIC) }
 
 func (a *Agent) numberOf(i int) string {
-	g := &a.gateways[a.lines[i].gateway]
-	return exchange.LineNumber(a.config.OwnExchange, uint32(g.FirstLine+i-g.lineOffset))
+	gateway := &a.gateways[a.lines[i].gateway]
+	return exchange.LineNumber(a.config.OwnExchange, uint32(gateway.FirstLine+i-gateway.lineOffset))
 }
 
 // endpointName is the name of a line; find the line of a name, -1 for all of a gateway's, and whether there is such a one.
 func (a *Agent) endpointName(i int) string {
-	g := &a.gateways[a.lines[i].gateway]
-	return "aaln/" + strconv.Itoa(i-g.lineOffset+1) + "@" + g.Name
+	gateway := &a.gateways[a.lines[i].gateway]
+	return "aaln/" + strconv.Itoa(i-gateway.lineOffset+1) + "@" + gateway.Name
 }
 
-func (a *Agent) findEndpoint(name string) (gw, i int, ok bool) {
+func (a *Agent) findEndpoint(name string) (gatewayIndex, i int, ok bool) {
 	local, domain, _ := strings.Cut(name, "@")
-	gw, ok = a.gatewayByName[strings.ToLower(domain)]
+	gatewayIndex, ok = a.gatewayByName[strings.ToLower(domain)]
 	if !ok {
 		return 0, 0, false
 	}
-	term, number, two := strings.Cut(strings.ToLower(local), "/")
-	if !two && term == "*" || two && (term == "aaln" || term == "*") && number == "*" {
-		return gw, -1, true
+	term, number, hasNumber := strings.Cut(strings.ToLower(local), "/")
+	if !hasNumber && term == "*" || hasNumber && (term == "aaln" || term == "*") && number == "*" {
+		return gatewayIndex, -1, true
 	}
 	n, err := strconv.Atoi(number)
-	if term != "aaln" || err != nil || n < 1 || n > a.gateways[gw].Endpoints {
-		return gw, 0, false
+	if term != "aaln" || err != nil || n < 1 || n > a.gateways[gatewayIndex].Endpoints {
+		return gatewayIndex, 0, false
 	}
-	return gw, a.gateways[gw].lineOffset + n - 1, true
+	return gatewayIndex, a.gateways[gatewayIndex].lineOffset + n - 1, true
 }
 
 func numberDigest(digits string) uint64 { return max(1, xxhash.Sum64String(digits)) }
 
-func (a *Agent) callID(k *lineCall) string { return fmt.Sprintf("%X%08X", a.config.Incarnation, k.id) }
+func (a *Agent) callID(call *lineCall) string {
+	return fmt.Sprintf("%X%08X", a.config.Incarnation, call.id)
+}
--- a/internal/callagent/connection.go
+++ b/internal/callagent/connection.go
@@ -31,15 +31,15 @@
 	ConnectionModifying: {ConnectionCreated, ConnectionNone, ConnectionDeleting}, ConnectionDeleting: {ConnectionNone, ConnectionCreated, ConnectionUncertain}, ConnectionUncertain: {ConnectionDeleting, ConnectionNone}}
 
 // setConnection changes where a line's connection stands.
-func (a *Agent) setConnection(i int, to ConnectionState) {
-	l := &a.lines[i]
-	fits := l.connection == to || to == ConnectionNone
-	for _, may := range connectionTransitions[l.connection] {
-		fits = fits || may == to
+func (a *Agent) setConnection(i int, next ConnectionState) {
+	line := &a.lines[i]
+	allowed := line.connection == next || next == ConnectionNone
+	for _, state := range connectionTransitions[line.connection] {
+		allowed = allowed || state == next
 	}
-	if !fits {
+	if !allowed {
 		a.Counts.InvalidTransitions++
-		a.output.Note(fmt.Sprintf("fault: a connection at %s goes from %v to %v", a.endpointName(i), l.connection, to))
+		a.output.Note(fmt.Sprintf("fault: a connection at %s goes from %v to %v", a.endpointName(i), line.connection, next))
 	}
-	l.connection = to
+	line.connection = next
 }
--- a/internal/callagent/door.go
+++ b/internal/callagent/door.go
@@ -25,121 +25,121 @@
 )
 
 // HandleMessage takes one message of a datagram. age is how long it waited before it was read.
-func (a *Agent) HandleMessage(now policy.Tenths, from netip.AddrPort, m mgcp.Message, age policy.Tenths) {
+func (a *Agent) HandleMessage(now policy.Tenths, from netip.AddrPort, msg mgcp.Message, age policy.Tenths) {
 	a.now = now
 	switch {
-	case m.IsAcknowledgement():
-		if gw, ok := a.gatewayByAddress[from]; ok { // it names no endpoint
-			a.gateways[gw].receiver.HandleAck(m.Transaction)
+	case msg.IsAcknowledgement():
+		if gatewayIndex, ok := a.gatewayByAddress[from]; ok { // it names no endpoint
+			a.gateways[gatewayIndex].receiver.HandleAck(msg.Transaction)
 		}
-	case m.Verb == "":
-		a.handleResponse(from, m)
+	case msg.Verb == "":
+		a.handleResponse(from, msg)
 	default:
-		a.handleCommand(from, m, age)
+		a.handleCommand(from, msg, age)
 	}
 	a.processQueue()
 }
 
-func (a *Agent) handleResponse(from netip.AddrPort, m mgcp.Message) {
-	p, ok := a.outstanding[m.Transaction]
-	gw := a.gatewayOfCommand(p)
-	if ok && p.kind == lineCommand && !isComplete(p.verb, m) {
+func (a *Agent) handleResponse(from netip.AddrPort, msg mgcp.Message) {
+	command, ok := a.outstanding[msg.Transaction]
+	gatewayIndex := a.gatewayOfCommand(command)
+	if ok && command.kind == lineCommand && !isComplete(command.verb, msg) {
 		a.Counts.IncompleteMessages++
 		return
 	}
 	if !ok {
-		if gw, ok = a.gatewayByAddress[from]; !ok {
+		if gatewayIndex, ok = a.gatewayByAddress[from]; !ok {
 			return
 		}
 		// The endpoint is not told in a second answer: all of the gateway's are looked at.
 		a.onConflict = func(mgcp.Message) {
-			for i := range a.gateways[gw].Endpoints {
-				a.lines[a.gateways[gw].lineOffset+i].auditDue = true
-				a.reconcile(a.gateways[gw].lineOffset + i)
+			for i := range a.gateways[gatewayIndex].Endpoints {
+				a.lines[a.gateways[gatewayIndex].lineOffset+i].auditDue = true
+				a.reconcile(a.gateways[gatewayIndex].lineOffset + i)
 			}
 		}
 	}
-	a.selectAddress(gw, from)
-	a.gateways[gw].sender.HandleResponse(a.now, m)
+	a.selectAddress(gatewayIndex, from)
+	a.gateways[gatewayIndex].sender.HandleResponse(a.now, msg)
 	a.onConflict = nil
-	a.superviseGateway(gw)
+	a.superviseGateway(gatewayIndex)
 }
 
 // isComplete tells whether a response has what its command asked for. One that was cut short is passed over, as the command is
 // repeated and the whole of it comes.
-func isComplete(verb mgcp.Verb, m mgcp.Message) bool {
-	if mgcp.ClassOf(m.Code) != mgcp.Success {
+func isComplete(verb mgcp.Verb, msg mgcp.Message) bool {
+	if mgcp.ClassOf(msg.Code) != mgcp.Success {
 		return true
 	}
-	_, id := m.Param("I")
-	_, state := m.Param("ES")
+	_, hasID := msg.Param("I")
+	_, hasState := msg.Param("ES")
 	switch verb {
 	case mgcp.CreateConnection:
-		return id && len(m.Session) > 0
+		return hasID && len(msg.Session) > 0
 	case mgcp.AuditEndpoint:
-		return id && state
+		return hasID && hasState
 	}
 	return true
 }
 
-func (a *Agent) handleCommand(from netip.AddrPort, m mgcp.Message, age policy.Tenths) {
-	gw, i, ok := a.findEndpoint(m.Endpoint)
+func (a *Agent) handleCommand(from netip.AddrPort, msg mgcp.Message, age policy.Tenths) {
+	gatewayIndex, i, ok := a.findEndpoint(msg.Endpoint)
 	if !ok {
-		a.output.Send(from, mgcp.Message{Transaction: m.Transaction, Code: mgcp.CodeUnknownEndpoint, Comment: "no such endpoint"})
+		a.output.Send(from, mgcp.Message{Transaction: msg.Transaction, Code: mgcp.CodeUnknownEndpoint, Comment: "no such endpoint"})
 		return
 	}
-	if !m.HasRequiredParams() {
+	if !msg.HasRequiredParams() {
 		a.Counts.IncompleteMessages++
 		return
 	}
-	g := &a.gateways[gw]
-	if acks, had := m.Param("K"); had {
+	gateway := &a.gateways[gatewayIndex]
+	if acks, hasAcks := msg.Param("K"); hasAcks {
 		for _, id := range mgcp.ParseIDRanges(acks) {
-			g.receiver.HandleAck(id)
+			gateway.receiver.HandleAck(id)
 		}
 	}
-	carryOut, again := g.receiver.HandleCommand(a.now, m)
-	if again != nil {
-		a.output.Send(from, *again)
+	execute, stored := gateway.receiver.HandleCommand(a.now, msg)
+	if stored != nil {
+		a.output.Send(from, *stored)
 	}
-	if !carryOut {
+	if !execute {
 		return
 	}
-	g.presence.Received(a.now)
-	g.suspect = false
-	a.selectAddress(gw, from)
+	gateway.presence.Received(a.now)
+	gateway.suspect = false
+	a.selectAddress(gatewayIndex, from)
 	// It speaks from where it is. In service only a report moves it; one that is being brought into service at an address of the
 	// settings that it has left would be asked there for ever, as it is heard and so is not held to be gone.
-	if at := g.presence.State(); at == gateways.Joining && m.Verb != mgcp.RestartInProgress && (len(g.Addresses) == 0 || g.Addresses[g.addressIndex%len(g.Addresses)] != from) {
-		a.adoptAddress(gw, from)
-		defer a.startJoin(gw)
+	if state := gateway.presence.State(); state == gateways.Joining && msg.Verb != mgcp.RestartInProgress && (len(gateway.Addresses) == 0 || gateway.Addresses[gateway.addressIndex%len(gateway.Addresses)] != from) {
+		a.adoptAddress(gatewayIndex, from)
+		defer a.startJoin(gatewayIndex)
 	}
 	reply := func(code int, comment string) {
-		a.output.Send(from, g.receiver.StoreResponse(a.now, mgcp.Message{Transaction: m.Transaction, Code: code, Comment: comment}))
+		a.output.Send(from, gateway.receiver.StoreResponse(a.now, mgcp.Message{Transaction: msg.Transaction, Code: code, Comment: comment}))
 	}
-	if owner := a.owner(g.Name); owner != a.config.OwnEntity {
-		r := mgcp.Message{Transaction: m.Transaction, Code: mgcp.CodeRedirected, Comment: "it belongs to another call agent",
+	if owner := a.owner(gateway.Name); owner != a.config.OwnEntity {
+		response := mgcp.Message{Transaction: msg.Transaction, Code: mgcp.CodeRedirected, Comment: "it belongs to another call agent",
 			Params: []mgcp.Param{{Name: "N", Value: a.config.NotifiedEntities[owner]}}}
-		a.output.Send(from, g.receiver.StoreResponse(a.now, r))
+		a.output.Send(from, gateway.receiver.StoreResponse(a.now, response))
 		return
 	}
-	switch m.Verb {
+	switch msg.Verb {
 	case mgcp.RestartInProgress:
-		a.handleRestart(gw, i, from, m, reply)
+		a.handleRestart(gatewayIndex, i, from, msg, reply)
 	case mgcp.Notify:
 		reply(mgcp.CodeOK, "OK")
-		if g.presence.State() == gateways.Absent { // it is there, whatever we held: from the start
-			a.adoptAddress(gw, from)
-			a.admit(gw)
+		if gateway.presence.State() == gateways.Absent { // it is there, whatever we held: from the start
+			a.adoptAddress(gatewayIndex, from)
+			a.admit(gatewayIndex)
 			return
 		}
-		if i >= 0 && g.joinStep == joinNone {
-			a.handleNotify(i, m, age)
+		if i >= 0 && gateway.joinStep == joinNone {
+			a.handleNotify(i, msg, age)
 		}
 	default:
 		reply(mgcp.CodeUnknownCommand, "a call agent does not take it")
 	}
-	a.superviseGateway(gw)
+	a.superviseGateway(gatewayIndex)
 }
 
 func (a *Agent) owner(name string) int {
@@ -150,38 +150,38 @@
 }
 
 // selectAddress has a gateway be spoken to at that of its addresses from which it was heard last.
-func (a *Agent) selectAddress(gw int, from netip.AddrPort) {
-	g := &a.gateways[gw]
-	if n := slices.Index(g.Addresses, from); n >= 0 {
-		g.addressIndex = n
+func (a *Agent) selectAddress(gatewayIndex int, from netip.AddrPort) {
+	gateway := &a.gateways[gatewayIndex]
+	if n := slices.Index(gateway.Addresses, from); n >= 0 {
+		gateway.addressIndex = n
 	}
 }
 
 // adoptAddress takes a gateway's address from what it reports, when it is another than the ones known.
-func (a *Agent) adoptAddress(gw int, from netip.AddrPort) {
-	g := &a.gateways[gw]
-	for n, known := range g.Addresses {
-		if known == from {
-			g.addressIndex = n
-			a.gatewayByAddress[from] = gw
+func (a *Agent) adoptAddress(gatewayIndex int, from netip.AddrPort) {
+	gateway := &a.gateways[gatewayIndex]
+	for n, address := range gateway.Addresses {
+		if address == from {
+			gateway.addressIndex = n
+			a.gatewayByAddress[from] = gatewayIndex
 			return
 		}
 	}
-	g.Addresses = append([]netip.AddrPort{from}, g.Addresses[:min(len(g.Addresses), maxAddresses-1)]...)
-	g.addressIndex = 0
-	a.gatewayByAddress[from] = gw
+	gateway.Addresses = append([]netip.AddrPort{from}, gateway.Addresses[:min(len(gateway.Addresses), maxAddresses-1)]...)
+	gateway.addressIndex = 0
+	a.gatewayByAddress[from] = gatewayIndex
 }
 
 // handleRestart takes a report (RSIP, 2.3.12).
-func (a *Agent) handleRestart(gw, i int, from netip.AddrPort, m mgcp.Message, reply func(int, string)) {
-	g := &a.gateways[gw]
-	method, _ := m.Param("RM")
+func (a *Agent) handleRestart(gatewayIndex, i int, from netip.AddrPort, msg mgcp.Message, reply func(int, string)) {
+	gateway := &a.gateways[gatewayIndex]
+	method, _ := msg.Param("RM")
 	switch strings.ToLower(strings.TrimSpace(method)) {
 	case "graceful":
-		g.presence.Leave()
+		gateway.presence.Leave()
 		reply(mgcp.CodeOK, "OK")
 	case "cancel-graceful":
-		g.presence.CancelLeave()
+		gateway.presence.CancelLeave()
 		reply(mgcp.CodeOK, "OK")
 	case "forced":
 		reply(mgcp.CodeOK, "OK")
@@ -190,28 +190,28 @@
 			a.handleEvent(i, endpointLost, eventData{})
 			return
 		}
-		a.gatewayLost(gw, "it leaves service")
+		a.gatewayLost(gatewayIndex, "it leaves service")
 	case "disconnected":
-		a.adoptAddress(gw, from)
-		if g.presence.State() == gateways.Serving { // its calls may stand: what it holds is asked for, line by line
+		a.adoptAddress(gatewayIndex, from)
+		if gateway.presence.State() == gateways.Serving { // its calls may stand: what it holds is asked for, line by line
 			reply(mgcp.CodeOK, "OK")
-			for n := range g.Endpoints {
-				a.lines[g.lineOffset+n].auditDue = true
-				a.reconcile(g.lineOffset + n)
+			for n := range gateway.Endpoints {
+				a.lines[gateway.lineOffset+n].auditDue = true
+				a.reconcile(gateway.lineOffset + n)
 			}
 			return
 		}
-		a.admitReported(gw, from, m, reply)
+		a.admitReported(gatewayIndex, from, msg, reply)
 	case "restart", "":
-		if i >= 0 && g.presence.State() == gateways.Serving {
+		if i >= 0 && gateway.presence.State() == gateways.Serving {
 			reply(mgcp.CodeOK, "OK")
 			a.resetLine(i)
 			a.handleEvent(i, endpointBack, eventData{})
 			return
 		}
-		a.adoptAddress(gw, from)
-		a.resetGateway(gw)
-		a.admitReported(gw, from, m, reply)
+		a.adoptAddress(gatewayIndex, from)
+		a.resetGateway(gatewayIndex)
+		a.admitReported(gatewayIndex, from, msg, reply)
 	default:
 		reply(mgcp.CodeProtocolError, "restart method "+method)
 	}
@@ -219,57 +219,57 @@
 
 // resetLine notes that an endpoint has started anew: it holds nothing and is asked for nothing.
 func (a *Agent) resetLine(i int) {
-	l := &a.lines[i]
+	line := &a.lines[i]
 	a.setConnection(i, ConnectionNone)
-	audit := policy.Tenths(0)
-	if l.transaction != 0 {
-		a.gateways[l.gateway].sender.Cancel(a.now, l.transaction)
-		delete(a.outstanding, l.transaction)
-		audit = a.now + auditDelay // it may be carried out yet
-		a.schedule(audit, lineTimer, i)
-	}
-	l.transaction, l.applied, l.connectedCall, l.orphaned, l.auditDue, l.retryAt, l.refusals, l.uncertainCall, l.auditAt = 0, endpointState{}, nil, nil, false, 0, 0, nil, audit
+	auditAt := policy.Tenths(0)
+	if line.transactionID != 0 {
+		a.gateways[line.gateway].sender.Cancel(a.now, line.transactionID)
+		delete(a.outstanding, line.transactionID)
+		auditAt = a.now + auditDelay // it may be carried out yet
+		a.schedule(auditAt, lineTimer, i)
+	}
+	line.transactionID, line.applied, line.connectedCall, line.orphaned, line.auditDue, line.retryAt, line.refusals, line.uncertainCall, line.auditAt = 0, endpointState{}, nil, nil, false, 0, 0, nil, auditAt
 }
 
 // resetGateway ends what goes on at a gateway that has started anew, or is gone.
-func (a *Agent) resetGateway(gw int) {
-	g := &a.gateways[gw]
-	g.transaction, g.joinStep = 0, joinNone
-	for n := range g.Endpoints {
-		a.resetLine(g.lineOffset + n)
-		a.handleEvent(g.lineOffset+n, endpointLost, eventData{})
-	}
-	for _, id := range g.sender.CancelAll(a.now) {
+func (a *Agent) resetGateway(gatewayIndex int) {
+	gateway := &a.gateways[gatewayIndex]
+	gateway.transactionID, gateway.joinStep = 0, joinNone
+	for n := range gateway.Endpoints {
+		a.resetLine(gateway.lineOffset + n)
+		a.handleEvent(gateway.lineOffset+n, endpointLost, eventData{})
+	}
+	for _, id := range gateway.sender.CancelAll(a.now) {
 		delete(a.outstanding, id)
 	}
 }
 
 // admitReported has the door say when a gateway that reported is brought into service; its report is answered then, so that one
 // whose turn has not come waits rather than reports again.
-func (a *Agent) admitReported(gw int, from netip.AddrPort, m mgcp.Message, reply func(int, string)) {
-	g := &a.gateways[gw]
-	switch a.restarts.Admit(a.now, uint32(gw)) {
+func (a *Agent) admitReported(gatewayIndex int, from netip.AddrPort, msg mgcp.Message, reply func(int, string)) {
+	gateway := &a.gateways[gatewayIndex]
+	switch a.restarts.Admit(a.now, uint32(gatewayIndex)) {
 	case gateways.Admitted:
 		reply(mgcp.CodeOK, "OK")
-		a.startJoin(gw)
+		a.startJoin(gatewayIndex)
 	case gateways.Queued:
-		g.queuedReports = append(g.queuedReports, queuedReport{m, from})
-		a.output.Send(from, mgcp.Message{Transaction: m.Transaction, Code: mgcp.CodeQueued, Comment: "waits for its turn"})
+		gateway.queuedReports = append(gateway.queuedReports, queuedReport{msg, from})
+		a.output.Send(from, mgcp.Message{Transaction: msg.Transaction, Code: mgcp.CodeQueued, Comment: "waits for its turn"})
 	default:
 		reply(mgcp.CodeNoResources, "too many gateways restart")
-		g.presence.Lost(a.now)
+		gateway.presence.Lost(a.now)
 	}
 	a.scheduleAdmission()
 }
 
 // admit has the door say when a gateway that did not ask is brought into service.
-func (a *Agent) admit(gw int) {
-	switch a.restarts.Admit(a.now, uint32(gw)) {
+func (a *Agent) admit(gatewayIndex int) {
+	switch a.restarts.Admit(a.now, uint32(gatewayIndex)) {
 	case gateways.Admitted:
-		a.startJoin(gw)
+		a.startJoin(gatewayIndex)
 	case gateways.Rejected:
-		a.gateways[gw].presence.Lost(a.now) // asked after later
-		a.superviseGateway(gw)
+		a.gateways[gatewayIndex].presence.Lost(a.now) // asked after later
+		a.superviseGateway(gatewayIndex)
 	}
 	a.scheduleAdmission()
 }
@@ -282,170 +282,170 @@
 }
 
 // startJoin brings a gateway into service: three commands for all its endpoints together, not three for each.
-func (a *Agent) startJoin(gw int) {
-	g := &a.gateways[gw]
-	for _, w := range g.queuedReports {
-		a.output.Send(w.from, g.receiver.StoreResponse(a.now, mgcp.Message{Transaction: w.message.Transaction, Code: mgcp.CodeOK, Comment: "OK"}))
-	}
-	g.queuedReports = nil
-	a.resetGateway(gw)
-	g.presence.Join(a.now)
+func (a *Agent) startJoin(gatewayIndex int) {
+	gateway := &a.gateways[gatewayIndex]
+	for _, report := range gateway.queuedReports {
+		a.output.Send(report.from, gateway.receiver.StoreResponse(a.now, mgcp.Message{Transaction: report.message.Transaction, Code: mgcp.CodeOK, Comment: "OK"}))
+	}
+	gateway.queuedReports = nil
+	a.resetGateway(gatewayIndex)
+	gateway.presence.Join(a.now)
 	// Also where it has just restarted and holds nothing: a command to make a connection that was on its way to it then may have
 	// been carried out since.
-	g.joinStep = joinDeletingConnections
-	g.transaction = a.sendCommand(gw, mgcp.Message{Verb: mgcp.DeleteConnection, Endpoint: allEndpoints + "@" + g.Name}, outstandingCommand{gatewayCommand, gw, mgcp.DeleteConnection, a.now})
+	gateway.joinStep = joinDeletingConnections
+	gateway.transactionID = a.sendCommand(gatewayIndex, mgcp.Message{Verb: mgcp.DeleteConnection, Endpoint: allEndpoints + "@" + gateway.Name}, outstandingCommand{gatewayCommand, gatewayIndex, mgcp.DeleteConnection, a.now})
 }
 
-func (a *Agent) requestOffHook(gw int) {
-	g := &a.gateways[gw]
-	g.joinStep = joinRequestingEvents
-	m := mgcp.Message{Verb: mgcp.NotificationRequest, Endpoint: allEndpoints + "@" + g.Name}
-	request := a.newRequestID()
-	a.addNotificationRequest(&m, request, DetectOffHook, gateways.Silence, "")
-	for n := range g.Endpoints {
-		l := &a.lines[g.lineOffset+n]
-		l.requestID, l.notifiedID = request, request-1 // what it noticed before it came into service is over
-	}
-	g.transaction = a.sendCommand(gw, m, outstandingCommand{gatewayCommand, gw, m.Verb, a.now})
+func (a *Agent) requestOffHook(gatewayIndex int) {
+	gateway := &a.gateways[gatewayIndex]
+	gateway.joinStep = joinRequestingEvents
+	msg := mgcp.Message{Verb: mgcp.NotificationRequest, Endpoint: allEndpoints + "@" + gateway.Name}
+	requestID := a.newRequestID()
+	a.addNotificationRequest(&msg, requestID, DetectOffHook, gateways.Silence, "")
+	for n := range gateway.Endpoints {
+		line := &a.lines[gateway.lineOffset+n]
+		line.requestID, line.notifiedID = requestID, requestID-1 // what it noticed before it came into service is over
+	}
+	gateway.transactionID = a.sendCommand(gatewayIndex, msg, outstandingCommand{gatewayCommand, gatewayIndex, msg.Verb, a.now})
 }
 
 // handleJoinResponse takes the answer to a command for all endpoints.
-func (a *Agent) handleJoinResponse(gw int, id uint32, fate mgcp.Outcome, r mgcp.Message) {
-	g := &a.gateways[gw]
+func (a *Agent) handleJoinResponse(gatewayIndex int, id uint32, outcome mgcp.Outcome, response mgcp.Message) {
+	gateway := &a.gateways[gatewayIndex]
 	switch {
-	case g.transaction != id:
+	case gateway.transactionID != id:
 		return
-	case fate == mgcp.PeerDisconnected:
-		a.gatewayLost(gw, "it does not answer")
+	case outcome == mgcp.PeerDisconnected:
+		a.gatewayLost(gatewayIndex, "it does not answer")
 		return
-	case gateways.ResultOf(mgcp.NotificationRequest, r.Code) == gateways.OtherCallAgent:
-		a.gatewayLost(gw, "it belongs to another call agent")
+	case gateways.ResultOf(mgcp.NotificationRequest, response.Code) == gateways.OtherCallAgent:
+		a.gatewayLost(gatewayIndex, "it belongs to another call agent")
 		return
-	case g.joinStep == joinDeletingConnections:
-		a.requestOffHook(gw)
+	case gateway.joinStep == joinDeletingConnections:
+		a.requestOffHook(gatewayIndex)
 		return
 	}
-	g.transaction, g.joinStep = 0, joinNone
-	g.presence.Joined()
+	gateway.transactionID, gateway.joinStep = 0, joinNone
+	gateway.presence.Joined()
 	a.Counts.Joined++
-	all := mgcp.ClassOf(r.Code) == mgcp.Success // else one by one: a single phone that is off hook refuses it for all
-	for n := range g.Endpoints {
-		l := &a.lines[g.lineOffset+n]
-		if all {
-			l.applied = endpointState{events: DetectOffHook}
+	accepted := mgcp.ClassOf(response.Code) == mgcp.Success // else one by one: a single phone that is off hook refuses it for all
+	for n := range gateway.Endpoints {
+		line := &a.lines[gateway.lineOffset+n]
+		if accepted {
+			line.applied = endpointState{events: DetectOffHook}
 		}
-		a.handleEvent(g.lineOffset+n, endpointBack, eventData{})
+		a.handleEvent(gateway.lineOffset+n, endpointBack, eventData{})
 	}
-	g.auditAt = a.now + auditInterval
+	gateway.auditAt = a.now + auditInterval
 }
 
 // gatewayLost holds a gateway to be gone: its calls are over, and it is asked after ever less often.
-func (a *Agent) gatewayLost(gw int, why string) {
-	g := &a.gateways[gw]
-	if g.presence.Lost(a.now) {
+func (a *Agent) gatewayLost(gatewayIndex int, reason string) {
+	gateway := &a.gateways[gatewayIndex]
+	if gateway.presence.Lost(a.now) {
 		a.Counts.Lost++
-		a.output.Note("gateway " + g.Name + " is out of service: " + why)
+		a.output.Note("gateway " + gateway.Name + " is out of service: " + reason)
 	}
-	a.resetGateway(gw)
-	a.superviseGateway(gw)
+	a.resetGateway(gatewayIndex)
+	a.superviseGateway(gatewayIndex)
 }
 
 // handleProbeResponse takes the answer to the question whether a gateway is there.
-func (a *Agent) handleProbeResponse(gw int, fate mgcp.Outcome, r mgcp.Message) {
-	g := &a.gateways[gw]
+func (a *Agent) handleProbeResponse(gatewayIndex int, outcome mgcp.Outcome, response mgcp.Message) {
+	gateway := &a.gateways[gatewayIndex]
 	switch {
-	case fate == mgcp.PeerDisconnected:
-		a.gatewayLost(gw, "it does not answer")
-	case g.presence.State() == gateways.Absent && mgcp.ClassOf(r.Code) == mgcp.Success:
-		a.admit(gw)
+	case outcome == mgcp.PeerDisconnected:
+		a.gatewayLost(gatewayIndex, "it does not answer")
+	case gateway.presence.State() == gateways.Absent && mgcp.ClassOf(response.Code) == mgcp.Success:
+		a.admit(gatewayIndex)
 	}
 }
 
 // superviseGateway asks after a gateway that has been quiet, audits its lines in turn, and sets when to look again.
-func (a *Agent) superviseGateway(gw int) {
-	g := &a.gateways[gw]
-	ask, next := g.presence.ProbeDue(a.now)
-	if ask && len(g.Addresses) > 0 && g.joinStep == joinNone {
-		m := mgcp.Message{Verb: mgcp.AuditEndpoint, Endpoint: allEndpoints + "@" + g.Name}
-		id := g.sender.Send(a.now, m)
-		a.outstanding[id] = outstandingCommand{probeCommand, gw, m.Verb, a.now}
-	}
-	if g.presence.State() == gateways.Serving {
-		if a.now >= g.auditAt {
-			i := g.lineOffset + g.nextAudit
-			g.nextAudit = (g.nextAudit + 1) % g.Endpoints
-			g.auditAt = a.now + auditInterval
+func (a *Agent) superviseGateway(gatewayIndex int) {
+	gateway := &a.gateways[gatewayIndex]
+	probe, next := gateway.presence.ProbeDue(a.now)
+	if probe && len(gateway.Addresses) > 0 && gateway.joinStep == joinNone {
+		msg := mgcp.Message{Verb: mgcp.AuditEndpoint, Endpoint: allEndpoints + "@" + gateway.Name}
+		id := gateway.sender.Send(a.now, msg)
+		a.outstanding[id] = outstandingCommand{probeCommand, gatewayIndex, msg.Verb, a.now}
+	}
+	if gateway.presence.State() == gateways.Serving {
+		if a.now >= gateway.auditAt {
+			i := gateway.lineOffset + gateway.nextAudit
+			gateway.nextAudit = (gateway.nextAudit + 1) % gateway.Endpoints
+			gateway.auditAt = a.now + auditInterval
 			a.lines[i].auditDue = true
 			a.reconcile(i)
 		}
-		next = min(next, g.auditAt)
+		next = min(next, gateway.auditAt)
 	}
-	a.scheduleRetransmission(gw)
-	a.scheduleGateway(gw, next)
+	a.scheduleRetransmission(gatewayIndex)
+	a.scheduleGateway(gatewayIndex, next)
 }
 
 // scheduleRetransmission sets when a gateway's commands are to be looked at, wake when it is itself.
-func (a *Agent) scheduleRetransmission(gw int) {
-	if at, ok := a.gateways[gw].sender.Next(); ok {
-		a.scheduleGateway(gw, at)
+func (a *Agent) scheduleRetransmission(gatewayIndex int) {
+	if at, ok := a.gateways[gatewayIndex].sender.Next(); ok {
+		a.scheduleGateway(gatewayIndex, at)
 	}
 }
 
-func (a *Agent) scheduleGateway(gw int, next policy.Tenths) {
-	g := &a.gateways[gw]
-	if next = max(next, a.now+1); g.timerAt == 0 || next < g.timerAt {
-		g.timerAt = next
-		a.schedule(next, gatewayTimer, gw)
+func (a *Agent) scheduleGateway(gatewayIndex int, next policy.Tenths) {
+	gateway := &a.gateways[gatewayIndex]
+	if next = max(next, a.now+1); gateway.timerAt == 0 || next < gateway.timerAt {
+		gateway.timerAt = next
+		a.schedule(next, gatewayTimer, gatewayIndex)
 	}
 }
 
 // handleNotify takes what an endpoint noticed (NTFY, 2.3.3).
-func (a *Agent) handleNotify(i int, m mgcp.Message, age policy.Tenths) {
-	l := &a.lines[i]
-	x, _ := m.Param("X")
-	request, err := strconv.ParseUint(x, 16, 32)
-	if err != nil || gateways.Stale(uint32(request), l.notifiedID) { // overtaken on its way: what it is like now is asked for
+func (a *Agent) handleNotify(i int, msg mgcp.Message, age policy.Tenths) {
+	line := &a.lines[i]
+	requestText, _ := msg.Param("X")
+	requestID, err := strconv.ParseUint(requestText, 16, 32)
+	if err != nil || gateways.Stale(uint32(requestID), line.notifiedID) { // overtaken on its way: what it is like now is asked for
 		a.Counts.StaleNotifications++
-		l.auditDue = true
+		line.auditDue = true
 		a.reconcile(i)
 		return
 	}
-	observed, _ := m.Param("O")
-	list, err := mgcp.ParseEvents(observed)
+	observed, _ := msg.Param("O")
+	events, err := mgcp.ParseEvents(observed)
 	if err != nil {
 		a.output.Note("gateway: " + a.endpointName(i) + " notifies what cannot be read: " + err.Error())
 		return
 	}
-	if l.transaction != 0 && uint32(request) == l.requestID && l.notifiedID != l.requestID && a.outstanding[l.transaction].verb == mgcp.NotificationRequest {
+	if line.transactionID != 0 && uint32(requestID) == line.requestID && line.notifiedID != line.requestID && a.outstanding[line.transactionID].verb == mgcp.NotificationRequest {
 		// It has noticed what that request asks for, and so has carried it out, whatever became of its answer: a number that was
 		// dialled waited for it.
-		l.applied = l.pending
-		a.gateways[l.gateway].sender.Cancel(a.now, l.transaction)
-		delete(a.outstanding, l.transaction)
-		l.transaction = 0
-	}
-	l.notifiedID = uint32(request)
-	l.applied.events, l.applied.tone = DetectNothing, gateways.Silence // a notification ends what was asked for, and tones with it
-	if l.state == OutOfService {
+		line.applied = line.pending
+		a.gateways[line.gateway].sender.Cancel(a.now, line.transactionID)
+		delete(a.outstanding, line.transactionID)
+		line.transactionID = 0
+	}
+	line.notifiedID = uint32(requestID)
+	line.applied.events, line.applied.tone = DetectNothing, gateways.Silence // a notification ends what was asked for, and tones with it
+	if line.state == OutOfService {
 		a.handleEvent(i, endpointBack, eventData{})
 	}
-	digits := mgcp.Digits(list)
-	for _, e := range list {
+	digits := mgcp.Digits(events)
+	for _, event := range events {
 		switch {
-		case e.Is(mgcp.PackageLine, "hd"):
+		case event.Is(mgcp.PackageLine, "hd"):
 			a.handleEvent(i, a.offHookEvent(), eventData{age: age})
-		case e.Is(mgcp.PackageLine, "hu"):
+		case event.Is(mgcp.PackageLine, "hu"):
 			a.handleEvent(i, onHook, eventData{age: age})
-		case e.Is(mgcp.PackageLine, "hf"):
+		case event.Is(mgcp.PackageLine, "hf"):
 			a.handleEvent(i, hookFlash, eventData{age: age})
 		}
 	}
 	if digits != "" {
-		e := numberInvalid
-		if d := a.config.DigitMap.Match(digits); d == mgcp.FullMatch || d == mgcp.AmbiguousMatch {
-			e = numberDialled
+		event := numberInvalid
+		if match := a.config.DigitMap.Match(digits); match == mgcp.FullMatch || match == mgcp.AmbiguousMatch {
+			event = numberDialled
 		}
-		a.handleEvent(i, e, eventData{digits: strings.TrimSuffix(digits, "T"), age: age})
+		a.handleEvent(i, event, eventData{digits: strings.TrimSuffix(digits, "T"), age: age})
 	}
 	a.reconcile(i)
 }
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -94,29 +94,29 @@
 }
 
 // handleEvent is the one place where a line changes its state.
-func (a *Agent) handleEvent(i int, e event, in eventData) {
-	l := &a.lines[i]
-	m := transitions[l.state][e]
-	if m.action == nil {
-		a.UnexpectedEvents[l.state][e]++
+func (a *Agent) handleEvent(i int, e event, data eventData) {
+	line := &a.lines[i]
+	t := transitions[line.state][e]
+	if t.action == nil {
+		a.UnexpectedEvents[line.state][e]++
 		a.reconcile(i)
 		return
 	}
-	l.state = m.next
-	m.action(a, i, in)
+	line.state = t.next
+	t.action(a, i, data)
 	a.reconcile(i)
 }
 
 // setDesired has a line be so from now on; push brings the gateway there.
-func (a *Agent) setDesired(i int, hear RequestedEvents, tone gateways.Tone, mode Mode, guard policy.Tenths) {
-	l := &a.lines[i]
-	l.desired = endpointState{hear, tone, mode}
+func (a *Agent) setDesired(i int, events RequestedEvents, tone gateways.Tone, mode Mode, guardAt policy.Tenths) {
+	line := &a.lines[i]
+	line.desired = endpointState{events, tone, mode}
 	if mode == NoMode {
-		l.call = nil
+		line.call = nil
 	}
-	l.guardAt = guard
-	if guard > 0 {
-		a.schedule(guard, lineTimer, i)
+	line.guardAt = guardAt
+	if guardAt > 0 {
+		a.schedule(guardAt, lineTimer, i)
 	}
 }
 
@@ -134,11 +134,11 @@
 
 // playTone has a user hear a tone. It is the final answer of a call, or the end of one, and does not wait behind a command that the
 // gateway has not answered: that one is given up, and what it may have made is deleted by the call's id with the tone.
-func (a *Agent) playTone(i int, t gateways.Tone) {
-	if a.lines[i].transaction != 0 {
+func (a *Agent) playTone(i int, tone gateways.Tone) {
+	if a.lines[i].transactionID != 0 {
 		a.abandonCommand(i)
 	}
-	a.setDesired(i, DetectOnHook, t, NoMode, a.now+maxToneTime)
+	a.setDesired(i, DetectOnHook, tone, NoMode, a.now+maxToneTime)
 }
 
 func (a *Agent) rejectOverload(i int, _ eventData) {
@@ -151,57 +151,57 @@
 }
 
 // startCall takes a dialled number: the caller's time runs from here.
-func (a *Agent) startCall(i int, in eventData) {
-	l := &a.lines[i]
-	l.answerDeadline = a.now - in.age + a.config.AbandonTimes[a.gateways[l.gateway].Bearer]
-	left := l.answerDeadline - a.now
-	left -= gateways.AnswerMargin(a.gateways[l.gateway].sender.RetransmissionTimeout(), left, a.gateways[l.gateway].sender.LossRate())
+func (a *Agent) startCall(i int, data eventData) {
+	line := &a.lines[i]
+	line.answerDeadline = a.now - data.age + a.config.AbandonTimes[a.gateways[line.gateway].Bearer]
+	remaining := line.answerDeadline - a.now
+	remaining -= gateways.AnswerMargin(a.gateways[line.gateway].sender.RetransmissionTimeout(), remaining, a.gateways[line.gateway].sender.LossRate())
 	a.lastCallID++
-	l.call = &lineCall{id: a.lastCallID, digits: in.digits, deadline: a.now + left, circuit: circuitKey{a.pointOf(i), a.cicOf(i)}}
+	line.call = &lineCall{id: a.lastCallID, digits: data.digits, deadline: a.now + remaining, circuit: circuitKey{a.pointOf(i), a.cicOf(i)}}
 	a.Counts.Dialled++
-	a.setDesired(i, DetectOnHook, gateways.Silence, ReceiveOnly, l.call.deadline)
+	a.setDesired(i, DetectOnHook, gateways.Silence, ReceiveOnly, line.call.deadline)
 }
 
 // offerCall gives the call to the exchange, with the time that is left of the caller's.
 func (a *Agent) offerCall(i int, _ eventData) {
-	l := &a.lines[i]
-	k, g := l.call, &a.gateways[l.gateway]
-	marks := uint8(0)
-	if l.lastNumber == numberDigest(k.digits) { // it was turned away or cut, and comes again
-		marks = l.lastFlags
+	line := &a.lines[i]
+	call, gateway := line.call, &a.gateways[line.gateway]
+	flags := uint8(0)
+	if line.lastNumber == numberDigest(call.digits) { // it was turned away or cut, and comes again
+		flags = line.lastFlags
 	}
-	l.lastNumber, l.lastFlags = numberDigest(k.digits), isup.FlagRedial
+	line.lastNumber, line.lastFlags = numberDigest(call.digits), isup.FlagRedial
 	a.lastIdentity = (a.lastIdentity + 1) & identityMask
-	says := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall | isup.PartSession, TimeLeft: uint32(max(1, k.deadline-a.now)), Bearer: uint8(g.Bearer),
-		Flags: marks, Session: k.localSession}
-	l.guardAt = k.deadline + policy.Tenths(lateAnswerMargin)
-	a.schedule(l.guardAt, lineTimer, i)
-	a.sendToExchange(k.circuit, isup.Message{Type: isup.IAM, Digits: k.digits, Caller: a.numberOf(i), Width: g.Width,
-		Ref: isup.Reference{Point: a.config.PointCode, Identity: a.lastIdentity | firstGatewayIdentity}, UserInfo: says})
+	userInfo := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall | isup.PartSession, TimeLeft: uint32(max(1, call.deadline-a.now)), Bearer: uint8(gateway.Bearer),
+		Flags: flags, Session: call.localSession}
+	line.guardAt = call.deadline + policy.Tenths(lateAnswerMargin)
+	a.schedule(line.guardAt, lineTimer, i)
+	a.sendToExchange(call.circuit, isup.Message{Type: isup.IAM, Digits: call.digits, Caller: a.numberOf(i), Width: gateway.Width,
+		Ref: isup.Reference{Point: a.config.PointCode, Identity: a.lastIdentity | firstGatewayIdentity}, UserInfo: userInfo})
 }
 
 // connectCall joins caller and called: the call stands.
-func (a *Agent) connectCall(i int, in eventData) {
-	l := &a.lines[i]
+func (a *Agent) connectCall(i int, data eventData) {
+	line := &a.lines[i]
 	a.Counts.Answered++
-	l.lastNumber, l.lastFlags = numberDigest(l.call.digits), isup.FlagDisconnectedBefore
-	l.call.remoteSession = a.remoteSessionOf(in.message.UserInfo, l.call.circuit)
+	line.lastNumber, line.lastFlags = numberDigest(line.call.digits), isup.FlagDisconnectedBefore
+	line.call.remoteSession = a.remoteSessionOf(data.message.UserInfo, line.call.circuit)
 	a.setDesired(i, DetectOnHook, gateways.Silence, SendReceive, 0)
 }
 
 // playCause lets a user hear why the call is over, or never was.
-func (a *Agent) playCause(i int, in eventData) {
-	l := &a.lines[i]
-	tone, words := gateways.ToneFor(in.message.Cause)
-	if in.message.Cause == isup.NormalClearing {
-		l.lastNumber = 0
+func (a *Agent) playCause(i int, data eventData) {
+	line := &a.lines[i]
+	tone, reason := gateways.ToneFor(data.message.Cause)
+	if data.message.Cause == isup.NormalClearing {
+		line.lastNumber = 0
 	}
 	if tone == gateways.Reorder {
 		a.Counts.Failed++
 	} else {
 		a.Counts.Refused++
 	}
-	a.output.Told(i, words)
+	a.output.Told(i, reason)
 	a.playTone(i, tone)
 }
 
@@ -219,37 +219,37 @@
 	a.playTone(i, gateways.Reorder)
 }
 
-func (a *Agent) sendRelease(i int, c isup.Cause) {
-	if k := a.lines[i].call; k != nil {
-		a.sendToExchange(k.circuit, isup.Message{Type: isup.REL, Cause: c, Location: isup.User})
+func (a *Agent) sendRelease(i int, cause isup.Cause) {
+	if call := a.lines[i].call; call != nil {
+		a.sendToExchange(call.circuit, isup.Message{Type: isup.REL, Cause: cause, Location: isup.User})
 	}
 }
 
-func (a *Agent) clearCall(i int, in eventData) {
+func (a *Agent) clearCall(i int, data eventData) {
 	a.sendRelease(i, isup.NormalClearing)
-	a.goIdle(i, in)
+	a.goIdle(i, data)
 }
-func (a *Agent) disconnectCall(i int, in eventData) {
+func (a *Agent) disconnectCall(i int, data eventData) {
 	a.sendRelease(i, isup.NetworkOutOfOrder)
-	a.goIdle(i, in)
+	a.goIdle(i, data)
 }
 
 // refuseCall answers a call for a line that cannot take it.
-func (a *Agent) refuseCall(i int, in eventData) {
-	c := isup.UserBusy
+func (a *Agent) refuseCall(i int, data eventData) {
+	cause := isup.UserBusy
 	if a.lines[i].state == OutOfService {
-		c = isup.OutOfOrder
+		cause = isup.OutOfOrder
 	}
-	a.sendToExchange(in.circuit, isup.Message{Type: isup.REL, Cause: c, Location: isup.User})
+	a.sendToExchange(data.circuit, isup.Message{Type: isup.REL, Cause: cause, Location: isup.User})
 }
 
 // startIncoming has a phone ring: its connection, the ring and the caller's ring-back go out as one command.
-func (a *Agent) startIncoming(i int, in eventData) {
+func (a *Agent) startIncoming(i int, data eventData) {
 	a.lastCallID++
-	if in.message.UserInfo.Present&isup.PartTimeLeft != 0 {
-		a.lines[i].answerDeadline = a.now + policy.Tenths(in.message.UserInfo.TimeLeft)
+	if data.message.UserInfo.Present&isup.PartTimeLeft != 0 {
+		a.lines[i].answerDeadline = a.now + policy.Tenths(data.message.UserInfo.TimeLeft)
 	}
-	a.lines[i].call = &lineCall{id: a.lastCallID, circuit: in.circuit, remoteSession: a.remoteSessionOf(in.message.UserInfo, in.circuit)}
+	a.lines[i].call = &lineCall{id: a.lastCallID, circuit: data.circuit, remoteSession: a.remoteSessionOf(data.message.UserInfo, data.circuit)}
 	a.Counts.Rung++
 	a.setDesired(i, DetectOffHook, gateways.Ring, SendReceive, 0)
 }
@@ -257,23 +257,23 @@
 // answerExchange tells the exchange that the phone rings: the way is there from end to end, and the call stands. Whether somebody
 // picks up is not the network's.
 func (a *Agent) answerExchange(i int, _ eventData) {
-	l := &a.lines[i]
-	l.guardAt = a.now + a.config.MaxRingTime
-	a.schedule(l.guardAt, lineTimer, i)
-	a.sendToExchange(l.call.circuit, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: l.call.localSession}})
+	line := &a.lines[i]
+	line.guardAt = a.now + a.config.MaxRingTime
+	a.schedule(line.guardAt, lineTimer, i)
+	a.sendToExchange(line.call.circuit, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: line.call.localSession}})
 }
 
-func (a *Agent) failIncoming(i int, in eventData) {
+func (a *Agent) failIncoming(i int, data eventData) {
 	a.sendRelease(i, isup.TemporaryFailure)
-	a.goIdle(i, in)
+	a.goIdle(i, data)
 }
-func (a *Agent) releaseUnanswered(i int, in eventData) {
+func (a *Agent) releaseUnanswered(i int, data eventData) {
 	a.sendRelease(i, isup.NoAnswer)
-	a.goIdle(i, in)
+	a.goIdle(i, data)
 }
-func (a *Agent) resolveGlare(i int, in eventData) {
+func (a *Agent) resolveGlare(i int, data eventData) {
 	a.sendRelease(i, isup.UserBusy)
-	a.startDialling(i, in)
+	a.startDialling(i, data)
 }
 func (a *Agent) pickUpCall(i int, _ eventData) {
 	a.setDesired(i, DetectOnHook, gateways.Silence, SendReceive, 0)
--- a/internal/callagent/session.go
+++ b/internal/callagent/session.go
@@ -13,25 +13,25 @@
 // readSession checks a session description (RFC 4566): an audio stream with a port, and an address for it. One that is too long
 // to ride along to another exchange is cut down to what says where media goes. Media is never carried here.
 func readSession(text []byte) (string, error) {
-	var s sdp.SessionDescription
+	var session sdp.SessionDescription
 	if len(text) == 0 {
 		return "", errors.New("no session description")
 	}
-	if err := s.Unmarshal(text); err != nil {
+	if err := session.Unmarshal(text); err != nil {
 		return "", fmt.Errorf("session description: %w", err)
 	}
-	for _, m := range s.MediaDescriptions {
-		c := m.ConnectionInformation
-		if c == nil {
-			c = s.ConnectionInformation
+	for _, media := range session.MediaDescriptions {
+		connection := media.ConnectionInformation
+		if connection == nil {
+			connection = session.ConnectionInformation
 		}
-		if m.MediaName.Media != "audio" || m.MediaName.Port.Value == 0 || c == nil || c.Address == nil {
+		if media.MediaName.Media != "audio" || media.MediaName.Port.Value == 0 || connection == nil || connection.Address == nil {
 			continue
 		}
 		if len(text) <= isup.MaxSessionSize {
 			return string(text), nil
 		}
-		return pcmuSession(c.Address.Address, m.MediaName.Port.Value), nil
+		return pcmuSession(connection.Address.Address, media.MediaName.Port.Value), nil
 	}
 	return "", errors.New("session description without an audio stream that has a port and an address")
 }
--- a/internal/callagent/wish.go
+++ b/internal/callagent/wish.go
@@ -18,244 +18,244 @@
 
 // reconcile sends the one command that brings a line's gateway nearer to what is wished, if there is one to send and none is out.
 func (a *Agent) reconcile(i int) {
-	l := &a.lines[i]
-	g := &a.gateways[l.gateway]
-	if l.transaction != 0 || l.state == OutOfService || g.presence.State() != gateways.Serving && g.presence.State() != gateways.Leaving || a.now < l.retryAt {
+	line := &a.lines[i]
+	gateway := &a.gateways[line.gateway]
+	if line.transactionID != 0 || line.state == OutOfService || gateway.presence.State() != gateways.Serving && gateway.presence.State() != gateways.Leaving || a.now < line.retryAt {
 		return
 	}
-	w, h := l.desired, l.applied
-	m := mgcp.Message{Endpoint: a.endpointName(i)}
-	sent := h
-	asks := w.events != h.events || w.tone != h.tone
-	connection := ""
-	l.pendingCall = nil
+	desired, applied := line.desired, line.applied
+	msg := mgcp.Message{Endpoint: a.endpointName(i)}
+	pending := applied
+	requestEvents := desired.events != applied.events || desired.tone != applied.tone
+	connectionID := ""
+	line.pendingCall = nil
 	switch {
-	case len(l.orphaned) > 0:
-		m.Verb, asks = mgcp.DeleteConnection, false
-		m.Set("I", l.orphaned[0])
-	case l.uncertainCall != nil:
-		m.Verb = mgcp.DeleteConnection
+	case len(line.orphaned) > 0:
+		msg.Verb, requestEvents = mgcp.DeleteConnection, false
+		msg.Set("I", line.orphaned[0])
+	case line.uncertainCall != nil:
+		msg.Verb = mgcp.DeleteConnection
 		a.setConnection(i, ConnectionDeleting)
-		m.Set("C", a.callID(l.uncertainCall))
-		asks = asks && w.mode == NoMode
-	case h.mode != NoMode && (w.mode == NoMode || l.connectedCall != l.call):
-		m.Verb = mgcp.DeleteConnection
+		msg.Set("C", a.callID(line.uncertainCall))
+		requestEvents = requestEvents && desired.mode == NoMode
+	case applied.mode != NoMode && (desired.mode == NoMode || line.connectedCall != line.call):
+		msg.Verb = mgcp.DeleteConnection
 		a.setConnection(i, ConnectionDeleting)
-		m.Set("C", a.callID(l.connectedCall))
-		m.Set("I", l.connectedCall.connectionID)
-		sent.mode = NoMode
-		asks = asks && w.mode == NoMode // else with the new connection
-	case w.mode != NoMode && h.mode == NoMode:
-		m.Verb, connection = mgcp.CreateConnection, "$"
+		msg.Set("C", a.callID(line.connectedCall))
+		msg.Set("I", line.connectedCall.connectionID)
+		pending.mode = NoMode
+		requestEvents = requestEvents && desired.mode == NoMode // else with the new connection
+	case desired.mode != NoMode && applied.mode == NoMode:
+		msg.Verb, connectionID = mgcp.CreateConnection, "$"
 		a.setConnection(i, ConnectionCreating)
-		m.Set("C", a.callID(l.call))
-		m.Set("L", "p:20, a:PCMU")
-		m.Set("M", w.mode.String())
-		m.Session = []byte(l.call.remoteSession)
-		sent.mode, l.pendingCall = w.mode, l.call
-	case w.mode != NoMode && (w.mode != h.mode || l.call.remoteSession != l.call.appliedSession):
-		m.Verb, connection = mgcp.ModifyConnection, l.call.connectionID
+		msg.Set("C", a.callID(line.call))
+		msg.Set("L", "p:20, a:PCMU")
+		msg.Set("M", desired.mode.String())
+		msg.Session = []byte(line.call.remoteSession)
+		pending.mode, line.pendingCall = desired.mode, line.call
+	case desired.mode != NoMode && (desired.mode != applied.mode || line.call.remoteSession != line.call.appliedSession):
+		msg.Verb, connectionID = mgcp.ModifyConnection, line.call.connectionID
 		a.setConnection(i, ConnectionModifying)
-		m.Set("C", a.callID(l.call))
-		m.Set("I", l.call.connectionID)
-		m.Set("M", w.mode.String())
-		if l.call.remoteSession != l.call.appliedSession {
-			m.Session = []byte(l.call.remoteSession)
+		msg.Set("C", a.callID(line.call))
+		msg.Set("I", line.call.connectionID)
+		msg.Set("M", desired.mode.String())
+		if line.call.remoteSession != line.call.appliedSession {
+			msg.Session = []byte(line.call.remoteSession)
 		}
-		sent.mode, l.pendingCall = w.mode, l.call
-	case asks:
-		m.Verb = mgcp.NotificationRequest
-		if l.call != nil {
-			connection = l.call.connectionID
+		pending.mode, line.pendingCall = desired.mode, line.call
+	case requestEvents:
+		msg.Verb = mgcp.NotificationRequest
+		if line.call != nil {
+			connectionID = line.call.connectionID
 		}
-	case l.auditDue:
-		l.auditDue = false
-		m.Verb = mgcp.AuditEndpoint
-		m.Set("F", "I, ES")
+	case line.auditDue:
+		line.auditDue = false
+		msg.Verb = mgcp.AuditEndpoint
+		msg.Set("F", "I, ES")
 	default:
 		return
 	}
-	if l.pendingCall != nil {
-		l.pendingCall.pendingSession = string(m.Session)
+	if line.pendingCall != nil {
+		line.pendingCall.pendingSession = string(msg.Session)
 	}
-	if asks {
-		sent.events, sent.tone = w.events, w.tone
-		a.addNotificationRequest(&m, a.newRequestID(), w.events, w.tone, connection)
-		l.requestID = a.lastRequestID
+	if requestEvents {
+		pending.events, pending.tone = desired.events, desired.tone
+		a.addNotificationRequest(&msg, a.newRequestID(), desired.events, desired.tone, connectionID)
+		line.requestID = a.lastRequestID
 	}
-	l.pending = sent
-	l.transaction = a.sendCommand(int(l.gateway), m, outstandingCommand{lineCommand, i, m.Verb, a.now})
+	line.pending = pending
+	line.transactionID = a.sendCommand(int(line.gateway), msg, outstandingCommand{lineCommand, i, msg.Verb, a.now})
 }
 
 func (a *Agent) newRequestID() uint32 { a.lastRequestID++; return a.lastRequestID }
 
 // addNotificationRequest adds a request for notifications and a tone.
-func (a *Agent) addNotificationRequest(m *mgcp.Message, request uint32, hear RequestedEvents, tone gateways.Tone, connection string) {
-	m.Set("X", strconv.FormatUint(uint64(request), 16))
-	m.Set("R", requestedEventLists[hear])
-	if hear == DetectDigits {
-		m.Set("D", a.config.DigitMap.String())
+func (a *Agent) addNotificationRequest(msg *mgcp.Message, requestID uint32, events RequestedEvents, tone gateways.Tone, connectionID string) {
+	msg.Set("X", strconv.FormatUint(uint64(requestID), 16))
+	msg.Set("R", requestedEventLists[events])
+	if events == DetectDigits {
+		msg.Set("D", a.config.DigitMap.String())
 	}
-	s := toneSignals[tone]
-	if strings.HasSuffix(s, "@") {
-		s += connection
+	signal := toneSignals[tone]
+	if strings.HasSuffix(signal, "@") {
+		signal += connectionID
 	}
-	m.Set("S", s)
+	msg.Set("S", signal)
 }
 
 // sendCommand sends a command and notes what it is about.
-func (a *Agent) sendCommand(gw int, m mgcp.Message, p outstandingCommand) uint32 {
-	g := &a.gateways[gw]
-	if len(a.config.NotifiedEntities) > 1 && m.Verb == mgcp.NotificationRequest {
-		m.Set("N", a.config.NotifiedEntities[a.config.OwnEntity])
-	}
-	by := policy.Tenths(0)
-	if p.kind == lineCommand {
-		by = a.lines[p.index].answerDeadline
-	}
-	id := g.sender.SendWithDeadline(a.now, m, by)
-	a.outstanding[id] = p
-	a.scheduleRetransmission(gw) // to look at the gateway here began an audit of the very line whose command is being sent: it got two at once
+func (a *Agent) sendCommand(gatewayIndex int, msg mgcp.Message, command outstandingCommand) uint32 {
+	gateway := &a.gateways[gatewayIndex]
+	if len(a.config.NotifiedEntities) > 1 && msg.Verb == mgcp.NotificationRequest {
+		msg.Set("N", a.config.NotifiedEntities[a.config.OwnEntity])
+	}
+	deadline := policy.Tenths(0)
+	if command.kind == lineCommand {
+		deadline = a.lines[command.index].answerDeadline
+	}
+	id := gateway.sender.SendWithDeadline(a.now, msg, deadline)
+	a.outstanding[id] = command
+	a.scheduleRetransmission(gatewayIndex) // to look at the gateway here began an audit of the very line whose command is being sent: it got two at once
 	return id
 }
 
-// senderOutput is the agent as its senders see it.
-type senderOutput Agent
+// commandOutput is the agent as its senders see it.
+type commandOutput Agent
 
 // Transmit puts a command on its way; the transaction's id tells whose it is.
-func (e *senderOutput) Transmit(m mgcp.Message, repeat int) {
-	a := (*Agent)(e)
-	_, domain, _ := strings.Cut(m.Endpoint, "@")
-	gw, ok := a.gatewayByName[strings.ToLower(domain)]
-	if m.Verb == "" { // the acknowledgement of a response
-		p, there := a.outstanding[m.Transaction]
-		gw, ok = a.gatewayOfCommand(p), there
-	}
-	if g := &a.gateways[gw]; ok && len(g.Addresses) > 0 {
+func (event *commandOutput) Transmit(msg mgcp.Message, repeat int) {
+	a := (*Agent)(event)
+	_, domain, _ := strings.Cut(msg.Endpoint, "@")
+	gatewayIndex, ok := a.gatewayByName[strings.ToLower(domain)]
+	if msg.Verb == "" { // the acknowledgement of a response
+		command, found := a.outstanding[msg.Transaction]
+		gatewayIndex, ok = a.gatewayOfCommand(command), found
+	}
+	if gateway := &a.gateways[gatewayIndex]; ok && len(gateway.Addresses) > 0 {
 		a.Counts.DatagramsSent++
-		a.output.Send(g.Addresses[g.addressIndex%len(g.Addresses)], m)
+		a.output.Send(gateway.Addresses[gateway.addressIndex%len(gateway.Addresses)], msg)
 	}
 }
 
-func (a *Agent) gatewayOfCommand(p outstandingCommand) int {
-	if p.kind == lineCommand {
-		return int(a.lines[p.index].gateway)
+func (a *Agent) gatewayOfCommand(command outstandingCommand) int {
+	if command.kind == lineCommand {
+		return int(a.lines[command.index].gateway)
 	}
-	return p.index
+	return command.index
 }
 
 // HandleConflict has an endpoint audited that answered a command a second time, otherwise: the first answer counts, and what the
 // second told of is looked for and taken away.
-func (e *senderOutput) HandleConflict(id uint32, _ int, r mgcp.Message) {
-	a := (*Agent)(e)
+func (event *commandOutput) HandleConflict(id uint32, _ int, response mgcp.Message) {
+	a := (*Agent)(event)
 	a.Counts.ConflictingResponses++
 	if a.onConflict != nil {
-		a.onConflict(r)
+		a.onConflict(response)
 	}
 }
 
 // HandleOutcome takes the end of a command.
-func (e *senderOutput) HandleOutcome(id uint32, fate mgcp.Outcome, r mgcp.Message) {
-	a := (*Agent)(e)
-	p := a.outstanding[id]
-	gw := a.gatewayOfCommand(p)
-	g := &a.gateways[gw]
-	if fate == mgcp.PeerSuspect {
+func (event *commandOutput) HandleOutcome(id uint32, outcome mgcp.Outcome, response mgcp.Message) {
+	a := (*Agent)(event)
+	command := a.outstanding[id]
+	gatewayIndex := a.gatewayOfCommand(command)
+	gateway := &a.gateways[gatewayIndex]
+	if outcome == mgcp.PeerSuspect {
 		// Another address of it, if there is one; not while it is heard: on a network that loses much, half of what was sent to a
 		// gateway that had moved went to the address it had left.
-		if !g.presence.ReceivedSince(p.sentAt) {
-			g.suspect = true
-			g.addressIndex++
+		if !gateway.presence.ReceivedSince(command.sentAt) {
+			gateway.suspect = true
+			gateway.addressIndex++
 		}
 		return
 	}
 	delete(a.outstanding, id)
-	if fate == mgcp.Answered {
-		g.suspect = false
-		g.presence.Received(a.now)
+	if outcome == mgcp.Answered {
+		gateway.suspect = false
+		gateway.presence.Received(a.now)
 	}
 	switch {
-	case fate == mgcp.PeerDisconnected && g.presence.ReceivedSince(p.sentAt):
-		a.commandUnanswered(gw, id, p)
-	case p.kind == probeCommand:
-		a.handleProbeResponse(gw, fate, r)
-	case p.kind == gatewayCommand:
-		a.handleJoinResponse(gw, id, fate, r)
-	case a.lines[p.index].transaction != id:
-	case fate == mgcp.PeerDisconnected:
-		a.lines[p.index].transaction = 0
-		a.gatewayLost(gw, "it does not answer")
+	case outcome == mgcp.PeerDisconnected && gateway.presence.ReceivedSince(command.sentAt):
+		a.commandUnanswered(gatewayIndex, id, command)
+	case command.kind == probeCommand:
+		a.handleProbeResponse(gatewayIndex, outcome, response)
+	case command.kind == gatewayCommand:
+		a.handleJoinResponse(gatewayIndex, id, outcome, response)
+	case a.lines[command.index].transactionID != id:
+	case outcome == mgcp.PeerDisconnected:
+		a.lines[command.index].transactionID = 0
+		a.gatewayLost(gatewayIndex, "it does not answer")
 	default:
-		a.lines[p.index].transaction = 0
-		a.handleLineResponse(p, r)
+		a.lines[command.index].transactionID = 0
+		a.handleLineResponse(command, response)
 	}
 }
 
 // commandUnanswered takes the end of a command that a gateway which is there did not answer: what it has done is not known, and is asked
 // for and put right.
-func (a *Agent) commandUnanswered(gw int, id uint32, p outstandingCommand) {
+func (a *Agent) commandUnanswered(gatewayIndex int, id uint32, command outstandingCommand) {
 	switch {
-	case p.kind == gatewayCommand && a.gateways[gw].transaction == id:
-		a.startJoin(gw)
-	case p.kind == lineCommand && a.lines[p.index].transaction == id:
-		a.abandonCommand(p.index)
-		a.lines[p.index].auditDue = true
-		a.reconcile(p.index)
+	case command.kind == gatewayCommand && a.gateways[gatewayIndex].transactionID == id:
+		a.startJoin(gatewayIndex)
+	case command.kind == lineCommand && a.lines[command.index].transactionID == id:
+		a.abandonCommand(command.index)
+		a.lines[command.index].auditDue = true
+		a.reconcile(command.index)
 	}
 }
 
 // abandonCommand lets go of the command that is out for a line, whether the gateway has carried it out or not.
 func (a *Agent) abandonCommand(i int) {
-	l := &a.lines[i]
-	a.gateways[l.gateway].sender.Cancel(a.now, l.transaction)
-	delete(a.outstanding, l.transaction)
-	l.transaction = 0
-	l.applied.events, l.applied.tone = DetectNothing, gateways.Silence
-	if l.connection == ConnectionCreating || l.connection == ConnectionDeleting && l.uncertainCall != nil {
+	line := &a.lines[i]
+	a.gateways[line.gateway].sender.Cancel(a.now, line.transactionID)
+	delete(a.outstanding, line.transactionID)
+	line.transactionID = 0
+	line.applied.events, line.applied.tone = DetectNothing, gateways.Silence
+	if line.connection == ConnectionCreating || line.connection == ConnectionDeleting && line.uncertainCall != nil {
 		a.setConnection(i, ConnectionUncertain)
 	}
-	if l.connection == ConnectionUncertain && l.uncertainCall == nil {
-		l.uncertainCall = l.pendingCall
-	} else if l.connection == ConnectionModifying || l.connection == ConnectionDeleting {
+	if line.connection == ConnectionUncertain && line.uncertainCall == nil {
+		line.uncertainCall = line.pendingCall
+	} else if line.connection == ConnectionModifying || line.connection == ConnectionDeleting {
 		a.setConnection(i, ConnectionCreated)
 	}
 }
 
 // handleLineResponse takes the answer to a command of a line.
-func (a *Agent) handleLineResponse(p outstandingCommand, r mgcp.Message) {
-	i := p.index
-	l := &a.lines[i]
-	if p.verb == mgcp.AuditEndpoint {
-		a.handleAudit(i, r)
+func (a *Agent) handleLineResponse(command outstandingCommand, response mgcp.Message) {
+	i := command.index
+	line := &a.lines[i]
+	if command.verb == mgcp.AuditEndpoint {
+		a.handleAudit(i, response)
 		return
 	}
-	reading := gateways.ResultOf(p.verb, r.Code)
-	if reading != gateways.RetryLater {
-		l.refusals = 0
-	} else if l.refusals++; l.refusals > maxRefusals {
-		reading = gateways.Failed
+	result := gateways.ResultOf(command.verb, response.Code)
+	if result != gateways.RetryLater {
+		line.refusals = 0
+	} else if line.refusals++; line.refusals > maxRefusals {
+		result = gateways.Failed
 	}
-	leftover := p.verb == mgcp.DeleteConnection && len(l.orphaned) > 0
-	if p.verb == mgcp.DeleteConnection && !leftover && l.uncertainCall != nil && reading != gateways.Succeeded {
+	deletesOrphan := command.verb == mgcp.DeleteConnection && len(line.orphaned) > 0
+	if command.verb == mgcp.DeleteConnection && !deletesOrphan && line.uncertainCall != nil && result != gateways.Succeeded {
 		a.setConnection(i, ConnectionNone)
-		l.uncertainCall, l.auditDue = nil, true
+		line.uncertainCall, line.auditDue = nil, true
 	}
-	if reading != gateways.Succeeded { // as it was before the command
-		switch l.connection {
+	if result != gateways.Succeeded { // as it was before the command
+		switch line.connection {
 		case ConnectionCreating:
 			a.setConnection(i, ConnectionNone)
 		case ConnectionModifying, ConnectionDeleting:
 			a.setConnection(i, ConnectionCreated)
 		}
 	}
-	switch reading {
+	switch result {
 	case gateways.Succeeded:
-		if leftover {
-			l.orphaned = l.orphaned[1:]
+		if deletesOrphan {
+			line.orphaned = line.orphaned[1:]
 			a.Counts.OrphanedConnections++
 			break
 		}
-		a.commandApplied(i, p.verb, r)
+		a.commandApplied(i, command.verb, response)
 		return
 	case gateways.IsOffHook:
 		a.handleEvent(i, a.offHookEvent(), eventData{})
@@ -264,13 +264,13 @@
 		a.handleEvent(i, onHook, eventData{})
 		return
 	case gateways.RetryLater:
-		l.retryAt = a.now + gateways.RetryDelay(int(l.refusals))
-		a.schedule(l.retryAt, lineTimer, i)
+		line.retryAt = a.now + gateways.RetryDelay(int(line.refusals))
+		a.schedule(line.retryAt, lineTimer, i)
 		return
 	case gateways.ConnectionGone:
 		a.setConnection(i, ConnectionNone)
-		l.applied.mode, l.connectedCall = NoMode, nil
-		if l.pendingCall != nil && l.pendingCall == l.call {
+		line.applied.mode, line.connectedCall = NoMode, nil
+		if line.pendingCall != nil && line.pendingCall == line.call {
 			a.handleEvent(i, connectionLost, eventData{})
 			return
 		}
@@ -278,25 +278,25 @@
 		a.takeOutOfService(i)
 		return
 	case gateways.Failed:
-		a.output.Note("gateway: " + a.endpointName(i) + " answers " + string(p.verb) + " with " + strconv.Itoa(r.Code) + " " + r.Comment)
+		a.output.Note("gateway: " + a.endpointName(i) + " answers " + string(command.verb) + " with " + strconv.Itoa(response.Code) + " " + response.Comment)
 		switch {
-		case leftover:
-			l.orphaned = l.orphaned[1:]
-		case p.verb == mgcp.DeleteConnection:
+		case deletesOrphan:
+			line.orphaned = line.orphaned[1:]
+		case command.verb == mgcp.DeleteConnection:
 			a.setConnection(i, ConnectionNone)
-			l.applied.mode, l.connectedCall, l.auditDue = NoMode, nil, true
-		case p.verb == mgcp.CreateConnection:
-			if l.pendingCall == l.call {
+			line.applied.mode, line.connectedCall, line.auditDue = NoMode, nil, true
+		case command.verb == mgcp.CreateConnection:
+			if line.pendingCall == line.call {
 				a.handleEvent(i, connectionFailed, eventData{})
 				return
 			}
-		case p.verb == mgcp.ModifyConnection:
-			if l.pendingCall == l.call {
+		case command.verb == mgcp.ModifyConnection:
+			if line.pendingCall == line.call {
 				a.handleEvent(i, connectionLost, eventData{})
 				return
 			}
 		default: // a tone or an event it does not know: go on without, rather than ask for ever
-			l.applied.events, l.applied.tone = l.pending.events, l.pending.tone
+			line.applied.events, line.applied.tone = line.pending.events, line.pending.tone
 		}
 	}
 	a.reconcile(i)
@@ -304,53 +304,53 @@
 
 // takeOutOfService takes an endpoint out of service that its gateway says it does not have, or not now; it is asked after.
 func (a *Agent) takeOutOfService(i int) {
-	l := &a.lines[i]
+	line := &a.lines[i]
 	a.handleEvent(i, endpointLost, eventData{})
 	a.setConnection(i, ConnectionNone)
-	l.applied, l.connectedCall = endpointState{}, nil
-	l.retryAt = a.now + gateways.RetryDelay(maxRefusals)
-	a.schedule(l.retryAt, lineTimer, i)
+	line.applied, line.connectedCall = endpointState{}, nil
+	line.retryAt = a.now + gateways.RetryDelay(maxRefusals)
+	a.schedule(line.retryAt, lineTimer, i)
 }
 
 // commandApplied notes that the gateway is as the command asked.
-func (a *Agent) commandApplied(i int, verb mgcp.Verb, r mgcp.Message) {
-	l := &a.lines[i]
-	overtaken := l.notifiedID == l.requestID && l.applied.events == DetectNothing && l.pending.events != DetectNothing
-	l.applied = l.pending
-	if overtaken { // what was asked for has been notified before the answer came: it must be asked for anew
-		l.applied.events, l.applied.tone = DetectNothing, gateways.Silence
-	}
-	k := l.pendingCall
+func (a *Agent) commandApplied(i int, verb mgcp.Verb, response mgcp.Message) {
+	line := &a.lines[i]
+	alreadyNotified := line.notifiedID == line.requestID && line.applied.events == DetectNothing && line.pending.events != DetectNothing
+	line.applied = line.pending
+	if alreadyNotified { // what was asked for has been notified before the answer came: it must be asked for anew
+		line.applied.events, line.applied.tone = DetectNothing, gateways.Silence
+	}
+	call := line.pendingCall
 	switch verb {
 	case mgcp.DeleteConnection:
 		a.setConnection(i, ConnectionNone)
-		if l.uncertainCall != nil {
-			l.uncertainCall = nil
+		if line.uncertainCall != nil {
+			line.uncertainCall = nil
 		} else {
-			l.connectedCall = nil
+			line.connectedCall = nil
 		}
 		// A command to make it that was held up on its way may be carried out after this one: the endpoint is asked later.
-		l.auditAt = a.now + auditDelay
-		a.schedule(l.auditAt, lineTimer, i)
+		line.auditAt = a.now + auditDelay
+		a.schedule(line.auditAt, lineTimer, i)
 	case mgcp.CreateConnection:
 		a.setConnection(i, ConnectionCreated)
-		l.connectedCall = k
-		k.connectionID, _ = r.Param("I")
-		k.appliedSession = k.pendingSession
-		local, err := readSession(r.Session)
-		if k.localSession = local; err != nil || k.connectionID == "" {
+		line.connectedCall = call
+		call.connectionID, _ = response.Param("I")
+		call.appliedSession = call.pendingSession
+		session, err := readSession(response.Session)
+		if call.localSession = session; err != nil || call.connectionID == "" {
 			a.output.Note("gateway: " + a.endpointName(i) + " makes a connection that cannot be used: " + sessionErrorText(err))
-			if k == l.call {
+			if call == line.call {
 				a.handleEvent(i, connectionFailed, eventData{})
 				return
 			}
-		} else if k == l.call {
+		} else if call == line.call {
 			a.handleEvent(i, connectionReady, eventData{})
 			return
 		}
 	case mgcp.ModifyConnection:
 		a.setConnection(i, ConnectionCreated)
-		k.appliedSession = k.pendingSession
+		call.appliedSession = call.pendingSession
 	}
 	a.reconcile(i)
 }
@@ -363,52 +363,52 @@
 }
 
 // handleAudit takes what an endpoint says of itself: connections of no call are deleted, and its hook counts against what we hold.
-func (a *Agent) handleAudit(i int, r mgcp.Message) {
-	l := &a.lines[i]
-	if mgcp.ClassOf(r.Code) != mgcp.Success {
-		if gateways.ResultOf(mgcp.AuditEndpoint, r.Code) == gateways.EndpointUnavailable {
+func (a *Agent) handleAudit(i int, response mgcp.Message) {
+	line := &a.lines[i]
+	if mgcp.ClassOf(response.Code) != mgcp.Success {
+		if gateways.ResultOf(mgcp.AuditEndpoint, response.Code) == gateways.EndpointUnavailable {
 			a.takeOutOfService(i)
 		}
 		return
 	}
-	if l.state == OutOfService {
+	if line.state == OutOfService {
 		a.handleEvent(i, endpointBack, eventData{})
 	}
-	if l.state == Idle {
+	if line.state == Idle {
 		// What it listens for is asked for anew: one that noticed something and could not tell it listens for nothing more, and
 		// does not say so.
-		l.applied.events = DetectNothing
+		line.applied.events = DetectNothing
 	}
-	list, _ := r.Param("I")
-	var held []string
+	list, _ := response.Param("I")
+	var heldIDs []string
 	for _, id := range strings.Split(list, ",") {
 		if id = strings.TrimSpace(id); id != "" {
-			held = append(held, id)
+			heldIDs = append(heldIDs, id)
 		}
 	}
-	live := ""
-	if l.connectedCall != nil {
-		live = l.connectedCall.connectionID
+	liveID := ""
+	if line.connectedCall != nil {
+		liveID = line.connectedCall.connectionID
 	}
-	left, gone := gateways.OrphanedConnections(held, live)
-	l.orphaned = append(l.orphaned, left...)
-	if gone {
-		was := l.connectedCall
+	orphaned, liveGone := gateways.OrphanedConnections(heldIDs, liveID)
+	line.orphaned = append(line.orphaned, orphaned...)
+	if liveGone {
+		lostCall := line.connectedCall
 		a.setConnection(i, ConnectionNone)
-		l.applied.mode, l.connectedCall = NoMode, nil
-		if was == l.call {
+		line.applied.mode, line.connectedCall = NoMode, nil
+		if lostCall == line.call {
 			a.handleEvent(i, connectionLost, eventData{})
 		}
 	}
-	es, _ := r.Param("ES")
-	states, err := mgcp.ParseEvents(es)
-	for _, e := range states {
-		off := l.state == Dialing || l.state == CreatingConnection || l.state == Calling || l.state == Talking || l.state == HearingTone
+	observed, _ := response.Param("ES")
+	events, err := mgcp.ParseEvents(observed)
+	for _, event := range events {
+		expectOffHook := line.state == Dialing || line.state == CreatingConnection || line.state == Calling || line.state == Talking || line.state == HearingTone
 		switch {
 		case err != nil:
-		case e.Is(mgcp.PackageLine, "hd") && !off:
+		case event.Is(mgcp.PackageLine, "hd") && !expectOffHook:
 			a.handleEvent(i, a.offHookEvent(), eventData{})
-		case e.Is(mgcp.PackageLine, "hu") && off:
+		case event.Is(mgcp.PackageLine, "hu") && expectOffHook:
 			a.handleEvent(i, onHook, eventData{})
 		}
 	}
@@ -425,23 +425,23 @@
 
 // retryLine takes a line up that could not do what it was asked a while ago.
 func (a *Agent) retryLine(i int) {
-	l := &a.lines[i]
-	if l.state == OutOfService && l.transaction == 0 && a.gateways[l.gateway].presence.State() == gateways.Serving {
-		m := mgcp.Message{Verb: mgcp.AuditEndpoint, Endpoint: a.endpointName(i), Params: []mgcp.Param{{Name: "F", Value: "I, ES"}}}
-		l.transaction = a.sendCommand(int(l.gateway), m, outstandingCommand{lineCommand, i, m.Verb, a.now})
-		l.retryAt = a.now + gateways.RetryDelay(8)
-		a.schedule(l.retryAt, lineTimer, i)
+	line := &a.lines[i]
+	if line.state == OutOfService && line.transactionID == 0 && a.gateways[line.gateway].presence.State() == gateways.Serving {
+		msg := mgcp.Message{Verb: mgcp.AuditEndpoint, Endpoint: a.endpointName(i), Params: []mgcp.Param{{Name: "F", Value: "I, ES"}}}
+		line.transactionID = a.sendCommand(int(line.gateway), msg, outstandingCommand{lineCommand, i, msg.Verb, a.now})
+		line.retryAt = a.now + gateways.RetryDelay(8)
+		a.schedule(line.retryAt, lineTimer, i)
 		return
 	}
 	a.reconcile(i)
 }
 
 // remoteSessionOf is where the other side of a call takes media: as it told, or the own switch where it told nothing.
-func (a *Agent) remoteSessionOf(s isup.UserInfo, hop circuitKey) string {
-	if s.Present&isup.PartSession != 0 && s.Session != "" {
-		if _, err := readSession([]byte(s.Session)); err == nil {
-			return s.Session
+func (a *Agent) remoteSessionOf(userInfo isup.UserInfo, circuit circuitKey) string {
+	if userInfo.Present&isup.PartSession != 0 && userInfo.Session != "" {
+		if _, err := readSession([]byte(userInfo.Session)); err == nil {
+			return userInfo.Session
 		}
 	}
-	return pcmuSession(a.config.MediaAddress, 20000+2*int(hop.cic))
+	return pcmuSession(a.config.MediaAddress, 20000+2*int(circuit.cic))
 }
--- a/internal/gateways/decisions_test.go
+++ b/internal/gateways/decisions_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-func TestCodesAreReadAsTheRecommendationHasThem(t *testing.T) {
+func TestResultOf(t *testing.T) {
 	for _, c := range []struct {
 		verb mgcp.Verb
 		code int
@@ -33,25 +33,25 @@
 
 // The room for an answer grows with loss and with the wait, is enough for the sendings that it is reckoned for, and leaves at
 // least half of the time to set the call up.
-func TestRoomForAnAnswer(t *testing.T) {
+func TestAnswerMargin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wait, left := policy.Tenths(rapid.IntRange(500, 40000).Draw(t, "wait")), policy.Tenths(rapid.IntRange(1, 100000).Draw(t, "left"))
+		timeout, remaining := policy.Tenths(rapid.IntRange(500, 40000).Draw(t, "wait")), policy.Tenths(rapid.IntRange(1, 100000).Draw(t, "left"))
 		loss := rapid.Float64Range(0, 1).Draw(t, "loss")
-		room := AnswerMargin(wait, left, loss)
-		if room < 0 || room > left/2 || room < min(left/2, wait+2*wait) {
-			t.Fatalf("room %d of %d, wait %d", room, left, wait)
+		margin := AnswerMargin(timeout, remaining, loss)
+		if margin < 0 || margin > remaining/2 || margin < min(remaining/2, timeout+2*timeout) {
+			t.Fatalf("room %d of %d, wait %d", margin, remaining, timeout)
 		}
-		if AnswerMargin(wait, left, min(1, loss+0.2)) < room || AnswerMargin(wait+100, left, loss) < room {
+		if AnswerMargin(timeout, remaining, min(1, loss+0.2)) < margin || AnswerMargin(timeout+100, remaining, loss) < margin {
 			t.Fatalf("less room for a worse network")
 		}
 	})
-	if a, b := AnswerMargin(2000, 90000, 0), AnswerMargin(2000, 90000, 0.3); a >= b {
-		t.Fatalf("%d without loss, %d with", a, b)
+	if withoutLoss, withLoss := AnswerMargin(2000, 90000, 0), AnswerMargin(2000, 90000, 0.3); withoutLoss >= withLoss {
+		t.Fatalf("%d without loss, %d with", withoutLoss, withLoss)
 	}
 }
 
 // Leftovers against the plainest reckoning.
-func TestLeftoversAreAllButTheLiveOne(t *testing.T) {
+func TestOrphanedConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfDistinct(rapid.StringMatching(`[0-9A-F]{1,3}`), rapid.ID).Draw(t, "held")
 		live := rapid.SampledFrom(append([]string{"", "no such"}, ids...)).Draw(t, "live")
@@ -62,34 +62,34 @@
 			}
 		}
 		slices.Sort(want)
-		got, gone := OrphanedConnections(ids, live)
-		if !slices.Equal(got, want) || gone != (live != "" && !slices.Contains(ids, live)) {
-			t.Fatalf("left %v gone %v of %v, live %q", got, gone, ids, live)
+		got, liveGone := OrphanedConnections(ids, live)
+		if !slices.Equal(got, want) || liveGone != (live != "" && !slices.Contains(ids, live)) {
+			t.Fatalf("left %v gone %v of %v, live %q", got, liveGone, ids, live)
 		}
 	})
 }
 
 // Ids that count over the end of 32 bits are still in order.
-func TestStaleFollowsTheCount(t *testing.T) {
+func TestStaleHandlesWraparound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		heard, by := rapid.Uint32().Draw(t, "heard"), rapid.Uint32Range(1, 1<<30).Draw(t, "by")
-		if Stale(heard, heard) || Stale(heard+by, heard) || !Stale(heard-by, heard) {
-			t.Fatal(heard, by)
+		lastID, by := rapid.Uint32().Draw(t, "heard"), rapid.Uint32Range(1, 1<<30).Draw(t, "by")
+		if Stale(lastID, lastID) || Stale(lastID+by, lastID) || !Stale(lastID-by, lastID) {
+			t.Fatal(lastID, by)
 		}
 	})
 }
 
 // A gateway changes its controller only when its own goes, and each controller has its share.
-func TestOwnersShareAndMoveLeast(t *testing.T) {
+func TestOwnerBalancesAndMovesFew(t *testing.T) {
 	controllers := []string{"ca@a:2727", "ca@b:2727", "ca@c:2727"}
 	count := map[int]int{}
 	for n := range 3000 {
 		name := fmt.Sprintf("gw-%d.example", n)
-		all := Owner(name, controllers, func(int) bool { return true })
-		count[all]++
+		owner := Owner(name, controllers, func(int) bool { return true })
+		count[owner]++
 		for down := range controllers {
-			if got := Owner(name, controllers, func(i int) bool { return i != down }); got == down || all != down && got != all {
-				t.Fatalf("%s goes from %d to %d as %d is down", name, all, got, down)
+			if got := Owner(name, controllers, func(i int) bool { return i != down }); got == down || owner != down && got != owner {
+				t.Fatalf("%s goes from %d to %d as %d is down", name, owner, got, down)
 			}
 		}
 	}
@@ -101,11 +101,11 @@
 }
 
 // Presence against its table, and its questions: never two within their least wait, and an absent gateway is asked for ever.
-func TestPresenceKeepsToItsTableAndAsks(t *testing.T) {
+func TestPresenceTransitionsAndProbes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Presence
 		now, want := policy.Tenths(1000), Absent
-		lastAsk, ever := policy.Tenths(-1<<40), false
+		lastProbe, everLost := policy.Tenths(-1<<40), false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += policy.Tenths(rapid.IntRange(1, 400000).Draw(t, "gap"))
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
@@ -125,20 +125,20 @@
 					want = Serving
 				}
 			case 4:
-				was := p.Lost(now)
-				if was != (want != Absent) {
-					t.Fatalf("lost from %v: %v", want, was)
+				wasPresent := p.Lost(now)
+				if wasPresent != (want != Absent) {
+					t.Fatalf("lost from %v: %v", want, wasPresent)
 				}
-				want, ever = Absent, true
+				want, everLost = Absent, true
 			case 5:
 				p.Received(now)
 			case 6:
-				ask, next := p.ProbeDue(now)
-				if ask && now-lastAsk < min(initialProbeInterval, keepaliveInterval) && lastAsk > 0 {
-					t.Fatalf("asked twice within %d", now-lastAsk)
+				probe, next := p.ProbeDue(now)
+				if probe && now-lastProbe < min(initialProbeInterval, keepaliveInterval) && lastProbe > 0 {
+					t.Fatalf("asked twice within %d", now-lastProbe)
 				}
-				if ask {
-					lastAsk = now
+				if probe {
+					lastProbe = now
 				}
 				if next <= now {
 					t.Fatalf("to be looked at in the past")
@@ -148,8 +148,8 @@
 				t.Fatalf("%v, want %v", p.State(), want)
 			}
 		}
-		if ever && want == Absent {
-			if ask, _ := p.ProbeDue(now + 2*maxProbeInterval); !ask {
+		if everLost && want == Absent {
+			if probe, _ := p.ProbeDue(now + 2*maxProbeInterval); !probe {
 				t.Fatal("an absent gateway is not asked for any more")
 			}
 		}
--- a/internal/gateways/restarts.go
+++ b/internal/gateways/restarts.go
@@ -87,7 +87,7 @@
 // Admit takes a gateway's report. One that is repeated while it waits keeps its place.
 func (r *RestartLimiter) Admit(now policy.Tenths, gateway uint32) Admission {
 	r.refill(now)
-	if _, waits := r.queuedAt[gateway]; waits {
+	if _, queued := r.queuedAt[gateway]; queued {
 		return Queued
 	}
 	if len(r.queue) == 0 && r.tokens >= 1 {
@@ -115,7 +115,7 @@
 	r.refill(now)
 	for len(r.queue) > 0 {
 		first := r.queue[0]
-		if since, waits := r.queuedAt[first.gateway]; waits && since == first.queuedAt {
+		if queuedAt, queued := r.queuedAt[first.gateway]; queued && queuedAt == first.queuedAt {
 			if r.tokens < 1 {
 				return admitted
 			}
--- a/internal/mgcp/digitmap.go
+++ b/internal/mgcp/digitmap.go
@@ -59,7 +59,7 @@
 func parseAlternative(text string) ([]element, error) {
 	var elements []element
 	for i := 0; i < len(text); i++ {
-		switch c := upper(text[i]); {
+		switch c := toUpper(text[i]); {
 		case c == timerSymbol:
 			elements = append(elements, element{timer: true})
 		case c == 'X':
@@ -96,10 +96,10 @@
 
 func parseRange(text string) (digits uint16, err error) {
 	for i := 0; i < len(text); i++ {
-		from := strings.IndexByte(symbols, upper(text[i]))
+		from := strings.IndexByte(symbols, toUpper(text[i]))
 		to := from
 		if i+2 < len(text) && text[i+1] == '-' {
-			to = strings.IndexByte(symbols, upper(text[i+2]))
+			to = strings.IndexByte(symbols, toUpper(text[i+2]))
 			i += 2
 		}
 		if from < 0 || to < from {
@@ -115,7 +115,7 @@
 	return digits, nil
 }
 
-func upper(c byte) byte {
+func toUpper(c byte) byte {
 	if c >= 'a' && c <= 'z' {
 		return c - 'a' + 'A'
 	}
@@ -147,7 +147,7 @@
 	positions[0] = true
 	skipRepeated(alternative, positions)
 	for i := range len(dialled) {
-		c := upper(dialled[i])
+		c := toUpper(dialled[i])
 		symbol := strings.IndexByte(symbols, c)
 		next := make([]bool, len(alternative)+1)
 		for p, e := range alternative {
--- a/internal/mgcp/events.go
+++ b/internal/mgcp/events.go
@@ -31,11 +31,11 @@
 			if item == "" && strings.TrimSpace(list) == "" {
 				return nil, nil
 			}
-			e, err := parseEvent(item)
+			event, err := parseEvent(item)
 			if err != nil {
 				return nil, err
 			}
-			if events = append(events, e); len(events) > maxEvents {
+			if events = append(events, event); len(events) > maxEvents {
 				return nil, malformed("over %d events", maxEvents)
 			}
 		}
@@ -92,8 +92,8 @@
 }
 
 // Is tells whether it is an event of a package, whatever it is about.
-func (e Event) Is(pack, name string) bool {
-	return e.Package == pack && strings.EqualFold(e.Name, name)
+func (e Event) Is(pkg, name string) bool {
+	return e.Package == pkg && strings.EqualFold(e.Name, name)
 }
 
 // Packages of events that calls need (RFC 3660): generic media, DTMF, line, trunk.
@@ -106,13 +106,13 @@
 
 // Digits reads what was dialled from observed events: the D events in their order, T where the timer ran out.
 func Digits(observed []Event) string {
-	var b []byte
-	for _, e := range observed {
-		if (e.Package == PackageDTMF || e.Package == "") && len(e.Name) == 1 && strings.ContainsRune(symbols+"T", rune(upper(e.Name[0]))) {
-			b = append(b, upper(e.Name[0]))
+	var digits []byte
+	for _, event := range observed {
+		if (event.Package == PackageDTMF || event.Package == "") && len(event.Name) == 1 && strings.ContainsRune(symbols+"T", rune(toUpper(event.Name[0]))) {
+			digits = append(digits, toUpper(event.Name[0]))
 		}
 	}
-	return string(b)
+	return string(digits)
 }
 
 // DigitEvents writes digits as observed events.
--- a/internal/mgcp/events_test.go
+++ b/internal/mgcp/events_test.go
@@ -28,17 +28,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all, err := Decode(text)
+		messages, err := Decode(text)
 		if err != nil {
 			t.Errorf("%s: %v", f, err)
 			continue
 		}
-		var again []byte
-		for i, m := range all {
+		var encoded []byte
+		for i, m := range messages {
 			if i > 0 {
-				again = append(again, ".\r\n"...)
+				encoded = append(encoded, ".\r\n"...)
 			}
-			if again, err = Append(again, m); err != nil {
+			if encoded, err = Append(encoded, m); err != nil {
 				t.Errorf("%s: %v", f, err)
 			}
 			for _, name := range []string{"R", "S", "O", "T"} {
@@ -53,18 +53,18 @@
 				}
 			}
 		}
-		if read, err := Decode(again); err != nil || !reflect.DeepEqual(read, all) {
+		if read, err := Decode(encoded); err != nil || !reflect.DeepEqual(read, messages) {
 			t.Errorf("%s: reads back as %+v, %v", f, read, err)
 		}
 		for n := range text {
-			if cut, err := Decode(text[:n]); err == nil && (n == 0 || text[n-1] != '\n') {
-				t.Errorf("%s cut after %d octets reads as %+v", f, n, cut)
+			if truncated, err := Decode(text[:n]); err == nil && (n == 0 || text[n-1] != '\n') {
+				t.Errorf("%s cut after %d octets reads as %+v", f, n, truncated)
 			}
 		}
 	}
 }
 
-func TestEventsReadBackAsWritten(t *testing.T) {
+func TestEventsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []Event
 		for range rapid.IntRange(0, 5).Draw(t, "events") {
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestDialledDigitsReadBack(t *testing.T) {
+func TestDigitsRoundTrip(t *testing.T) {
 	if got := Digits(DigitEvents("0123#*T")); got != "0123#*T" {
 		t.Fatal(got)
 	}
@@ -94,39 +94,39 @@
 
 // A district's gateways spread their reports over the greatest wait; a disconnected one reports at growing waits, never sooner
 // than the least, and for ever.
-func TestWaitsOfRestartAndDisconnection(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 1))
-	var tenth [10]int
+func TestRestartAndDisconnectedDelays(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
+	var counts [10]int
 	for range 10000 {
-		tenth[RestartDelay(TrunkMaxRestartDelay, chance)*10/TrunkMaxRestartDelay]++
+		counts[RestartDelay(TrunkMaxRestartDelay, random)*10/TrunkMaxRestartDelay]++
 	}
-	for i, n := range tenth {
+	for i, n := range counts {
 		if n < 800 || n > 1200 {
 			t.Errorf("%d of 10000 in part %d", n, i)
 		}
 	}
-	d := DisconnectedProcedure{MinWait: DisconnectedMinWait, MaxWait: DisconnectedMaxWait}
+	procedure := DisconnectedProcedure{MinWait: DisconnectedMinWait, MaxWait: DisconnectedMaxWait}
 	now := policy.Tenths(1000)
-	at := d.Start(now, DisconnectedInitialWait, chance)
+	at := procedure.Start(now, DisconnectedInitialWait, random)
 	if at < now || at > now+DisconnectedInitialWait {
 		t.Fatalf("first report after %d", at-now)
 	}
-	before := policy.Tenths(0)
+	lastWait := policy.Tenths(0)
 	for range 12 {
 		now = at
-		if at = d.NextReport(now); at-now < DisconnectedMinWait || at-now > DisconnectedMaxWait || at-now < before {
-			t.Fatalf("waits %d after %d", at-now, before)
+		if at = procedure.NextReport(now); at-now < DisconnectedMinWait || at-now > DisconnectedMaxWait || at-now < lastWait {
+			t.Fatalf("waits %d after %d", at-now, lastWait)
 		}
-		before = at - now
+		lastWait = at - now
 	}
-	if before != DisconnectedMaxWait || d.ReportAfterEvent(now+10, now) != now+DisconnectedMinWait {
-		t.Fatal(before)
+	if lastWait != DisconnectedMaxWait || procedure.ReportAfterEvent(now+10, now) != now+DisconnectedMinWait {
+		t.Fatal(lastWait)
 	}
 }
 
-const eventsSample = "L/hd(A, E(S(L/dl), R(L/oc, L/hu, D/[0-9#*T](D)))), G/rt@$"
+const sampleEvents = "L/hd(A, E(S(L/dl), R(L/oc, L/hu, D/[0-9#*T](D)))), G/rt@$"
 
-func eventsReadBack(t *testing.T, text []byte) {
+func checkEventsRoundTrip(t *testing.T, text []byte) {
 	all, err := ParseEvents(string(text))
 	if err != nil {
 		return
@@ -137,10 +137,10 @@
 }
 
 func TestDamagedEvents(t *testing.T) {
-	seeded.Damaged(t, [][]byte{[]byte(eventsSample)}, 100000, eventsReadBack)
+	seeded.Damaged(t, [][]byte{[]byte(sampleEvents)}, 100000, checkEventsRoundTrip)
 }
 
 func FuzzEvents(f *testing.F) {
-	f.Add([]byte(eventsSample))
-	f.Fuzz(eventsReadBack)
+	f.Add([]byte(sampleEvents))
+	f.Fuzz(checkEventsRoundTrip)
 }
--- a/internal/mgcp/message.go
+++ b/internal/mgcp/message.go
@@ -136,14 +136,14 @@
 	if len(msg.Session) == 0 && len(msg.SecondSession) > 0 {
 		return buf[:start], malformed("a second session description without a first")
 	}
-	for _, s := range [][]byte{msg.Session, msg.SecondSession} {
-		for _, l := range splitLines(string(s)) {
-			if (l == "" || l == ".") && len(s) > 0 { // it would end there for the reader
-				return buf[:start], malformed("session description with a line %q", l)
+	for _, session := range [][]byte{msg.Session, msg.SecondSession} {
+		for _, line := range splitLines(string(session)) {
+			if (line == "" || line == ".") && len(session) > 0 { // it would end there for the reader
+				return buf[:start], malformed("session description with a line %q", line)
 			}
 		}
-		if len(s) > 0 {
-			buf = append(append(buf, "\r\n"...), s...)
+		if len(session) > 0 {
+			buf = append(append(buf, "\r\n"...), session...)
 		}
 	}
 	if len(buf)-start > MaxDatagramSize {
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func anyMessage(t *rapid.T) Message {
+func randomMessage(t *rapid.T) Message {
 	m := Message{Transaction: rapid.Uint32Range(1, MaxTransactionID).Draw(t, "transaction")}
 	if rapid.Bool().Draw(t, "command") {
 		m.Verb = rapid.SampledFrom(verbs).Draw(t, "verb")
@@ -34,12 +34,12 @@
 	return m
 }
 
-func TestDatagramsReadBackAsWritten(t *testing.T) {
+func TestDatagramsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var want []Message
 		var text []byte
 		for i := range rapid.IntRange(1, 3).Draw(t, "messages") {
-			m := anyMessage(t)
+			m := randomMessage(t)
 			if i > 0 {
 				text = append(text, ".\r\n"...)
 			}
@@ -61,7 +61,7 @@
 }
 
 // Messages written after the grammar of RFC 3435, appendix A, and what is no message.
-func TestMessagesAfterTheGrammar(t *testing.T) {
+func TestDecodeFollowsGrammar(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		want Message
@@ -89,7 +89,7 @@
 }
 
 // Digit maps against the library's regular expressions, on all digits up to some length.
-func TestDigitMapsAgainstExpressions(t *testing.T) {
+func TestDigitMapsAgainstRegexp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var options, expressions []string
 		for range rapid.IntRange(1, 4).Draw(t, "options") {
@@ -106,27 +106,27 @@
 			options, expressions = append(options, option.String()), append(expressions, expression.String())
 		}
 		text := "(" + strings.Join(options, "|") + ")"
-		d, err := ParseDigitMap(text)
+		digitMap, err := ParseDigitMap(text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole := regexp.MustCompile("^(" + strings.Join(expressions, "|") + ")$")
-		var all []string
+		pattern := regexp.MustCompile("^(" + strings.Join(expressions, "|") + ")$")
+		var inputs []string
 		for _, a := range []string{"", "1", "2", "5", "*", "#", "T"} {
 			for _, b := range []string{"", "1", "3", "9", "T"} {
 				for _, c := range []string{"", "1", "4", "T", "11", "123"} {
-					all = append(all, a+b+c)
+					inputs = append(inputs, a+b+c)
 				}
 			}
 		}
-		for _, s := range all {
-			m := d.Match(s)
-			if met := m == FullMatch || m == AmbiguousMatch; met != whole.MatchString(s) {
-				t.Fatalf("%s on %q: %d, the expression %v", text, s, m, whole.MatchString(s))
+		for _, s := range inputs {
+			m := digitMap.Match(s)
+			if complete := m == FullMatch || m == AmbiguousMatch; complete != pattern.MatchString(s) {
+				t.Fatalf("%s on %q: %d, the expression %v", text, s, m, pattern.MatchString(s))
 			}
 			longer := false
-			for _, l := range all {
-				longer = longer || len(l) > len(s) && strings.HasPrefix(l, s) && whole.MatchString(l)
+			for _, l := range inputs {
+				longer = longer || len(l) > len(s) && strings.HasPrefix(l, s) && pattern.MatchString(l)
 			}
 			if longer && (m == NoMatch || m == FullMatch) {
 				t.Fatalf("%s on %q: %d, but something longer fits", text, s, m)
@@ -135,7 +135,7 @@
 	})
 }
 
-func TestDigitMapsOfNoForm(t *testing.T) {
+func TestMalformedDigitMaps(t *testing.T) {
 	for _, text := range []string{"", "200 1201 OK", "NTFY 1 a@b MGCP 1.0\nO: D/0, D/0", "()", "(1|)", "(1", "[1", "[]", "[4-2]", ".", "1..", "y", "T.", strings.Repeat("1", 65), strings.Repeat("1|", 70) + "1"} {
 		if _, err := ParseDigitMap(text); !errors.Is(err, ErrMessage) {
 			t.Errorf("%.20q: %v", text, err)
@@ -143,14 +143,14 @@
 	}
 }
 
-var samples = [][]byte{
+var sampleMessages = [][]byte{
 	[]byte("RQNT 1201 aaln/1@rgw.example MGCP 1.0\r\nX: 1\r\nR: hd(N), [0-9#*T](D)\r\nD: (0T|00T|[1-7]xxx|8xxxxxxx)\r\n"),
 	[]byte("200 1201 OK\r\n.\r\nDLCX 1210 aaln/1@rgw.example MGCP 1.0\r\nC: A3\r\nI: F1\r\n"),
 	[]byte("200 1204 OK\r\nI: F1\r\n\r\nv=0\r\n\r\nv=0\r\n"),
 	[]byte("000 7\r\n"),
 }
 
-func readsBack(t *testing.T, b []byte) {
+func checkMessageRoundTrip(t *testing.T, b []byte) {
 	all, err := Decode(b)
 	if err != nil && !errors.Is(err, ErrMessage) {
 		t.Fatalf("error of another kind: %v", err)
@@ -167,11 +167,13 @@
 	}
 }
 
-func TestDamagedMessages(t *testing.T) { seeded.Damaged(t, samples, 100000, readsBack) }
+func TestDamagedMessages(t *testing.T) {
+	seeded.Damaged(t, sampleMessages, 100000, checkMessageRoundTrip)
+}
 
 func FuzzDecode(f *testing.F) {
-	for _, b := range samples {
+	for _, b := range sampleMessages {
 		f.Add(b)
 	}
-	f.Fuzz(readsBack)
+	f.Fuzz(checkMessageRoundTrip)
 }
--- a/internal/mgcp/transaction_test.go
+++ b/internal/mgcp/transaction_test.go
@@ -11,216 +11,218 @@
 	"pgregory.net/rapid"
 )
 
-// wire is a sender and a receiver with a bad network between them.
-type wire struct {
-	s       *Sender
-	r       *Receiver
-	now     policy.Tenths
-	on      []packet
-	chance  *rand.Rand
-	loss    float64
-	double  float64
-	slow    policy.Tenths // a packet is up to so much late, so that they overtake each other
-	work    policy.Tenths // the receiver needs so long
-	doing   []packet
-	carried map[uint32]int
-	ended   map[uint32]Outcome
-	sends   int
-	broken  []string
-	against []int // codes of second answers
+// lossyNetwork is a sender and a receiver with a bad network between them.
+type lossyNetwork struct {
+	sender         *Sender
+	receiver       *Receiver
+	now            policy.Tenths
+	inFlight       []packet
+	random         *rand.Rand
+	loss           float64
+	duplication    float64
+	maxDelay       policy.Tenths // a packet is up to so much late, so that they overtake each other
+	processingTime policy.Tenths // the receiver needs so long
+	executing      []packet
+	executions     map[uint32]int
+	outcomes       map[uint32]Outcome
+	transmissions  int
+	violations     []string
+	conflicts      []int // codes of second answers
 }
 
 type packet struct {
-	at   policy.Tenths
-	m    Message
-	back bool
+	at         policy.Tenths
+	message    Message
+	isResponse bool
 }
 
-func newWire(seed uint64) *wire {
-	w := &wire{now: 1000000, r: NewReceiver(), chance: rand.New(rand.NewPCG(seed, 1)), carried: map[uint32]int{}, ended: map[uint32]Outcome{}, work: 50}
-	w.s = NewSender(NewTransactionIDs(5), seed, w)
-	return w
+func newLossyNetwork(seed uint64) *lossyNetwork {
+	n := &lossyNetwork{now: 1000000, receiver: NewReceiver(), random: rand.New(rand.NewPCG(seed, 1)), executions: map[uint32]int{}, outcomes: map[uint32]Outcome{}, processingTime: 50}
+	n.sender = NewSender(NewTransactionIDs(5), seed, n)
+	return n
 }
 
-func (w *wire) put(m Message, back bool) {
+func (n *lossyNetwork) deliver(msg Message, isResponse bool) {
 	copies := 1
-	if w.chance.Float64() < w.double {
+	if n.random.Float64() < n.duplication {
 		copies = 2
 	}
 	for range copies {
-		if w.chance.Float64() >= w.loss {
-			w.on = append(w.on, packet{w.now + 100 + policy.Tenths(w.chance.Int64N(int64(w.slow)+1)), m, back})
+		if n.random.Float64() >= n.loss {
+			n.inFlight = append(n.inFlight, packet{n.now + 100 + policy.Tenths(n.random.Int64N(int64(n.maxDelay)+1)), msg, isResponse})
 		}
 	}
 }
 
-func (w *wire) Transmit(m Message, _ int) { w.sends++; w.put(m, false) }
+func (n *lossyNetwork) Transmit(msg Message, _ int) { n.transmissions++; n.deliver(msg, false) }
 
-func (w *wire) HandleOutcome(id uint32, f Outcome, r Message) {
-	if f == PeerSuspect {
+func (n *lossyNetwork) HandleOutcome(id uint32, outcome Outcome, response Message) {
+	if outcome == PeerSuspect {
 		return
 	}
-	if _, twice := w.ended[id]; twice {
-		w.broken = append(w.broken, fmt.Sprintf("transaction %d ends twice", id))
+	if _, twice := n.outcomes[id]; twice {
+		n.violations = append(n.violations, fmt.Sprintf("transaction %d ends twice", id))
 	}
-	if f == Answered && r.Code != 200 {
-		w.broken = append(w.broken, fmt.Sprintf("transaction %d ends with %d", id, r.Code))
+	if outcome == Answered && response.Code != 200 {
+		n.violations = append(n.violations, fmt.Sprintf("transaction %d ends with %d", id, response.Code))
 	}
-	w.ended[id] = f
+	n.outcomes[id] = outcome
 }
 
-func (w *wire) pass(by policy.Tenths) {
-	for end := w.now + by; w.now < end; {
-		w.now = min(end, w.now+50)
-		for i := 0; i < len(w.on); {
-			p := w.on[i]
-			if p.at > w.now {
+func (n *lossyNetwork) advance(duration policy.Tenths) {
+	for end := n.now + duration; n.now < end; {
+		n.now = min(end, n.now+50)
+		for i := 0; i < len(n.inFlight); {
+			arrived := n.inFlight[i]
+			if arrived.at > n.now {
 				i++
 				continue
 			}
-			w.on = slices.Delete(w.on, i, i+1)
+			n.inFlight = slices.Delete(n.inFlight, i, i+1)
 			switch {
-			case p.back:
-				w.s.HandleResponse(w.now, p.m)
-			case p.m.IsAcknowledgement():
-				w.r.HandleAck(p.m.Transaction)
+			case arrived.isResponse:
+				n.sender.HandleResponse(n.now, arrived.message)
+			case arrived.message.IsAcknowledgement():
+				n.receiver.HandleAck(arrived.message.Transaction)
 			default:
-				carryOut, reply := w.r.HandleCommand(w.now, p.m)
-				if carryOut {
-					w.carried[p.m.Transaction]++
-					w.doing = append(w.doing, packet{at: w.now + w.work, m: p.m})
+				execute, reply := n.receiver.HandleCommand(n.now, arrived.message)
+				if execute {
+					n.executions[arrived.message.Transaction]++
+					n.executing = append(n.executing, packet{at: n.now + n.processingTime, message: arrived.message})
 				}
 				if reply != nil {
-					w.put(*reply, true)
+					n.deliver(*reply, true)
 				}
 			}
 		}
-		for i := 0; i < len(w.doing); {
-			if d := w.doing[i]; d.at <= w.now {
-				w.doing = slices.Delete(w.doing, i, i+1)
-				w.put(w.r.StoreResponse(w.now, Message{Transaction: d.m.Transaction, Code: 200}), true)
+		for i := 0; i < len(n.executing); {
+			if command := n.executing[i]; command.at <= n.now {
+				n.executing = slices.Delete(n.executing, i, i+1)
+				n.deliver(n.receiver.StoreResponse(n.now, Message{Transaction: command.message.Transaction, Code: 200}), true)
 			} else {
 				i++
 			}
 		}
-		if at, ok := w.s.Next(); ok && at <= w.now {
-			w.s.Tick(w.now)
+		if at, ok := n.sender.Next(); ok && at <= n.now {
+			n.sender.Tick(n.now)
 		}
 	}
 }
 
 // Whatever the network loses, doubles and delays: a command is carried out at most once, and ends exactly once, by TMax.
-func TestCommandsAreCarriedOutAtMostOnceAndEndOnce(t *testing.T) {
+func TestCommandsExecuteAtMostOnceAndFinishOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWire(rapid.Uint64().Draw(t, "seed"))
-		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.7, 1}).Draw(t, "loss")
-		w.double = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "double")
-		w.slow = rapid.SampledFrom([]policy.Tenths{0, 3000, 30000}).Draw(t, "slow")
-		w.work = rapid.SampledFrom([]policy.Tenths{10, 4000, 60000}).Draw(t, "work")
+		network := newLossyNetwork(rapid.Uint64().Draw(t, "seed"))
+		network.loss = rapid.SampledFrom([]float64{0, 0.05, 0.2, 0.7, 1}).Draw(t, "loss")
+		network.duplication = rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "double")
+		network.maxDelay = rapid.SampledFrom([]policy.Tenths{0, 3000, 30000}).Draw(t, "slow")
+		network.processingTime = rapid.SampledFrom([]policy.Tenths{10, 4000, 60000}).Draw(t, "work")
 		var ids []uint32
 		for range rapid.IntRange(1, 20).Draw(t, "commands") {
-			ids = append(ids, w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"}))
-			w.pass(policy.Tenths(rapid.IntRange(0, 5000).Draw(t, "gap")))
+			ids = append(ids, network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"}))
+			network.advance(policy.Tenths(rapid.IntRange(0, 5000).Draw(t, "gap")))
 		}
-		w.pass(TMax + 1000)
+		network.advance(TMax + 1000)
 		for _, id := range ids {
-			if _, ok := w.ended[id]; !ok || w.carried[id] > 1 || w.ended[id] == Answered && w.carried[id] == 0 {
-				t.Fatalf("transaction %d carried out %d times, ended %v", id, w.carried[id], ok)
+			if _, ok := network.outcomes[id]; !ok || network.executions[id] > 1 || network.outcomes[id] == Answered && network.executions[id] == 0 {
+				t.Fatalf("transaction %d carried out %d times, ended %v", id, network.executions[id], ok)
 			}
 		}
-		if len(w.broken) > 0 {
-			t.Fatal(w.broken)
+		if len(network.violations) > 0 {
+			t.Fatal(network.violations)
 		}
-		w.pass(THist + TMax)
-		w.r.purge(w.now)
-		if w.r.StoredResponses() > 0 {
-			t.Fatalf("%d responses are kept for ever", w.r.StoredResponses())
+		network.advance(THist + TMax)
+		network.receiver.purge(network.now)
+		if network.receiver.StoredResponses() > 0 {
+			t.Fatalf("%d responses are kept for ever", network.receiver.StoredResponses())
 		}
 	})
 }
 
-func TestRepeatsFollowThePeersAnswerTimeAndStop(t *testing.T) {
-	w := newWire(1)
+func TestRetransmissionTimeoutAdaptsAndStops(t *testing.T) {
+	network := newLossyNetwork(1)
 	for range 50 { // a quick peer
-		w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
-		w.pass(1000)
+		network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
+		network.advance(1000)
 	}
-	if w.sends != 50 || w.s.rto() > 1000 {
-		t.Fatalf("%d sends for 50 commands, the wait is %d", w.sends, w.s.rto())
+	if network.transmissions != 50 || network.sender.rto() > 1000 {
+		t.Fatalf("%d sends for 50 commands, the wait is %d", network.transmissions, network.sender.rto())
 	}
-	w.loss = 1
-	w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
-	w.pass(TMax)
-	if extra := w.sends - 51; extra != maxRetransmissions {
+	network.loss = 1
+	network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
+	network.advance(TMax)
+	if extra := network.transmissions - 51; extra != maxRetransmissions {
 		t.Fatalf("%d repeats to a peer that is gone", extra)
 	}
-	w = newWire(1)
-	w.work = 6000 // a peer that takes 600 ms: repeats stop once that is learned
+	network = newLossyNetwork(1)
+	network.processingTime = 6000 // a peer that takes 600 ms: repeats stop once that is learned
 	for range 30 {
-		w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
-		w.pass(10000)
+		network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
+		network.advance(10000)
 	}
-	before := w.sends
+	before := network.transmissions
 	for range 30 {
-		w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
-		w.pass(10000)
+		network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
+		network.advance(10000)
 	}
-	if extra := w.sends - before - 30; extra > 30 {
+	if extra := network.transmissions - before - 30; extra > 30 {
 		t.Fatalf("%d repeats and acknowledgements for 30 commands to a slow peer", extra)
 	}
 }
 
-func TestIdsAreNotUsedAgainBeforeTheirTime(t *testing.T) {
-	w := newWire(2)
-	w.s.ids.next = maxID - 1
+func TestTransactionIDsAreNotReusedEarly(t *testing.T) {
+	network := newLossyNetwork(2)
+	network.sender.ids.next = maxID - 1
 	seen := map[uint32]policy.Tenths{}
 	for range 30 {
-		id := w.s.Send(w.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
-		if at, used := seen[id]; used && w.now < at+THist {
-			t.Fatalf("id %d is used again after %d", id, w.now-at)
+		id := network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
+		if at, used := seen[id]; used && network.now < at+THist {
+			t.Fatalf("id %d is used again after %d", id, network.now-at)
 		}
-		seen[id] = w.now
-		w.pass(500)
-		w.s.ids.next = maxID - 1 // as if a thousand million commands had passed
+		seen[id] = network.now
+		network.advance(500)
+		network.sender.ids.next = maxID - 1 // as if a thousand million commands had passed
 	}
 }
 
-func TestAcknowledgementsAreWrittenAsRanges(t *testing.T) {
+func TestFormatIDRanges(t *testing.T) {
 	if got := formatIDRanges([]uint32{6234, 6235, 6236, 6257, 6259}); got != "6234-6236, 6257, 6259" {
 		t.Fatal(got)
 	}
 }
 
-func (w *wire) HandleConflict(id uint32, first int, r Message) { w.against = append(w.against, r.Code) }
+func (n *lossyNetwork) HandleConflict(id uint32, first int, response Message) {
+	n.conflicts = append(n.conflicts, response.Code)
+}
 
 // The first of two different answers counts, and the second is told of; a repeat of the first is not.
-func TestSecondOtherAnswerIsToldOf(t *testing.T) {
-	w := newWire(3)
-	id := w.s.Send(w.now, Message{Verb: CreateConnection, Endpoint: "a@b"})
-	answer := Message{Transaction: id, Code: 200, Params: []Param{{"I", "1"}}}
-	w.s.HandleResponse(w.now+10, answer)
-	w.s.HandleResponse(w.now+20, answer)
-	w.s.HandleResponse(w.now+30, Message{Transaction: id, Code: 200, Params: []Param{{"I", "2"}}})
-	if w.ended[id] != Answered || len(w.against) != 1 || len(w.broken) > 0 {
-		t.Fatal(w.ended, w.against, w.broken)
+func TestConflictingResponseIsReported(t *testing.T) {
+	network := newLossyNetwork(3)
+	id := network.sender.Send(network.now, Message{Verb: CreateConnection, Endpoint: "a@b"})
+	response := Message{Transaction: id, Code: 200, Params: []Param{{"I", "1"}}}
+	network.sender.HandleResponse(network.now+10, response)
+	network.sender.HandleResponse(network.now+20, response)
+	network.sender.HandleResponse(network.now+30, Message{Transaction: id, Code: 200, Params: []Param{{"I", "2"}}})
+	if network.outcomes[id] != Answered || len(network.conflicts) != 1 || len(network.violations) > 0 {
+		t.Fatal(network.outcomes, network.conflicts, network.violations)
 	}
 }
 
 // A gateway that counts anew uses an id again while the answer to the old command is kept: the new command is carried out.
-func TestOtherCommandUnderAKeptIdIsCarriedOut(t *testing.T) {
-	r := NewReceiver()
+func TestReusedIDWithNewCommandIsExecuted(t *testing.T) {
+	receiver := NewReceiver()
 	off := Message{Verb: Notify, Transaction: 7, Endpoint: "a@b", Params: []Param{{"X", "1"}, {"O", "L/hd"}}}
 	on := Message{Verb: Notify, Transaction: 7, Endpoint: "a@b", Params: []Param{{"X", "2"}, {"O", "L/hu"}}}
 	for i, c := range []struct {
 		m    Message
 		want bool
 	}{{off, true}, {off, false}, {on, true}, {on, false}} {
-		carryOut, reply := r.HandleCommand(policy.Tenths(1000+i), c.m)
-		if carryOut != c.want || carryOut == (reply != nil) {
-			t.Fatalf("command %d: carried out %v, reply %v", i, carryOut, reply)
+		execute, reply := receiver.HandleCommand(policy.Tenths(1000+i), c.m)
+		if execute != c.want || execute == (reply != nil) {
+			t.Fatalf("command %d: carried out %v, reply %v", i, execute, reply)
 		}
-		if carryOut {
-			r.StoreResponse(policy.Tenths(1000+i), Message{Transaction: 7, Code: 200})
+		if execute {
+			receiver.StoreResponse(policy.Tenths(1000+i), Message{Transaction: 7, Code: 200})
 		}
 	}
 }
