--- a/cmd/indigodrift/soak_test.go
+++ b/cmd/indigodrift/soak_test.go
@@ -48,9 +48,9 @@
 // releases and answers, and the release time after each way in which a try can end.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	runs := map[soakRun]soak.Rule{
-		{from: 15, plant: "release"}:                soak.RuleTold,
-		{from: 15, plant: "answer"}:                 soak.RuleAnswered,
-		{from: 5, plant: "standing", only: "twice"}: soak.RuleBothSides,
+		{from: 15, plant: "release"}:                soak.RuleReleaseDelivery,
+		{from: 15, plant: "answer"}:                 soak.RuleFinalAnswer,
+		{from: 5, plant: "standing", only: "twice"}: soak.RuleEndedAtSwitch,
 	}
 	for _, end := range []string{"broke", "released", "spoilt", "cut", "short", "never", "late", "reset-read", "reset-unread"} {
 		runs[soakRun{from: 2, plant: "early", only: end}] = soak.RuleReleaseTime
@@ -64,7 +64,7 @@
 
 // If a release by a switch ends whichever try of its call is pending, the soak must report a call that goes on at its switch.
 func TestSoakFindsPlantedCrossing(t *testing.T) {
-	findsPlantedFault(t, soakRun{from: 3, plant: "crossing", only: "never"}, soak.RuleBothSides)
+	findsPlantedFault(t, soakRun{from: 3, plant: "crossing", only: "never"}, soak.RuleEndedAtSwitch)
 }
 
 // findsPlantedFault checks that a run with an injected fault fails, names the rule and prints how to repeat the seed.
--- a/internal/soak/board.go
+++ b/internal/soak/board.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	boardBeat     = time.Second
-	boardOldStays = 1500 * time.Millisecond // how long open connections stay after the board has moved
+	boardKeepaliveInterval = time.Second
+	movedBoardLinger       = 1500 * time.Millisecond // how long open connections stay after the board has moved
 
 	// When news count as told, from the page: after the board's silence or a new configuration, after a break, and after it was away.
-	toldAfterSilence = 4 * time.Second
-	toldAfterBreak   = 2 * time.Second
-	toldAfterLoss    = 6 * time.Second
+	silenceRecoveryTime    = 4 * time.Second
+	truncationRecoveryTime = 2 * time.Second
+	outageRecoveryTime     = 6 * time.Second
 )
 
 // Board is the notice board as one controller reaches it.
 type Board struct {
 	log        *Log
 	controller int
-	twice      bool // events are written twice
+	duplicate  bool // events are written twice
 
-	mu     sync.Mutex
-	events []board.Event
-	ln     net.Listener
-	at     string
-	conns  map[*boardConn]struct{}
-	away   int // losses that are not over
+	mu       sync.Mutex
+	events   []board.Event
+	listener net.Listener
+	address  string
+	conns    map[*boardConn]struct{}
+	outages  int // losses that are not over
 }
 
 type boardConn struct {
-	c     net.Conn
-	mu    sync.Mutex
-	mute  bool
-	told  uint64
-	ended chan struct{}
+	netConn  net.Conn
+	mu       sync.Mutex
+	silenced bool
+	lastSent uint64
+	closed   chan struct{}
 }
 
-func newBoard(log *Log, controller int, twice bool) *Board {
-	return &Board{log: log, controller: controller, twice: twice, conns: map[*boardConn]struct{}{}}
+func newBoard(log *Log, controller int, duplicate bool) *Board {
+	return &Board{log: log, controller: controller, duplicate: duplicate, conns: map[*boardConn]struct{}{}}
 }
 
 // listen takes connections at an address, and at none that it had before.
@@ -54,47 +54,47 @@
 		return fmt.Errorf("notice board: %w", err)
 	}
 	b.mu.Lock()
-	b.ln, b.at = ln, address
+	b.listener, b.address = ln, address
 	b.mu.Unlock()
 	go func() {
 		for {
-			c, err := ln.Accept()
+			netConn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go b.serve(&boardConn{c: c, ended: make(chan struct{})})
+			go b.serve(&boardConn{netConn: netConn, closed: make(chan struct{})})
 		}
 	}()
 	return nil
 }
 
 // serve tells one connection all events after the one that it names, and the later ones as they come.
-func (b *Board) serve(c *boardConn) {
-	var from [8]byte
-	if _, err := io.ReadFull(c.c, from[:]); err != nil {
-		c.c.Close()
+func (b *Board) serve(conn *boardConn) {
+	var lastSeen [8]byte
+	if _, err := io.ReadFull(conn.netConn, lastSeen[:]); err != nil {
+		conn.netConn.Close()
 		return
 	}
-	c.told = binary.BigEndian.Uint64(from[:])
+	conn.lastSent = binary.BigEndian.Uint64(lastSeen[:])
 	b.mu.Lock()
-	b.conns[c] = struct{}{}
+	b.conns[conn] = struct{}{}
 	b.mu.Unlock()
 	go func() { // it says nothing more; its end ends the care
-		_, _ = io.Copy(io.Discard, c.c) // only the end matters
-		close(c.ended)
+		_, _ = io.Copy(io.Discard, conn.netConn) // only the end matters
+		close(conn.closed)
 	}()
-	b.push(c)
+	b.sendPending(conn)
 	for {
 		select {
-		case <-c.ended:
+		case <-conn.closed:
 			b.mu.Lock()
-			delete(b.conns, c)
+			delete(b.conns, conn)
 			b.mu.Unlock()
-			c.c.Close()
+			conn.netConn.Close()
 			return
-		case <-time.After(boardBeat):
-			b.push(c)
-			c.write(board.AppendKeepalive(nil, c.told))
+		case <-time.After(boardKeepaliveInterval):
+			b.sendPending(conn)
+			conn.write(board.AppendKeepalive(nil, conn.lastSent))
 		}
 	}
 }
@@ -102,44 +102,44 @@
 func (c *boardConn) write(frame []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.mute {
+	if c.silenced {
 		return false
 	}
-	_ = c.c.SetWriteDeadline(time.Now().Add(writeWithin)) // a connection that is gone is found by its reader
-	_, err := c.c.Write(frame)
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a connection that is gone is found by its reader
+	_, err := c.netConn.Write(frame)
 	return err == nil
 }
 
-// push tells a connection what it was not told yet.
-func (b *Board) push(c *boardConn) {
+// sendPending tells a connection what it was not told yet.
+func (b *Board) sendPending(conn *boardConn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, e := range b.events {
-		if e.Number <= c.told {
+	for _, event := range b.events {
+		if event.Number <= conn.lastSent {
 			continue
 		}
-		frame, err := board.AppendFrame(nil, e)
-		if err != nil || !c.write(frame) || b.twice && !c.write(frame) {
+		frame, err := board.AppendFrame(nil, event)
+		if err != nil || !conn.write(frame) || b.duplicate && !conn.write(frame) {
 			return
 		}
-		c.told = e.Number
-		b.log.Add(Event{Kind: ListTold, Controller: b.controller, Number: e.Number})
+		conn.lastSent = event.Number
+		b.log.Add(Event{Kind: ListSent, Controller: b.controller, Number: event.Number})
 	}
 }
 
-// tell adds an event and tells it to all.
-func (b *Board) tell(e board.Event) {
+// publish adds an event and tells it to all.
+func (b *Board) publish(event board.Event) {
 	b.mu.Lock()
-	b.events = append(b.events, e)
-	conns := b.open()
+	b.events = append(b.events, event)
+	conns := b.openConns()
 	b.mu.Unlock()
 	for _, c := range conns {
-		b.push(c)
+		b.sendPending(c)
 	}
 }
 
-// open lists the connections; b.mu is held.
-func (b *Board) open() []*boardConn {
+// openConns lists the connections; b.mu is held.
+func (b *Board) openConns() []*boardConn {
 	var conns []*boardConn
 	for c := range b.conns {
 		conns = append(conns, c)
@@ -147,99 +147,99 @@
 	return conns
 }
 
-// known is what a controller is told at its start, and the board's address.
-func (b *Board) known() ([]board.Event, string) {
+// snapshot is what a controller is told at its start, and the board's address.
+func (b *Board) snapshot() ([]board.Event, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]board.Event(nil), b.events...), b.at
+	return append([]board.Event(nil), b.events...), b.address
 }
 
 // silence has the open connections say nothing more. They stay open.
 func (b *Board) silence() {
-	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Span: toldAfterSilence, Text: "silent"})
-	b.mute()
-	b.log.Add(Event{Kind: BoardBack, Controller: b.controller})
+	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: silenceRecoveryTime, Detail: "silent"})
+	b.silenceConns()
+	b.log.Add(Event{Kind: BoardRestored, Controller: b.controller})
 }
 
-func (b *Board) mute() []*boardConn {
+func (b *Board) silenceConns() []*boardConn {
 	b.mu.Lock()
-	conns := b.open()
+	conns := b.openConns()
 	b.mu.Unlock()
 	for _, c := range conns {
 		c.mu.Lock()
-		c.mute = true
+		c.silenced = true
 		c.mu.Unlock()
 	}
 	return conns
 }
 
-// breakOff ends the open connections within an event.
-func (b *Board) breakOff() {
-	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Span: toldAfterBreak, Text: "breaks off"})
+// truncateEvent ends the open connections within an event.
+func (b *Board) truncateEvent() {
+	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: truncationRecoveryTime, Detail: "breaks off"})
 	half := board.AppendKeepalive(nil, 1)
 	b.mu.Lock()
-	conns := b.open()
+	conns := b.openConns()
 	b.mu.Unlock()
 	for _, c := range conns {
 		c.write(half[:len(half)/2])
-		c.c.Close()
+		c.netConn.Close()
 	}
-	b.log.Add(Event{Kind: BoardBack, Controller: b.controller})
+	b.log.Add(Event{Kind: BoardRestored, Controller: b.controller})
 }
 
-// lose has the board refuse connections and reset those that are open, until the returned function is called.
-func (b *Board) lose() (back func() error) {
-	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Span: toldAfterLoss, Text: "away"})
+// stop has the board refuse connections and reset those that are open, until the returned function is called.
+func (b *Board) stop() (restart func() error) {
+	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: outageRecoveryTime, Detail: "away"})
 	b.mu.Lock()
-	b.ln.Close()
-	b.away++
-	conns := b.open()
+	b.listener.Close()
+	b.outages++
+	conns := b.openConns()
 	b.mu.Unlock()
 	for _, c := range conns {
-		c.c.Close()
+		c.netConn.Close()
 	}
 	return func() error {
 		b.mu.Lock()
-		b.away--
-		at, away := b.at, b.away
+		b.outages--
+		address, outages := b.address, b.outages
 		b.mu.Unlock()
-		if away == 0 {
-			if err := b.listen(at); err != nil {
+		if outages == 0 {
+			if err := b.listen(address); err != nil {
 				return err
 			}
 		}
-		b.log.Add(Event{Kind: BoardBack, Controller: b.controller})
+		b.log.Add(Event{Kind: BoardRestored, Controller: b.controller})
 		return nil
 	}
 }
 
 // move has the board listen at another address. The old one takes no connection and tells nothing more; its open ones close later.
 func (b *Board) move(address string) error {
-	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Span: toldAfterSilence, Text: "moved"})
+	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: silenceRecoveryTime, Detail: "moved"})
 	b.mu.Lock()
-	b.ln.Close()
-	b.at = address
-	away := b.away
+	b.listener.Close()
+	b.address = address
+	outages := b.outages
 	b.mu.Unlock()
-	for _, c := range b.mute() {
-		time.AfterFunc(boardOldStays, func() { c.c.Close() })
+	for _, c := range b.silenceConns() {
+		time.AfterFunc(movedBoardLinger, func() { c.netConn.Close() })
 	}
-	if away == 0 { // else it listens there once it is back
+	if outages == 0 { // else it listens there once it is back
 		if err := b.listen(address); err != nil {
 			return err
 		}
 	}
-	b.log.Add(Event{Kind: BoardBack, Controller: b.controller})
+	b.log.Add(Event{Kind: BoardRestored, Controller: b.controller})
 	return nil
 }
 
-// end closes the board.
-func (b *Board) end() {
+// close closes the board.
+func (b *Board) close() {
 	b.mu.Lock()
-	b.ln.Close()
-	conns := b.open()
+	b.listener.Close()
+	conns := b.openConns()
 	b.mu.Unlock()
 	for _, c := range conns {
-		c.c.Close()
+		c.netConn.Close()
 	}
 }
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -13,477 +13,477 @@
 )
 
 const (
-	idleClose   = 4 * time.Second // callers close a connection after so long with no call on it
-	crossWithin = 50 * time.Millisecond
-	dialWithin  = 500 * time.Millisecond
-	answerLater = 900 * time.Millisecond // how late AnswerLate is, at most
-	noneFreeFor = 200 * time.Millisecond // after a planned end has begun to show, a new connection is made where none is open
-	standMost   = 4096                   // calls that a group remembers
-	briefLeast  = 5 * time.Millisecond   // what calls with little time left have
-	briefMost   = 250 * time.Millisecond
+	callerIdleTimeout   = 4 * time.Second // callers close a connection after so long with no call on it
+	closeCrossingTime   = 50 * time.Millisecond
+	dialTimeout         = 500 * time.Millisecond
+	maxResponseDelay    = 900 * time.Millisecond // how late RespondLate is, at most
+	shutdownDialTime    = 200 * time.Millisecond // after a planned end has begun to show, a new connection is made where none is open
+	maxRememberedCalls  = 4096                   // calls that a group remembers
+	minShortAbandonTime = 5 * time.Millisecond   // what calls with little time left have
+	maxShortAbandonTime = 250 * time.Millisecond
 )
 
-// admission is what the front allows callers towards a controller.
-type admission uint8
+// access is what the front allows callers towards a controller.
+type access uint8
 
 const (
-	admitAll  admission = iota
-	admitOpen           // requests on open connections only: the controller is told to end
-	admitNone           // it is down
+	accessFull      access = iota
+	accessOpenConns        // requests on open connections only: the controller is told to end
+	accessNone             // it is down
 )
 
-// Callers are the callers of one controller.
-type Callers struct {
+// CallerGroup are the callers of one controller.
+type CallerGroup struct {
 	log        *Log
 	plan       Plan
-	own        CallerPlan
+	groupPlan  CallerPlan
 	controller int
 	address    string
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	admit    admission
-	openFrom time.Duration // since when it is so
-	open     []*callerLink
-	calls    map[string]*placedCall
-	number   int
-	paused   bool // callers call no more
-	stopped  chan struct{}
-	all      sync.WaitGroup
+	mu             sync.Mutex
+	random         *rand.Rand
+	access         access
+	accessSince    time.Duration // since when it is so
+	openConns      []*callerConn
+	calls          map[string]*placedCall
+	lastCall       int
+	placingStopped bool // callers call no more
+	stopped        chan struct{}
+	wg             sync.WaitGroup
 }
 
-// callerLink is a connection of a caller.
-type callerLink struct {
-	conn     int
-	c        net.Conn
-	answer   ReleaseAnswer
-	mu       sync.Mutex // writes
-	usedAt   time.Duration
-	silenced bool
-	faulted  bool // the rig has reset it
-	closing  bool // its caller closes it
-	gone     bool
+// callerConn is a connection of a caller.
+type callerConn struct {
+	id              int
+	netConn         net.Conn
+	releaseResponse ReleaseResponse
+	writeMu         sync.Mutex // writes
+	lastSetUpAt     time.Duration
+	silenced        bool
+	reset           bool // the rig has reset it
+	closing         bool // its caller closes it
+	closed          bool
 }
 
 // placedCall is a call as its caller sees it.
 type placedCall struct {
-	id       string
-	link     *callerLink
-	sentAt   time.Duration
-	message  sip.Message
-	again    bool // it was sent once more already
-	answered bool
-	stands   bool
-	over     bool
-	givenUp  bool
-	at       uint32 // the switch where it stands
-	transit  int    // its destination from 1, where it is in transit
+	id          string
+	conn        *callerConn
+	sentAt      time.Duration
+	setUp       sip.Message
+	resent      bool // it was sent once more already
+	answered    bool
+	established bool
+	ended       bool
+	abandoned   bool
+	switchID    uint32 // the switch where it stands
+	transitDest int    // its destination from 1, where it is in transit
 }
 
-func newCallers(log *Log, plan Plan, controller int, address string) *Callers {
-	return &Callers{log: log, plan: plan, own: plan.Callers[controller], controller: controller, address: address, admit: admitNone,
+func newCallerGroup(log *Log, plan Plan, controller int, address string) *CallerGroup {
+	return &CallerGroup{log: log, plan: plan, groupPlan: plan.Callers[controller], controller: controller, address: address, access: accessNone,
 		random: rand.New(rand.NewPCG(plan.Seed, uint64(0xca11e0+controller))), calls: map[string]*placedCall{}, stopped: make(chan struct{})}
 }
 
 // run has callers call until stop.
-func (g *Callers) run() {
+func (g *CallerGroup) run() {
 	for {
 		g.mu.Lock()
-		wait := time.Duration(g.random.ExpFloat64() / g.own.Rate * float64(time.Second))
+		delay := time.Duration(g.random.ExpFloat64() / g.groupPlan.CallsPerSecond * float64(time.Second))
 		g.mu.Unlock()
 		select {
 		case <-g.stopped:
 			return
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
-		g.closeIdle()
+		g.closeIdleConns()
 		g.mu.Lock()
-		paused := g.paused
+		placingStopped := g.placingStopped
 		g.mu.Unlock()
-		if !paused {
-			g.call()
+		if !placingStopped {
+			g.placeNewCall()
 		}
 	}
 }
 
-// allow says what the front allows from now on. With admitAll, after a start, callers come at once and tell of the calls that stand.
-func (g *Callers) allow(a admission) {
+// setAccess says what the front allows from now on. With accessFull, after a start, callers come at once and tell of the calls that stand.
+func (g *CallerGroup) setAccess(allowed access) {
 	g.mu.Lock()
-	g.admit, g.openFrom = a, g.log.Now()
-	var standing []*placedCall
-	if a == admitAll {
-		for _, k := range g.calls {
-			if k.stands && !k.over && g.random.IntN(5) > 0 {
-				standing = append(standing, k)
+	g.access, g.accessSince = allowed, g.log.Now()
+	var established []*placedCall
+	if allowed == accessFull {
+		for _, call := range g.calls {
+			if call.established && !call.ended && g.random.IntN(5) > 0 {
+				established = append(established, call)
 			}
 		}
 	}
 	g.mu.Unlock()
-	for _, k := range standing {
-		g.announce(k)
+	for _, call := range established {
+		g.announceCall(call)
 	}
 }
 
-func (g *Callers) announce(k *placedCall) {
-	l := g.connection()
-	if l == nil {
+func (g *CallerGroup) announceCall(call *placedCall) {
+	conn := g.pickConn()
+	if conn == nil {
 		return
 	}
 	g.mu.Lock()
-	k.link = l
+	call.conn = conn
 	g.mu.Unlock()
-	m := k.message
-	m.Fields = []sip.Field{{Name: "Priority-Class", Value: className}, {Name: "Expires-Ms", Value: "1000"}, {Name: "P-Trunk-Info", Value: "at:" + board.FormatID(k.at)}}
-	if g.write(l, &m) {
-		g.log.Add(Event{Kind: CallAnnounced, Controller: g.controller, Call: k.id, Conn: l.conn, Switch: k.at})
+	message := call.setUp
+	message.Fields = []sip.Field{{Name: "Priority-Class", Value: bearerName}, {Name: "Expires-Ms", Value: "1000"}, {Name: "P-Trunk-Info", Value: "at:" + board.FormatID(call.switchID)}}
+	if g.send(conn, &message) {
+		g.log.Add(Event{Kind: EstablishedCallAnnounced, Controller: g.controller, CallID: call.id, ConnID: conn.id, SwitchID: call.switchID})
 	}
 }
 
-// connection is the one for the next message: one of those that are open, or a new one where there are too few.
-func (g *Callers) connection() *callerLink {
+// pickConn is the one for the next message: one of those that are open, or a new one where there are too few.
+func (g *CallerGroup) pickConn() *callerConn {
 	g.mu.Lock()
-	if n := len(g.open); n > 0 && (n >= g.own.Connections || g.admit != admitAll) {
-		l := g.open[g.random.IntN(n)]
+	if n := len(g.openConns); n > 0 && (n >= g.groupPlan.Connections || g.access != accessFull) {
+		conn := g.openConns[g.random.IntN(n)]
 		g.mu.Unlock()
-		return l
+		return conn
 	}
-	if g.admit == admitNone || g.admit == admitOpen && g.log.Now()-g.openFrom > noneFreeFor {
+	if g.access == accessNone || g.access == accessOpenConns && g.log.Now()-g.accessSince > shutdownDialTime {
 		g.mu.Unlock()
 		return nil
 	}
-	answer := g.own.Answer[g.random.IntN(len(g.own.Answer))]
+	response := g.groupPlan.ReleaseResponses[g.random.IntN(len(g.groupPlan.ReleaseResponses))]
 	g.mu.Unlock()
-	c, err := net.DialTimeout("tcp", g.address, dialWithin)
+	netConn, err := net.DialTimeout("tcp", g.address, dialTimeout)
 	if err != nil {
 		return nil
 	}
-	l := &callerLink{conn: g.log.Conn(), c: c, answer: answer, usedAt: g.log.Now()}
+	conn := &callerConn{id: g.log.NewConnID(), netConn: netConn, releaseResponse: response, lastSetUpAt: g.log.Now()}
 	g.mu.Lock()
-	g.open = append(g.open, l)
+	g.openConns = append(g.openConns, conn)
 	g.mu.Unlock()
-	g.log.Add(Event{Kind: CallerOpened, Controller: g.controller, Conn: l.conn, Text: fmt.Sprint(c.LocalAddr())})
-	g.all.Go(func() { g.read(l) })
-	return l
+	g.log.Add(Event{Kind: CallerConnOpened, Controller: g.controller, ConnID: conn.id, Detail: fmt.Sprint(netConn.LocalAddr())})
+	g.wg.Go(func() { g.readConn(conn) })
+	return conn
 }
 
-func (g *Callers) write(l *callerLink, m *sip.Message) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	_ = l.c.SetWriteDeadline(time.Now().Add(writeWithin)) // a connection that is gone is found by its reader
-	_, err := l.c.Write(sip.Append(nil, m))
+func (g *CallerGroup) send(conn *callerConn, message *sip.Message) bool {
+	conn.writeMu.Lock()
+	defer conn.writeMu.Unlock()
+	_ = conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a connection that is gone is found by its reader
+	_, err := conn.netConn.Write(sip.Append(nil, message))
 	return err == nil
 }
 
-// className is the class that every plan has.
-const className = "voice"
+// bearerName is the class that every plan has.
+const bearerName = "voice"
 
-// call places one call.
-func (g *Callers) call() { g.place(false, "") }
+// placeNewCall places one call.
+func (g *CallerGroup) placeNewCall() { g.placeCall(false, "") }
 
-// place places one call; it may repeat one that was refused, and more may mark it.
-func (g *Callers) place(repeats bool, more string) {
-	l := g.connection()
-	if l == nil {
+// placeCall places one call; it may repeat one that was refused, and more may mark it.
+func (g *CallerGroup) placeCall(isRepeat bool, extraInfo string) {
+	conn := g.pickConn()
+	if conn == nil {
 		return
 	}
 	g.mu.Lock()
-	g.number++
-	id := fmt.Sprintf("%04x%04x%08x", g.plan.Seed&0xffff, g.controller, g.number)
+	g.lastCall++
+	id := fmt.Sprintf("%04x%04x%08x", g.plan.Seed&0xffff, g.controller, g.lastCall)
 	cell := (g.controller + 1 + g.random.IntN(g.plan.Controllers-1)) % g.plan.Controllers
-	expires := upTo(g.random, g.plan.Deadline/3, g.plan.Deadline)
-	if g.random.Float64() < g.own.Brief {
-		expires = upTo(g.random, briefLeast, briefMost)
+	expires := randomDuration(g.random, g.plan.MaxAbandonTime/3, g.plan.MaxAbandonTime)
+	if g.random.Float64() < g.groupPlan.ShortAbandonTimeShare {
+		expires = randomDuration(g.random, minShortAbandonTime, maxShortAbandonTime)
 	}
-	class := g.plan.Classes[g.random.IntN(len(g.plan.Classes))].Name
-	transit := 0
-	if g.random.Float64() < g.own.Transit {
-		transit = cell + 1
-		more += ";transit:1"
+	bearer := g.plan.Bearers[g.random.IntN(len(g.plan.Bearers))].Name
+	transitDest := 0
+	if g.random.Float64() < g.groupPlan.TransitShare {
+		transitDest = cell + 1
+		extraInfo += ";transit:1"
 	}
 	via := []int{-1, (cell + 1) % g.plan.Controllers}[g.random.IntN(2)]
-	impatient := g.random.Float64() < g.own.Impatient
-	patience := upTo(g.random, 0, expires)
-	m := sip.Message{Method: sip.Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("offer of " + id),
-		Fields: []sip.Field{{Name: "Priority-Class", Value: class}, {Name: "Expires-Ms", Value: strconv.Itoa(int(expires.Milliseconds()))},
-			{Name: "P-Trunk-Info", Value: fmt.Sprintf("dest:%d;width:1;via:%d%s", cell, via, more)}}}
-	if repeats {
-		m.Fields = append(m.Fields, sip.Field{Name: "P-Repeat", Value: "1"})
-	}
-	k := &placedCall{id: id, link: l, message: m, transit: transit}
-	g.forgetOld()
-	g.calls[id] = k
+	abandons := g.random.Float64() < g.groupPlan.AbandonShare
+	abandonAfter := randomDuration(g.random, 0, expires)
+	message := sip.Message{Method: sip.Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("offer of " + id),
+		Fields: []sip.Field{{Name: "Priority-Class", Value: bearer}, {Name: "Expires-Ms", Value: strconv.Itoa(int(expires.Milliseconds()))},
+			{Name: "P-Trunk-Info", Value: fmt.Sprintf("dest:%d;width:1;via:%d%s", cell, via, extraInfo)}}}
+	if isRepeat {
+		message.Fields = append(message.Fields, sip.Field{Name: "P-Repeat", Value: "1"})
+	}
+	call := &placedCall{id: id, conn: conn, setUp: message, transitDest: transitDest}
+	g.forgetFinishedCalls()
+	g.calls[id] = call
 	g.mu.Unlock()
-	g.send(k, l, expires)
-	if impatient {
-		g.all.Go(func() {
+	g.sendSetUp(call, conn, expires)
+	if abandons {
+		g.wg.Go(func() {
 			select {
-			case <-time.After(patience):
-				g.giveUp(k)
+			case <-time.After(abandonAfter):
+				g.abandonCall(call)
 			case <-g.stopped:
 			}
 		})
 	}
 }
 
-// forgetOld bounds what is remembered; g.mu is held.
-func (g *Callers) forgetOld() {
-	if len(g.calls) < standMost {
+// forgetFinishedCalls bounds what is remembered; g.mu is held.
+func (g *CallerGroup) forgetFinishedCalls() {
+	if len(g.calls) < maxRememberedCalls {
 		return
 	}
-	for id, k := range g.calls {
-		if k.over || k.answered && !k.stands {
+	for id, call := range g.calls {
+		if call.ended || call.answered && !call.established {
 			delete(g.calls, id)
 		}
 	}
 }
 
-// send writes a call's set-up. It counts as sent from just before its last octet is written.
-func (g *Callers) send(k *placedCall, l *callerLink, expires time.Duration) {
+// sendSetUp writes a call's set-up. It counts as sent from just before its last octet is written.
+func (g *CallerGroup) sendSetUp(call *placedCall, conn *callerConn, expires time.Duration) {
 	g.mu.Lock()
-	if l.gone { // it ended as it was chosen: nothing is sent
-		delete(g.calls, k.id)
+	if conn.closed { // it ended as it was chosen: nothing is sent
+		delete(g.calls, call.id)
 		g.mu.Unlock()
 		return
 	}
-	k.link = l
-	k.sentAt = g.log.Now()
-	l.usedAt = k.sentAt
-	text := ""
-	if k.again {
-		text = "again"
+	call.conn = conn
+	call.sentAt = g.log.Now()
+	conn.lastSetUpAt = call.sentAt
+	detail := ""
+	if call.resent {
+		detail = "again"
 	}
-	g.log.Add(Event{Kind: CallSent, Controller: g.controller, Call: k.id, Conn: l.conn, Cell: k.transit, Span: expires, Text: text}) // before its connection can be seen to end
+	g.log.Add(Event{Kind: SetUpSent, Controller: g.controller, CallID: call.id, ConnID: conn.id, Cell: call.transitDest, Duration: expires, Detail: detail}) // before its connection can be seen to end
 	g.mu.Unlock()
-	g.write(l, &k.message)
+	g.send(conn, &call.setUp)
 }
 
-func (g *Callers) giveUp(k *placedCall) {
+func (g *CallerGroup) abandonCall(call *placedCall) {
 	g.mu.Lock()
-	done := k.answered || k.over || k.link.gone
+	done := call.answered || call.ended || call.conn.closed
 	if !done {
-		k.givenUp, k.over = true, true
+		call.abandoned, call.ended = true, true
 	}
-	l := k.link
+	conn := call.conn
 	g.mu.Unlock()
 	if done {
 		return
 	}
-	g.log.Add(Event{Kind: CallGivenUp, Controller: g.controller, Call: k.id, Conn: l.conn, Text: "cancelled"})
-	g.write(l, &sip.Message{Method: sip.Cancel, URI: k.message.URI, CallID: k.id, CSeq: 1})
+	g.log.Add(Event{Kind: CallAbandoned, Controller: g.controller, CallID: call.id, ConnID: conn.id, Detail: "cancelled"})
+	g.send(conn, &sip.Message{Method: sip.Cancel, URI: call.setUp.URI, CallID: call.id, CSeq: 1})
 }
 
-// read handles what comes on a connection until its end.
-func (g *Callers) read(l *callerLink) {
-	r := sip.NewReader(l.c)
+// readConn handles what comes on a connection until its end.
+func (g *CallerGroup) readConn(conn *callerConn) {
+	r := sip.NewReader(conn.netConn)
 	for {
-		m, err := r.Read()
+		message, err := r.Read()
 		if err != nil {
-			g.closed(l, err)
+			g.handleClose(conn, err)
 			return
 		}
 		switch {
-		case m.Status >= sip.OK && m.CSeqMethod == sip.Invite:
-			g.answered(l, &m)
-		case m.Method == sip.Bye:
-			g.toldOver(l, &m)
-		case m.Method == sip.Options:
-			passed := m.Response(sip.OK)
-			g.write(l, &passed)
+		case message.Status >= sip.OK && message.CSeqMethod == sip.Invite:
+			g.handleAnswer(conn, &message)
+		case message.Method == sip.Bye:
+			g.handleRelease(conn, &message)
+		case message.Method == sip.Options:
+			response := message.Response(sip.OK)
+			g.send(conn, &response)
 		}
 	}
 }
 
-func (g *Callers) answered(l *callerLink, m *sip.Message) {
-	text := ""
+func (g *CallerGroup) handleAnswer(conn *callerConn, message *sip.Message) {
+	body := ""
 	g.mu.Lock()
-	k := g.calls[m.CallID]
-	if k != nil {
-		k.answered = true
-		if m.Status == sip.OK && !k.givenUp {
-			k.stands = true
+	call := g.calls[message.CallID]
+	if call != nil {
+		call.answered = true
+		if message.Status == sip.OK && !call.abandoned {
+			call.established = true
 		}
 	}
-	release := k != nil && k.stands && g.random.Float64() < g.own.Release
-	after := upTo(g.random, 0, g.plan.Switches.HoldMax)
-	repeat := k != nil && m.Rejected() && !k.givenUp && !g.paused && g.random.Float64() < g.own.Repeat/2
+	releases := call != nil && call.established && g.random.Float64() < g.groupPlan.ReleaseShare
+	releaseAfter := randomDuration(g.random, 0, g.plan.Switches.MaxHoldingTime)
+	repeats := call != nil && message.Rejected() && !call.abandoned && !g.placingStopped && g.random.Float64() < g.groupPlan.RepeatShare/2
 	g.mu.Unlock()
-	if m.Status == sip.OK {
-		text = string(m.Body)
-		if k != nil {
+	if message.Status == sip.OK {
+		body = string(message.Body)
+		if call != nil {
 			var id uint32
-			if _, err := fmt.Sscanf(text, "answer of s-%08x", &id); err == nil {
+			if _, err := fmt.Sscanf(body, "answer of s-%08x", &id); err == nil {
 				g.mu.Lock()
-				k.at = id
+				call.switchID = id
 				g.mu.Unlock()
 			}
 		}
 	}
-	g.log.Add(Event{Kind: CallAnswered, Controller: g.controller, Call: m.CallID, Conn: l.conn, Status: m.Status, Text: text})
-	g.write(l, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: m.CallID, CSeq: 1})
-	if release {
-		g.all.Go(func() {
+	g.log.Add(Event{Kind: AnswerRead, Controller: g.controller, CallID: message.CallID, ConnID: conn.id, Status: message.Status, Detail: body})
+	g.send(conn, &sip.Message{Method: sip.Ack, URI: "sip:x@net", CallID: message.CallID, CSeq: 1})
+	if releases {
+		g.wg.Go(func() {
 			select {
-			case <-time.After(after):
-				g.release(k)
+			case <-time.After(releaseAfter):
+				g.releaseCall(call)
 			case <-g.stopped:
 			}
 		})
 	}
-	if repeat {
-		g.all.Go(func() { g.place(true, "") })
+	if repeats {
+		g.wg.Go(func() { g.placeCall(true, "") })
 	}
 }
 
-// release ends a call that stands, on any connection.
-func (g *Callers) release(k *placedCall) {
-	l := g.connection()
+// releaseCall ends a call that stands, on any connection.
+func (g *CallerGroup) releaseCall(call *placedCall) {
+	conn := g.pickConn()
 	g.mu.Lock()
-	done := k.over || l == nil || l.silenced
+	done := call.ended || conn == nil || conn.silenced
 	if !done {
-		k.over = true
+		call.ended = true
 	}
 	g.mu.Unlock()
 	if done {
 		return
 	}
-	g.log.Add(Event{Kind: CallReleased, Controller: g.controller, Call: k.id, Conn: l.conn})
-	g.write(l, &sip.Message{Method: sip.Bye, URI: k.message.URI, CallID: k.id, CSeq: 2, Fields: []sip.Field{{Name: "Reason", Value: "Q.850;cause=16"}}})
+	g.log.Add(Event{Kind: CallReleased, Controller: g.controller, CallID: call.id, ConnID: conn.id})
+	g.send(conn, &sip.Message{Method: sip.Bye, URI: call.setUp.URI, CallID: call.id, CSeq: 2, Fields: []sip.Field{{Name: "Reason", Value: "Q.850;cause=16"}}})
 }
 
-func (g *Callers) toldOver(l *callerLink, m *sip.Message) {
-	g.log.Add(Event{Kind: CallToldOver, Controller: g.controller, Call: m.CallID, Conn: l.conn})
+func (g *CallerGroup) handleRelease(conn *callerConn, message *sip.Message) {
+	g.log.Add(Event{Kind: ReleaseRead, Controller: g.controller, CallID: message.CallID, ConnID: conn.id})
 	g.mu.Lock()
-	k := g.calls[m.CallID]
-	if k != nil {
-		k.over = true
+	call := g.calls[message.CallID]
+	if call != nil {
+		call.ended = true
 	}
-	later := upTo(g.random, answerLater/3, answerLater)
-	comes := k != nil && !g.paused && cutOff(m) && g.random.Float64() < g.own.Again
+	delay := randomDuration(g.random, maxResponseDelay/3, maxResponseDelay)
+	redials := call != nil && !g.placingStopped && isAbnormalRelease(message) && g.random.Float64() < g.groupPlan.RedialShare
 	g.mu.Unlock()
-	if comes {
-		g.all.Go(func() { g.place(false, ";again:1") })
+	if redials {
+		g.wg.Go(func() { g.placeCall(false, ";again:1") })
 	}
-	heard := m.Response(sip.OK)
+	response := message.Response(sip.OK)
 	switch {
-	case l.answer == AnswerAtOnce && k != nil:
-		g.write(l, &heard)
-	case l.answer == AnswerLate:
-		time.AfterFunc(later, func() { g.write(l, &heard) })
+	case conn.releaseResponse == RespondImmediately && call != nil:
+		g.send(conn, &response)
+	case conn.releaseResponse == RespondLate:
+		time.AfterFunc(delay, func() { g.send(conn, &response) })
 	}
 }
 
-// cutOff tells that a release is no end of a call in the ordinary way.
-func cutOff(m *sip.Message) bool {
-	return m.Get("Reason") != fmt.Sprintf("Q.850;cause=%d", causeNormal)
+// isAbnormalRelease tells that a release is no end of a call in the ordinary way.
+func isAbnormalRelease(message *sip.Message) bool {
+	return message.Get("Reason") != fmt.Sprintf("Q.850;cause=%d", causeNormalClearing)
 }
 
-// closed handles the end of a connection. A set-up that crossed it goes again on a new one, once.
-func (g *Callers) closed(l *callerLink, err error) {
-	l.c.Close()
+// handleClose handles the end of a connection. A set-up that crossed it goes again on a new one, once.
+func (g *CallerGroup) handleClose(conn *callerConn, err error) {
+	conn.netConn.Close()
 	g.mu.Lock()
-	l.gone = true
-	text := err.Error()
+	conn.closed = true
+	reason := err.Error()
 	switch {
-	case l.closing:
-		text = "closed by its caller"
-	case l.faulted:
-		text = textFaulted
-	case l.silenced:
-		text = textSilenced
-	}
-	for i, other := range g.open {
-		if other == l {
-			g.open = append(g.open[:i:i], g.open[i+1:]...)
+	case conn.closing:
+		reason = "closed by its caller"
+	case conn.reset:
+		reason = resetByHarness
+	case conn.silenced:
+		reason = silencedByHarness
+	}
+	for i, other := range g.openConns {
+		if other == conn {
+			g.openConns = append(g.openConns[:i:i], g.openConns[i+1:]...)
 			break
 		}
 	}
 	var unanswered []*placedCall
-	for _, k := range g.calls {
-		if k.link == l && k.sentAt > 0 && !k.answered && !k.givenUp {
-			unanswered = append(unanswered, k)
+	for _, call := range g.calls {
+		if call.conn == conn && call.sentAt > 0 && !call.answered && !call.abandoned {
+			unanswered = append(unanswered, call)
 		}
 	}
 	g.mu.Unlock()
-	now := g.log.Add(Event{Kind: CallerClosed, Controller: g.controller, Conn: l.conn, Text: text})
-	for _, k := range unanswered {
-		g.log.Add(Event{Kind: CallUnanswered, Controller: g.controller, Call: k.id, Conn: l.conn, Text: text})
-		if now-k.sentAt <= crossWithin && !k.again && !l.faulted && !l.silenced {
-			g.again(k)
+	now := g.log.Add(Event{Kind: CallerConnClosed, Controller: g.controller, ConnID: conn.id, Detail: reason})
+	for _, call := range unanswered {
+		g.log.Add(Event{Kind: ConnEndedUnanswered, Controller: g.controller, CallID: call.id, ConnID: conn.id, Detail: reason})
+		if now-call.sentAt <= closeCrossingTime && !call.resent && !conn.reset && !conn.silenced {
+			g.resendSetUp(call)
 		}
 	}
 }
 
-func (g *Callers) again(k *placedCall) {
+func (g *CallerGroup) resendSetUp(call *placedCall) {
 	g.mu.Lock()
-	k.again = true
-	allowed := g.admit == admitAll
+	call.resent = true
+	mayResend := g.access == accessFull
 	g.mu.Unlock()
-	if !allowed {
+	if !mayResend {
 		return
 	}
-	if l := g.connection(); l != nil {
-		g.send(k, l, 0)
+	if conn := g.pickConn(); conn != nil {
+		g.sendSetUp(call, conn, 0)
 	}
 }
 
 const (
-	textFaulted  = "reset by the rig"
-	textSilenced = "silenced by the rig"
+	resetByHarness    = "reset by the rig"
+	silencedByHarness = "silenced by the rig"
 )
 
-// closeIdle closes connections that have had no call for long.
-func (g *Callers) closeIdle() {
+// closeIdleConns closes connections that have had no call for long.
+func (g *CallerGroup) closeIdleConns() {
 	g.mu.Lock()
-	busy := map[*callerLink]bool{}
-	for _, k := range g.calls {
-		if !k.answered && !k.givenUp || k.stands && !k.over {
-			busy[k.link] = true
+	busy := map[*callerConn]bool{}
+	for _, call := range g.calls {
+		if !call.answered && !call.abandoned || call.established && !call.ended {
+			busy[call.conn] = true
 		}
 	}
-	var idle []*callerLink
-	for _, l := range g.open {
-		if !busy[l] && g.log.Now()-l.usedAt > idleClose {
-			l.closing = true
-			idle = append(idle, l)
+	var idle []*callerConn
+	for _, conn := range g.openConns {
+		if !busy[conn] && g.log.Now()-conn.lastSetUpAt > callerIdleTimeout {
+			conn.closing = true
+			idle = append(idle, conn)
 		}
 	}
 	g.mu.Unlock()
-	for _, l := range idle {
-		l.c.Close()
+	for _, conn := range idle {
+		conn.netConn.Close()
 	}
 }
 
 // silence has nothing pass any more on the connections that are open now; reset resets them. pass is what the proxy does.
-func (g *Callers) fault(silence bool, pass func()) {
+func (g *CallerGroup) disruptConns(silence bool, apply func()) {
 	g.mu.Lock()
-	for _, l := range g.open {
-		l.silenced, l.faulted = l.silenced || silence, l.faulted || !silence
-		g.log.Add(Event{Kind: CallerSilenced, Controller: g.controller, Conn: l.conn})
+	for _, conn := range g.openConns {
+		conn.silenced, conn.reset = conn.silenced || silence, conn.reset || !silence
+		g.log.Add(Event{Kind: CallerConnDisrupted, Controller: g.controller, ConnID: conn.id})
 	}
 	if silence { // their callers go elsewhere with what comes next
-		for _, l := range g.open {
-			time.AfterFunc(idleClose, func() { l.c.Close() })
+		for _, conn := range g.openConns {
+			time.AfterFunc(callerIdleTimeout, func() { conn.netConn.Close() })
 		}
-		g.open = nil
+		g.openConns = nil
 	}
-	pass()
+	apply()
 	g.mu.Unlock()
 }
 
-// pause has no new call placed from now on.
-func (g *Callers) pause() {
+// stopPlacing has no new call placed from now on.
+func (g *CallerGroup) stopPlacing() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.paused = true
+	g.placingStopped = true
 }
 
 // stop ends all connections.
-func (g *Callers) stop() {
+func (g *CallerGroup) stop() {
 	close(g.stopped)
 	g.mu.Lock()
-	for _, l := range g.open {
-		l.closing = true
-		l.c.Close()
+	for _, conn := range g.openConns {
+		conn.closing = true
+		conn.netConn.Close()
 	}
 	g.mu.Unlock()
 }
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -19,44 +19,46 @@
 
 // Limits of each controller process.
 const (
-	memoryMB    = 64
-	descriptors = 384
+	memoryLimitMB   = 64
+	descriptorLimit = 384
 
-	readyWithin = 10 * time.Second
-	readyAsk    = 10 * time.Millisecond
-	sampleEvery = 250 * time.Millisecond
-	killTop     = 3 * time.Second // the longest deadline counts as no more
-	killAfter   = 700 * time.Millisecond
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	sampleInterval    = 250 * time.Millisecond
+	maxDrainTime      = 3 * time.Second // the longest deadline counts as no more
+	killMargin        = 700 * time.Millisecond
 )
 
 // Controller runs one call controller, life after life.
 type Controller struct {
-	log     *Log
-	number  int
-	plan    Plan
-	program string
-	plant   string
-	folder  string
-	listen  string
-	board   *Board
+	log          *Log
+	number       int
+	plan         Plan
+	program      string
+	plantedFault string
+	dir          string
+	listen       string
+	board        *Board
 
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	life     int
-	signaled bool // its end was asked for
-	ended    chan struct{}
-	memory   int // greatest resident memory, KiB
-	files    int // most descriptors
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	starts          int
+	exitRequested   bool // its end was asked for
+	exited          chan struct{}
+	peakMemoryKB    int // greatest resident memory, KiB
+	peakDescriptors int // most descriptors
 }
 
-func (c *Controller) file() string { return filepath.Join(c.folder, fmt.Sprintf("n%d.json", c.number)) }
+func (c *Controller) configPath() string {
+	return filepath.Join(c.dir, fmt.Sprintf("n%d.json", c.number))
+}
 
-// LogFile is where the process writes its log.
-func (c *Controller) LogFile() string {
-	return filepath.Join(c.folder, fmt.Sprintf("n%d.log", c.number))
+// LogPath is where the process writes its log.
+func (c *Controller) LogPath() string {
+	return filepath.Join(c.dir, fmt.Sprintf("n%d.log", c.number))
 }
 
-type instanceText struct {
+type instanceJSON struct {
 	ID        string `json:"instanceId"`
 	Address   string `json:"hostPort"`
 	Cell      int    `json:"cell"`
@@ -64,15 +66,15 @@
 	StartedMS int64  `json:"startedAtMs"`
 }
 
-type noticeText struct {
+type noticeJSON struct {
 	Rev  uint64 `json:"rev"`
 	Pool struct {
 		Reset     bool           `json:"reset"`
-		Instances []instanceText `json:"instances"`
+		Instances []instanceJSON `json:"instances"`
 	} `json:"pool"`
 }
 
-type configText struct {
+type configJSON struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Seed   string `json:"seed"`
@@ -84,7 +86,7 @@
 	} `json:"limits"`
 	Known struct {
 		Rev     uint64       `json:"rev"`
-		Notices []noticeText `json:"notices"`
+		Notices []noticeJSON `json:"notices"`
 	} `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
@@ -93,147 +95,147 @@
 
 // Settings that the judge holds controllers to.
 const (
-	releaseGuard = 300 * time.Millisecond
-	drainGrace   = 250 * time.Millisecond
-	coldFrom     = 0.3
-	rampTime     = 10 * time.Second
-	tipAfter     = 1500 * time.Millisecond
-	tipMultiple  = 3.0
+	releaseTime      = 300 * time.Millisecond
+	drainGrace       = 250 * time.Millisecond
+	initialCapacity  = 0.3
+	rampTime         = 10 * time.Second
+	overloadWindow   = 1500 * time.Millisecond
+	overloadMultiple = 3.0
 )
 
-func (c *Controller) settings() json.RawMessage {
-	var grades, holdings []string
-	for _, class := range c.plan.Classes {
-		grades = append(grades, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"worth":%g,"late_worth":0.3}`, class.Name, class.Aim.Milliseconds(), c.plan.Deadline.Milliseconds(), class.Worth))
-		holdings = append(holdings, strconv.Itoa(int((c.plan.Switches.HoldMax / 2).Milliseconds())))
+func (c *Controller) settingsJSON() json.RawMessage {
+	var grades, holdingTimes []string
+	for _, bearer := range c.plan.Bearers {
+		grades = append(grades, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"worth":%g,"late_worth":0.3}`, bearer.Name, bearer.GoSTarget.Milliseconds(), c.plan.MaxAbandonTime.Milliseconds(), bearer.Revenue))
+		holdingTimes = append(holdingTimes, strconv.Itoa(int((c.plan.Switches.MaxHoldingTime / 2).Milliseconds())))
 	}
 	return json.RawMessage(fmt.Sprintf(`{"replicas_of_me":%d,"family_info":{"self_no":%d,"shape":"mesh","release_guard":%d,"holding":[%s]},
 "grades":[%s],
 "policy_limits":{"cancel":true,"dial_timeout":500,"max_attempts":4,"retry_after":true,"max_retry_after":2000},
 "rules":{"cold_from":%g,"ramp_time":%d,"stop_sending_within":%d,"tip_after":%d,"tip_multiple":%g}}`,
-		c.plan.Controllers, c.number, releaseGuard.Milliseconds(), strings.Join(holdings, ","), strings.Join(grades, ","), coldFrom, rampTime.Milliseconds(), drainGrace.Milliseconds(), tipAfter.Milliseconds(), tipMultiple))
+		c.plan.Controllers, c.number, releaseTime.Milliseconds(), strings.Join(holdingTimes, ","), strings.Join(grades, ","), initialCapacity, rampTime.Milliseconds(), drainGrace.Milliseconds(), overloadWindow.Milliseconds(), overloadMultiple))
 }
 
-// configure writes the configuration as it is now.
-func (c *Controller) configure() error {
-	events, at := c.board.known()
-	var t configText
-	t.Name, t.Listen, t.Board = fmt.Sprintf("n%d", c.number), c.listen, at
-	t.Seed = fmt.Sprintf("%x", c.plan.Seed<<8|uint64(c.number))
-	t.Limits.Cores, t.Limits.MemoryMB, t.Limits.Sockets = 1, memoryMB, descriptors
-	for _, e := range events {
-		n := noticeText{Rev: e.Number}
-		n.Pool.Reset = e.Complete
-		for _, s := range e.Switches {
-			n.Pool.Instances = append(n.Pool.Instances, instanceText{board.FormatID(s.ID), s.Address, s.Cell, lifecycles[s.State], s.StartedMS})
+// writeConfig writes the configuration as it is now.
+func (c *Controller) writeConfig() error {
+	events, boardAddress := c.board.snapshot()
+	var config configJSON
+	config.Name, config.Listen, config.Board = fmt.Sprintf("n%d", c.number), c.listen, boardAddress
+	config.Seed = fmt.Sprintf("%x", c.plan.Seed<<8|uint64(c.number))
+	config.Limits.Cores, config.Limits.MemoryMB, config.Limits.Sockets = 1, memoryLimitMB, descriptorLimit
+	for _, event := range events {
+		notice := noticeJSON{Rev: event.Number}
+		notice.Pool.Reset = event.Complete
+		for _, sw := range event.Switches {
+			notice.Pool.Instances = append(notice.Pool.Instances, instanceJSON{board.FormatID(sw.ID), sw.Address, sw.Cell, lifecycles[sw.State], sw.StartedMS})
 		}
-		t.Known.Rev = e.Number
-		t.Known.Notices = append(t.Known.Notices, n)
+		config.Known.Rev = event.Number
+		config.Known.Notices = append(config.Known.Notices, notice)
 	}
-	t.Settings = c.settings()
-	text, err := json.Marshal(t)
+	config.Settings = c.settingsJSON()
+	data, err := json.Marshal(config)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	next := c.file() + ".next"
-	if err := os.WriteFile(next, text, 0o644); err != nil {
+	nextPath := c.configPath() + ".next"
+	if err := os.WriteFile(nextPath, data, 0o644); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	return os.Rename(next, c.file())
+	return os.Rename(nextPath, c.configPath())
 }
 
 // start starts a life and waits until it passes a test.
 func (c *Controller) start() error {
-	if err := c.configure(); err != nil {
+	if err := c.writeConfig(); err != nil {
 		return err
 	}
-	out, err := os.OpenFile(c.LogFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(c.LogPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return fmt.Errorf("log of the controller: %w", err)
 	}
-	defer out.Close()
+	defer logFile.Close()
 	args := []string{"platform"}
-	if c.plant != "" {
-		args = append(args, "--plant", c.plant)
+	if c.plantedFault != "" {
+		args = append(args, "--plant", c.plantedFault)
 	}
 	cmd := exec.Command(c.program, args...)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+c.file(), "GW_NAME=", "GW_LISTEN=")
-	cmd.Stdout, cmd.Stderr = out, out
+	cmd.Env = append(os.Environ(), "GW_CONFIG="+c.configPath(), "GW_NAME=", "GW_LISTEN=")
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing outlives the run, however it ends
-	began := c.log.Add(Event{Kind: ControllerStarted, Controller: c.number})
-	c.log.Add(Event{Kind: BoardLost, Controller: c.number, Span: toldAfterBreak, Text: "not asked yet"})
+	startTime := c.log.Add(Event{Kind: ControllerStarted, Controller: c.number})
+	c.log.Add(Event{Kind: BoardLost, Controller: c.number, Duration: truncationRecoveryTime, Detail: "not asked yet"})
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("controller %d: %w", c.number, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	c.mu.Lock()
-	c.life++
-	c.cmd, c.signaled, c.ended = cmd, false, ended
+	c.starts++
+	c.cmd, c.exitRequested, c.exited = cmd, false, exited
 	c.mu.Unlock()
-	go c.wait(cmd, ended)
-	go c.sample(cmd.Process.Pid, ended)
-	for c.log.Now()-began < readyWithin {
-		if c.passes() {
-			c.log.Add(Event{Kind: ControllerReady, Controller: c.number, Span: c.log.Now() - began})
-			c.log.Add(Event{Kind: BoardBack, Controller: c.number})
+	go c.recordExit(cmd, exited)
+	go c.sampleUsage(cmd.Process.Pid, exited)
+	for c.log.Now()-startTime < readyTimeout {
+		if c.isReady() {
+			c.log.Add(Event{Kind: ControllerReady, Controller: c.number, Duration: c.log.Now() - startTime})
+			c.log.Add(Event{Kind: BoardRestored, Controller: c.number})
 			return nil
 		}
 		select {
-		case <-ended:
+		case <-exited:
 			return nil // the judge sees that it ended
-		case <-time.After(readyAsk):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil // and that it is not ready
 }
 
-// wait notes how a process ended.
-func (c *Controller) wait(cmd *exec.Cmd, ended chan struct{}) {
+// recordExit notes how a process ended.
+func (c *Controller) recordExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	c.mu.Lock()
-	asked := c.signaled
+	exitRequested := c.exitRequested
 	c.mu.Unlock()
-	text := "exit 0"
+	detail := "exit 0"
 	if err != nil {
-		text = err.Error()
+		detail = err.Error()
 	}
 	status := 0
-	if !asked || err != nil && !strings.Contains(text, "killed") {
+	if !exitRequested || err != nil && !strings.Contains(detail, "killed") {
 		status = 1
 	}
-	c.log.Add(Event{Kind: ControllerEnded, Controller: c.number, Status: status, Text: text})
-	close(ended)
+	c.log.Add(Event{Kind: ControllerExited, Controller: c.number, Status: status, Detail: detail})
+	close(exited)
 }
 
-// passes tells whether the controller passes a test.
-func (c *Controller) passes() bool {
-	conn, err := net.DialTimeout("tcp", c.listen, dialWithin)
+// isReady tells whether the controller passes a test.
+func (c *Controller) isReady() bool {
+	conn, err := net.DialTimeout("tcp", c.listen, dialTimeout)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(dialWithin)) // else the read fails
+	_ = conn.SetDeadline(time.Now().Add(dialTimeout)) // else the read fails
 	if _, err := conn.Write(sip.Append(nil, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})); err != nil {
 		return false
 	}
-	m, err := sip.NewReader(conn).Read()
-	return err == nil && m.Status == sip.OK
+	response, err := sip.NewReader(conn).Read()
+	return err == nil && response.Status == sip.OK
 }
 
-// sample follows memory and descriptors of a process.
-func (c *Controller) sample(pid int, ended <-chan struct{}) {
+// sampleUsage follows memory and descriptors of a process.
+func (c *Controller) sampleUsage(pid int, exited <-chan struct{}) {
 	for {
 		select {
-		case <-ended:
+		case <-exited:
 			return
-		case <-time.After(sampleEvery):
+		case <-time.After(sampleInterval):
 		}
-		memory, files := residentKB(pid), 0
-		if all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
-			files = len(all)
+		memoryKB, descriptors := residentKB(pid), 0
+		if entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
+			descriptors = len(entries)
 		}
 		c.mu.Lock()
-		c.memory, c.files = max(c.memory, memory), max(c.files, files)
+		c.peakMemoryKB, c.peakDescriptors = max(c.peakMemoryKB, memoryKB), max(c.peakDescriptors, descriptors)
 		c.mu.Unlock()
 	}
 }
@@ -244,45 +246,47 @@
 		return 0
 	}
 	for _, line := range strings.Split(string(text), "\n") {
-		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
-			kb, _ := strconv.Atoi(strings.Fields(rest)[0])
+		if value, ok := strings.CutPrefix(line, "VmRSS:"); ok {
+			kb, _ := strconv.Atoi(strings.Fields(value)[0])
 			return kb
 		}
 	}
 	return 0
 }
 
-func (c *Controller) signal(s syscall.Signal) {
+func (c *Controller) signal(sig syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s != syscall.SIGHUP {
-		c.signaled = true
+	if sig != syscall.SIGHUP {
+		c.exitRequested = true
 	}
-	c.log.Add(Event{Kind: ControllerTold, Controller: c.number, Status: int(s), Text: s.String()})
-	_ = c.cmd.Process.Signal(s) // it may have ended
+	c.log.Add(Event{Kind: SignalSent, Controller: c.number, Status: int(sig), Detail: sig.String()})
+	_ = c.cmd.Process.Signal(sig) // it may have ended
 }
 
-// again sends one more signal to a controller whose end was asked for already.
-func (c *Controller) again(s syscall.Signal) {
+// signalIfExiting sends one more signal to a controller whose end was asked for already.
+func (c *Controller) signalIfExiting(sig syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.signaled {
-		_ = c.cmd.Process.Signal(s) // it may have ended
+	if c.exitRequested {
+		_ = c.cmd.Process.Signal(sig) // it may have ended
 	}
 }
 
-// killFrom is how long after SIGTERM SIGKILL comes.
-func (c *Controller) killFrom() time.Duration { return min(c.plan.Deadline, killTop) + killAfter }
+// killDelay is how long after SIGTERM SIGKILL comes.
+func (c *Controller) killDelay() time.Duration {
+	return min(c.plan.MaxAbandonTime, maxDrainTime) + killMargin
+}
 
-// running is the process's end.
-func (c *Controller) running() <-chan struct{} {
+// exit is the process's end.
+func (c *Controller) exit() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.ended
+	return c.exited
 }
 
-func (c *Controller) used() (memoryKB, files int) {
+func (c *Controller) peakUsage() (memoryKB, descriptors int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.memory, c.files
+	return c.peakMemoryKB, c.peakDescriptors
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -9,247 +9,247 @@
 )
 
 const (
-	crowdSize = 120
-	burstSize = 100
-	listLater = 700 * time.Millisecond // how much later than a switch's death or start the board tells of it, at most
+	numIdleClients = 120
+	callsPerBurst  = 100
+	maxListDelay   = 700 * time.Millisecond // how much later than a switch's death or start the board tells of it, at most
 
 	// At a planned restart new connections go on coming for so long.
-	newFor     = 200 * time.Millisecond
-	newForMost = 400 * time.Millisecond
+	minNewConnTime = 200 * time.Millisecond
+	maxNewConnTime = 400 * time.Millisecond
 )
 
 // inject does one fault.
-func (w *world) inject(f Injection) {
-	w.log.Add(Event{Kind: Fault, Controller: f.Controller, Text: f.String()})
+func (h *harness) inject(f Injection) {
+	h.log.Add(Event{Kind: FaultInjected, Controller: f.Controller, Detail: f.String()})
 	if f.Cell == f.Controller { // a controller has no connection to its own cell
-		f.Cell = (f.Cell + 1) % w.plan.Controllers
+		f.Cell = (f.Cell + 1) % h.plan.Controllers
 	}
-	proxy, s, b := w.proxies[f.Cell][f.Controller], w.cell(f.Cell), w.boards[f.Controller]
+	proxy, sw, noticeBoard := h.switchProxies[f.Cell][f.Controller], h.currentSwitch(f.Cell), h.boards[f.Controller]
 	switch f.Kind {
 	case SilenceLinks:
-		s.lose(f.Controller, "", lostSilent)
+		sw.noteConnsLost(f.Controller, "", lossSilent)
 		proxy.Silence()
 	case SilenceLink:
-		s.loseOne(f.Controller, proxy.SilenceOne(), lostSilent)
+		sw.noteConnLost(f.Controller, proxy.SilenceOne(), lossSilent)
 	case ResetLinks:
-		s.lose(f.Controller, "", lostReset)
+		sw.noteConnsLost(f.Controller, "", lossReset)
 		proxy.Reset()
 	case ResetLink:
-		s.loseOne(f.Controller, proxy.ResetOne(), lostReset)
+		sw.noteConnLost(f.Controller, proxy.ResetOne(), lossReset)
 	case RefuseLinks:
 		proxy.CloseListener()
-		w.pause(f.For)
-		w.problem(proxy.ReopenListener())
+		h.sleepUnlessDone(f.Duration)
+		h.noteFailure(proxy.ReopenListener())
 	case HangLinks:
 		proxy.SetHanging(true)
-		w.pause(f.For)
+		h.sleepUnlessDone(f.Duration)
 		proxy.SetHanging(false)
-	case VanishSwitch:
-		w.vanish(f.Cell, f.For)
+	case PartitionSwitch:
+		h.partition(f.Cell, f.Duration)
 	case HangSwitch:
-		resume := s.Hang()
-		w.pause(f.For)
+		resume := sw.Hang()
+		h.sleepUnlessDone(f.Duration)
 		resume()
 	case KillSwitch:
-		w.replace(f.Cell, false, f.Count%2 == 0)
+		h.replaceSwitch(f.Cell, false, f.Count%2 == 0)
 	case ReplaceSwitch:
-		w.replace(f.Cell, true, f.Count%2 == 0)
+		h.replaceSwitch(f.Cell, true, f.Count%2 == 0)
 	case DrainSwitch:
-		w.list(board.Switch{ID: s.id, Cell: f.Cell, State: board.Draining, StartedMS: s.bornMS})
-		if w.pause(f.For) && w.cell(f.Cell) == s {
-			w.list(board.Switch{ID: s.id, Cell: f.Cell, State: board.Ready, StartedMS: s.bornMS})
+		h.publishChange(board.Switch{ID: sw.id, Cell: f.Cell, State: board.Draining, StartedMS: sw.startedMS})
+		if h.sleepUnlessDone(f.Duration) && h.currentSwitch(f.Cell) == sw {
+			h.publishChange(board.Switch{ID: sw.id, Cell: f.Cell, State: board.Ready, StartedMS: sw.startedMS})
 		}
-	case CutCalls:
-		s.CutCalls()
+	case DisconnectCalls:
+		sw.DisconnectCalls()
 	case SilenceBoard:
-		b.silence()
-	case BreakBoard:
-		b.breakOff()
-	case LoseBoard:
-		back := b.lose()
-		w.pause(f.For)
-		w.problem(back())
+		noticeBoard.silence()
+	case TruncateBoard:
+		noticeBoard.truncateEvent()
+	case StopBoard:
+		restart := noticeBoard.stop()
+		h.sleepUnlessDone(f.Duration)
+		h.noteFailure(restart())
 	case Reload:
-		w.reload(f)
+		h.reload(f)
 	case Restart:
-		w.restart(f.Controller)
+		h.restart(f.Controller)
 	case ReloadRestart:
 		f.Count = 1
-		w.reload(f)
-		w.restart(f.Controller)
+		h.reload(f)
+		h.restart(f.Controller)
 	case KillController:
-		w.kill(f.Controller)
+		h.kill(f.Controller)
 	case SilenceCallers:
-		w.callers[f.Controller].fault(true, w.fronts[f.Controller].Silence)
+		h.callerGroups[f.Controller].disruptConns(true, h.callerProxies[f.Controller].Silence)
 	case ResetCallers:
-		w.callers[f.Controller].fault(false, w.fronts[f.Controller].Reset)
-	case Crowd:
-		for range crowdSize {
-			w.all.Go(func() { idle(w.controllers[f.Controller].listen, w.stop) })
+		h.callerGroups[f.Controller].disruptConns(false, h.callerProxies[f.Controller].Reset)
+	case IdleClients:
+		for range numIdleClients {
+			h.wg.Go(func() { connectIdle(h.controllers[f.Controller].listen, h.done) })
 		}
-	case EndLink:
+	case HalfCloseLink:
 		proxy.HalfCloseOne()
-	case Burst:
-		for range burstSize {
-			w.all.Go(w.callers[f.Controller].call)
+	case CallBurst:
+		for range callsPerBurst {
+			h.wg.Go(h.callerGroups[f.Controller].placeNewCall)
 		}
-	case Signals:
-		w.signals(f)
+	case SignalBurst:
+		h.signalBurst(f)
 	case BadClients:
 		for i := range 8 * f.Count {
-			r := rand.New(rand.NewPCG(w.plan.Seed, uint64(f.At)+uint64(i)))
-			w.all.Go(func() { intrude(w.log, f.Controller, w.controllers[f.Controller].listen, r) })
+			random := rand.New(rand.NewPCG(h.plan.Seed, uint64(f.At)+uint64(i)))
+			h.wg.Go(func() { runBadClient(h.log, f.Controller, h.controllers[f.Controller].listen, random) })
 		}
 	}
 }
 
-// problem notes what the rig itself could not do.
-func (w *world) problem(err error) {
+// noteFailure notes what the rig itself could not do.
+func (h *harness) noteFailure(err error) {
 	if err != nil {
-		w.log.Add(Event{Kind: Fault, Controller: -1, Text: "the rig failed: " + err.Error()})
+		h.log.Add(Event{Kind: FaultInjected, Controller: -1, Detail: "the rig failed: " + err.Error()})
 	}
 }
 
-func (w *world) list(entries ...board.Switch) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.announce(false, entries...)
+func (h *harness) publishChange(entries ...board.Switch) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.publishUpdate(false, entries...)
 }
 
-// vanish cuts a switch off from all controllers: what is open is silent, and what is new too.
-func (w *world) vanish(cell int, span time.Duration) {
-	s := w.cell(cell)
-	for i, p := range w.proxies[cell] {
+// partition cuts a switch off from all controllers: what is open is silent, and what is new too.
+func (h *harness) partition(cell int, duration time.Duration) {
+	sw := h.currentSwitch(cell)
+	for i, p := range h.switchProxies[cell] {
 		p.SetHanging(true)
-		s.lose(i, "", lostVanished)
+		sw.noteConnsLost(i, "", lossPartition)
 		p.Silence()
 	}
-	w.pause(span)
-	for _, p := range w.proxies[cell] {
+	h.sleepUnlessDone(duration)
+	for _, p := range h.switchProxies[cell] {
 		p.SetHanging(false)
 		p.Reset() // what came up meanwhile
 	}
 }
 
-// replace has a switch end and another stand in its place. With drain it is listed as draining first, else it dies and the list tells later.
+// replaceSwitch has a switch end and another stand in its place. With drain it is listed as draining first, else it dies and the list tells later.
 // The proxies' addresses stay, so the new one stands at the address of the old one.
-func (w *world) replace(cell int, drain, listedFirst bool) {
-	w.replacing[cell].Lock() // one after the other
-	defer w.replacing[cell].Unlock()
-	old := w.cell(cell)
-	gone := board.Switch{ID: old.id, Cell: cell, State: board.Gone, StartedMS: old.bornMS}
+func (h *harness) replaceSwitch(cell int, drain, listedFirst bool) {
+	h.replaceMutexes[cell].Lock() // one after the other
+	defer h.replaceMutexes[cell].Unlock()
+	old := h.currentSwitch(cell)
+	gone := board.Switch{ID: old.id, Cell: cell, State: board.Gone, StartedMS: old.startedMS}
 	if drain {
 		draining := gone
 		draining.State = board.Draining
-		w.list(draining)
-		w.pause(w.drawn(500*time.Millisecond, 2*time.Second))
+		h.publishChange(draining)
+		h.sleepUnlessDone(h.randomDuration(500*time.Millisecond, 2*time.Second))
 	}
 	if listedFirst {
-		w.list(gone)
+		h.publishChange(gone)
 	}
-	old.Die()
-	for _, p := range w.proxies[cell] {
+	old.Kill()
+	for _, p := range h.switchProxies[cell] {
 		p.CloseListener()
 		p.Reset()
 	}
-	w.pause(w.drawn(0, listLater))
+	h.sleepUnlessDone(h.randomDuration(0, maxListDelay))
 	if !listedFirst {
-		w.list(gone)
+		h.publishChange(gone)
 	}
-	w.mu.Lock()
-	fresh, err := w.newSwitch(cell, time.Now().UnixMilli())
+	h.mu.Lock()
+	replacement, err := h.startSwitch(cell, time.Now().UnixMilli())
 	if err == nil {
-		for i, p := range w.proxies[cell] {
-			p.SetTarget(w.switchAddress(fresh, i))
+		for i, p := range h.switchProxies[cell] {
+			p.SetTarget(h.switchAddress(replacement, i))
 		}
-		w.switches[cell] = fresh
+		h.switches[cell] = replacement
 	}
-	w.mu.Unlock()
-	w.problem(err)
+	h.mu.Unlock()
+	h.noteFailure(err)
 	if err != nil {
 		return
 	}
-	for _, p := range w.proxies[cell] {
-		w.problem(p.ReopenListener())
+	for _, p := range h.switchProxies[cell] {
+		h.noteFailure(p.ReopenListener())
 	}
-	w.pause(w.drawn(0, listLater))
-	w.list(board.Switch{ID: fresh.id, Cell: cell, State: board.Ready, StartedMS: fresh.bornMS})
+	h.sleepUnlessDone(h.randomDuration(0, maxListDelay))
+	h.publishChange(board.Switch{ID: replacement.id, Cell: cell, State: board.Ready, StartedMS: replacement.startedMS})
 }
 
 // reload moves the board and tells the controller by SIGHUP, several times in a row.
-func (w *world) reload(f Injection) {
-	c := w.controllers[f.Controller]
+func (h *harness) reload(f Injection) {
+	controller := h.controllers[f.Controller]
 	for range f.Count {
-		w.mu.Lock()
-		w.moves++
-		at := w.address(kindBoard+w.moves, f.Controller+1, boardPort)
-		w.mu.Unlock()
-		w.problem(w.boards[f.Controller].move(at))
-		w.problem(c.configure())
-		c.signal(syscall.SIGHUP)
-		if !w.pause(w.drawn(50*time.Millisecond, 700*time.Millisecond)) {
+		h.mu.Lock()
+		h.boardMoves++
+		address := h.address(subnetBoard+h.boardMoves, f.Controller+1, boardPort)
+		h.mu.Unlock()
+		h.noteFailure(h.boards[f.Controller].move(address))
+		h.noteFailure(controller.writeConfig())
+		controller.signal(syscall.SIGHUP)
+		if !h.sleepUnlessDone(h.randomDuration(50*time.Millisecond, 700*time.Millisecond)) {
 			return
 		}
 	}
 }
 
-// signals sends signals in a row, each a new configuration or none, and restarts the controller.
-func (w *world) signals(f Injection) {
+// signalBurst sends signals in a row, each a new configuration or none, and restarts the controller.
+func (h *harness) signalBurst(f Injection) {
 	f.Count = 1
 	for range 2 {
-		w.reload(f)
-		w.controllers[f.Controller].signal(syscall.SIGHUP) // nothing new
+		h.reload(f)
+		h.controllers[f.Controller].signal(syscall.SIGHUP) // nothing new
 	}
-	time.AfterFunc(w.drawn(0, 100*time.Millisecond), func() {
-		w.controllers[f.Controller].again(syscall.SIGTERM)
-		w.controllers[f.Controller].again(syscall.SIGHUP)
+	time.AfterFunc(h.randomDuration(0, 100*time.Millisecond), func() {
+		h.controllers[f.Controller].signalIfExiting(syscall.SIGTERM)
+		h.controllers[f.Controller].signalIfExiting(syscall.SIGHUP)
 	})
-	w.restart(f.Controller)
+	h.restart(f.Controller)
 }
 
 // restart is a planned one: SIGTERM, SIGKILL at the earliest, and a new life. Callers use open connections until the kill.
-func (w *world) restart(i int) {
-	if !w.restarting[i].TryLock() {
+func (h *harness) restart(index int) {
+	if !h.restartMutexes[index].TryLock() {
 		return
 	}
-	defer w.restarting[i].Unlock()
-	c, g := w.controllers[i], w.callers[i]
-	c.signal(syscall.SIGTERM)
-	ended := make(chan struct{})
+	defer h.restartMutexes[index].Unlock()
+	controller, group := h.controllers[index], h.callerGroups[index]
+	controller.signal(syscall.SIGTERM)
+	exited := make(chan struct{})
 	go func() {
-		w.endOrKill(c)
-		close(ended)
+		h.awaitExitOrKill(controller)
+		close(exited)
 	}()
-	time.AfterFunc(w.drawn(newFor, newForMost), func() {
+	time.AfterFunc(h.randomDuration(minNewConnTime, maxNewConnTime), func() {
 		select {
-		case <-ended:
+		case <-exited:
 		default:
-			g.allow(admitOpen)
+			group.setAccess(accessOpenConns)
 		}
 	})
-	<-ended
-	g.allow(admitNone)
-	w.begin(i)
+	<-exited
+	group.setAccess(accessNone)
+	h.startAgain(index)
 }
 
 // kill ends a controller without a warning and starts it again.
-func (w *world) kill(i int) {
-	if !w.restarting[i].TryLock() {
+func (h *harness) kill(index int) {
+	if !h.restartMutexes[index].TryLock() {
 		return
 	}
-	defer w.restarting[i].Unlock()
-	w.callers[i].allow(admitNone)
-	w.controllers[i].signal(syscall.SIGKILL)
-	<-w.controllers[i].running()
-	w.begin(i)
+	defer h.restartMutexes[index].Unlock()
+	h.callerGroups[index].setAccess(accessNone)
+	h.controllers[index].signal(syscall.SIGKILL)
+	<-h.controllers[index].exit()
+	h.startAgain(index)
 }
 
-// begin starts a controller anew; its callers come at once.
-func (w *world) begin(i int) {
-	w.pause(w.drawn(0, 700*time.Millisecond))
-	if err := w.controllers[i].start(); err != nil {
-		w.problem(err)
+// startAgain starts a controller anew; its callers come at once.
+func (h *harness) startAgain(index int) {
+	h.sleepUnlessDone(h.randomDuration(0, 700*time.Millisecond))
+	if err := h.controllers[index].start(); err != nil {
+		h.noteFailure(err)
 		return
 	}
-	w.callers[i].allow(admitAll)
+	h.callerGroups[index].setAccess(accessFull)
 }
--- a/internal/soak/intruder.go
+++ b/internal/soak/intruder.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	servedWithin = 3 * time.Second // what a bad client is owed within
-	badPrefix    = "bad"           // of their ids
-	takenBack    = 200             // set-ups that one of them sends and takes back at once
+	badClientTimeout   = 3 * time.Second // what a bad client is owed within
+	badCallPrefix      = "bad"           // of their ids
+	numCancelledSetUps = 200             // set-ups that one of them sends and takes back at once
 )
 
-// intrusions are what bad clients send. Each is owed a refusal or a close; never an answer that it stands.
-var intrusions = []struct {
-	name string
-	send func(id string) []byte
+// badInputs are what bad clients send. Each is owed a refusal or a close; never an answer that it stands.
+var badInputs = []struct {
+	name    string
+	payload func(id string) []byte
 }{
 	{"nothing", func(string) []byte { return nil }},
 	{"noise", func(string) []byte { return bytes.Repeat([]byte{0, 255, '\r', 'x'}, 100) }},
@@ -66,7 +66,7 @@
 	}},
 	{"set-ups with no class taken back at once", func(id string) []byte {
 		var all []byte
-		for i := range takenBack {
+		for i := range numCancelledSetUps {
 			m := badSetUp(fmt.Sprintf("%s%04x", id[:12], i))
 			m.Fields[0].Value = "no such class"
 			all = sip.Append(all, &m)
@@ -79,53 +79,53 @@
 
 func badSetUp(id string) sip.Message {
 	return sip.Message{Method: sip.Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("offer"),
-		Fields: []sip.Field{{Name: "Priority-Class", Value: className}, {Name: "Expires-Ms", Value: "500"}, {Name: "P-Trunk-Info", Value: "dest:1;width:1;via:-1"}}}
+		Fields: []sip.Field{{Name: "Priority-Class", Value: bearerName}, {Name: "Expires-Ms", Value: "500"}, {Name: "P-Trunk-Info", Value: "dest:1;width:1;via:-1"}}}
 }
 
-// intrude has one bad client connect, send and wait for what it is owed.
-func intrude(log *Log, controller int, address string, r *rand.Rand) {
-	what := intrusions[r.IntN(len(intrusions))]
-	id := fmt.Sprintf(badPrefix+"%05x%08x", controller, r.Uint32())
-	c, err := net.DialTimeout("tcp", address, dialWithin)
+// runBadClient has one bad client connect, send and wait for what it is owed.
+func runBadClient(log *Log, controller int, address string, random *rand.Rand) {
+	input := badInputs[random.IntN(len(badInputs))]
+	id := fmt.Sprintf(badCallPrefix+"%05x%08x", controller, random.Uint32())
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	began := log.Now()
-	_ = c.SetDeadline(time.Now().Add(2 * servedWithin)) // else the read fails
-	_, _ = c.Write(what.send(id))                       // a close meanwhile is what is owed
-	in := sip.NewReader(c)
-	m, err := in.Read()
-	for err == nil && m.Status == 0 { // a release of some call is no answer
-		m, err = in.Read()
+	defer conn.Close()
+	startTime := log.Now()
+	_ = conn.SetDeadline(time.Now().Add(2 * badClientTimeout)) // else the read fails
+	_, _ = conn.Write(input.payload(id))                       // a close meanwhile is what is owed
+	reader := sip.NewReader(conn)
+	response, err := reader.Read()
+	for err == nil && response.Status == 0 { // a release of some call is no answer
+		response, err = reader.Read()
 	}
-	status := m.Status
+	status := response.Status
 	if err != nil && !isTimeout(err) {
 		status = 1 // closed
 	}
-	log.Add(Event{Kind: ClientServed, Controller: controller, Status: status, Span: log.Now() - began, Text: what.name})
+	log.Add(Event{Kind: BadClientServed, Controller: controller, Status: status, Duration: log.Now() - startTime, Detail: input.name})
 }
 
 func isTimeout(err error) bool {
-	t, ok := err.(net.Error) //nolint:errorlint // as the connection gives it
-	return ok && t.Timeout()
+	netErr, ok := err.(net.Error) //nolint:errorlint // as the connection gives it
+	return ok && netErr.Timeout()
 }
 
-// idle connects and says nothing until the controller closes the connection.
-func idle(address string, stop <-chan struct{}) {
-	c, err := net.DialTimeout("tcp", address, dialWithin)
+// connectIdle connects and says nothing until the controller closes the connection.
+func connectIdle(address string, done <-chan struct{}) {
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer c.Close()
+	defer conn.Close()
 	closed := make(chan struct{})
 	go func() {
 		var b [1]byte
-		_, _ = c.Read(b[:]) // its end
+		_, _ = conn.Read(b[:]) // its end
 		close(closed)
 	}()
 	select {
 	case <-closed:
-	case <-stop:
+	case <-done:
 	}
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -16,291 +16,291 @@
 
 // The rules, from the protocol and its terms.
 const (
-	RuleAnswered    Rule = "a call taken gets one final answer in time"
-	RuleServedTrue  Rule = "what stands has the answer of a switch"
-	RuleOneTry      Rule = "no two tries out at once"
-	RuleDrain       Rule = "nothing new to a switch past the grace once it drains"
-	RuleCold        Rule = "no cold switch is pushed over"
-	RuleReleaseTime Rule = "the release time is awaited"
-	RuleTold        Rule = "the caller of a call that is over is told within 1 s of its release"
-	RuleToldLost    Rule = "the caller of a call that is over is told within 8 s"
-	RuleNoCaller    Rule = "no set-up that no caller sent, none to the own exchange, in transit to its destination alone"
-	RuleBothSides   Rule = "what is over for its caller is over at its switch"
-	RuleBadClient   Rule = "a bad client has a refusal or a close within 3 s"
-	RuleCrash       Rule = "no controller ends by itself"
-	RuleReady       Rule = "a controller is ready within 10 s"
-	RuleLimits      Rule = "memory and descriptors stay within their limits"
+	RuleFinalAnswer         Rule = "a call taken gets one final answer in time"
+	RuleAnswerFromSwitch    Rule = "what stands has the answer of a switch"
+	RuleSingleTry           Rule = "no two tries out at once"
+	RuleDrain               Rule = "nothing new to a switch past the grace once it drains"
+	RuleColdSwitch          Rule = "no cold switch is pushed over"
+	RuleReleaseTime         Rule = "the release time is awaited"
+	RuleReleaseDelivery     Rule = "the caller of a call that is over is told within 1 s of its release"
+	RuleLostReleaseDelivery Rule = "the caller of a call that is over is told within 8 s"
+	RuleValidSetUp          Rule = "no set-up that no caller sent, none to the own exchange, in transit to its destination alone"
+	RuleEndedAtSwitch       Rule = "what is over for its caller is over at its switch"
+	RuleBadClient           Rule = "a bad client has a refusal or a close within 3 s"
+	RuleNoCrash             Rule = "no controller ends by itself"
+	RuleReady               Rule = "a controller is ready within 10 s"
+	RuleLimits              Rule = "memory and descriptors stay within their limits"
 )
 
 const (
-	slack       = 50 * time.Millisecond // by which every time limit grows
-	passMost    = 50 * time.Millisecond // the way through proxies and pieces
-	rigMost     = 10 * time.Millisecond // between what a peer of a controller does and what it notes
-	lateMost    = 500 * time.Millisecond
-	toldWithin  = time.Second
-	toldLost    = 8 * time.Second
-	transitMost = 300 * time.Millisecond // what was written so shortly before a connection was lost may be lost with it
-	termTaken   = 700 * time.Millisecond
-	linesMost   = 40 // of a timeline
+	slack                   = 50 * time.Millisecond // by which every time limit grows
+	maxProxyDelay           = 50 * time.Millisecond // the way through proxies and pieces
+	maxRecordDelay          = 10 * time.Millisecond // between what a peer of a controller does and what it notes
+	maxAnswerOverrun        = 500 * time.Millisecond
+	releaseDeliveryTime     = time.Second
+	lostReleaseDeliveryTime = 8 * time.Second
+	lossWindow              = 300 * time.Millisecond // what was written so shortly before a connection was lost may be lost with it
+	termTaken               = 700 * time.Millisecond
+	maxTimelineLines        = 40 // of a timeline
 )
 
-// Breach is one rule that was broken.
-type Breach struct {
+// Violation is one rule that was broken.
+type Violation struct {
 	Rule       Rule
 	Controller int
-	Call       string
-	What       string
+	CallID     string
+	Detail     string
 	Timeline   []string
 }
 
-func (b Breach) String() string {
-	text := fmt.Sprintf("%s: n%d", b.Rule, b.Controller)
-	if b.Call != "" {
-		text += " call " + b.Call
+func (v Violation) String() string {
+	text := fmt.Sprintf("%s: n%d", v.Rule, v.Controller)
+	if v.CallID != "" {
+		text += " call " + v.CallID
 	}
-	return text + ": " + b.What
+	return text + ": " + v.Detail
 }
 
-// callView is all that was seen of one call.
-type callView struct {
+// callHistory is all that was seen of one call.
+type callHistory struct {
 	id         string
 	controller int
 	events     []Event
 }
 
-// judge holds what was seen against the rules.
-type judge struct {
-	plan     Plan
-	events   []Event
-	calls    map[string]*callView
-	order    []string
-	lostAt   map[int]time.Duration // connections to switches, and callers' connections that are silenced
-	silent   map[int]bool          // of these, those whose end neither side can see
-	cellOf   map[uint32]int        // by switch
-	shutAt   map[int]time.Duration // connections to switches that their controller has closed
-	opened   map[int]time.Duration // callers' connections
-	closed   map[int]time.Duration
-	whose    map[int]int // callers' connections, by controller
-	lives    [][]span    // of controllers: from ready to end
-	stalls   []Event
-	breaches []Breach
-	end      time.Duration
+// checker holds what was seen against the rules.
+type checker struct {
+	plan                 Plan
+	events               []Event
+	calls                map[string]*callHistory
+	order                []string
+	lostAt               map[int]time.Duration // connections to switches, and callers' connections that are silenced
+	lostSilently         map[int]bool          // of these, those whose end neither side can see
+	cellOf               map[uint32]int        // by switch
+	closedByController   map[int]time.Duration // connections to switches that their controller has closed
+	callerOpenedAt       map[int]time.Duration // callers' connections
+	callerClosedAt       map[int]time.Duration
+	callerConnController map[int]int  // callers' connections, by controller
+	lifetimes            [][]interval // of controllers: from ready to end
+	stalls               []Event
+	violations           []Violation
+	endTime              time.Duration
 }
 
-type span struct{ from, to time.Duration }
+type interval struct{ from, to time.Duration }
 
 const never = time.Duration(math.MaxInt64)
 
-// Judge judges a run from what callers, switches, the board and the rig saw.
-func Judge(plan Plan, events []Event) []Breach {
-	j := &judge{plan: plan, events: events, calls: map[string]*callView{}, lostAt: map[int]time.Duration{}, silent: map[int]bool{}, cellOf: map[uint32]int{}, shutAt: map[int]time.Duration{}, opened: map[int]time.Duration{},
-		closed: map[int]time.Duration{}, whose: map[int]int{}, lives: make([][]span, plan.Controllers)}
+// Check judges a run from what callers, switches, the board and the rig saw.
+func Check(plan Plan, events []Event) []Violation {
+	c := &checker{plan: plan, events: events, calls: map[string]*callHistory{}, lostAt: map[int]time.Duration{}, lostSilently: map[int]bool{}, cellOf: map[uint32]int{}, closedByController: map[int]time.Duration{}, callerOpenedAt: map[int]time.Duration{},
+		callerClosedAt: map[int]time.Duration{}, callerConnController: map[int]int{}, lifetimes: make([][]interval, plan.Controllers)}
 	if len(events) > 0 {
-		j.end = events[len(events)-1].At
+		c.endTime = events[len(events)-1].At
 	}
-	j.index()
-	for _, id := range j.order {
-		k := j.calls[id]
-		j.answered(k)
-		j.tries(k)
-		j.told(k)
-		j.bothSides(k)
+	c.index()
+	for _, id := range c.order {
+		call := c.calls[id]
+		c.checkAnswer(call)
+		c.checkTries(call)
+		c.checkReleaseDelivery(call)
+		c.checkBothSides(call)
 	}
-	j.drains()
-	j.cold()
-	j.controllers()
-	return j.breaches
+	c.checkDraining()
+	c.checkColdSwitches()
+	c.checkControllers()
+	return c.violations
 }
 
-func (j *judge) index() {
-	ready := make([]time.Duration, j.plan.Controllers)
-	for _, e := range j.events {
-		if e.Call != "" {
-			k := j.calls[e.Call]
-			if k == nil {
-				k = &callView{id: e.Call, controller: e.Controller}
-				j.calls[e.Call] = k
-				j.order = append(j.order, e.Call)
+func (c *checker) index() {
+	ready := make([]time.Duration, c.plan.Controllers)
+	for _, e := range c.events {
+		if e.CallID != "" {
+			call := c.calls[e.CallID]
+			if call == nil {
+				call = &callHistory{id: e.CallID, controller: e.Controller}
+				c.calls[e.CallID] = call
+				c.order = append(c.order, e.CallID)
 			}
-			k.events = append(k.events, e)
+			call.events = append(call.events, e)
 		}
 		switch e.Kind {
-		case LinkLost, CallerSilenced:
-			if _, before := j.lostAt[e.Conn]; !before {
-				j.lostAt[e.Conn], j.silent[e.Conn] = e.At, e.Kind == CallerSilenced || e.Text == lostSilent || e.Text == lostVanished
+		case SwitchConnLost, CallerConnDisrupted:
+			if _, before := c.lostAt[e.ConnID]; !before {
+				c.lostAt[e.ConnID], c.lostSilently[e.ConnID] = e.At, e.Kind == CallerConnDisrupted || e.Detail == lossSilent || e.Detail == lossPartition
 			}
 		case ListChanged:
-			j.cellOf[e.Switch] = e.Cell
-		case LinkClosed:
-			j.shutAt[e.Conn] = e.At
-		case CallerOpened:
-			j.opened[e.Conn], j.whose[e.Conn] = e.At, e.Controller
-		case CallerClosed:
-			j.closed[e.Conn] = e.At
+			c.cellOf[e.SwitchID] = e.Cell
+		case SwitchConnClosed:
+			c.closedByController[e.ConnID] = e.At
+		case CallerConnOpened:
+			c.callerOpenedAt[e.ConnID], c.callerConnController[e.ConnID] = e.At, e.Controller
+		case CallerConnClosed:
+			c.callerClosedAt[e.ConnID] = e.At
 		case ControllerReady:
 			ready[e.Controller] = e.At
-			j.lives[e.Controller] = append(j.lives[e.Controller], span{e.At, never})
-		case ControllerEnded:
-			if n := len(j.lives[e.Controller]); n > 0 {
-				j.lives[e.Controller][n-1].to = e.At
+			c.lifetimes[e.Controller] = append(c.lifetimes[e.Controller], interval{e.At, never})
+		case ControllerExited:
+			if n := len(c.lifetimes[e.Controller]); n > 0 {
+				c.lifetimes[e.Controller][n-1].to = e.At
 			}
-		case ControllerTold:
-			if n := len(j.lives[e.Controller]); n > 0 && e.Text == "killed" {
-				j.lives[e.Controller][n-1].to = min(j.lives[e.Controller][n-1].to, e.At)
+		case SignalSent:
+			if n := len(c.lifetimes[e.Controller]); n > 0 && e.Detail == "killed" {
+				c.lifetimes[e.Controller][n-1].to = min(c.lifetimes[e.Controller][n-1].to, e.At)
 			}
-		case RigStalled:
-			j.stalls = append(j.stalls, e)
+		case HarnessStalled:
+			c.stalls = append(c.stalls, e)
 		}
 	}
 }
 
-// late is how long the rig itself stood still in a span: what it saw then was late by no fault of a controller.
-func (j *judge) late(from, to time.Duration) time.Duration {
-	sum := time.Duration(0)
-	for _, s := range j.stalls {
-		if s.At >= from && s.At-s.Span <= to {
-			sum += s.Span
+// stallTime is how long the rig itself stood still in a span: what it saw then was late by no fault of a controller.
+func (c *checker) stallTime(from, to time.Duration) time.Duration {
+	total := time.Duration(0)
+	for _, stall := range c.stalls {
+		if stall.At >= from && stall.At-stall.Duration <= to {
+			total += stall.Duration
 		}
 	}
-	return sum
+	return total
 }
 
-// aliveThrough tells whether one life of a controller lasts through a span.
-func (j *judge) aliveThrough(controller int, from, to time.Duration) bool {
-	return slices.ContainsFunc(j.lives[controller], func(l span) bool { return l.from <= from && l.to >= to })
+// aliveThroughout tells whether one life of a controller lasts through a span.
+func (c *checker) aliveThroughout(controller int, from, to time.Duration) bool {
+	return slices.ContainsFunc(c.lifetimes[controller], func(lifetime interval) bool { return lifetime.from <= from && lifetime.to >= to })
 }
 
-func (j *judge) breach(rule Rule, k *callView, controller int, format string, a ...any) {
-	b := Breach{Rule: rule, Controller: controller, What: fmt.Sprintf(format, a...)}
-	if k != nil {
-		b.Call = k.id
-		b.Timeline = j.timeline(k)
+func (c *checker) addViolation(rule Rule, call *callHistory, controller int, format string, args ...any) {
+	violation := Violation{Rule: rule, Controller: controller, Detail: fmt.Sprintf(format, args...)}
+	if call != nil {
+		violation.CallID = call.id
+		violation.Timeline = c.timeline(call)
 	}
-	j.breaches = append(j.breaches, b)
+	c.violations = append(c.violations, violation)
 }
 
 // timeline is what was seen of a call, of its connections and of its controller meanwhile.
-func (j *judge) timeline(k *callView) []string {
+func (c *checker) timeline(call *callHistory) []string {
 	conns := map[int]bool{}
 	from, to := never, time.Duration(0)
-	for _, e := range k.events {
-		if e.Conn != 0 {
-			conns[e.Conn] = true
+	for _, e := range call.events {
+		if e.ConnID != 0 {
+			conns[e.ConnID] = true
 		}
 		from, to = min(from, e.At), max(to, e.At)
 	}
 	var lines []string
-	for _, e := range j.events {
-		about := e.Call == k.id
-		if !about && e.At >= from-2*time.Second && e.At <= to+10*time.Second {
+	for _, e := range c.events {
+		relevant := e.CallID == call.id
+		if !relevant && e.At >= from-2*time.Second && e.At <= to+10*time.Second {
 			switch e.Kind {
-			case CallerOpened, CallerClosed, CallerSilenced, LinkLost:
-				about = conns[e.Conn] || e.Kind != LinkLost && e.Controller == k.controller
-			case ControllerStarted, ControllerReady, ControllerEnded, ControllerTold:
-				about = e.Controller == k.controller
-			case Fault, RigStalled:
-				about = true
+			case CallerConnOpened, CallerConnClosed, CallerConnDisrupted, SwitchConnLost:
+				relevant = conns[e.ConnID] || e.Kind != SwitchConnLost && e.Controller == call.controller
+			case ControllerStarted, ControllerReady, ControllerExited, SignalSent:
+				relevant = e.Controller == call.controller
+			case FaultInjected, HarnessStalled:
+				relevant = true
 			}
 		}
-		if about {
+		if relevant {
 			lines = append(lines, e.String())
 		}
 	}
-	if len(lines) > linesMost {
-		lines = append(lines[:linesMost], "...")
+	if len(lines) > maxTimelineLines {
+		lines = append(lines[:maxTimelineLines], "...")
 	}
 	return lines
 }
 
-func (k *callView) first(kind Kind) (Event, bool) {
-	i := slices.IndexFunc(k.events, func(e Event) bool { return e.Kind == kind })
+func (h *callHistory) firstEvent(kind EventKind) (Event, bool) {
+	i := slices.IndexFunc(h.events, func(e Event) bool { return e.Kind == kind })
 	if i < 0 {
 		return Event{}, false
 	}
-	return k.events[i], true
+	return h.events[i], true
 }
 
-// answered judges the final answer of a call.
-func (j *judge) answered(k *callView) {
-	var sent, last Event
-	var answer, unanswered, given Event
+// checkAnswer judges the final answer of a call.
+func (c *checker) checkAnswer(call *callHistory) {
+	var firstSent, lastSent Event
+	var answer, unanswered, abandoned Event
 	answers := 0
-	for _, e := range k.events {
+	for _, e := range call.events {
 		switch e.Kind {
-		case CallSent:
-			if sent.Call == "" {
-				sent = e
+		case SetUpSent:
+			if firstSent.CallID == "" {
+				firstSent = e
 			}
-			last, unanswered = e, Event{}
-		case CallAnswered:
+			lastSent, unanswered = e, Event{}
+		case AnswerRead:
 			if answers++; answers == 1 {
 				answer = e
 			}
-		case CallUnanswered:
+		case ConnEndedUnanswered:
 			unanswered = e
-		case CallGivenUp:
-			given = e
+		case CallAbandoned:
+			abandoned = e
 		}
 	}
-	if sent.Call == "" {
+	if firstSent.CallID == "" {
 		if answers > 0 {
-			j.breach(RuleServedTrue, k, k.controller, "an answer to a call that nobody placed")
+			c.addViolation(RuleAnswerFromSwitch, call, call.controller, "an answer to a call that nobody placed")
 		}
 		return
 	}
 	if answers > 1 {
-		j.breach(RuleAnswered, k, k.controller, "%d final answers", answers)
+		c.addViolation(RuleFinalAnswer, call, call.controller, "%d final answers", answers)
 	}
 	if answers > 0 && answer.Status == sip.OK {
-		j.servedTrue(k, answer)
+		c.checkAnswerBody(call, answer)
 	}
-	if given.Call != "" && (answers == 0 || answer.At > given.At) {
+	if abandoned.CallID != "" && (answers == 0 || answer.At > abandoned.At) {
 		return
 	}
-	deadline := sent.At + sent.Span + lateMost + slack + passMost
-	deadline += j.late(sent.At, deadline)
+	deadline := firstSent.At + firstSent.Duration + maxAnswerOverrun + slack + maxProxyDelay
+	deadline += c.stallTime(firstSent.At, deadline)
 	switch {
 	case answers > 0 && answer.At > deadline:
-		j.breach(RuleAnswered, k, k.controller, "answered %v after it was sent, its time was %v", (answer.At - sent.At).Round(time.Millisecond), sent.Span)
-	case answers > 0 || j.excused(last, unanswered, deadline):
-	case unanswered.Call != "":
-		j.breach(RuleAnswered, k, k.controller, "its connection ended %v after it was sent, with no answer: %s", (unanswered.At - last.At).Round(time.Millisecond), unanswered.Text)
-	case j.end > deadline:
-		j.breach(RuleAnswered, k, k.controller, "no answer within %v", sent.Span)
+		c.addViolation(RuleFinalAnswer, call, call.controller, "answered %v after it was sent, its time was %v", (answer.At - firstSent.At).Round(time.Millisecond), firstSent.Duration)
+	case answers > 0 || c.unansweredAllowed(lastSent, unanswered, deadline):
+	case unanswered.CallID != "":
+		c.addViolation(RuleFinalAnswer, call, call.controller, "its connection ended %v after it was sent, with no answer: %s", (unanswered.At - lastSent.At).Round(time.Millisecond), unanswered.Detail)
+	case c.endTime > deadline:
+		c.addViolation(RuleFinalAnswer, call, call.controller, "no answer within %v", firstSent.Duration)
 	}
 }
 
-// servedTrue judges that what stands has the description that a switch gave for this call.
-func (j *judge) servedTrue(k *callView, answer Event) {
-	for _, e := range k.events {
-		if e.Kind == TryEnded && e.Status == sip.OK && AnswerBody(e.Switch, k.id, e.Number) == answer.Text {
+// checkAnswerBody judges that what stands has the description that a switch gave for this call.
+func (c *checker) checkAnswerBody(call *callHistory, answer Event) {
+	for _, e := range call.events {
+		if e.Kind == TryEnded && e.Status == sip.OK && AnswerBody(e.SwitchID, call.id, e.Number) == answer.Detail {
 			return
 		}
 	}
-	j.breach(RuleServedTrue, k, k.controller, "the caller read %q", answer.Text)
+	c.addViolation(RuleAnswerFromSwitch, call, call.controller, "the caller read %q", answer.Detail)
 }
 
-// excused tells that a set-up without an answer is not lost: the rig took its connection away or killed the controller, it crossed a close and found no
+// unansweredAllowed tells that a set-up without an answer is not lost: the rig took its connection away or killed the controller, it crossed a close and found no
 // controller that takes it again, or it was never taken.
-func (j *judge) excused(sent, unanswered Event, deadline time.Duration) bool {
-	if lost, ok := j.lostAt[sent.Conn]; ok && lost <= deadline {
+func (c *checker) unansweredAllowed(sent, unanswered Event, deadline time.Duration) bool {
+	if lost, ok := c.lostAt[sent.ConnID]; ok && lost <= deadline {
 		return true
 	}
-	if j.killedWithin(sent.Controller, sent.At, deadline-sent.At, func(kill Event) bool { return !j.planned(kill) }) {
+	if c.killedWithin(sent.Controller, sent.At, deadline-sent.At, func(kill Event) bool { return !c.isPlannedKill(kill) }) {
 		return true
 	}
-	if unanswered.Call == "" {
+	if unanswered.CallID == "" {
 		return false
 	}
-	return unanswered.At-sent.At <= crossWithin+slack+j.late(sent.At, unanswered.At)
+	return unanswered.At-sent.At <= closeCrossingTime+slack+c.stallTime(sent.At, unanswered.At)
 }
 
-// planned tells whether SIGKILL is the end of a planned restart.
-func (j *judge) planned(kill Event) bool {
-	for _, e := range slices.Backward(j.events) {
+// isPlannedKill tells whether SIGKILL is the end of a planned restart.
+func (c *checker) isPlannedKill(kill Event) bool {
+	for _, e := range slices.Backward(c.events) {
 		if e.At < kill.At && e.Controller == kill.Controller {
 			switch {
-			case e.Kind == ControllerTold && e.Text == "terminated":
+			case e.Kind == SignalSent && e.Detail == "terminated":
 				return true
 			case e.Kind == ControllerStarted:
 				return false
@@ -310,61 +310,61 @@
 	return false
 }
 
-func keys[K comparable, V any](m map[K]V) func(func(K) bool) {
+func mapKeys[K comparable, V any](m map[K]V) func(func(K) bool) {
 	return func(yield func(K) bool) {
-		for k := range m {
-			if !yield(k) {
+		for key := range m {
+			if !yield(key) {
 				return
 			}
 		}
 	}
 }
 
-// controllers judges crashes, starts and bad clients.
-func (j *judge) controllers() {
-	started := make([]time.Duration, j.plan.Controllers)
-	ready := make([]bool, j.plan.Controllers)
+// checkControllers judges crashes, starts and bad clients.
+func (c *checker) checkControllers() {
+	started := make([]time.Duration, c.plan.Controllers)
+	ready := make([]bool, c.plan.Controllers)
 	for i := range ready {
 		ready[i] = true
 	}
-	for _, e := range j.events {
+	for _, e := range c.events {
 		switch e.Kind {
 		case ControllerStarted:
 			started[e.Controller], ready[e.Controller] = e.At, false
 		case ControllerReady:
 			ready[e.Controller] = true
-			if e.Span > readyWithin+j.late(started[e.Controller], e.At) {
-				j.breach(RuleReady, nil, e.Controller, "ready after %v", e.Span)
+			if e.Duration > readyTimeout+c.stallTime(started[e.Controller], e.At) {
+				c.addViolation(RuleReady, nil, e.Controller, "ready after %v", e.Duration)
 			}
-		case ControllerEnded:
+		case ControllerExited:
 			if e.Status != 0 {
-				j.breach(RuleCrash, nil, e.Controller, "%s at %.3f", e.Text, e.At.Seconds())
+				c.addViolation(RuleNoCrash, nil, e.Controller, "%s at %.3f", e.Detail, e.At.Seconds())
 			}
 			ready[e.Controller] = true // the end was judged
-		case ClientServed:
-			if e.Status == sip.OK || e.Span > servedWithin+slack+j.late(e.At-e.Span, e.At) || e.Status == 0 {
-				if !j.aliveThrough(e.Controller, e.At-e.Span, e.At) {
+		case BadClientServed:
+			if e.Status == sip.OK || e.Duration > badClientTimeout+slack+c.stallTime(e.At-e.Duration, e.At) || e.Status == 0 {
+				if !c.aliveThroughout(e.Controller, e.At-e.Duration, e.At) {
 					continue
 				}
-				j.breach(RuleBadClient, nil, e.Controller, "%s: status %d after %v", e.Text, e.Status, e.Span)
+				c.addViolation(RuleBadClient, nil, e.Controller, "%s: status %d after %v", e.Detail, e.Status, e.Duration)
 			}
 		}
 	}
 	for i, ok := range ready {
-		if !ok && j.end-started[i] > readyWithin {
-			j.breach(RuleReady, nil, i, "started at %.3f and never ready", started[i].Seconds())
+		if !ok && c.endTime-started[i] > readyTimeout {
+			c.addViolation(RuleReady, nil, i, "started at %.3f and never ready", started[i].Seconds())
 		}
 	}
 }
 
 // Summary counts breaches by rule.
-func Summary(breaches []Breach) string {
+func Summary(violations []Violation) string {
 	count := map[Rule]int{}
-	for _, b := range breaches {
-		count[b.Rule]++
+	for _, violation := range violations {
+		count[violation.Rule]++
 	}
 	var parts []string
-	for _, rule := range slices.SortedFunc(keys(count), cmp.Compare[Rule]) {
+	for _, rule := range slices.SortedFunc(mapKeys(count), cmp.Compare[Rule]) {
 		parts = append(parts, fmt.Sprintf("%dx %s", count[rule], rule))
 	}
 	return strings.Join(parts, "; ")
--- a/internal/soak/judge_list.go
+++ b/internal/soak/judge_list.go
@@ -9,108 +9,108 @@
 	"indigodrift/internal/board"
 )
 
-// toldBy is the instant at which an event of the list counts as told to a controller.
-func (j *judge) toldBy(controller int, number uint64, changed time.Duration) time.Duration {
-	bound, from, span := changed, time.Duration(0), time.Duration(0)
-	lost := 0
-	for _, e := range j.events {
+// listKnownBy is the instant at which an event of the list counts as told to a controller.
+func (c *checker) listKnownBy(controller int, update uint64, changedAt time.Duration) time.Duration {
+	bound, outageStart, recoveryTime := changedAt, time.Duration(0), time.Duration(0)
+	outages := 0
+	for _, e := range c.events {
 		if e.Controller != controller {
 			continue
 		}
 		switch e.Kind {
 		case BoardLost:
-			if lost++; lost == 1 {
-				from, span = e.At, 0
+			if outages++; outages == 1 {
+				outageStart, recoveryTime = e.At, 0
 			}
-			span = max(span, e.Span)
-		case BoardBack:
-			if lost--; lost == 0 && from <= bound+slack && e.At+span >= bound {
-				bound = e.At + span
+			recoveryTime = max(recoveryTime, e.Duration)
+		case BoardRestored:
+			if outages--; outages == 0 && outageStart <= bound+slack && e.At+recoveryTime >= bound {
+				bound = e.At + recoveryTime
 			}
 		case ControllerStarted: // what came before is in its configuration
-			if e.At >= changed {
+			if e.At >= changedAt {
 				bound = min(bound, e.At)
 			}
 		}
 	}
-	if lost > 0 && from <= bound+slack {
+	if outages > 0 && outageStart <= bound+slack {
 		return never
 	}
-	for _, e := range j.events {
-		if e.Kind == ListTold && e.Controller == controller && e.Number == number {
+	for _, e := range c.events {
+		if e.Kind == ListSent && e.Controller == controller && e.Number == update {
 			return min(bound, e.At)
 		}
 	}
 	return bound
 }
 
-// drains judges set-ups to switches that drain or are gone.
-func (j *judge) drains() {
+// checkDraining judges set-ups to switches that drain or are gone.
+func (c *checker) checkDraining() {
 	type period struct{ from, to time.Duration }
-	for controller := range j.plan.Controllers {
+	for controller := range c.plan.Controllers {
 		closed := map[uint32][]period{}
-		for _, e := range j.events {
+		for _, e := range c.events {
 			if e.Kind != ListChanged {
 				continue
 			}
-			told := j.toldBy(controller, e.Number, e.At)
-			all := closed[e.Switch]
+			knownBy := c.listKnownBy(controller, e.Number, e.At)
+			periods := closed[e.SwitchID]
 			switch {
-			case board.State(e.Status) != board.Ready && (len(all) == 0 || all[len(all)-1].to != never):
-				closed[e.Switch] = append(all, period{told, never})
-			case board.State(e.Status) == board.Ready && len(all) > 0 && all[len(all)-1].to == never:
-				all[len(all)-1].to = e.At
+			case board.State(e.Status) != board.Ready && (len(periods) == 0 || periods[len(periods)-1].to != never):
+				closed[e.SwitchID] = append(periods, period{knownBy, never})
+			case board.State(e.Status) == board.Ready && len(periods) > 0 && periods[len(periods)-1].to == never:
+				periods[len(periods)-1].to = e.At
 			}
 		}
-		for _, e := range j.events {
-			if e.Kind != TryArrived || e.Controller != controller {
+		for _, e := range c.events {
+			if e.Kind != TryReceived || e.Controller != controller {
 				continue
 			}
-			for _, p := range closed[e.Switch] {
-				from := p.from
+			for _, closedPeriod := range closed[e.SwitchID] {
+				from := closedPeriod.from
 				if from == never {
 					continue
 				}
-				from += drainGrace + slack + passMost + e.Span
-				from += j.late(p.from, from)
-				if e.At > from && e.At < p.to {
-					j.breach(RuleDrain, j.calls[e.Call], controller, "a set-up at %s at %.3f, told at %.3f that it drains or is gone", board.FormatID(e.Switch), e.At.Seconds(), p.from.Seconds())
+				from += drainGrace + slack + maxProxyDelay + e.Duration
+				from += c.stallTime(closedPeriod.from, from)
+				if e.At > from && e.At < closedPeriod.to {
+					c.addViolation(RuleDrain, c.calls[e.CallID], controller, "a set-up at %s at %.3f, told at %.3f that it drains or is gone", board.FormatID(e.SwitchID), e.At.Seconds(), closedPeriod.from.Seconds())
 				}
 			}
 		}
 	}
 }
 
-// cold judges what all controllers together sent to a switch that had just started.
-func (j *judge) cold() {
-	born := map[uint32]time.Duration{}
-	for _, e := range j.events {
-		if e.Kind == ListChanged && e.Span > 0 && board.State(e.Status) == board.Ready {
-			if _, before := born[e.Switch]; !before {
-				born[e.Switch] = e.At - listLater
+// checkColdSwitches judges what all controllers together sent to a switch that had just started.
+func (c *checker) checkColdSwitches() {
+	startedAt := map[uint32]time.Duration{}
+	for _, e := range c.events {
+		if e.Kind == ListChanged && e.Duration > 0 && board.State(e.Status) == board.Ready {
+			if _, before := startedAt[e.SwitchID]; !before {
+				startedAt[e.SwitchID] = e.At - maxListDelay
 			}
 		}
 	}
-	arrived := map[uint32][]time.Duration{}
-	for _, e := range j.events {
-		if at, ok := born[e.Switch]; ok && e.Kind == TryArrived && e.At < at+rampTime {
-			arrived[e.Switch] = append(arrived[e.Switch], e.At)
+	received := map[uint32][]time.Duration{}
+	for _, e := range c.events {
+		if at, ok := startedAt[e.SwitchID]; ok && e.Kind == TryReceived && e.At < at+rampTime {
+			received[e.SwitchID] = append(received[e.SwitchID], e.At)
 		}
 	}
 	// What a warm switch does in the time: all circuits of all groups turned over, and as much again for its own exchange's calls.
-	carried := float64(j.plan.Controllers*j.plan.Switches.Circuits) / (j.plan.Switches.HoldMax / 2).Seconds()
-	for _, id := range slices.SortedFunc(keys(arrived), cmp.Compare[uint32]) {
-		for i, at := range arrived[id] {
-			n := 0
-			for _, other := range arrived[id][i:] {
-				if other-at < tipAfter {
-					n++
+	normalRate := float64(c.plan.Controllers*c.plan.Switches.Circuits) / (c.plan.Switches.MaxHoldingTime / 2).Seconds()
+	for _, id := range slices.SortedFunc(mapKeys(received), cmp.Compare[uint32]) {
+		for i, at := range received[id] {
+			count := 0
+			for _, other := range received[id][i:] {
+				if other-at < overloadWindow {
+					count++
 				}
 			}
-			strength := coldFrom + (1-coldFrom)*min(1, (at-born[id]).Seconds()/rampTime.Seconds())
-			bears := tipMultiple * strength * 2 * carried * tipAfter.Seconds()
-			if float64(n) > bears+3*math.Sqrt(bears)+3 {
-				j.breach(RuleCold, nil, -1, "%d set-ups in %v to %s, which bears %.1f", n, tipAfter, board.FormatID(id), bears)
+			capacityShare := initialCapacity + (1-initialCapacity)*min(1, (at-startedAt[id]).Seconds()/rampTime.Seconds())
+			tolerated := overloadMultiple * capacityShare * 2 * normalRate * overloadWindow.Seconds()
+			if float64(count) > tolerated+3*math.Sqrt(tolerated)+3 {
+				c.addViolation(RuleColdSwitch, nil, -1, "%d set-ups in %v to %s, which bears %.1f", count, overloadWindow, board.FormatID(id), tolerated)
 				break
 			}
 		}
--- a/internal/soak/judge_sides.go
+++ b/internal/soak/judge_sides.go
@@ -9,54 +9,54 @@
 	"indigodrift/internal/sip"
 )
 
-// bothSides judges that a call that is over for its caller does not go on standing at its switch.
-func (j *judge) bothSides(k *callView) {
-	answer, ok := k.first(CallAnswered)
+// checkBothSides judges that a call that is over for its caller does not go on standing at its switch.
+func (c *checker) checkBothSides(call *callHistory) {
+	answer, ok := call.firstEvent(AnswerRead)
 	if !ok || answer.Status != sip.OK {
 		return
 	}
-	ended, over, stood := never, never, Event{}
-	for _, e := range k.events {
-		ofAnswer := AnswerBody(e.Switch, k.id, e.Number) == answer.Text
+	ended, endedAtSwitch, established := never, never, Event{}
+	for _, e := range call.events {
+		answeredLeg := AnswerBody(e.SwitchID, call.id, e.Number) == answer.Detail
 		switch {
-		case e.Kind == CallToldOver, e.Kind == CallReleased, e.Kind == CallGivenUp:
+		case e.Kind == ReleaseRead, e.Kind == CallReleased, e.Kind == CallAbandoned:
 			ended = min(ended, e.At)
-		case e.Kind == CallStood && ofAnswer:
-			stood = e
-		case e.Kind == CallOver && ofAnswer:
-			over = min(over, e.At)
+		case e.Kind == CallEstablished && answeredLeg:
+			established = e
+		case e.Kind == CallEnded && answeredLeg:
+			endedAtSwitch = min(endedAtSwitch, e.At)
 		}
 	}
-	if ended == never || stood.Call == "" {
+	if ended == never || established.CallID == "" {
 		return
 	}
-	deadline := ended + toldWithin + slack + passMost
-	deadline += j.late(ended, deadline)
-	if over <= deadline || !j.aliveThrough(k.controller, stood.At, deadline) || j.end < deadline || j.unreachable(k.controller, stood.Switch, ended, deadline) {
+	deadline := ended + releaseDeliveryTime + slack + maxProxyDelay
+	deadline += c.stallTime(ended, deadline)
+	if endedAtSwitch <= deadline || !c.aliveThroughout(call.controller, established.At, deadline) || c.endTime < deadline || c.releaseMayBeLost(call.controller, established.SwitchID, ended, deadline) {
 		return
 	}
-	j.breach(RuleBothSides, k, k.controller, "over for its caller at %.3f, run %d at %s %s", ended.Seconds(), stood.Number, board.FormatID(stood.Switch), whenOver(over))
+	c.addViolation(RuleEndedAtSwitch, call, call.controller, "over for its caller at %.3f, run %d at %s %s", ended.Seconds(), established.Number, board.FormatID(established.SwitchID), formatLegEnd(endedAtSwitch))
 }
 
-func whenOver(at time.Duration) string {
+func formatLegEnd(at time.Duration) string {
 	if at == never {
 		return "goes on"
 	}
-	return "is over " + whenTold(at)
+	return "is over " + formatTime(at)
 }
 
-// faultMost is how long a fault lasts at most.
-const faultMost = 6 * time.Second
+// maxFaultDuration is how long a fault lasts at most.
+const maxFaultDuration = 6 * time.Second
 
-// unreachable tells that a release may not have reached a switch in a span: a connection to it was lost about then, or all of them may be silent.
-func (j *judge) unreachable(controller int, sw uint32, from, to time.Duration) bool {
-	kinds := []FaultKind{VanishSwitch, HangSwitch, HangLinks, RefuseLinks, SilenceLinks, SilenceLink}
-	return slices.ContainsFunc(j.events, func(e Event) bool {
+// releaseMayBeLost tells that a release may not have reached a switch in a span: a connection to it was lost about then, or all of them may be silent.
+func (c *checker) releaseMayBeLost(controller int, sw uint32, from, to time.Duration) bool {
+	kinds := []FaultKind{PartitionSwitch, HangSwitch, HangLinks, RefuseLinks, SilenceLinks, SilenceLink}
+	return slices.ContainsFunc(c.events, func(e Event) bool {
 		switch e.Kind {
-		case LinkLost, LinkClosed:
-			return e.Controller == controller && e.Switch == sw && e.At >= from-transitMost && e.At <= to
-		case Fault:
-			return e.At >= from-faultMost-toldWithin && e.At <= to && slices.ContainsFunc(kinds, func(kind FaultKind) bool { return strings.HasPrefix(e.Text, kind.String()+" (") })
+		case SwitchConnLost, SwitchConnClosed:
+			return e.Controller == controller && e.SwitchID == sw && e.At >= from-lossWindow && e.At <= to
+		case FaultInjected:
+			return e.At >= from-maxFaultDuration-releaseDeliveryTime && e.At <= to && slices.ContainsFunc(kinds, func(kind FaultKind) bool { return strings.HasPrefix(e.Detail, kind.String()+" (") })
 		}
 		return false
 	})
--- a/internal/soak/judge_test.go
+++ b/internal/soak/judge_test.go
@@ -10,56 +10,56 @@
 )
 
 const (
-	ms     = time.Millisecond
-	callID = "0001000000000001"
-	swID   = uint32(0x10002)
+	ms       = time.Millisecond
+	callID   = "0001000000000001"
+	switchID = uint32(0x10002)
 )
 
-// history is what peers of a controller see of one call that goes well.
-func history() []Event {
+// normalCall is what peers of a controller see of one call that goes well.
+func normalCall() []Event {
 	return []Event{
 		{At: 0, Kind: ControllerStarted},
-		{At: 10 * ms, Kind: ControllerReady, Span: 10 * ms},
-		{At: 10 * ms, Kind: CallerOpened, Conn: 1},
-		{At: 100 * ms, Kind: CallSent, Call: callID, Conn: 1, Span: time.Second},
-		{At: 105 * ms, Kind: TryArrived, Call: callID, Switch: swID, Conn: 2, Text: "offer of " + callID},
-		{At: 120 * ms, Kind: TryEnded, Call: callID, Switch: swID, Conn: 2, Status: sip.OK},
-		{At: 120 * ms, Kind: CallStood, Call: callID, Switch: swID, Conn: 2},
-		{At: 125 * ms, Kind: CallAnswered, Call: callID, Conn: 1, Status: sip.OK, Text: AnswerBody(swID, callID, 0)},
-		{At: 2000 * ms, Kind: CallOver, Call: callID, Switch: swID, Text: "cause 16"},
-		{At: 2000 * ms, Kind: ReleaseWritten, Call: callID, Switch: swID, Conn: 2},
-		{At: 2010 * ms, Kind: CallToldOver, Call: callID, Conn: 1},
-		{At: 30000 * ms, Kind: CallerClosed, Conn: 1},
-		{At: 31000 * ms, Kind: ControllerTold, Status: 15, Text: "terminated"},
-		{At: 32000 * ms, Kind: ControllerEnded},
+		{At: 10 * ms, Kind: ControllerReady, Duration: 10 * ms},
+		{At: 10 * ms, Kind: CallerConnOpened, ConnID: 1},
+		{At: 100 * ms, Kind: SetUpSent, CallID: callID, ConnID: 1, Duration: time.Second},
+		{At: 105 * ms, Kind: TryReceived, CallID: callID, SwitchID: switchID, ConnID: 2, Detail: "offer of " + callID},
+		{At: 120 * ms, Kind: TryEnded, CallID: callID, SwitchID: switchID, ConnID: 2, Status: sip.OK},
+		{At: 120 * ms, Kind: CallEstablished, CallID: callID, SwitchID: switchID, ConnID: 2},
+		{At: 125 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.OK, Detail: AnswerBody(switchID, callID, 0)},
+		{At: 2000 * ms, Kind: CallEnded, CallID: callID, SwitchID: switchID, Detail: "cause 16"},
+		{At: 2000 * ms, Kind: ReleaseSent, CallID: callID, SwitchID: switchID, ConnID: 2},
+		{At: 2010 * ms, Kind: ReleaseRead, CallID: callID, ConnID: 1},
+		{At: 30000 * ms, Kind: CallerConnClosed, ConnID: 1},
+		{At: 31000 * ms, Kind: SignalSent, Status: 15, Detail: "terminated"},
+		{At: 32000 * ms, Kind: ControllerExited},
 	}
 }
 
-// ended is the history of a call whose set-up ends with a status.
-func ended(status int) []Event {
-	events := without(without(history(), CallStood), CallAnswered)
+// callWithStatus is the history of a call whose set-up ends with a status.
+func callWithStatus(status int) []Event {
+	events := withoutKind(withoutKind(normalCall(), CallEstablished), AnswerRead)
 	for i := range events {
 		if events[i].Kind == TryEnded {
 			events[i].Status = status
 		}
 	}
-	return with(without(without(without(events, CallOver), ReleaseWritten), CallToldOver),
-		Event{At: 900 * ms, Kind: CallAnswered, Call: callID, Conn: 1, Status: sip.ServiceUnavailable})
+	return withEvents(withoutKind(withoutKind(withoutKind(events, CallEnded), ReleaseSent), ReleaseRead),
+		Event{At: 900 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.ServiceUnavailable})
 }
 
-func without(events []Event, kind Kind) []Event {
-	var left []Event
+func withoutKind(events []Event, kind EventKind) []Event {
+	var remaining []Event
 	for _, e := range events {
 		if e.Kind != kind {
-			left = append(left, e)
+			remaining = append(remaining, e)
 		}
 	}
-	return left
+	return remaining
 }
 
-// with adds events in the order of time.
-func with(events []Event, more ...Event) []Event {
-	for _, e := range more {
+// withEvents adds events in the order of time.
+func withEvents(events []Event, added ...Event) []Event {
+	for _, e := range added {
 		i := 0
 		for i < len(events) && events[i].At <= e.At {
 			i++
@@ -70,101 +70,101 @@
 }
 
 // Each rule is found broken by what breaks it, and by nothing that the page allows.
-func TestJudgeNamesTheRuleThatIsBroken(t *testing.T) {
-	answer := Event{At: 130 * ms, Kind: CallAnswered, Call: callID, Conn: 1, Status: sip.OK, Text: AnswerBody(swID, callID, 0)}
-	again := Event{Kind: TryArrived, Call: callID, Switch: swID + 1, Conn: 3, Text: "offer of " + callID}
-	gave := Event{At: 110 * ms, Kind: TryGivenUp, Call: callID, Switch: swID, Conn: 2}
-	listed := []Event{{At: 50 * ms, Kind: ListChanged, Controller: -1, Switch: swID, Status: int(board.Draining), Number: 2}}
+func TestCheckReportsTheViolatedRule(t *testing.T) {
+	answer := Event{At: 130 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.OK, Detail: AnswerBody(switchID, callID, 0)}
+	retry := Event{Kind: TryReceived, CallID: callID, SwitchID: switchID + 1, ConnID: 3, Detail: "offer of " + callID}
+	cancelled := Event{At: 110 * ms, Kind: TryAbandoned, CallID: callID, SwitchID: switchID, ConnID: 2}
+	drained := []Event{{At: 50 * ms, Kind: ListChanged, Controller: -1, SwitchID: switchID, Status: int(board.Draining), Number: 2}}
 	at := func(e Event, at time.Duration) Event { e.At = at; return e }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		events []Event
 		want   Rule
 	}{
-		{"all well", history(), ""},
-		{"two answers", with(history(), answer), RuleAnswered},
-		{"no answer", without(without(history(), CallAnswered), CallToldOver), RuleAnswered},
-		{"no answer, and the caller gave up", with(without(without(history(), CallAnswered), CallToldOver), Event{At: 115 * ms, Kind: CallGivenUp, Call: callID, Conn: 1}), ""},
-		{"no answer, as the connection was cut by the rig", with(without(without(history(), CallAnswered), CallToldOver), Event{At: 115 * ms, Kind: CallerSilenced, Conn: 1}), ""},
-		{"connection closed under a set-up", with(without(without(history(), CallAnswered), CallToldOver), Event{At: 400 * ms, Kind: CallUnanswered, Call: callID, Conn: 1}), RuleAnswered},
-		{"an answer of nobody", with(without(history(), CallAnswered), Event{At: 125 * ms, Kind: CallAnswered, Call: callID, Conn: 1, Status: sip.OK, Text: "made up"}), RuleServedTrue},
-		{"never told", without(history(), CallToldOver), RuleTold},
-		{"told late", with(without(history(), CallToldOver), Event{At: 3300 * ms, Kind: CallToldOver, Call: callID, Conn: 1}), RuleTold},
-		{"never told, and the release was lost", with(without(history(), CallToldOver), Event{At: 1900 * ms, Kind: LinkLost, Conn: 2}), RuleToldLost},
-		{"told late, and the release was lost", with(without(history(), CallToldOver), Event{At: 1900 * ms, Kind: LinkLost, Conn: 2},
-			Event{At: 9000 * ms, Kind: CallToldOver, Call: callID, Conn: 1}), ""},
-		{"never told, and the release was lost long before a kill", with(without(history(), CallToldOver), Event{At: 1900 * ms, Kind: LinkLost, Conn: 2},
-			Event{At: 20000 * ms, Kind: ControllerTold, Status: 9, Text: "killed"}), RuleToldLost},
-		{"never told, as the controller was killed with the release", with(without(history(), CallToldOver), Event{At: 2005 * ms, Kind: ControllerTold, Status: 9, Text: "killed"},
-			Event{At: 2006 * ms, Kind: ControllerEnded, Text: "signal: killed"}, Event{At: 2100 * ms, Kind: ControllerStarted}, Event{At: 2110 * ms, Kind: ControllerReady, Span: 10 * ms},
-			Event{At: 2120 * ms, Kind: CallAnnounced, Call: callID, Switch: swID, Conn: 1}), ""},
-		{"never told, and nobody was there", with(without(without(history(), CallToldOver), CallerClosed), Event{At: 1900 * ms, Kind: CallerClosed, Conn: 1}), ""},
-		{"tried again at once after a refusal", with(ended(sip.ServiceUnavailable), at(again, 110*ms+passMost)), ""},
-		{"tried again at once after an answer", with(history(), at(again, 110*ms+passMost)), RuleReleaseTime},
-		{"tried again at once after a spoilt answer", with(ended(0), at(again, 110*ms+passMost)), RuleReleaseTime},
-		{"tried again at once after a reset", with(ended(sip.ServerTimeout), at(again, 110*ms+passMost)), RuleReleaseTime},
-		{"tried again at once after its connection was reset", with(without(ended(0), TryEnded), Event{At: 112 * ms, Kind: LinkLost, Conn: 2, Text: "reset"}, at(again, 110*ms+passMost)), RuleReleaseTime},
-		{"tried again after a connection fell silent", with(without(ended(0), TryEnded), Event{At: 106 * ms, Kind: LinkLost, Conn: 2, Text: lostSilent}, at(again, 400*ms)), ""},
-		{"cut by the controller, and its caller not told", with(without(without(without(history(), CallToldOver), ReleaseWritten), CallOver),
-			Event{At: 2000 * ms, Kind: CallOver, Call: callID, Switch: swID, Text: textReleased}), RuleTold},
-		{"told that it is over while it stands", without(without(history(), CallOver), ReleaseWritten), RuleBothSides},
-		{"ended by its caller and never released at its switch", with(without(without(without(history(), CallOver), ReleaseWritten), CallToldOver),
-			Event{At: 1500 * ms, Kind: CallReleased, Call: callID, Conn: 1}), RuleBothSides},
-		{"two tries at once for long", with(without(history(), TryEnded), at(again, 400*ms)), RuleOneTry},
-		{"tried again too early", with(history(), gave, at(again, 300*ms)), RuleReleaseTime},
-		{"tried again in time", with(history(), gave, at(again, 111*ms+releaseGuard)), ""},
-		{"sent past the grace", with(with(without(history(), TryArrived), listed...), Event{At: 60 * ms, Kind: ListTold, Number: 2},
-			Event{At: 500 * ms, Kind: TryArrived, Call: callID, Switch: swID, Conn: 2, Text: "offer of " + callID}), RuleDrain},
-		{"sent while nobody could know", with(with(without(history(), TryArrived), listed...), Event{At: 40 * ms, Kind: BoardLost, Span: toldAfterLoss},
-			Event{At: 3000 * ms, Kind: BoardBack}, Event{At: 500 * ms, Kind: TryArrived, Call: callID, Switch: swID, Conn: 2, Text: "offer of " + callID}), ""},
-		{"a set-up that nobody sent", with(history(), Event{At: 200 * ms, Kind: TryArrived, Call: "00010000000000ff", Switch: swID, Conn: 2}), RuleNoCaller},
-		{"bad client served", with(history(), Event{At: 200 * ms, Kind: ClientServed, Status: sip.OK, Span: ms}), RuleBadClient},
-		{"bad client left waiting", with(history(), Event{At: 9000 * ms, Kind: ClientServed, Status: 1, Span: 4 * time.Second}), RuleBadClient},
-		{"crash", with(history(), Event{At: 20000 * ms, Kind: ControllerEnded, Status: 1, Text: "exit status 2"}), RuleCrash},
-		{"slow start", with(without(history(), ControllerReady), Event{At: 11000 * ms, Kind: ControllerReady, Span: 11 * time.Second}), RuleReady},
+		{"all well", normalCall(), ""},
+		{"two answers", withEvents(normalCall(), answer), RuleFinalAnswer},
+		{"no answer", withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), RuleFinalAnswer},
+		{"no answer, and the caller gave up", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 115 * ms, Kind: CallAbandoned, CallID: callID, ConnID: 1}), ""},
+		{"no answer, as the connection was cut by the rig", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 115 * ms, Kind: CallerConnDisrupted, ConnID: 1}), ""},
+		{"connection closed under a set-up", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 400 * ms, Kind: ConnEndedUnanswered, CallID: callID, ConnID: 1}), RuleFinalAnswer},
+		{"an answer of nobody", withEvents(withoutKind(normalCall(), AnswerRead), Event{At: 125 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.OK, Detail: "made up"}), RuleAnswerFromSwitch},
+		{"never told", withoutKind(normalCall(), ReleaseRead), RuleReleaseDelivery},
+		{"told late", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 3300 * ms, Kind: ReleaseRead, CallID: callID, ConnID: 1}), RuleReleaseDelivery},
+		{"never told, and the release was lost", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2}), RuleLostReleaseDelivery},
+		{"told late, and the release was lost", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2},
+			Event{At: 9000 * ms, Kind: ReleaseRead, CallID: callID, ConnID: 1}), ""},
+		{"never told, and the release was lost long before a kill", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2},
+			Event{At: 20000 * ms, Kind: SignalSent, Status: 9, Detail: "killed"}), RuleLostReleaseDelivery},
+		{"never told, as the controller was killed with the release", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 2005 * ms, Kind: SignalSent, Status: 9, Detail: "killed"},
+			Event{At: 2006 * ms, Kind: ControllerExited, Detail: "signal: killed"}, Event{At: 2100 * ms, Kind: ControllerStarted}, Event{At: 2110 * ms, Kind: ControllerReady, Duration: 10 * ms},
+			Event{At: 2120 * ms, Kind: EstablishedCallAnnounced, CallID: callID, SwitchID: switchID, ConnID: 1}), ""},
+		{"never told, and nobody was there", withEvents(withoutKind(withoutKind(normalCall(), ReleaseRead), CallerConnClosed), Event{At: 1900 * ms, Kind: CallerConnClosed, ConnID: 1}), ""},
+		{"tried again at once after a refusal", withEvents(callWithStatus(sip.ServiceUnavailable), at(retry, 110*ms+maxProxyDelay)), ""},
+		{"tried again at once after an answer", withEvents(normalCall(), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"tried again at once after a spoilt answer", withEvents(callWithStatus(0), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"tried again at once after a reset", withEvents(callWithStatus(sip.ServerTimeout), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"tried again at once after its connection was reset", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 112 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: "reset"}, at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"tried again after a connection fell silent", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 106 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: lossSilent}, at(retry, 400*ms)), ""},
+		{"cut by the controller, and its caller not told", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), ReleaseRead), ReleaseSent), CallEnded),
+			Event{At: 2000 * ms, Kind: CallEnded, CallID: callID, SwitchID: switchID, Detail: releasedByController}), RuleReleaseDelivery},
+		{"told that it is over while it stands", withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), RuleEndedAtSwitch},
+		{"ended by its caller and never released at its switch", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), ReleaseRead),
+			Event{At: 1500 * ms, Kind: CallReleased, CallID: callID, ConnID: 1}), RuleEndedAtSwitch},
+		{"two tries at once for long", withEvents(withoutKind(normalCall(), TryEnded), at(retry, 400*ms)), RuleSingleTry},
+		{"tried again too early", withEvents(normalCall(), cancelled, at(retry, 300*ms)), RuleReleaseTime},
+		{"tried again in time", withEvents(normalCall(), cancelled, at(retry, 111*ms+releaseTime)), ""},
+		{"sent past the grace", withEvents(withEvents(withoutKind(normalCall(), TryReceived), drained...), Event{At: 60 * ms, Kind: ListSent, Number: 2},
+			Event{At: 500 * ms, Kind: TryReceived, CallID: callID, SwitchID: switchID, ConnID: 2, Detail: "offer of " + callID}), RuleDrain},
+		{"sent while nobody could know", withEvents(withEvents(withoutKind(normalCall(), TryReceived), drained...), Event{At: 40 * ms, Kind: BoardLost, Duration: outageRecoveryTime},
+			Event{At: 3000 * ms, Kind: BoardRestored}, Event{At: 500 * ms, Kind: TryReceived, CallID: callID, SwitchID: switchID, ConnID: 2, Detail: "offer of " + callID}), ""},
+		{"a set-up that nobody sent", withEvents(normalCall(), Event{At: 200 * ms, Kind: TryReceived, CallID: "00010000000000ff", SwitchID: switchID, ConnID: 2}), RuleValidSetUp},
+		{"bad client served", withEvents(normalCall(), Event{At: 200 * ms, Kind: BadClientServed, Status: sip.OK, Duration: ms}), RuleBadClient},
+		{"bad client left waiting", withEvents(normalCall(), Event{At: 9000 * ms, Kind: BadClientServed, Status: 1, Duration: 4 * time.Second}), RuleBadClient},
+		{"crash", withEvents(normalCall(), Event{At: 20000 * ms, Kind: ControllerExited, Status: 1, Detail: "exit status 2"}), RuleNoCrash},
+		{"slow start", withEvents(withoutKind(normalCall(), ControllerReady), Event{At: 11000 * ms, Kind: ControllerReady, Duration: 11 * time.Second}), RuleReady},
 	} {
-		plan := Plan{Controllers: 1, Switches: SwitchPlan{Circuits: 10, HoldMax: time.Second}}
-		breaches := Judge(plan, c.events)
+		plan := Plan{Controllers: 1, Switches: SwitchPlan{Circuits: 10, MaxHoldingTime: time.Second}}
+		violations := Check(plan, test.events)
 		found := Rule("")
-		for _, b := range breaches {
-			if found = b.Rule; found == c.want {
+		for _, b := range violations {
+			if found = b.Rule; found == test.want {
 				break
 			}
 		}
-		if found != c.want {
-			t.Errorf("%s: found %q, want %q: %v", c.name, found, c.want, breaches)
+		if found != test.want {
+			t.Errorf("%s: found %q, want %q: %v", test.name, found, test.want, violations)
 		}
 	}
 }
 
 // A crowd of set-ups that a switch cannot bear just after its start is found, whichever controllers sent them.
-func TestJudgeFindsAColdSwitchPushedOver(t *testing.T) {
-	plan := Plan{Controllers: 2, Switches: SwitchPlan{Circuits: 4, HoldMax: 4 * time.Second}}
-	events := []Event{{At: time.Second, Kind: ListChanged, Controller: -1, Switch: swID, Status: int(board.Ready), Number: 2, Span: time.Hour}}
+func TestCheckFindsAnOverloadedColdSwitch(t *testing.T) {
+	plan := Plan{Controllers: 2, Switches: SwitchPlan{Circuits: 4, MaxHoldingTime: 4 * time.Second}}
+	events := []Event{{At: time.Second, Kind: ListChanged, Controller: -1, SwitchID: switchID, Status: int(board.Ready), Number: 2, Duration: time.Hour}}
 	for i := range 60 {
-		events = append(events, Event{At: 2*time.Second + time.Duration(i)*ms, Kind: TryArrived, Controller: i % 2, Switch: swID, Call: callID, Conn: 5})
+		events = append(events, Event{At: 2*time.Second + time.Duration(i)*ms, Kind: TryReceived, Controller: i % 2, SwitchID: switchID, CallID: callID, ConnID: 5})
 	}
 	found := false
-	for _, b := range Judge(plan, events) {
-		found = found || b.Rule == RuleCold
+	for _, b := range Check(plan, events) {
+		found = found || b.Rule == RuleColdSwitch
 	}
 	if !found {
 		t.Error("not found")
 	}
 }
 
-func TestSeedDrawsTheSamePlanEachTime(t *testing.T) {
+func TestNewPlanIsDeterministic(t *testing.T) {
 	kinds := map[FaultKind]bool{}
 	for seed := range uint64(200) {
-		p := Draw(seed, 12*time.Second)
-		if !reflect.DeepEqual(p, Draw(seed, 12*time.Second)) {
+		p := NewPlan(seed, 12*time.Second)
+		if !reflect.DeepEqual(p, NewPlan(seed, 12*time.Second)) {
 			t.Fatalf("seed %d draws two plans", seed)
 		}
 		for _, f := range p.Faults {
 			kinds[f.Kind] = true
 		}
 	}
-	if len(kinds) != int(faultKinds) {
-		t.Errorf("%d of %d kinds of faults drawn", len(kinds), faultKinds)
+	if len(kinds) != int(numFaultKinds) {
+		t.Errorf("%d of %d kinds of faults drawn", len(kinds), numFaultKinds)
 	}
 }
--- a/internal/soak/judge_told.go
+++ b/internal/soak/judge_told.go
@@ -8,132 +8,132 @@
 	"indigodrift/internal/sip"
 )
 
-// usableFrom is the first instant from which on a caller's connection to a controller is open for a span; false when there is none.
-func (j *judge) usableFrom(controller int, from, span time.Duration) (time.Duration, bool) {
-	best, found := never, false
-	for conn, whose := range j.whose {
-		if whose != controller {
+// callerConnUsableFrom is the first instant from which on a caller's connection to a controller is open for a span; false when there is none.
+func (c *checker) callerConnUsableFrom(controller int, from, duration time.Duration) (time.Duration, bool) {
+	earliest, found := never, false
+	for conn, owner := range c.callerConnController {
+		if owner != controller {
 			continue
 		}
-		at, until := max(from, j.opened[conn]), never
-		if closed, ok := j.closed[conn]; ok {
+		usable, until := max(from, c.callerOpenedAt[conn]), never
+		if closed, ok := c.callerClosedAt[conn]; ok {
 			until = closed
 		}
-		if lost, ok := j.lostAt[conn]; ok {
-			until = min(until, lost-transitMost)
+		if lost, ok := c.lostAt[conn]; ok {
+			until = min(until, lost-lossWindow)
 		}
-		if at < best && at+span <= until {
-			best, found = at, true
+		if usable < earliest && usable+duration <= until {
+			earliest, found = usable, true
 		}
 	}
-	return best, found
+	return earliest, found
 }
 
-// told judges that the caller of a call that stood and is over knows so.
-func (j *judge) told(k *callView) {
-	answer, ok := k.first(CallAnswered)
+// checkReleaseDelivery judges that the caller of a call that stood and is over knows so.
+func (c *checker) checkReleaseDelivery(call *callHistory) {
+	answer, ok := call.firstEvent(AnswerRead)
 	if !ok || answer.Status != sip.OK {
 		return
 	}
-	toldAt := never
-	stood := Event{} // what its answer names: other runs never stood for its caller
-	for _, e := range k.events {
+	notifiedAt := never
+	established := Event{} // what its answer names: other runs never stood for its caller
+	for _, e := range call.events {
 		switch e.Kind {
-		case CallToldOver, CallReleased, CallGivenUp:
-			toldAt = min(toldAt, e.At)
-		case CallStood:
-			if AnswerBody(e.Switch, k.id, e.Number) == answer.Text {
-				stood = e
+		case ReleaseRead, CallReleased, CallAbandoned:
+			notifiedAt = min(notifiedAt, e.At)
+		case CallEstablished:
+			if AnswerBody(e.SwitchID, call.id, e.Number) == answer.Detail {
+				established = e
 			}
 		}
 	}
-	known := answer.At // to the life of the controller that was told last
-	for _, e := range k.events {
-		if e.Kind == CallAnnounced {
-			known = e.At
+	knownAt := answer.At // to the life of the controller that was told last
+	for _, e := range call.events {
+		if e.Kind == EstablishedCallAnnounced {
+			knownAt = e.At
 		}
 	}
-	held := false // a release reached a life that was killed before it had to pass it on, and what that held is no duty any more
-	for _, e := range k.events {
-		if e.Switch != stood.Switch || e.Number != stood.Number {
-			if e.Kind == ReleaseWritten && (e.Status == causeNormal || e.Status == causeCut) && e.At < toldAt {
-				j.toldOfRelease(k, e, toldAt) // a call is known by its id alone: by this release it is over, though another run of it stands
+	releaseLost := false // a release reached a life that was killed before it had to pass it on, and what that held is no duty any more
+	for _, e := range call.events {
+		if e.SwitchID != established.SwitchID || e.Number != established.Number {
+			if e.Kind == ReleaseSent && (e.Status == causeNormalClearing || e.Status == causeTemporaryFailure) && e.At < notifiedAt {
+				c.checkRelease(call, e, notifiedAt) // a call is known by its id alone: by this release it is over, though another run of it stands
 			}
 			continue
 		}
-		if e.Kind == CallOver && e.Text == textReleased { // the controller cut it, and must tell its caller as well
-			j.toldOfRelease(k, e, toldAt)
+		if e.Kind == CallEnded && e.Detail == releasedByController { // the controller cut it, and must tell its caller as well
+			c.checkRelease(call, e, notifiedAt)
 		}
-		if e.Kind == ReleaseWritten {
-			held = held || j.killedWithin(k.controller, e.At, toldWithin+slack, func(Event) bool { return true }) || j.endedWithoutCallers(k.controller, e.At)
-			j.toldOfRelease(k, e, toldAt)
+		if e.Kind == ReleaseSent {
+			releaseLost = releaseLost || c.killedWithin(call.controller, e.At, releaseDeliveryTime+slack, func(Event) bool { return true }) || c.exitedWithoutCallers(call.controller, e.At)
+			c.checkRelease(call, e, notifiedAt)
 		}
 	}
-	for _, e := range k.events {
-		if e.Switch == stood.Switch && e.Number == stood.Number && e.Kind == CallOver && e.Text != textReleased && !held {
-			j.toldOfEnd(k, e.At, known, toldAt)
+	for _, e := range call.events {
+		if e.SwitchID == established.SwitchID && e.Number == established.Number && e.Kind == CallEnded && e.Detail != releasedByController && !releaseLost {
+			c.checkEnd(call, e.At, knownAt, notifiedAt)
 		}
 	}
 }
 
-// endedWithoutCallers tells that a life of a controller ended before a release that it read at an instant could be told: until then no caller's
+// exitedWithoutCallers tells that a life of a controller ended before a release that it read at an instant could be told: until then no caller's
 // connection was open and not silent for the time that takes.
-func (j *judge) endedWithoutCallers(controller int, at time.Duration) bool {
-	for _, life := range j.lives[controller] {
-		if at < life.from || at > life.to || life.to == never {
+func (c *checker) exitedWithoutCallers(controller int, at time.Duration) bool {
+	for _, lifetime := range c.lifetimes[controller] {
+		if at < lifetime.from || at > lifetime.to || lifetime.to == never {
 			continue
 		}
-		from, ok := j.usableFrom(controller, at, toldWithin+slack+passMost)
-		return !ok || from+toldWithin+slack+passMost > life.to
+		from, ok := c.callerConnUsableFrom(controller, at, releaseDeliveryTime+slack+maxProxyDelay)
+		return !ok || from+releaseDeliveryTime+slack+maxProxyDelay > lifetime.to
 	}
 	return false
 }
 
 // killedWithin tells whether a controller got such a SIGKILL in a span.
-func (j *judge) killedWithin(controller int, from, span time.Duration, which func(Event) bool) bool {
-	return slices.ContainsFunc(j.events, func(e Event) bool {
-		return e.Kind == ControllerTold && e.Controller == controller && e.Text == "killed" && e.At >= from-slack && e.At <= from+span && which(e)
+func (c *checker) killedWithin(controller int, from, duration time.Duration, matches func(Event) bool) bool {
+	return slices.ContainsFunc(c.events, func(e Event) bool {
+		return e.Kind == SignalSent && e.Controller == controller && e.Detail == "killed" && e.At >= from-slack && e.At <= from+duration && matches(e)
 	})
 }
 
-// toldOfRelease judges one release that a switch wrote.
-func (j *judge) toldOfRelease(k *callView, written Event, toldAt time.Duration) {
-	if lost, ok := j.lostAt[written.Conn]; ok && lost <= written.At+transitMost {
+// checkRelease judges one release that a switch wrote.
+func (c *checker) checkRelease(call *callHistory, sent Event, notifiedAt time.Duration) {
+	if lost, ok := c.lostAt[sent.ConnID]; ok && lost <= sent.At+lossWindow {
 		return
 	}
-	if shut, ok := j.shutAt[written.Conn]; ok && shut <= written.At+slack+passMost { // it crossed the close
+	if closed, ok := c.closedByController[sent.ConnID]; ok && closed <= sent.At+slack+maxProxyDelay { // it crossed the close
 		return
 	}
-	from, ok := j.usableFrom(k.controller, written.At, toldWithin+slack+passMost)
+	from, ok := c.callerConnUsableFrom(call.controller, sent.At, releaseDeliveryTime+slack+maxProxyDelay)
 	if !ok {
 		return
 	}
-	if j.plan.ConnectMost > 0 { // the connection may carry it that much later
-		from += j.plan.ConnectMost
+	if c.plan.MaxConnectDelay > 0 { // the connection may carry it that much later
+		from += c.plan.MaxConnectDelay
 	}
-	deadline := from + toldWithin + slack + passMost
-	deadline += j.late(written.At, deadline)
-	if toldAt <= deadline || !j.aliveThrough(k.controller, written.At, deadline) || j.end < deadline {
+	deadline := from + releaseDeliveryTime + slack + maxProxyDelay
+	deadline += c.stallTime(sent.At, deadline)
+	if notifiedAt <= deadline || !c.aliveThroughout(call.controller, sent.At, deadline) || c.endTime < deadline {
 		return
 	}
-	j.breach(RuleTold, k, k.controller, "release written at %.3f, told %s", written.At.Seconds(), whenTold(toldAt))
+	c.addViolation(RuleReleaseDelivery, call, call.controller, "release written at %.3f, told %s", sent.At.Seconds(), formatTime(notifiedAt))
 }
 
-// toldOfEnd judges the end of a call whose release may never have been sent.
-func (j *judge) toldOfEnd(k *callView, ended, known, toldAt time.Duration) {
-	over := max(ended, known)
-	deadline := over + toldLost + slack + passMost
-	deadline += j.late(over, deadline)
-	if toldAt <= deadline || !j.aliveThrough(k.controller, known, deadline) || j.end < deadline {
+// checkEnd judges the end of a call whose release may never have been sent.
+func (c *checker) checkEnd(call *callHistory, ended, knownAt, notifiedAt time.Duration) {
+	start := max(ended, knownAt)
+	deadline := start + lostReleaseDeliveryTime + slack + maxProxyDelay
+	deadline += c.stallTime(start, deadline)
+	if notifiedAt <= deadline || !c.aliveThroughout(call.controller, knownAt, deadline) || c.endTime < deadline {
 		return
 	}
-	if from, ok := j.usableFrom(k.controller, over, toldWithin+slack+passMost); !ok || from+toldWithin+slack+passMost > deadline {
+	if from, ok := c.callerConnUsableFrom(call.controller, start, releaseDeliveryTime+slack+maxProxyDelay); !ok || from+releaseDeliveryTime+slack+maxProxyDelay > deadline {
 		return
 	}
-	j.breach(RuleToldLost, k, k.controller, "over at %.3f, told %s", over.Seconds(), whenTold(toldAt))
+	c.addViolation(RuleLostReleaseDelivery, call, call.controller, "over at %.3f, told %s", start.Seconds(), formatTime(notifiedAt))
 }
 
-func whenTold(at time.Duration) string {
+func formatTime(at time.Duration) string {
 	if at == never {
 		return "never"
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -17,176 +17,176 @@
 
 // Options say what to run.
 type Options struct {
-	Program  string // the built binary
-	Plant    string // a fault that the controllers have on purpose, "" for none
-	Only     string // the one unusual way in which set-ups end, by SetUpEnd's name, "" for what the seed draws
-	From     uint64 // the first seed
-	Seeds    int
-	Parallel int           // runs side by side
-	Length   time.Duration // of the part with faults
-	Folder   string        // where configurations and logs stay, "" to remove them
-	Out      io.Writer
+	Program      string // the built binary
+	PlantedFault string // a fault that the controllers have on purpose, "" for none
+	OnlyOutcome  string // the one unusual way in which set-ups end, by SetUpOutcome's name, "" for what the seed draws
+	FirstSeed    uint64 // the first seed
+	Seeds        int
+	Parallel     int           // runs side by side
+	Duration     time.Duration // of the part with faults
+	Dir          string        // where configurations and logs stay, "" to remove them
+	Out          io.Writer
 }
 
 // Result is what became of one seed.
 type Result struct {
-	Plan     Plan
-	Breaches []Breach
-	Calls    int
-	Stood    int
-	Told     int
-	Again    int // set-ups of calls that were tried before
-	MemoryKB int
-	Files    int
-	Stalled  time.Duration // how long the rig itself stood still
-	Err      error         // of the rig
-	Folder   string
+	Plan         Plan
+	Violations   []Violation
+	SetUps       int
+	Established  int
+	ReleasesRead int
+	Retries      int // set-ups of calls that were tried before
+	MemoryKB     int
+	Descriptors  int
+	Stalled      time.Duration // how long the rig itself stood still
+	Err          error         // of the rig
+	Dir          string
 }
 
-// ErrOnly tells that set-ups cannot end in such a way.
-var ErrOnly = errors.New("no such end of a set-up")
+// ErrUnknownOutcome tells that set-ups cannot end in such a way.
+var ErrUnknownOutcome = errors.New("no such end of a set-up")
 
 // Run runs the seeds and prints a line for each, and for a failure the rule, the call, its timeline and the command that plays it again.
-func Run(ctx context.Context, o Options) ([]Result, error) {
-	results := make([]Result, o.Seeds)
-	tokens := make(chan struct{}, max(1, o.Parallel))
-	var all sync.WaitGroup
-	var printing sync.Mutex
-	for i := range o.Seeds {
+func Run(ctx context.Context, options Options) ([]Result, error) {
+	results := make([]Result, options.Seeds)
+	semaphore := make(chan struct{}, max(1, options.Parallel))
+	var wg sync.WaitGroup
+	var printMutex sync.Mutex
+	for i := range options.Seeds {
 		select {
-		case tokens <- struct{}{}:
+		case semaphore <- struct{}{}:
 		case <-ctx.Done():
-			all.Wait()
+			wg.Wait()
 			return nil, ctx.Err()
 		}
-		all.Go(func() {
-			defer func() { <-tokens }()
-			results[i] = runSeed(ctx, o, o.From+uint64(i))
-			printing.Lock()
-			defer printing.Unlock()
-			results[i].print(o)
+		wg.Go(func() {
+			defer func() { <-semaphore }()
+			results[i] = runSeed(ctx, options, options.FirstSeed+uint64(i))
+			printMutex.Lock()
+			defer printMutex.Unlock()
+			results[i].print(options)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return results, ctx.Err()
 }
 
-func runSeed(ctx context.Context, o Options, seed uint64) (r Result) {
-	r.Plan = Draw(seed, o.Length)
-	if o.Only != "" {
-		kind, ok := SetUpEndNamed(o.Only)
+func runSeed(ctx context.Context, options Options, seed uint64) (result Result) {
+	result.Plan = NewPlan(seed, options.Duration)
+	if options.OnlyOutcome != "" {
+		outcome, ok := ParseSetUpOutcome(options.OnlyOutcome)
 		if !ok {
-			r.Err = fmt.Errorf("%w: %q", ErrOnly, o.Only)
-			return r
+			result.Err = fmt.Errorf("%w: %q", ErrUnknownOutcome, options.OnlyOutcome)
+			return result
 		}
-		r.Plan.Only(kind)
+		result.Plan.RestrictTo(outcome)
 	}
-	folder := o.Folder
-	if folder == "" {
-		made, err := os.MkdirTemp("", "soak-")
+	dir := options.Dir
+	if dir == "" {
+		tempDir, err := os.MkdirTemp("", "soak-")
 		if err != nil {
-			r.Err = fmt.Errorf("folder of the run: %w", err)
-			return r
+			result.Err = fmt.Errorf("folder of the run: %w", err)
+			return result
 		}
-		defer os.RemoveAll(made)
-		folder = made
+		defer os.RemoveAll(tempDir)
+		dir = tempDir
 	}
-	r.Folder = filepath.Join(folder, fmt.Sprintf("seed-%d", seed))
-	if r.Err = os.MkdirAll(r.Folder, 0o755); r.Err != nil {
-		return r
+	result.Dir = filepath.Join(dir, fmt.Sprintf("seed-%d", seed))
+	if result.Err = os.MkdirAll(result.Dir, 0o755); result.Err != nil {
+		return result
 	}
-	octet, lock, err := take(seed)
+	network, lock, err := claimNetwork(seed)
 	if err != nil {
-		r.Err = err
-		return r
+		result.Err = err
+		return result
 	}
 	defer lock.Close()
-	w := &world{plan: r.Plan, log: NewLog(), folder: r.Folder, program: o.Program, plant: o.Plant, net: octet,
-		random: rand.New(rand.NewPCG(seed, 0xfa017)), stop: make(chan struct{})}
-	if r.Err = w.play(ctx); r.Err != nil {
-		return r
+	h := &harness{plan: result.Plan, log: NewLog(), dir: result.Dir, program: options.Program, plantedFault: options.PlantedFault, network: network,
+		random: rand.New(rand.NewPCG(seed, 0xfa017)), done: make(chan struct{})}
+	if result.Err = h.run(ctx); result.Err != nil {
+		return result
 	}
-	events := w.log.Events()
-	r.Breaches = Judge(r.Plan, events)
-	r.count(events)
-	for _, c := range w.controllers {
-		memory, files := c.used()
-		r.MemoryKB, r.Files = max(r.MemoryKB, memory), max(r.Files, files)
-		if memory > memoryMB<<10 || files > descriptors {
-			r.Breaches = append(r.Breaches, Breach{Rule: RuleLimits, Controller: c.number, What: fmt.Sprintf("%d KiB, %d descriptors", memory, files)})
+	events := h.log.Events()
+	result.Violations = Check(result.Plan, events)
+	result.countEvents(events)
+	for _, c := range h.controllers {
+		memory, descriptors := c.peakUsage()
+		result.MemoryKB, result.Descriptors = max(result.MemoryKB, memory), max(result.Descriptors, descriptors)
+		if memory > memoryLimitMB<<10 || descriptors > descriptorLimit {
+			result.Violations = append(result.Violations, Violation{Rule: RuleLimits, Controller: c.number, Detail: fmt.Sprintf("%d KiB, %d descriptors", memory, descriptors)})
 		}
 	}
-	if o.Folder != "" {
-		r.Err = keep(filepath.Join(r.Folder, "events.log"), events)
+	if options.Dir != "" {
+		result.Err = writeEvents(filepath.Join(result.Dir, "events.log"), events)
 	}
-	return r
+	return result
 }
 
-func keep(file string, events []Event) error {
-	out, err := os.Create(file)
+func writeEvents(path string, events []Event) error {
+	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("events of the run: %w", err)
 	}
-	defer out.Close()
+	defer file.Close()
 	for _, e := range events {
-		if _, err := fmt.Fprintf(out, "%s call %s\n", e, e.Call); err != nil {
+		if _, err := fmt.Fprintf(file, "%s call %s\n", e, e.CallID); err != nil {
 			return fmt.Errorf("events of the run: %w", err)
 		}
 	}
 	return nil
 }
 
-func (r *Result) count(events []Event) {
+func (r *Result) countEvents(events []Event) {
 	tried := map[string]bool{}
 	for _, e := range events {
 		switch e.Kind {
-		case CallSent:
-			r.Calls++
-		case CallStood:
-			r.Stood++
-		case CallToldOver:
-			r.Told++
-		case TryArrived:
-			if tried[e.Call] {
-				r.Again++
+		case SetUpSent:
+			r.SetUps++
+		case CallEstablished:
+			r.Established++
+		case ReleaseRead:
+			r.ReleasesRead++
+		case TryReceived:
+			if tried[e.CallID] {
+				r.Retries++
 			}
-			tried[e.Call] = true
-		case RigStalled:
-			r.Stalled += e.Span
+			tried[e.CallID] = true
+		case HarnessStalled:
+			r.Stalled += e.Duration
 		}
 	}
 }
 
-const breachesShown = 3
+const maxViolationsShown = 3
 
-func (r *Result) print(o Options) {
+func (r *Result) print(options Options) {
 	verdict := "kept"
 	switch {
 	case r.Err != nil:
 		verdict = "the rig failed: " + r.Err.Error()
-	case len(r.Breaches) > 0:
-		verdict = "BROKEN " + Summary(r.Breaches)
+	case len(r.Violations) > 0:
+		verdict = "BROKEN " + Summary(r.Violations)
 	}
-	kinds := map[string]int{}
+	faults := map[string]int{}
 	for _, f := range r.Plan.Faults {
-		kinds[f.Kind.String()]++
+		faults[f.Kind.String()]++
 	}
-	fmt.Fprintf(o.Out, "seed %d: %s; %d controllers, %d set-ups, %d stood, %d tried again, %d releases told, faults %v, %d KiB, %d descriptors, rig stalled %v\n", r.Plan.Seed, verdict,
-		r.Plan.Controllers, r.Calls, r.Stood, r.Again, r.Told, kinds, r.MemoryKB, r.Files, r.Stalled.Round(time.Millisecond))
-	for _, b := range r.Breaches[:min(breachesShown, len(r.Breaches))] {
-		fmt.Fprintf(o.Out, "  %s\n", b)
-		for _, line := range b.Timeline {
-			fmt.Fprintf(o.Out, "    %s\n", line)
+	fmt.Fprintf(options.Out, "seed %d: %s; %d controllers, %d set-ups, %d stood, %d tried again, %d releases told, faults %v, %d KiB, %d descriptors, rig stalled %v\n", r.Plan.Seed, verdict,
+		r.Plan.Controllers, r.SetUps, r.Established, r.Retries, r.ReleasesRead, faults, r.MemoryKB, r.Descriptors, r.Stalled.Round(time.Millisecond))
+	for _, violation := range r.Violations[:min(maxViolationsShown, len(r.Violations))] {
+		fmt.Fprintf(options.Out, "  %s\n", violation)
+		for _, line := range violation.Timeline {
+			fmt.Fprintf(options.Out, "    %s\n", line)
 		}
 	}
-	if len(r.Breaches) > 0 {
-		again := fmt.Sprintf("indigodrift soak --from %d --seeds 1 --length %v", r.Plan.Seed, o.Length)
-		if o.Plant != "" {
-			again += " --plant " + o.Plant
+	if len(r.Violations) > 0 {
+		command := fmt.Sprintf("indigodrift soak --from %d --seeds 1 --length %v", r.Plan.Seed, options.Duration)
+		if options.PlantedFault != "" {
+			command += " --plant " + options.PlantedFault
 		}
-		if o.Only != "" {
-			again += " --only " + o.Only
+		if options.OnlyOutcome != "" {
+			command += " --only " + options.OnlyOutcome
 		}
-		fmt.Fprintf(o.Out, "  play it again: %s\n", again)
+		fmt.Fprintf(options.Out, "  play it again: %s\n", command)
 	}
 }
--- a/internal/soak/switch.go
+++ b/internal/soak/switch.go
@@ -12,327 +12,329 @@
 )
 
 const (
-	writeWithin = time.Second
-	resumeRoom  = 200 * time.Millisecond // what a switch reads so soon after a hang may have lain unread
+	writeTimeout = time.Second
+	resumeMargin = 200 * time.Millisecond // what a switch reads so soon after a hang may have lain unread
 )
 
 // Switch is one life of the switch of a cell: it holds circuits, answers set-ups and ends calls.
 type Switch struct {
-	log    *Log
-	plan   Plan
-	id     uint32
-	cell   int
-	bornMS int64 // Unix millisecond of a late start, 0 at the start of the run
+	log       *Log
+	plan      Plan
+	id        uint32
+	cell      int
+	startedMS int64 // Unix millisecond of a late start, 0 at the start of the run
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	links    map[int][]*switchLink  // by controller, as they opened
-	accepted map[string]*switchLink // by the address of the far end, open or not
-	runs     map[string][]*run      // by call
-	number   int                    // of the last run
-	repeat   map[int][]release      // that go on the next connection as well
-	used     int
-	hung     chan struct{} // closed when the switch goes on; nil while it works
-	hungFor  time.Duration
-	hungAt   time.Duration
-	resumed  time.Duration
-	dead     bool
-	closers  []net.Listener
-	all      sync.WaitGroup
-	stopping chan struct{}
+	mu               sync.Mutex
+	random           *rand.Rand
+	conns            map[int][]*switchConn  // by controller, as they opened
+	connsByAddr      map[string]*switchConn // by the address of the far end, open or not
+	legs             map[string][]*callLeg  // by call
+	lastLeg          int                    // of the last run
+	repeatedReleases map[int][]release      // that go on the next connection as well
+	usedCircuits     int
+	hangEnd          chan struct{} // closed when the switch goes on; nil while it works
+	hangDuration     time.Duration
+	hangStart        time.Duration
+	resumedAt        time.Duration
+	dead             bool
+	listeners        []net.Listener
+	wg               sync.WaitGroup
+	died             chan struct{}
 }
 
-// switchLink is a connection of a controller to a switch.
-type switchLink struct {
-	conn       int
-	c          net.Conn
+// switchConn is a connection of a controller to a switch.
+type switchConn struct {
+	id         int
+	netConn    net.Conn
 	controller int
 	openedAt   time.Duration
 	mu         sync.Mutex
-	runs       map[*run]struct{} // set-ups open on it
-	saidAt     time.Duration     // when a message came on it last
+	legs       map[*callLeg]struct{} // set-ups open on it
+	lastReadAt time.Duration         // when a message came on it last
 	closed     bool
 	lost       bool // nothing passes on it any more
 }
 
-func newSwitch(log *Log, plan Plan, id uint32, cell int, bornMS int64) *Switch {
-	return &Switch{log: log, plan: plan, id: id, cell: cell, bornMS: bornMS, random: rand.New(rand.NewPCG(plan.Seed, uint64(id))),
-		links: map[int][]*switchLink{}, accepted: map[string]*switchLink{}, runs: map[string][]*run{}, repeat: map[int][]release{}, stopping: make(chan struct{})}
+func newSwitch(log *Log, plan Plan, id uint32, cell int, startedMS int64) *Switch {
+	return &Switch{log: log, plan: plan, id: id, cell: cell, startedMS: startedMS, random: rand.New(rand.NewPCG(plan.Seed, uint64(id))),
+		conns: map[int][]*switchConn{}, connsByAddr: map[string]*switchConn{}, legs: map[string][]*callLeg{}, repeatedReleases: map[int][]release{}, died: make(chan struct{})}
 }
 
 // serve takes a controller's connections at a listener.
 func (s *Switch) serve(controller int, ln net.Listener) {
 	s.mu.Lock()
-	s.closers = append(s.closers, ln)
+	s.listeners = append(s.listeners, ln)
 	s.mu.Unlock()
-	s.all.Go(func() {
+	s.wg.Go(func() {
 		for {
-			c, err := ln.Accept()
+			netConn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			l := &switchLink{conn: s.log.Conn(), c: c, controller: controller, openedAt: s.log.Now(), saidAt: s.log.Now(), runs: map[*run]struct{}{}}
+			conn := &switchConn{id: s.log.NewConnID(), netConn: netConn, controller: controller, openedAt: s.log.Now(), lastReadAt: s.log.Now(), legs: map[*callLeg]struct{}{}}
 			s.mu.Lock()
-			s.accepted[c.RemoteAddr().String()] = l
+			s.connsByAddr[netConn.RemoteAddr().String()] = conn
 			s.mu.Unlock()
-			s.all.Go(func() { s.read(l) })
+			s.wg.Go(func() { s.serveConn(conn) })
 		}
 	})
 }
 
-// wait blocks while the switch hangs. False: it has died.
-func (s *Switch) wait() bool {
+// awaitResume blocks while the switch hangs. False: it has died.
+func (s *Switch) awaitResume() bool {
 	for {
 		s.mu.Lock()
-		hung, dead := s.hung, s.dead
+		hangEnd, dead := s.hangEnd, s.dead
 		s.mu.Unlock()
 		if dead {
 			return false
 		}
-		if hung == nil {
+		if hangEnd == nil {
 			return true
 		}
 		select {
-		case <-hung:
-		case <-s.stopping:
+		case <-hangEnd:
+		case <-s.died:
 			return false
 		}
 	}
 }
 
-// read handles what comes on a connection until its end.
-func (s *Switch) read(l *switchLink) {
-	if !s.wait() || faultproxy.PeerClosed(l.c) { // whoever dialled has given up meanwhile
-		s.drop(l)
+// serveConn handles what comes on a connection until its end.
+func (s *Switch) serveConn(conn *switchConn) {
+	if !s.awaitResume() || faultproxy.PeerClosed(conn.netConn) { // whoever dialled has given up meanwhile
+		s.dropConn(conn)
 		return
 	}
 	s.mu.Lock()
-	s.links[l.controller] = append(s.links[l.controller], l)
-	var again []release
-	fresh := s.random.Float64() < s.plan.Switches.ResetNew
-	if !l.lost && !fresh { // else it was silenced while the switch hung, and never came up here
-		again, s.repeat[l.controller] = s.repeat[l.controller], nil
+	s.conns[conn.controller] = append(s.conns[conn.controller], conn)
+	var repeated []release
+	resetNew := s.random.Float64() < s.plan.Switches.ResetNewShare
+	if !conn.lost && !resetNew { // else it was silenced while the switch hung, and never came up here
+		repeated, s.repeatedReleases[conn.controller] = s.repeatedReleases[conn.controller], nil
 	}
 	s.mu.Unlock()
-	if fresh {
-		s.reset(l, "reset when new")
-		s.drop(l)
+	if resetNew {
+		s.resetConn(conn, "reset when new")
+		s.dropConn(conn)
 		return
 	}
-	s.write(l, s.group())
-	for _, r := range again {
-		s.writeRelease(l, r)
+	s.send(conn, s.loadReport())
+	for _, r := range repeated {
+		s.sendRelease(conn, r)
 	}
-	if s.plan.Switches.Unasked > 0 {
-		s.all.Go(func() { s.report(l) })
+	if s.plan.Switches.LoadReportInterval > 0 {
+		s.wg.Go(func() { s.sendLoadReports(conn) })
 	}
-	if s.plan.Switches.IdleClose > 0 {
-		s.all.Go(func() { s.closeIdle(l) })
+	if s.plan.Switches.IdleTimeout > 0 {
+		s.wg.Go(func() { s.closeWhenIdle(conn) })
 	}
-	r := sip.NewReader(l.c)
+	r := sip.NewReader(conn.netConn)
 	for {
-		m, err := r.Read()
-		if !s.wait() || err != nil {
+		message, err := r.Read()
+		if !s.awaitResume() || err != nil {
 			break
 		}
 		s.mu.Lock()
-		l.saidAt = s.log.Now()
+		conn.lastReadAt = s.log.Now()
 		s.mu.Unlock()
-		s.take(l, &m)
+		s.handle(conn, &message)
 	}
-	s.drop(l)
+	s.dropConn(conn)
 }
 
-// report tells the group's state on a connection again and again, unasked.
-func (s *Switch) report(l *switchLink) {
-	for s.pause(s.plan.Switches.Unasked) {
+// sendLoadReports tells the group's state on a connection again and again, unasked.
+func (s *Switch) sendLoadReports(conn *switchConn) {
+	for s.sleepUnlessDead(s.plan.Switches.LoadReportInterval) {
 		s.mu.Lock()
-		closed := l.closed
+		closed := conn.closed
 		s.mu.Unlock()
 		if closed {
 			return
 		}
-		s.write(l, s.group())
+		s.send(conn, s.loadReport())
 	}
 }
 
-// closeIdle closes a connection on which no set-up is open and nothing has come for long, or resets it.
-func (s *Switch) closeIdle(l *switchLink) {
+// closeWhenIdle closes a connection on which no set-up is open and nothing has come for long, or resets it.
+func (s *Switch) closeWhenIdle(conn *switchConn) {
 	for {
 		select {
-		case <-s.stopping:
+		case <-s.died:
 			return
-		case <-time.After(s.plan.Switches.IdleClose / 4):
+		case <-time.After(s.plan.Switches.IdleTimeout / 4):
 		}
 		s.mu.Lock()
-		idle := len(l.runs) == 0 && s.hung == nil && s.log.Now()-l.saidAt > s.plan.Switches.IdleClose
-		closed, reset := l.closed, s.random.IntN(2) == 0
+		idle := len(conn.legs) == 0 && s.hangEnd == nil && s.log.Now()-conn.lastReadAt > s.plan.Switches.IdleTimeout
+		closed, reset := conn.closed, s.random.IntN(2) == 0
 		s.mu.Unlock()
 		switch {
 		case closed:
 			return
 		case idle && reset:
-			s.reset(l, "reset when idle")
+			s.resetConn(conn, "reset when idle")
 			return
 		case idle:
-			l.c.Close()
+			conn.netConn.Close()
 			return
 		}
 	}
 }
 
-// reset resets a connection.
-func (s *Switch) reset(l *switchLink, why string) {
-	s.log.Add(Event{Kind: LinkLost, Controller: l.controller, Switch: s.id, Conn: l.conn, Text: why})
-	if t, ok := l.c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // it may be closed already
+// resetConn resets a connection.
+func (s *Switch) resetConn(conn *switchConn, reason string) {
+	s.log.Add(Event{Kind: SwitchConnLost, Controller: conn.controller, SwitchID: s.id, ConnID: conn.id, Detail: reason})
+	if tcpConn, ok := conn.netConn.(*net.TCPConn); ok {
+		_ = tcpConn.SetLinger(0) // it may be closed already
 	}
-	l.c.Close()
+	conn.netConn.Close()
 }
 
-// drop ends a connection: the set-ups open on it are given up.
-func (s *Switch) drop(l *switchLink) {
-	l.c.Close()
+// dropConn ends a connection: the set-ups open on it are given up.
+func (s *Switch) dropConn(conn *switchConn) {
+	conn.netConn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.closed = true
-	delete(s.accepted, l.c.RemoteAddr().String())
-	var open []*switchLink
-	for _, other := range s.links[l.controller] {
-		if other != l {
+	conn.closed = true
+	delete(s.connsByAddr, conn.netConn.RemoteAddr().String())
+	var open []*switchConn
+	for _, other := range s.conns[conn.controller] {
+		if other != conn {
 			open = append(open, other)
 		}
 	}
-	s.links[l.controller] = open
-	for r := range l.runs {
-		s.giveUp(r, "its connection ended")
+	s.conns[conn.controller] = open
+	for leg := range conn.legs {
+		s.abandonSetUp(leg, "its connection ended")
 	}
 }
 
-func (s *Switch) group() *sip.Message {
+func (s *Switch) loadReport() *sip.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &sip.Message{Method: sip.Notify, URI: "sip:group@net", CallID: "0", CSeq: 1, CSeqMethod: sip.Notify, Fields: []sip.Field{s.load()}}
+	return &sip.Message{Method: sip.Notify, URI: "sip:group@net", CallID: "0", CSeq: 1, CSeqMethod: sip.Notify, Fields: []sip.Field{s.loadField()}}
 }
 
-// load is the report of the group's state; s.mu is held.
-func (s *Switch) load() sip.Field {
-	return sip.Field{Name: "P-Load", Value: fmt.Sprintf("x0:%d;x1:%d", max(0, s.plan.Switches.Circuits-s.used), s.plan.Switches.Circuits)}
+// loadField is the report of the group's state; s.mu is held.
+func (s *Switch) loadField() sip.Field {
+	return sip.Field{Name: "P-Load", Value: fmt.Sprintf("x0:%d;x1:%d", max(0, s.plan.Switches.Circuits-s.usedCircuits), s.plan.Switches.Circuits)}
 }
 
-func (s *Switch) write(l *switchLink, m *sip.Message) { s.writeRaw(l, sip.Append(nil, m)) }
+func (s *Switch) send(conn *switchConn, message *sip.Message) {
+	s.sendOctets(conn, sip.Append(nil, message))
+}
 
-func (s *Switch) writeRaw(l *switchLink, b []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	_ = l.c.SetWriteDeadline(time.Now().Add(writeWithin)) // a connection that is gone is found by its reader
-	_, _ = l.c.Write(b)
+func (s *Switch) sendOctets(conn *switchConn, octets []byte) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	_ = conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a connection that is gone is found by its reader
+	_, _ = conn.netConn.Write(octets)
 }
 
-// lain is how long a message that is read now may have lain unread, through no fault of its sender.
-func (s *Switch) lain(l *switchLink) time.Duration {
+// maxUnreadTime is how long a message that is read now may have lain unread, through no fault of its sender.
+func (s *Switch) maxUnreadTime(conn *switchConn) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	span, now := time.Duration(0), s.log.Now()
-	if s.hungFor > 0 && now-s.resumed < resumeRoom {
-		span = s.hungFor + resumeRoom
+	unread, now := time.Duration(0), s.log.Now()
+	if s.hangDuration > 0 && now-s.resumedAt < resumeMargin {
+		unread = s.hangDuration + resumeMargin
 	}
-	if s.plan.ConnectMost > 0 && now-l.openedAt < resumeRoom {
-		span += s.plan.ConnectMost
+	if s.plan.MaxConnectDelay > 0 && now-conn.openedAt < resumeMargin {
+		unread += s.plan.MaxConnectDelay
 	}
-	return span
+	return unread
 }
 
 // Hang has the switch neither read nor write until the returned function is called.
 func (s *Switch) Hang() (resume func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.hung != nil {
+	if s.hangEnd != nil {
 		return func() {}
 	}
-	hung := make(chan struct{})
-	s.hung, s.hungAt = hung, s.log.Now()
+	hangEnd := make(chan struct{})
+	s.hangEnd, s.hangStart = hangEnd, s.log.Now()
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.resumed = s.log.Now()
-		s.hungFor = s.resumed - s.hungAt
-		s.seeClosed()
-		s.hung = nil
-		close(hung)
+		s.resumedAt = s.log.Now()
+		s.hangDuration = s.resumedAt - s.hangStart
+		s.removeClosedConns()
+		s.hangEnd = nil
+		close(hangEnd)
 	}
 }
 
-// seeClosed notes the connections that their controllers have closed, as a switch does that looks at its sockets before its timers; s.mu is held.
-func (s *Switch) seeClosed() {
-	for controller, links := range s.links {
-		var open []*switchLink
-		for _, l := range links {
-			if l.closed = faultproxy.PeerClosed(l.c); !l.closed {
-				open = append(open, l)
+// removeClosedConns notes the connections that their controllers have closed, as a switch does that looks at its sockets before its timers; s.mu is held.
+func (s *Switch) removeClosedConns() {
+	for controller, conns := range s.conns {
+		var open []*switchConn
+		for _, conn := range conns {
+			if conn.closed = faultproxy.PeerClosed(conn.netConn); !conn.closed {
+				open = append(open, conn)
 			}
 		}
-		s.links[controller] = open
+		s.conns[controller] = open
 	}
 }
 
-// loseOne notes that the connection of a controller from an address is lost; there is none where it is "".
-func (s *Switch) loseOne(controller int, from, how string) {
-	if from != "" {
-		s.lose(controller, from, how)
+// noteConnLost notes that the connection of a controller from an address is lost; there is none where it is "".
+func (s *Switch) noteConnLost(controller int, remoteAddr, loss string) {
+	if remoteAddr != "" {
+		s.noteConnsLost(controller, remoteAddr, loss)
 	}
 }
 
-// lose notes that connections of a controller are lost; from names the one, all where it is "".
-func (s *Switch) lose(controller int, from, how string) {
+// noteConnsLost notes that connections of a controller are lost; from names the one, all where it is "".
+func (s *Switch) noteConnsLost(controller int, remoteAddr, loss string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for at, l := range s.accepted {
-		if l.controller == controller && !l.closed && (from == "" || at == from) {
-			l.lost = true
-			s.log.Add(Event{Kind: LinkLost, Controller: controller, Switch: s.id, Conn: l.conn, Text: how})
+	for addr, conn := range s.connsByAddr {
+		if conn.controller == controller && !conn.closed && (remoteAddr == "" || addr == remoteAddr) {
+			conn.lost = true
+			s.log.Add(Event{Kind: SwitchConnLost, Controller: controller, SwitchID: s.id, ConnID: conn.id, Detail: loss})
 		}
 	}
 }
 
-// closedByController notes that a controller has closed its side of a connection, which the switch may not know yet.
-func (s *Switch) closedByController(controller int, from string) {
+// noteConnClosed notes that a controller has closed its side of a connection, which the switch may not know yet.
+func (s *Switch) noteConnClosed(controller int, remoteAddr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.accepted[from]; l != nil && !l.closed {
-		s.log.Add(Event{Kind: LinkClosed, Controller: controller, Switch: s.id, Conn: l.conn})
+	if conn := s.connsByAddr[remoteAddr]; conn != nil && !conn.closed {
+		s.log.Add(Event{Kind: SwitchConnClosed, Controller: controller, SwitchID: s.id, ConnID: conn.id})
 	}
 }
 
-// Die resets every connection and cuts every call, as a process that is killed does.
-func (s *Switch) Die() {
+// Kill resets every connection and cuts every call, as a process that is killed does.
+func (s *Switch) Kill() {
 	s.mu.Lock()
 	if s.dead {
 		s.mu.Unlock()
 		return
 	}
 	s.dead = true
-	close(s.stopping)
-	for _, runs := range s.runs {
-		for _, r := range runs {
-			s.giveUp(r, "the switch died")
-			s.over(r, "the switch died")
+	close(s.died)
+	for _, legs := range s.legs {
+		for _, leg := range legs {
+			s.abandonSetUp(leg, "the switch died")
+			s.endLeg(leg, "the switch died")
 		}
 	}
-	var links []*switchLink
-	for _, some := range s.links {
-		links = append(links, some...)
+	var conns []*switchConn
+	for _, controllerConns := range s.conns {
+		conns = append(conns, controllerConns...)
 	}
-	closers := s.closers
+	listeners := s.listeners
 	s.mu.Unlock()
-	for _, ln := range closers {
+	for _, ln := range listeners {
 		ln.Close()
 	}
-	for _, l := range links {
-		s.log.Add(Event{Kind: LinkLost, Controller: l.controller, Switch: s.id, Conn: l.conn, Text: "the switch died"})
-		if t, ok := l.c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // it may be closed already
+	for _, conn := range conns {
+		s.log.Add(Event{Kind: SwitchConnLost, Controller: conn.controller, SwitchID: s.id, ConnID: conn.id, Detail: "the switch died"})
+		if tcpConn, ok := conn.netConn.(*net.TCPConn); ok {
+			_ = tcpConn.SetLinger(0) // it may be closed already
 		}
-		l.c.Close()
+		conn.netConn.Close()
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -15,95 +15,95 @@
 )
 
 const (
-	port       = 5060
+	sipPort    = 5060
 	boardPort  = 2379
 	settleTime = 9500 * time.Millisecond // after the last call: what is over must be told within 8 s and slack
 )
 
-// world is everything in one run: controllers as processes, and all they talk to.
-type world struct {
-	plan    Plan
-	log     *Log
-	folder  string
-	program string
-	plant   string
-	net     int // second octet of all addresses
+// harness is everything in one run: controllers as processes, and all they talk to.
+type harness struct {
+	plan         Plan
+	log          *Log
+	dir          string
+	program      string
+	plantedFault string
+	network      int // second octet of all addresses
 
-	mu          sync.Mutex
-	random      *rand.Rand
-	number      uint64 // of the last event of the board
-	slots       int    // lives of switches so far
-	switches    []*Switch
-	proxies     [][]*faultproxy.Proxy // by cell, then controller
-	boards      []*Board
-	moves       int
-	controllers []*Controller
-	callers     []*Callers
-	fronts      []*faultproxy.Proxy // before each controller
-	stop        chan struct{}
-	all         sync.WaitGroup
-	restarting  []sync.Mutex // by controller
-	replacing   []sync.Mutex // by cell
+	mu              sync.Mutex
+	random          *rand.Rand
+	lastUpdate      uint64 // of the last event of the board
+	switchesStarted int    // lives of switches so far
+	switches        []*Switch
+	switchProxies   [][]*faultproxy.Proxy // by cell, then controller
+	boards          []*Board
+	boardMoves      int
+	controllers     []*Controller
+	callerGroups    []*CallerGroup
+	callerProxies   []*faultproxy.Proxy // before each controller
+	done            chan struct{}
+	wg              sync.WaitGroup
+	restartMutexes  []sync.Mutex // by controller
+	replaceMutexes  []sync.Mutex // by cell
 }
 
-func (w *world) address(kind, number, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", w.net, kind, number, port)
+func (h *harness) address(subnet, host, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", h.network, subnet, host, port)
 }
 
 // Third octets of addresses.
 const (
-	kindController = 1
-	kindFront      = 2
-	kindBoard      = 3 // and more with each move
-	kindSwitch     = 100
-	kindProxy      = 150
+	subnetController  = 1
+	subnetCallerProxy = 2
+	subnetBoard       = 3 // and more with each move
+	subnetSwitch      = 100
+	subnetSwitchProxy = 150
 )
 
-// build starts switches, boards, proxies and controllers.
-func (w *world) build() error {
-	n := w.plan.Controllers
-	shape := faultproxy.Shape{MaxChunk: w.plan.PieceMost, MaxChunkDelay: pieceWait, MaxTotalChunkDelay: pieceAll, MaxConnectDelay: w.plan.ConnectMost}
-	w.proxies = make([][]*faultproxy.Proxy, n)
-	w.restarting, w.replacing = make([]sync.Mutex, n), make([]sync.Mutex, n)
+// startPeersAndControllers starts switches, boards, proxies and controllers.
+func (h *harness) startPeersAndControllers() error {
+	count := h.plan.Controllers
+	shape := faultproxy.Shape{MaxChunk: h.plan.MaxChunk, MaxChunkDelay: maxChunkDelay, MaxTotalChunkDelay: maxTotalChunkDelay, MaxConnectDelay: h.plan.MaxConnectDelay}
+	h.switchProxies = make([][]*faultproxy.Proxy, count)
+	h.restartMutexes, h.replaceMutexes = make([]sync.Mutex, count), make([]sync.Mutex, count)
 	var entries []board.Switch
-	for cell := range n {
-		s, err := w.newSwitch(cell, 0)
+	for cell := range count {
+		sw, err := h.startSwitch(cell, 0)
 		if err != nil {
 			return err
 		}
-		w.switches = append(w.switches, s)
-		for i := range n {
-			way := shape
-			way.Latency, way.Jitter = w.plan.Ways[cell*n+i], w.plan.Jitter
-			p, err := faultproxy.Listen(w.address(kindProxy+i, cell+1, port), w.switchAddress(s, i), way, w.plan.Seed+uint64(cell*n+i))
+		h.switches = append(h.switches, sw)
+		for i := range count {
+			linkShape := shape
+			linkShape.Latency, linkShape.Jitter = h.plan.Latencies[cell*count+i], h.plan.Jitter
+			proxy, err := faultproxy.Listen(h.address(subnetSwitchProxy+i, cell+1, sipPort), h.switchAddress(sw, i), linkShape, h.plan.Seed+uint64(cell*count+i))
 			if err != nil {
 				return err
 			}
-			p.OnClientClosed = func(from string) { w.cell(cell).closedByController(i, from) }
-			w.proxies[cell] = append(w.proxies[cell], p)
+			proxy.OnClientClosed = func(remoteAddr string) { h.currentSwitch(cell).noteConnClosed(i, remoteAddr) }
+			h.switchProxies[cell] = append(h.switchProxies[cell], proxy)
 		}
-		entries = append(entries, board.Switch{ID: s.id, Cell: cell})
+		entries = append(entries, board.Switch{ID: sw.id, Cell: cell})
 	}
-	for i := range n {
-		b := newBoard(w.log, i, w.plan.BoardTwice)
-		if err := b.listen(w.address(kindBoard, i+1, boardPort)); err != nil {
+	for i := range count {
+		b := newBoard(h.log, i, h.plan.DuplicateBoardEvents)
+		if err := b.listen(h.address(subnetBoard, i+1, boardPort)); err != nil {
 			return err
 		}
-		w.boards = append(w.boards, b)
+		h.boards = append(h.boards, b)
 	}
-	w.announce(true, entries...)
-	for i := range n {
-		c := &Controller{log: w.log, number: i, plan: w.plan, program: w.program, plant: w.plant, folder: w.folder, listen: w.address(kindController, i+1, port), board: w.boards[i]}
-		w.controllers = append(w.controllers, c)
-		front, err := faultproxy.Listen(w.address(kindFront, i+1, port), c.listen, faultproxy.Shape{MaxChunk: w.plan.PieceMost, MaxChunkDelay: pieceWait, MaxTotalChunkDelay: pieceAll}, w.plan.Seed+uint64(i))
+	h.publishUpdate(true, entries...)
+	for i := range count {
+		controller := &Controller{log: h.log, number: i, plan: h.plan, program: h.program, plantedFault: h.plantedFault, dir: h.dir, listen: h.address(subnetController, i+1, sipPort), board: h.boards[i]}
+		h.controllers = append(h.controllers, controller)
+		callerProxy, err := faultproxy.Listen(h.address(subnetCallerProxy, i+1, sipPort), controller.listen, faultproxy.Shape{MaxChunk: h.plan.MaxChunk, MaxChunkDelay: maxChunkDelay, MaxTotalChunkDelay: maxTotalChunkDelay}, h.plan.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
-		w.fronts = append(w.fronts, front)
-		w.callers = append(w.callers, newCallers(w.log, w.plan, i, front.Address()))
+		h.callerProxies = append(h.callerProxies, callerProxy)
+		h.callerGroups = append(h.callerGroups, newCallerGroup(h.log, h.plan, i, callerProxy.Address()))
 	}
-	for _, c := range w.controllers {
-		if err := c.start(); err != nil {
+	for _, controller := range h.controllers {
+		if err := controller.start(); err != nil {
 			return err
 		}
 	}
@@ -111,154 +111,154 @@
 }
 
 const (
-	pieceWait = 4 * time.Millisecond  // between two pieces of what passes a proxy
-	pieceAll  = 20 * time.Millisecond // and for all pieces of what came at once
+	maxChunkDelay      = 4 * time.Millisecond  // between two pieces of what passes a proxy
+	maxTotalChunkDelay = 20 * time.Millisecond // and for all pieces of what came at once
 )
 
-func (w *world) switchAddress(s *Switch, controller int) string {
-	return w.address(kindSwitch+controller, int(s.id&0xff), port)
+func (h *harness) switchAddress(sw *Switch, controller int) string {
+	return h.address(subnetSwitch+controller, int(sw.id&0xff), sipPort)
 }
 
-// newSwitch starts a life of a cell's switch, with one address for each controller.
-func (w *world) newSwitch(cell int, bornMS int64) (*Switch, error) {
-	w.slots++
-	s := newSwitch(w.log, w.plan, uint32(w.plan.Seed&0xffff)<<16|uint32(w.slots), cell, bornMS)
-	for i := range w.plan.Controllers {
-		ln, err := net.Listen("tcp", w.switchAddress(s, i))
+// startSwitch starts a life of a cell's switch, with one address for each controller.
+func (h *harness) startSwitch(cell int, startedMS int64) (*Switch, error) {
+	h.switchesStarted++
+	sw := newSwitch(h.log, h.plan, uint32(h.plan.Seed&0xffff)<<16|uint32(h.switchesStarted), cell, startedMS)
+	for i := range h.plan.Controllers {
+		ln, err := net.Listen("tcp", h.switchAddress(sw, i))
 		if err != nil {
 			return nil, fmt.Errorf("switch: %w", err)
 		}
-		s.serve(i, ln)
+		sw.serve(i, ln)
 	}
-	return s, nil
+	return sw, nil
 }
 
-// announce tells a change of the list to every board, with the addresses at which its controller reaches the switches.
-func (w *world) announce(whole bool, entries ...board.Switch) {
-	w.number++
-	for _, s := range entries {
-		w.log.Add(Event{Kind: ListChanged, Controller: -1, Switch: s.ID, Cell: s.Cell, Status: int(s.State), Number: w.number, Text: fmt.Sprintf("cell %d state %d", s.Cell, s.State),
-			Span: time.Duration(s.StartedMS) * time.Millisecond})
+// publishUpdate tells a change of the list to every board, with the addresses at which its controller reaches the switches.
+func (h *harness) publishUpdate(complete bool, entries ...board.Switch) {
+	h.lastUpdate++
+	for _, sw := range entries {
+		h.log.Add(Event{Kind: ListChanged, Controller: -1, SwitchID: sw.ID, Cell: sw.Cell, Status: int(sw.State), Number: h.lastUpdate, Detail: fmt.Sprintf("cell %d state %d", sw.Cell, sw.State),
+			Duration: time.Duration(sw.StartedMS) * time.Millisecond})
 	}
-	for i, b := range w.boards {
-		e := board.Event{Number: w.number, Complete: whole}
-		for _, s := range entries {
-			s.Address = w.proxies[s.Cell][i].Address()
-			e.Switches = append(e.Switches, s)
+	for i, b := range h.boards {
+		event := board.Event{Number: h.lastUpdate, Complete: complete}
+		for _, sw := range entries {
+			sw.Address = h.switchProxies[sw.Cell][i].Address()
+			event.Switches = append(event.Switches, sw)
 		}
-		b.tell(e)
+		b.publish(event)
 	}
 }
 
-// play runs a plan to its end.
-func (w *world) play(ctx context.Context) error {
-	go w.log.watch(w.stop)
-	if err := w.build(); err != nil {
+// run runs a plan to its end.
+func (h *harness) run(ctx context.Context) error {
+	go h.log.watchStalls(h.done)
+	if err := h.startPeersAndControllers(); err != nil {
 		return err
 	}
-	began := w.log.Now()
-	for _, g := range w.callers {
-		g.allow(admitAll)
-		w.all.Go(g.run)
+	startTime := h.log.Now()
+	for _, group := range h.callerGroups {
+		group.setAccess(accessFull)
+		h.wg.Go(group.run)
 	}
-	for _, f := range w.plan.Faults {
-		if !w.sleep(ctx, began+f.At-w.log.Now()) {
+	for _, f := range h.plan.Faults {
+		if !h.sleep(ctx, startTime+f.At-h.log.Now()) {
 			return ctx.Err()
 		}
-		w.all.Go(func() { w.inject(f) })
+		h.wg.Go(func() { h.inject(f) })
 	}
-	if !w.sleep(ctx, began+w.plan.Length-w.log.Now()) {
+	if !h.sleep(ctx, startTime+h.plan.Duration-h.log.Now()) {
 		return ctx.Err()
 	}
-	for _, g := range w.callers {
-		g.pause()
+	for _, group := range h.callerGroups {
+		group.stopPlacing()
 	}
 	// Each call has its answer, is over and told by then.
-	w.sleep(ctx, w.plan.Deadline+w.plan.Switches.HoldMax+settleTime)
-	w.finish()
+	h.sleep(ctx, h.plan.MaxAbandonTime+h.plan.Switches.MaxHoldingTime+settleTime)
+	h.shutDown()
 	return ctx.Err()
 }
 
-func (w *world) sleep(ctx context.Context, span time.Duration) bool {
+func (h *harness) sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(max(0, span)):
+	case <-time.After(max(0, duration)):
 		return true
 	}
 }
 
-// finish ends everything; controllers by SIGTERM, and SIGKILL at the earliest.
-func (w *world) finish() {
-	close(w.stop)
-	var ends sync.WaitGroup
-	for i, c := range w.controllers {
-		ends.Go(func() {
-			w.restarting[i].Lock() // a restart under way ends first
-			defer w.restarting[i].Unlock()
+// shutDown ends everything; controllers by SIGTERM, and SIGKILL at the earliest.
+func (h *harness) shutDown() {
+	close(h.done)
+	var exits sync.WaitGroup
+	for i, c := range h.controllers {
+		exits.Go(func() {
+			h.restartMutexes[i].Lock() // a restart under way ends first
+			defer h.restartMutexes[i].Unlock()
 			c.signal(syscall.SIGTERM)
-			w.endOrKill(c)
+			h.awaitExitOrKill(c)
 		})
 	}
-	ends.Wait()
-	for _, g := range w.callers {
-		g.stop()
+	exits.Wait()
+	for _, group := range h.callerGroups {
+		group.stop()
 	}
-	for _, s := range w.switches {
-		s.Die()
+	for _, s := range h.switches {
+		s.Kill()
 	}
-	for _, b := range w.boards {
-		b.end()
+	for _, b := range h.boards {
+		b.close()
 	}
-	for _, p := range w.fronts {
+	for _, p := range h.callerProxies {
 		p.Close()
 	}
-	for _, some := range w.proxies {
-		for _, p := range some {
+	for _, cellProxies := range h.switchProxies {
+		for _, p := range cellProxies {
 			p.Close()
 		}
 	}
-	w.all.Wait()
+	h.wg.Wait()
 }
 
-func (w *world) endOrKill(c *Controller) {
+func (h *harness) awaitExitOrKill(c *Controller) {
 	select {
-	case <-c.running():
-	case <-time.After(c.killFrom()):
+	case <-c.exit():
+	case <-time.After(c.killDelay()):
 		c.signal(syscall.SIGKILL)
-		<-c.running()
+		<-c.exit()
 	}
 }
 
-// drawn is a random wait.
-func (w *world) drawn(least, most time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return upTo(w.random, least, most)
+// randomDuration is a random wait.
+func (h *harness) randomDuration(low, high time.Duration) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return randomDuration(h.random, low, high)
 }
 
-// pause waits; false: the run ends.
-func (w *world) pause(span time.Duration) bool {
+// sleepUnlessDone waits; false: the run ends.
+func (h *harness) sleepUnlessDone(duration time.Duration) bool {
 	select {
-	case <-w.stop:
+	case <-h.done:
 		return false
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-func (w *world) cell(cell int) *Switch {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.switches[cell]
+func (h *harness) currentSwitch(cell int) *Switch {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.switches[cell]
 }
 
-// take picks a second octet that no other run uses, by holding a port on it.
-func take(seed uint64) (octet int, lock net.Listener, err error) {
+// claimNetwork picks a second octet that no other run uses, by holding a port on it.
+func claimNetwork(seed uint64) (network int, hold net.Listener, err error) {
 	for i := range 200 {
-		octet = 20 + int((seed+uint64(i)*37+uint64(os.Getpid()))%200)
-		if lock, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", octet, port)); err == nil {
-			return octet, lock, nil
+		network = 20 + int((seed+uint64(i)*37+uint64(os.Getpid()))%200)
+		if hold, err = net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", network, sipPort)); err == nil {
+			return network, hold, nil
 		}
 	}
 	return 0, nil, fmt.Errorf("no free loopback network: %w", err)
