--- a/internal/soak/bad_client.go
+++ b/internal/soak/bad_client.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	badClientTimeout   = 3 * time.Second // what a bad client is owed within
-	badCallPrefix      = "bad"           // of their ids
-	numCancelledSetUps = 200             // set-ups that one of them sends and takes back at once
+	badClientTimeout   = 3 * time.Second // for the error answer or close
+	badCallPrefix      = "bad"           // of the call ids of bad clients
+	numCancelledSetUps = 200             // set-ups that one client sends and cancels at once
 )
 
-// badInputs are what bad clients send. Each is owed a refusal or a close; never an answer that it stands.
+// badInputs are the inputs of bad clients. A controller must answer each with an error or close the connection, and must never answer 200.
 var badInputs = []struct {
 	name    string
 	payload func(id string) []byte
@@ -77,12 +77,13 @@
 	}},
 }
 
+// badSetUp returns a valid set-up for the inputs to modify.
 func badSetUp(id string) sip.Message {
 	return sip.Message{Method: sip.Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("offer"),
 		Fields: []sip.Field{{Name: "Priority-Class", Value: bearerName}, {Name: "Expires-Ms", Value: "500"}, {Name: "P-Trunk-Info", Value: "dest:1;width:1;via:-1"}}}
 }
 
-// runBadClient has one bad client connect, send and wait for what it is owed.
+// runBadClient connects, sends a random bad input and records the reaction: the status of the answer, 1 for a close or 0 for a time-out.
 func runBadClient(log *Log, controller int, address string, random *rand.Rand) {
 	input := badInputs[random.IntN(len(badInputs))]
 	id := fmt.Sprintf(badCallPrefix+"%05x%08x", controller, random.Uint32())
@@ -92,26 +93,26 @@
 	}
 	defer conn.Close()
 	startTime := log.Now()
-	_ = conn.SetDeadline(time.Now().Add(2 * badClientTimeout)) // else the read fails
-	_, _ = conn.Write(input.payload(id))                       // a close meanwhile is what is owed
+	_ = conn.SetDeadline(time.Now().Add(2 * badClientTimeout)) // if it fails, so does the read
+	_, _ = conn.Write(input.payload(id))                       // fails if the controller closes the connection, as it may
 	reader := sip.NewReader(conn)
 	response, err := reader.Read()
-	for err == nil && response.Status == 0 { // a release of some call is no answer
+	for err == nil && response.Status == 0 { // skips releases
 		response, err = reader.Read()
 	}
 	status := response.Status
 	if err != nil && !isTimeout(err) {
-		status = 1 // closed
+		status = 1 // connection closed
 	}
 	log.Add(Event{Kind: BadClientServed, Controller: controller, Status: status, Duration: log.Now() - startTime, Detail: input.name})
 }
 
 func isTimeout(err error) bool {
-	netErr, ok := err.(net.Error) //nolint:errorlint // as the connection gives it
+	netErr, ok := err.(net.Error) //nolint:errorlint // the connection returns it unwrapped
 	return ok && netErr.Timeout()
 }
 
-// connectIdle connects and says nothing until the controller closes the connection.
+// connectIdle connects and sends nothing until the controller closes the connection or the run ends.
 func connectIdle(address string, done <-chan struct{}) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -121,7 +122,7 @@
 	closed := make(chan struct{})
 	go func() {
 		var b [1]byte
-		_, _ = conn.Read(b[:]) // its end
+		_, _ = conn.Read(b[:]) // returns at the end of the connection
 		close(closed)
 	}()
 	select {
--- a/internal/soak/board.go
+++ b/internal/soak/board.go
@@ -13,26 +13,26 @@
 
 const (
 	boardKeepaliveInterval = time.Second
-	movedBoardLinger       = 1500 * time.Millisecond // how long open connections stay after the board has moved
+	movedBoardLinger       = 1500 * time.Millisecond // open connections are closed so long after the board has moved
 
-	// When news count as told, from the page: after the board's silence or a new configuration, after a break, and after it was away.
+	// Times by which a controller must know of updates again: after the board was silent or moved, closed its connections, or was away.
 	silenceRecoveryTime    = 4 * time.Second
 	truncationRecoveryTime = 2 * time.Second
 	outageRecoveryTime     = 6 * time.Second
 )
 
-// Board is the notice board as one controller reaches it.
+// Board simulates the notice board of one controller.
 type Board struct {
 	log        *Log
 	controller int
-	duplicate  bool // events are written twice
+	duplicate  bool // each event is written twice
 
 	mu       sync.Mutex
 	events   []board.Event
 	listener net.Listener
 	address  string
 	conns    map[*boardConn]struct{}
-	outages  int // losses that are not over
+	outages  int // stops that are not restarted yet
 }
 
 type boardConn struct {
@@ -47,11 +47,11 @@
 	return &Board{log: log, controller: controller, duplicate: duplicate, conns: map[*boardConn]struct{}{}}
 }
 
-// listen takes connections at an address, and at none that it had before.
+// listen accepts connections at an address, which becomes the address of the board.
 func (b *Board) listen(address string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("notice board: %w", err)
+		return fmt.Errorf("listen for notice board: %w", err)
 	}
 	b.mu.Lock()
 	b.listener, b.address = ln, address
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// serve tells one connection all events after the one that it names, and the later ones as they come.
+// serve sends the events after the one that the controller requests on a connection, later events as they are published, and keepalives.
 func (b *Board) serve(conn *boardConn) {
 	var lastSeen [8]byte
 	if _, err := io.ReadFull(conn.netConn, lastSeen[:]); err != nil {
@@ -79,8 +79,8 @@
 	b.mu.Lock()
 	b.conns[conn] = struct{}{}
 	b.mu.Unlock()
-	go func() { // it says nothing more; its end ends the care
-		_, _ = io.Copy(io.Discard, conn.netConn) // only the end matters
+	go func() { // the controller sends nothing more; detects the end of the connection
+		_, _ = io.Copy(io.Discard, conn.netConn)
 		close(conn.closed)
 	}()
 	b.sendPending(conn)
@@ -105,12 +105,12 @@
 	if c.silenced {
 		return false
 	}
-	_ = c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a connection that is gone is found by its reader
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // the reader detects a lost connection
 	_, err := c.netConn.Write(frame)
 	return err == nil
 }
 
-// sendPending tells a connection what it was not told yet.
+// sendPending sends the events that were not sent on a connection yet.
 func (b *Board) sendPending(conn *boardConn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +127,7 @@
 	}
 }
 
-// publish adds an event and tells it to all.
+// publish adds an event and sends it on all connections.
 func (b *Board) publish(event board.Event) {
 	b.mu.Lock()
 	b.events = append(b.events, event)
@@ -138,7 +138,7 @@
 	}
 }
 
-// openConns lists the connections; b.mu is held.
+// openConns returns the open connections. b.mu must be held.
 func (b *Board) openConns() []*boardConn {
 	var conns []*boardConn
 	for c := range b.conns {
@@ -147,20 +147,21 @@
 	return conns
 }
 
-// snapshot is what a controller is told at its start, and the board's address.
+// snapshot returns the events so far and the board's address, for the start configuration of the controller.
 func (b *Board) snapshot() ([]board.Event, string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]board.Event(nil), b.events...), b.address
 }
 
-// silence has the open connections say nothing more. They stay open.
+// silence stops all writes on the open connections. They stay open.
 func (b *Board) silence() {
 	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: silenceRecoveryTime, Detail: "silent"})
 	b.silenceConns()
 	b.log.Add(Event{Kind: BoardRestored, Controller: b.controller})
 }
 
+// silenceConns stops all writes on the open connections and returns them.
 func (b *Board) silenceConns() []*boardConn {
 	b.mu.Lock()
 	conns := b.openConns()
@@ -173,9 +174,9 @@
 	return conns
 }
 
-// truncateEvent ends the open connections within an event.
+// truncateEvent closes the open connections in the middle of a frame.
 func (b *Board) truncateEvent() {
-	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: truncationRecoveryTime, Detail: "breaks off"})
+	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: truncationRecoveryTime, Detail: "closed within a frame"})
 	half := board.AppendKeepalive(nil, 1)
 	b.mu.Lock()
 	conns := b.openConns()
@@ -187,7 +188,7 @@
 	b.log.Add(Event{Kind: BoardRestored, Controller: b.controller})
 }
 
-// stop has the board refuse connections and reset those that are open, until the returned function is called.
+// stop closes the listener and the open connections until the returned function is called.
 func (b *Board) stop() (restart func() error) {
 	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: outageRecoveryTime, Detail: "away"})
 	b.mu.Lock()
@@ -213,7 +214,7 @@
 	}
 }
 
-// move has the board listen at another address. The old one takes no connection and tells nothing more; its open ones close later.
+// move makes the board listen at another address. Nothing more is written on the open connections, which are closed later.
 func (b *Board) move(address string) error {
 	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: silenceRecoveryTime, Detail: "moved"})
 	b.mu.Lock()
@@ -224,7 +225,7 @@
 	for _, c := range b.silenceConns() {
 		time.AfterFunc(movedBoardLinger, func() { c.netConn.Close() })
 	}
-	if outages == 0 { // else it listens there once it is back
+	if outages == 0 { // else restart listens there
 		if err := b.listen(address); err != nil {
 			return err
 		}
@@ -233,7 +234,7 @@
 	return nil
 }
 
-// close closes the board.
+// close closes the listener and all connections.
 func (b *Board) close() {
 	b.mu.Lock()
 	b.listener.Close()
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	callerIdleTimeout   = 4 * time.Second // callers close a connection after so long with no call on it
+	callerIdleTimeout   = 4 * time.Second // of a connection without calls
 	closeCrossingTime   = 50 * time.Millisecond
 	dialTimeout         = 500 * time.Millisecond
-	maxResponseDelay    = 900 * time.Millisecond // how late RespondLate is, at most
-	shutdownDialTime    = 200 * time.Millisecond // after a planned end has begun to show, a new connection is made where none is open
-	maxRememberedCalls  = 4096                   // calls that a group remembers
-	minShortAbandonTime = 5 * time.Millisecond   // what calls with little time left have
+	maxResponseDelay    = 900 * time.Millisecond // of RespondLate
+	shutdownDialTime    = 200 * time.Millisecond // after accessOpenConns is set, during which a connection may still be opened if none is open
+	maxRememberedCalls  = 4096                   // per group, before finished ones are removed
+	minShortAbandonTime = 5 * time.Millisecond   // of calls with a very short abandon time
 	maxShortAbandonTime = 250 * time.Millisecond
 )
 
-// access is what the front allows callers towards a controller.
+// access is how callers may reach their controller.
 type access uint8
 
 const (
 	accessFull      access = iota
-	accessOpenConns        // requests on open connections only: the controller is told to end
-	accessNone             // it is down
+	accessOpenConns        // requests on open connections only, as the controller is shutting down
+	accessNone             // the controller is down
 )
 
-// CallerGroup are the callers of one controller.
+// CallerGroup simulates the callers of one controller.
 type CallerGroup struct {
 	log        *Log
 	plan       Plan
@@ -43,11 +43,11 @@
 	mu             sync.Mutex
 	random         *rand.Rand
 	access         access
-	accessSince    time.Duration // since when it is so
+	accessSince    time.Duration // time of the last change of access
 	openConns      []*callerConn
 	calls          map[string]*placedCall
 	lastCall       int
-	placingStopped bool // callers call no more
+	placingStopped bool // no new calls are placed
 	stopped        chan struct{}
 	wg             sync.WaitGroup
 }
@@ -57,27 +57,27 @@
 	id              int
 	netConn         net.Conn
 	releaseResponse ReleaseResponse
-	writeMu         sync.Mutex // writes
+	writeMu         sync.Mutex // serializes writes
 	lastSetUpAt     time.Duration
 	silenced        bool
-	reset           bool // the rig has reset it
-	closing         bool // its caller closes it
+	reset           bool // reset by a fault
+	closing         bool // closed by the caller
 	closed          bool
 }
 
-// placedCall is a call as its caller sees it.
+// placedCall is the state of a call at its caller.
 type placedCall struct {
 	id          string
 	conn        *callerConn
 	sentAt      time.Duration
 	setUp       sip.Message
-	resent      bool // it was sent once more already
+	resent      bool // the set-up was sent a second time
 	answered    bool
 	established bool
 	ended       bool
 	abandoned   bool
-	switchID    uint32 // the switch where it stands
-	transitDest int    // its destination from 1, where it is in transit
+	switchID    uint32 // of the switch that answered
+	transitDest int    // destination of a transit call, counted from 1; 0 for other calls
 }
 
 func newCallerGroup(log *Log, plan Plan, controller int, address string) *CallerGroup {
@@ -85,7 +85,7 @@
 		random: rand.New(rand.NewPCG(plan.Seed, uint64(0xca11e0+controller))), calls: map[string]*placedCall{}, stopped: make(chan struct{})}
 }
 
-// run has callers call until stop.
+// run places calls until stop is called.
 func (g *CallerGroup) run() {
 	for {
 		g.mu.Lock()
@@ -106,7 +106,8 @@
 	}
 }
 
-// setAccess says what the front allows from now on. With accessFull, after a start, callers come at once and tell of the calls that stand.
+// setAccess sets the access from now on. With accessFull, after a start of the controller, callers connect at once and announce most of the
+// established calls.
 func (g *CallerGroup) setAccess(allowed access) {
 	g.mu.Lock()
 	g.access, g.accessSince = allowed, g.log.Now()
@@ -124,6 +125,7 @@
 	}
 }
 
+// announceCall tells the controller at which switch a call is established.
 func (g *CallerGroup) announceCall(call *placedCall) {
 	conn := g.pickConn()
 	if conn == nil {
@@ -139,7 +141,7 @@
 	}
 }
 
-// pickConn is the one for the next message: one of those that are open, or a new one where there are too few.
+// pickConn returns the connection for the next message: an open one, or a new one if there are too few. It returns nil if there is none.
 func (g *CallerGroup) pickConn() *callerConn {
 	g.mu.Lock()
 	if n := len(g.openConns); n > 0 && (n >= g.groupPlan.Connections || g.access != accessFull) {
@@ -169,18 +171,18 @@
 func (g *CallerGroup) send(conn *callerConn, message *sip.Message) bool {
 	conn.writeMu.Lock()
 	defer conn.writeMu.Unlock()
-	_ = conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a connection that is gone is found by its reader
+	_ = conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // the reader detects a lost connection
 	_, err := conn.netConn.Write(sip.Append(nil, message))
 	return err == nil
 }
 
-// bearerName is the class that every plan has.
+// bearerName is the bearer type that every plan has.
 const bearerName = "voice"
 
-// placeNewCall places one call.
+// placeNewCall places an ordinary call.
 func (g *CallerGroup) placeNewCall() { g.placeCall(false, "") }
 
-// placeCall places one call; it may repeat one that was refused, and more may mark it.
+// placeCall places a call. isRepeat marks it as the repetition of a rejected call; extraInfo is appended to its P-Trunk-Info.
 func (g *CallerGroup) placeCall(isRepeat bool, extraInfo string) {
 	conn := g.pickConn()
 	if conn == nil {
@@ -225,7 +227,7 @@
 	}
 }
 
-// forgetFinishedCalls bounds what is remembered; g.mu is held.
+// forgetFinishedCalls removes finished calls once there are too many. g.mu must be held.
 func (g *CallerGroup) forgetFinishedCalls() {
 	if len(g.calls) < maxRememberedCalls {
 		return
@@ -237,10 +239,10 @@
 	}
 }
 
-// sendSetUp writes a call's set-up. It counts as sent from just before its last octet is written.
+// sendSetUp writes the set-up of a call. It counts as sent from just before the write.
 func (g *CallerGroup) sendSetUp(call *placedCall, conn *callerConn, expires time.Duration) {
 	g.mu.Lock()
-	if conn.closed { // it ended as it was chosen: nothing is sent
+	if conn.closed { // it closed after pickConn returned it
 		delete(g.calls, call.id)
 		g.mu.Unlock()
 		return
@@ -252,11 +254,12 @@
 	if call.resent {
 		detail = "again"
 	}
-	g.log.Add(Event{Kind: SetUpSent, Controller: g.controller, CallID: call.id, ConnID: conn.id, Cell: call.transitDest, Duration: expires, Detail: detail}) // before its connection can be seen to end
+	g.log.Add(Event{Kind: SetUpSent, Controller: g.controller, CallID: call.id, ConnID: conn.id, Cell: call.transitDest, Duration: expires, Detail: detail}) // before handleClose can record its end
 	g.mu.Unlock()
 	g.send(conn, &call.setUp)
 }
 
+// abandonCall cancels the set-up of a call that has no answer yet.
 func (g *CallerGroup) abandonCall(call *placedCall) {
 	g.mu.Lock()
 	done := call.answered || call.ended || call.conn.closed
@@ -272,7 +275,7 @@
 	g.send(conn, &sip.Message{Method: sip.Cancel, URI: call.setUp.URI, CallID: call.id, CSeq: 1})
 }
 
-// readConn handles what comes on a connection until its end.
+// readConn handles the messages on a connection until it ends.
 func (g *CallerGroup) readConn(conn *callerConn) {
 	r := sip.NewReader(conn.netConn)
 	for {
@@ -293,6 +296,7 @@
 	}
 }
 
+// handleAnswer handles a final answer. It may release an established call later or repeat a rejected one at once.
 func (g *CallerGroup) handleAnswer(conn *callerConn, message *sip.Message) {
 	body := ""
 	g.mu.Lock()
@@ -334,7 +338,7 @@
 	}
 }
 
-// releaseCall ends a call that stands, on any connection.
+// releaseCall releases an established call, on any connection.
 func (g *CallerGroup) releaseCall(call *placedCall) {
 	conn := g.pickConn()
 	g.mu.Lock()
@@ -350,6 +354,7 @@
 	g.send(conn, &sip.Message{Method: sip.Bye, URI: call.setUp.URI, CallID: call.id, CSeq: 2, Fields: []sip.Field{{Name: "Reason", Value: "Q.850;cause=16"}}})
 }
 
+// handleRelease handles a release by the controller. It may place a disconnected call again.
 func (g *CallerGroup) handleRelease(conn *callerConn, message *sip.Message) {
 	g.log.Add(Event{Kind: ReleaseRead, Controller: g.controller, CallID: message.CallID, ConnID: conn.id})
 	g.mu.Lock()
@@ -372,12 +377,12 @@
 	}
 }
 
-// isAbnormalRelease tells that a release is no end of a call in the ordinary way.
+// isAbnormalRelease reports whether a release has another cause than normal clearing.
 func isAbnormalRelease(message *sip.Message) bool {
 	return message.Get("Reason") != fmt.Sprintf("Q.850;cause=%d", causeNormalClearing)
 }
 
-// handleClose handles the end of a connection. A set-up that crossed it goes again on a new one, once.
+// handleClose handles the end of a connection. A set-up that crossed the close is sent once more on a new one.
 func (g *CallerGroup) handleClose(conn *callerConn, err error) {
 	conn.netConn.Close()
 	g.mu.Lock()
@@ -413,6 +418,7 @@
 	}
 }
 
+// resendSetUp sends the set-up of a call a second time, on another connection.
 func (g *CallerGroup) resendSetUp(call *placedCall) {
 	g.mu.Lock()
 	call.resent = true
@@ -427,11 +433,11 @@
 }
 
 const (
-	resetByHarness    = "reset by the rig"
-	silencedByHarness = "silenced by the rig"
+	resetByHarness    = "reset by the test harness"
+	silencedByHarness = "silenced by the test harness"
 )
 
-// closeIdleConns closes connections that have had no call for long.
+// closeIdleConns closes connections that have been without calls for the idle timeout.
 func (g *CallerGroup) closeIdleConns() {
 	g.mu.Lock()
 	busy := map[*callerConn]bool{}
@@ -453,14 +459,14 @@
 	}
 }
 
-// silence has nothing pass any more on the connections that are open now; reset resets them. pass is what the proxy does.
+// disruptConns records that the open connections are silenced or reset. apply makes the proxy do so.
 func (g *CallerGroup) disruptConns(silence bool, apply func()) {
 	g.mu.Lock()
 	for _, conn := range g.openConns {
 		conn.silenced, conn.reset = conn.silenced || silence, conn.reset || !silence
 		g.log.Add(Event{Kind: CallerConnDisrupted, Controller: g.controller, ConnID: conn.id})
 	}
-	if silence { // their callers go elsewhere with what comes next
+	if silence { // callers use other connections from now on
 		for _, conn := range g.openConns {
 			time.AfterFunc(callerIdleTimeout, func() { conn.netConn.Close() })
 		}
@@ -470,14 +476,14 @@
 	g.mu.Unlock()
 }
 
-// stopPlacing has no new call placed from now on.
+// stopPlacing stops the placing of new calls.
 func (g *CallerGroup) stopPlacing() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.placingStopped = true
 }
 
-// stop ends all connections.
+// stop stops the group and closes its connections.
 func (g *CallerGroup) stop() {
 	close(g.stopped)
 	g.mu.Lock()
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -11,10 +11,10 @@
 	"indigodrift/internal/sip"
 )
 
-// Rule names what a breach breaks.
+// Rule is a rule that a run must keep.
 type Rule string
 
-// The rules, from the protocol and its terms.
+// Rules of the protocol and of its settings.
 const (
 	RuleFinalAnswer         Rule = "a call taken gets one final answer in time"
 	RuleAnswerFromSwitch    Rule = "what stands has the answer of a switch"
@@ -33,18 +33,18 @@
 )
 
 const (
-	slack                   = 50 * time.Millisecond // by which every time limit grows
-	maxProxyDelay           = 50 * time.Millisecond // the way through proxies and pieces
-	maxRecordDelay          = 10 * time.Millisecond // between what a peer of a controller does and what it notes
-	maxAnswerOverrun        = 500 * time.Millisecond
-	releaseDeliveryTime     = time.Second
-	lostReleaseDeliveryTime = 8 * time.Second
-	lossWindow              = 300 * time.Millisecond // what was written so shortly before a connection was lost may be lost with it
+	slack                   = 50 * time.Millisecond  // tolerance of every time limit
+	maxProxyDelay           = 50 * time.Millisecond  // from one end of a proxy to the other, chunks included
+	maxRecordDelay          = 10 * time.Millisecond  // between an action of a controller's peer and its event
+	maxAnswerOverrun        = 500 * time.Millisecond // of a final answer after the abandon time
+	releaseDeliveryTime     = time.Second            // from a release by a switch to the release to the caller
+	lostReleaseDeliveryTime = 8 * time.Second        // from the end of a call to the release to the caller, if the release by the switch may be lost
+	lossWindow              = 300 * time.Millisecond // data written within it before a connection is lost may be lost too
 	termTaken               = 700 * time.Millisecond
-	maxTimelineLines        = 40 // of a timeline
+	maxTimelineLines        = 40
 )
 
-// Violation is one rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule       Rule
 	Controller int
@@ -61,27 +61,27 @@
 	return text + ": " + v.Detail
 }
 
-// callHistory is all that was seen of one call.
+// callHistory is all events of one call.
 type callHistory struct {
 	id         string
 	controller int
 	events     []Event
 }
 
-// checker holds what was seen against the rules.
+// checker checks the events of a run against the rules.
 type checker struct {
 	plan                 Plan
 	events               []Event
 	calls                map[string]*callHistory
 	order                []string
-	lostAt               map[int]time.Duration // connections to switches, and callers' connections that are silenced
-	lostSilently         map[int]bool          // of these, those whose end neither side can see
-	cellOf               map[uint32]int        // by switch
-	closedByController   map[int]time.Duration // connections to switches that their controller has closed
-	callerOpenedAt       map[int]time.Duration // callers' connections
+	lostAt               map[int]time.Duration // lost connections to switches, and callers' connections disrupted by faults
+	lostSilently         map[int]bool          // those of lostAt whose loss neither side sees
+	cellOf               map[uint32]int        // exchange by switch
+	closedByController   map[int]time.Duration // connections to switches that the controller closed
+	callerOpenedAt       map[int]time.Duration // by caller connection
 	callerClosedAt       map[int]time.Duration
-	callerConnController map[int]int  // callers' connections, by controller
-	lifetimes            [][]interval // of controllers: from ready to end
+	callerConnController map[int]int  // controller of a caller connection
+	lifetimes            [][]interval // of the processes of each controller, from ready to exit
 	stalls               []Event
 	violations           []Violation
 	endTime              time.Duration
@@ -91,7 +91,7 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// Check judges a run from what callers, switches, the board and the rig saw.
+// Check checks the events of a run against the rules and returns the violations.
 func Check(plan Plan, events []Event) []Violation {
 	c := &checker{plan: plan, events: events, calls: map[string]*callHistory{}, lostAt: map[int]time.Duration{}, lostSilently: map[int]bool{}, cellOf: map[uint32]int{}, closedByController: map[int]time.Duration{}, callerOpenedAt: map[int]time.Duration{},
 		callerClosedAt: map[int]time.Duration{}, callerConnController: map[int]int{}, lifetimes: make([][]interval, plan.Controllers)}
@@ -154,7 +154,7 @@
 	}
 }
 
-// stallTime is how long the rig itself stood still in a span: what it saw then was late by no fault of a controller.
+// stallTime returns how long the test harness stalled between two times, as its events are late by that through no fault of a controller.
 func (c *checker) stallTime(from, to time.Duration) time.Duration {
 	total := time.Duration(0)
 	for _, stall := range c.stalls {
@@ -165,7 +165,7 @@
 	return total
 }
 
-// aliveThroughout tells whether one life of a controller lasts through a span.
+// aliveThroughout reports whether one process of a controller was ready from one time to another.
 func (c *checker) aliveThroughout(controller int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.lifetimes[controller], func(lifetime interval) bool { return lifetime.from <= from && lifetime.to >= to })
 }
@@ -179,7 +179,7 @@
 	c.violations = append(c.violations, violation)
 }
 
-// timeline is what was seen of a call, of its connections and of its controller meanwhile.
+// timeline returns the events of a call and, around them, of its connections, its controller and faults.
 func (c *checker) timeline(call *callHistory) []string {
 	conns := map[int]bool{}
 	from, to := never, time.Duration(0)
@@ -212,6 +212,7 @@
 	return lines
 }
 
+// firstEvent returns the first event of a kind.
 func (h *callHistory) firstEvent(kind EventKind) (Event, bool) {
 	i := slices.IndexFunc(h.events, func(e Event) bool { return e.Kind == kind })
 	if i < 0 {
@@ -220,7 +221,7 @@
 	return h.events[i], true
 }
 
-// checkAnswer judges the final answer of a call.
+// checkAnswer checks that a call gets one final answer in time.
 func (c *checker) checkAnswer(call *callHistory) {
 	var firstSent, lastSent Event
 	var answer, unanswered, abandoned Event
@@ -244,7 +245,7 @@
 	}
 	if firstSent.CallID == "" {
 		if answers > 0 {
-			c.addViolation(RuleAnswerFromSwitch, call, call.controller, "an answer to a call that nobody placed")
+			c.addViolation(RuleAnswerFromSwitch, call, call.controller, "answer to a call that no caller placed")
 		}
 		return
 	}
@@ -261,27 +262,27 @@
 	deadline += c.stallTime(firstSent.At, deadline)
 	switch {
 	case answers > 0 && answer.At > deadline:
-		c.addViolation(RuleFinalAnswer, call, call.controller, "answered %v after it was sent, its time was %v", (answer.At - firstSent.At).Round(time.Millisecond), firstSent.Duration)
+		c.addViolation(RuleFinalAnswer, call, call.controller, "answered %v after the set-up, abandon time %v", (answer.At - firstSent.At).Round(time.Millisecond), firstSent.Duration)
 	case answers > 0 || c.unansweredAllowed(lastSent, unanswered, deadline):
 	case unanswered.CallID != "":
-		c.addViolation(RuleFinalAnswer, call, call.controller, "its connection ended %v after it was sent, with no answer: %s", (unanswered.At - lastSent.At).Round(time.Millisecond), unanswered.Detail)
+		c.addViolation(RuleFinalAnswer, call, call.controller, "connection ended %v after the set-up without an answer: %s", (unanswered.At - lastSent.At).Round(time.Millisecond), unanswered.Detail)
 	case c.endTime > deadline:
 		c.addViolation(RuleFinalAnswer, call, call.controller, "no answer within %v", firstSent.Duration)
 	}
 }
 
-// checkAnswerBody judges that what stands has the description that a switch gave for this call.
+// checkAnswerBody checks that a 200 carries the session description that a switch sent for this call.
 func (c *checker) checkAnswerBody(call *callHistory, answer Event) {
 	for _, e := range call.events {
 		if e.Kind == TryEnded && e.Status == sip.OK && AnswerBody(e.SwitchID, call.id, e.Number) == answer.Detail {
 			return
 		}
 	}
-	c.addViolation(RuleAnswerFromSwitch, call, call.controller, "the caller read %q", answer.Detail)
+	c.addViolation(RuleAnswerFromSwitch, call, call.controller, "no switch sent the answer %q", answer.Detail)
 }
 
-// unansweredAllowed tells that a set-up without an answer is not lost: the rig took its connection away or killed the controller, it crossed a close and found no
-// controller that takes it again, or it was never taken.
+// unansweredAllowed reports whether a set-up may stay without an answer: a fault hit its connection or killed the controller without warning, or
+// the set-up crossed the close of its connection.
 func (c *checker) unansweredAllowed(sent, unanswered Event, deadline time.Duration) bool {
 	if lost, ok := c.lostAt[sent.ConnID]; ok && lost <= deadline {
 		return true
@@ -295,7 +296,7 @@
 	return unanswered.At-sent.At <= closeCrossingTime+slack+c.stallTime(sent.At, unanswered.At)
 }
 
-// isPlannedKill tells whether SIGKILL is the end of a planned restart.
+// isPlannedKill reports whether a SIGKILL is the end of a planned restart.
 func (c *checker) isPlannedKill(kill Event) bool {
 	for _, e := range slices.Backward(c.events) {
 		if e.At < kill.At && e.Controller == kill.Controller {
@@ -310,6 +311,7 @@
 	return false
 }
 
+// mapKeys returns an iterator over the keys of a map.
 func mapKeys[K comparable, V any](m map[K]V) func(func(K) bool) {
 	return func(yield func(K) bool) {
 		for key := range m {
@@ -320,7 +322,7 @@
 	}
 }
 
-// checkControllers judges crashes, starts and bad clients.
+// checkControllers checks crashes, the time to readiness and the reactions to bad clients.
 func (c *checker) checkControllers() {
 	started := make([]time.Duration, c.plan.Controllers)
 	ready := make([]bool, c.plan.Controllers)
@@ -340,7 +342,7 @@
 			if e.Status != 0 {
 				c.addViolation(RuleNoCrash, nil, e.Controller, "%s at %.3f", e.Detail, e.At.Seconds())
 			}
-			ready[e.Controller] = true // the end was judged
+			ready[e.Controller] = true // the exit was checked
 		case BadClientServed:
 			if e.Status == sip.OK || e.Duration > badClientTimeout+slack+c.stallTime(e.At-e.Duration, e.At) || e.Status == 0 {
 				if !c.aliveThroughout(e.Controller, e.At-e.Duration, e.At) {
@@ -357,7 +359,7 @@
 	}
 }
 
-// Summary counts breaches by rule.
+// Summary returns the number of violations by rule.
 func Summary(violations []Violation) string {
 	count := map[Rule]int{}
 	for _, violation := range violations {
--- a/internal/soak/check_both_sides.go
+++ b/internal/soak/check_both_sides.go
@@ -9,7 +9,7 @@
 	"indigodrift/internal/sip"
 )
 
-// checkBothSides judges that a call that is over for its caller does not go on standing at its switch.
+// checkBothSides checks that a call that is over for its caller ends at its switch as well.
 func (c *checker) checkBothSides(call *callHistory) {
 	answer, ok := call.firstEvent(AnswerRead)
 	if !ok || answer.Status != sip.OK {
@@ -35,20 +35,22 @@
 	if endedAtSwitch <= deadline || !c.aliveThroughout(call.controller, established.At, deadline) || c.endTime < deadline || c.releaseMayBeLost(call.controller, established.SwitchID, ended, deadline) {
 		return
 	}
-	c.addViolation(RuleEndedAtSwitch, call, call.controller, "over for its caller at %.3f, run %d at %s %s", ended.Seconds(), established.Number, board.FormatID(established.SwitchID), formatLegEnd(endedAtSwitch))
+	c.addViolation(RuleEndedAtSwitch, call, call.controller, "over for its caller at %.3f, leg %d at %s %s", ended.Seconds(), established.Number, board.FormatID(established.SwitchID), formatLegEnd(endedAtSwitch))
 }
 
+// formatLegEnd formats the end of a leg for a violation.
 func formatLegEnd(at time.Duration) string {
 	if at == never {
-		return "goes on"
+		return "is still established"
 	}
 	return "is over " + formatTime(at)
 }
 
-// maxFaultDuration is how long a fault lasts at most.
+// maxFaultDuration is the longest duration of a fault.
 const maxFaultDuration = 6 * time.Second
 
-// releaseMayBeLost tells that a release may not have reached a switch in a span: a connection to it was lost about then, or all of them may be silent.
+// releaseMayBeLost reports whether a release may not have reached a switch between two times: a connection to it was lost or closed around then, or a
+// fault may have silenced all of them.
 func (c *checker) releaseMayBeLost(controller int, sw uint32, from, to time.Duration) bool {
 	kinds := []FaultKind{PartitionSwitch, HangSwitch, HangLinks, RefuseLinks, SilenceLinks, SilenceLink}
 	return slices.ContainsFunc(c.events, func(e Event) bool {
--- a/internal/soak/check_list.go
+++ b/internal/soak/check_list.go
@@ -9,7 +9,7 @@
 	"indigodrift/internal/board"
 )
 
-// listKnownBy is the instant at which an event of the list counts as told to a controller.
+// listKnownBy returns the time from which a controller must know an update of the switch list, never if the board did not recover.
 func (c *checker) listKnownBy(controller int, update uint64, changedAt time.Duration) time.Duration {
 	bound, outageStart, recoveryTime := changedAt, time.Duration(0), time.Duration(0)
 	outages := 0
@@ -27,7 +27,7 @@
 			if outages--; outages == 0 && outageStart <= bound+slack && e.At+recoveryTime >= bound {
 				bound = e.At + recoveryTime
 			}
-		case ControllerStarted: // what came before is in its configuration
+		case ControllerStarted: // earlier updates are in its configuration
 			if e.At >= changedAt {
 				bound = min(bound, e.At)
 			}
@@ -44,7 +44,7 @@
 	return bound
 }
 
-// checkDraining judges set-ups to switches that drain or are gone.
+// checkDraining checks that no set-up goes to a switch that is listed as draining or gone.
 func (c *checker) checkDraining() {
 	type period struct{ from, to time.Duration }
 	for controller := range c.plan.Controllers {
@@ -74,14 +74,14 @@
 				from += drainGrace + slack + maxProxyDelay + e.Duration
 				from += c.stallTime(closedPeriod.from, from)
 				if e.At > from && e.At < closedPeriod.to {
-					c.addViolation(RuleDrain, c.calls[e.CallID], controller, "a set-up at %s at %.3f, told at %.3f that it drains or is gone", board.FormatID(e.SwitchID), e.At.Seconds(), closedPeriod.from.Seconds())
+					c.addViolation(RuleDrain, c.calls[e.CallID], controller, "set-up at %s at %.3f, known at %.3f to be draining or gone", board.FormatID(e.SwitchID), e.At.Seconds(), closedPeriod.from.Seconds())
 				}
 			}
 		}
 	}
 }
 
-// checkColdSwitches judges what all controllers together sent to a switch that had just started.
+// checkColdSwitches checks that all controllers together don't overload a switch that has just started.
 func (c *checker) checkColdSwitches() {
 	startedAt := map[uint32]time.Duration{}
 	for _, e := range c.events {
@@ -97,7 +97,8 @@
 			received[e.SwitchID] = append(received[e.SwitchID], e.At)
 		}
 	}
-	// What a warm switch does in the time: all circuits of all groups turned over, and as much again for its own exchange's calls.
+	// Set-ups per second that a warm switch handles: all circuits of all groups once per mean holding time. The same again is allowed for the
+	// calls of its own exchange.
 	normalRate := float64(c.plan.Controllers*c.plan.Switches.Circuits) / (c.plan.Switches.MaxHoldingTime / 2).Seconds()
 	for _, id := range slices.SortedFunc(mapKeys(received), cmp.Compare[uint32]) {
 		for i, at := range received[id] {
@@ -110,7 +111,7 @@
 			capacityShare := initialCapacity + (1-initialCapacity)*min(1, (at-startedAt[id]).Seconds()/rampTime.Seconds())
 			tolerated := overloadMultiple * capacityShare * 2 * normalRate * overloadWindow.Seconds()
 			if float64(count) > tolerated+3*math.Sqrt(tolerated)+3 {
-				c.addViolation(RuleColdSwitch, nil, -1, "%d set-ups in %v to %s, which bears %.1f", count, overloadWindow, board.FormatID(id), tolerated)
+				c.addViolation(RuleColdSwitch, nil, -1, "%d set-ups in %v to %s, which tolerates %.1f", count, overloadWindow, board.FormatID(id), tolerated)
 				break
 			}
 		}
--- a/internal/soak/check_release.go
+++ b/internal/soak/check_release.go
@@ -8,7 +8,8 @@
 	"indigodrift/internal/sip"
 )
 
-// callerConnUsableFrom is the first instant from which on a caller's connection to a controller is open for a span; false when there is none.
+// callerConnUsableFrom returns the first time, not before from, at which some caller connection of a controller stays usable for a duration. It
+// returns false if there is none.
 func (c *checker) callerConnUsableFrom(controller int, from, duration time.Duration) (time.Duration, bool) {
 	earliest, found := never, false
 	for conn, owner := range c.callerConnController {
@@ -29,14 +30,14 @@
 	return earliest, found
 }
 
-// checkReleaseDelivery judges that the caller of a call that stood and is over knows so.
+// checkReleaseDelivery checks that the caller of an established call is told in time when the call is over.
 func (c *checker) checkReleaseDelivery(call *callHistory) {
 	answer, ok := call.firstEvent(AnswerRead)
 	if !ok || answer.Status != sip.OK {
 		return
 	}
 	notifiedAt := never
-	established := Event{} // what its answer names: other runs never stood for its caller
+	established := Event{} // the leg that the answer names; the caller never saw the others
 	for _, e := range call.events {
 		switch e.Kind {
 		case ReleaseRead, CallReleased, CallAbandoned:
@@ -47,21 +48,21 @@
 			}
 		}
 	}
-	knownAt := answer.At // to the life of the controller that was told last
+	knownAt := answer.At // time at which the controller last learned of the call
 	for _, e := range call.events {
 		if e.Kind == EstablishedCallAnnounced {
 			knownAt = e.At
 		}
 	}
-	releaseLost := false // a release reached a life that was killed before it had to pass it on, and what that held is no duty any more
+	releaseLost := false // the controller process ended before it had to deliver a release, so the release may be lost
 	for _, e := range call.events {
 		if e.SwitchID != established.SwitchID || e.Number != established.Number {
 			if e.Kind == ReleaseSent && (e.Status == causeNormalClearing || e.Status == causeTemporaryFailure) && e.At < notifiedAt {
-				c.checkRelease(call, e, notifiedAt) // a call is known by its id alone: by this release it is over, though another run of it stands
+				c.checkRelease(call, e, notifiedAt) // a release names only the call, so it ends the call even if another leg is established
 			}
 			continue
 		}
-		if e.Kind == CallEnded && e.Detail == releasedByController { // the controller cut it, and must tell its caller as well
+		if e.Kind == CallEnded && e.Detail == releasedByController { // the controller released it, so it must release its caller too
 			c.checkRelease(call, e, notifiedAt)
 		}
 		if e.Kind == ReleaseSent {
@@ -76,8 +77,8 @@
 	}
 }
 
-// exitedWithoutCallers tells that a life of a controller ended before a release that it read at an instant could be told: until then no caller's
-// connection was open and not silent for the time that takes.
+// exitedWithoutCallers reports whether the controller process that read a release at a time exited before it could deliver it, as no caller
+// connection was usable for long enough until then.
 func (c *checker) exitedWithoutCallers(controller int, at time.Duration) bool {
 	for _, lifetime := range c.lifetimes[controller] {
 		if at < lifetime.from || at > lifetime.to || lifetime.to == never {
@@ -89,26 +90,26 @@
 	return false
 }
 
-// killedWithin tells whether a controller got such a SIGKILL in a span.
+// killedWithin reports whether a controller was sent a SIGKILL that matches within a duration.
 func (c *checker) killedWithin(controller int, from, duration time.Duration, matches func(Event) bool) bool {
 	return slices.ContainsFunc(c.events, func(e Event) bool {
 		return e.Kind == SignalSent && e.Controller == controller && e.Detail == "killed" && e.At >= from-slack && e.At <= from+duration && matches(e)
 	})
 }
 
-// checkRelease judges one release that a switch wrote.
+// checkRelease checks the delivery of one release by a switch to the caller.
 func (c *checker) checkRelease(call *callHistory, sent Event, notifiedAt time.Duration) {
 	if lost, ok := c.lostAt[sent.ConnID]; ok && lost <= sent.At+lossWindow {
 		return
 	}
-	if closed, ok := c.closedByController[sent.ConnID]; ok && closed <= sent.At+slack+maxProxyDelay { // it crossed the close
+	if closed, ok := c.closedByController[sent.ConnID]; ok && closed <= sent.At+slack+maxProxyDelay { // the release crossed the close
 		return
 	}
 	from, ok := c.callerConnUsableFrom(call.controller, sent.At, releaseDeliveryTime+slack+maxProxyDelay)
 	if !ok {
 		return
 	}
-	if c.plan.MaxConnectDelay > 0 { // the connection may carry it that much later
+	if c.plan.MaxConnectDelay > 0 { // a new connection may carry the release that much later
 		from += c.plan.MaxConnectDelay
 	}
 	deadline := from + releaseDeliveryTime + slack + maxProxyDelay
@@ -116,10 +117,10 @@
 	if notifiedAt <= deadline || !c.aliveThroughout(call.controller, sent.At, deadline) || c.endTime < deadline {
 		return
 	}
-	c.addViolation(RuleReleaseDelivery, call, call.controller, "release written at %.3f, told %s", sent.At.Seconds(), formatTime(notifiedAt))
+	c.addViolation(RuleReleaseDelivery, call, call.controller, "release written at %.3f, caller told %s", sent.At.Seconds(), formatTime(notifiedAt))
 }
 
-// checkEnd judges the end of a call whose release may never have been sent.
+// checkEnd checks that the caller learns of the end of a call even if the release by the switch is lost.
 func (c *checker) checkEnd(call *callHistory, ended, knownAt, notifiedAt time.Duration) {
 	start := max(ended, knownAt)
 	deadline := start + lostReleaseDeliveryTime + slack + maxProxyDelay
@@ -130,9 +131,10 @@
 	if from, ok := c.callerConnUsableFrom(call.controller, start, releaseDeliveryTime+slack+maxProxyDelay); !ok || from+releaseDeliveryTime+slack+maxProxyDelay > deadline {
 		return
 	}
-	c.addViolation(RuleLostReleaseDelivery, call, call.controller, "over at %.3f, told %s", start.Seconds(), formatTime(notifiedAt))
+	c.addViolation(RuleLostReleaseDelivery, call, call.controller, "over at %.3f, caller told %s", start.Seconds(), formatTime(notifiedAt))
 }
 
+// formatTime formats a time for a violation.
 func formatTime(at time.Duration) string {
 	if at == never {
 		return "never"
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -15,7 +15,7 @@
 	switchID = uint32(0x10002)
 )
 
-// normalCall is what peers of a controller see of one call that goes well.
+// normalCall returns the events of a run with one call that is answered and released normally.
 func normalCall() []Event {
 	return []Event{
 		{At: 0, Kind: ControllerStarted},
@@ -35,7 +35,7 @@
 	}
 }
 
-// callWithStatus is the history of a call whose set-up ends with a status.
+// callWithStatus returns the events of a run with one call whose only try ends with a status.
 func callWithStatus(status int) []Event {
 	events := withoutKind(withoutKind(normalCall(), CallEstablished), AnswerRead)
 	for i := range events {
@@ -47,6 +47,7 @@
 		Event{At: 900 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.ServiceUnavailable})
 }
 
+// withoutKind removes the events of a kind.
 func withoutKind(events []Event, kind EventKind) []Event {
 	var remaining []Event
 	for _, e := range events {
@@ -57,7 +58,7 @@
 	return remaining
 }
 
-// withEvents adds events in the order of time.
+// withEvents inserts events in the order of time.
 func withEvents(events []Event, added ...Event) []Event {
 	for _, e := range added {
 		i := 0
@@ -69,7 +70,7 @@
 	return events
 }
 
-// Each rule is found broken by what breaks it, and by nothing that the page allows.
+// Guards against a checker that misses a violation or reports what the protocol allows: one history for each rule, and one for each exception.
 func TestCheckReportsTheViolatedRule(t *testing.T) {
 	answer := Event{At: 130 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.OK, Detail: AnswerBody(switchID, callID, 0)}
 	retry := Event{Kind: TryReceived, CallID: callID, SwitchID: switchID + 1, ConnID: 3, Detail: "offer of " + callID}
@@ -81,47 +82,47 @@
 		events []Event
 		want   Rule
 	}{
-		{"all well", normalCall(), ""},
+		{"normal call", normalCall(), ""},
 		{"two answers", withEvents(normalCall(), answer), RuleFinalAnswer},
 		{"no answer", withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), RuleFinalAnswer},
-		{"no answer, and the caller gave up", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 115 * ms, Kind: CallAbandoned, CallID: callID, ConnID: 1}), ""},
-		{"no answer, as the connection was cut by the rig", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 115 * ms, Kind: CallerConnDisrupted, ConnID: 1}), ""},
-		{"connection closed under a set-up", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 400 * ms, Kind: ConnEndedUnanswered, CallID: callID, ConnID: 1}), RuleFinalAnswer},
-		{"an answer of nobody", withEvents(withoutKind(normalCall(), AnswerRead), Event{At: 125 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.OK, Detail: "made up"}), RuleAnswerFromSwitch},
-		{"never told", withoutKind(normalCall(), ReleaseRead), RuleReleaseDelivery},
-		{"told late", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 3300 * ms, Kind: ReleaseRead, CallID: callID, ConnID: 1}), RuleReleaseDelivery},
-		{"never told, and the release was lost", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2}), RuleLostReleaseDelivery},
-		{"told late, and the release was lost", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2},
+		{"no answer, as the caller abandoned the call", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 115 * ms, Kind: CallAbandoned, CallID: callID, ConnID: 1}), ""},
+		{"no answer, as a fault silenced the connection", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 115 * ms, Kind: CallerConnDisrupted, ConnID: 1}), ""},
+		{"connection closed with a pending set-up", withEvents(withoutKind(withoutKind(normalCall(), AnswerRead), ReleaseRead), Event{At: 400 * ms, Kind: ConnEndedUnanswered, CallID: callID, ConnID: 1}), RuleFinalAnswer},
+		{"answer that no switch sent", withEvents(withoutKind(normalCall(), AnswerRead), Event{At: 125 * ms, Kind: AnswerRead, CallID: callID, ConnID: 1, Status: sip.OK, Detail: "invented answer"}), RuleAnswerFromSwitch},
+		{"release never delivered", withoutKind(normalCall(), ReleaseRead), RuleReleaseDelivery},
+		{"release delivered late", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 3300 * ms, Kind: ReleaseRead, CallID: callID, ConnID: 1}), RuleReleaseDelivery},
+		{"release lost on its way and never delivered", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2}), RuleLostReleaseDelivery},
+		{"release lost on its way and delivered late", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2},
 			Event{At: 9000 * ms, Kind: ReleaseRead, CallID: callID, ConnID: 1}), ""},
-		{"never told, and the release was lost long before a kill", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2},
+		{"release lost long before a kill and never delivered", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 1900 * ms, Kind: SwitchConnLost, ConnID: 2},
 			Event{At: 20000 * ms, Kind: SignalSent, Status: 9, Detail: "killed"}), RuleLostReleaseDelivery},
-		{"never told, as the controller was killed with the release", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 2005 * ms, Kind: SignalSent, Status: 9, Detail: "killed"},
+		{"release lost with a killed controller", withEvents(withoutKind(normalCall(), ReleaseRead), Event{At: 2005 * ms, Kind: SignalSent, Status: 9, Detail: "killed"},
 			Event{At: 2006 * ms, Kind: ControllerExited, Detail: "signal: killed"}, Event{At: 2100 * ms, Kind: ControllerStarted}, Event{At: 2110 * ms, Kind: ControllerReady, Duration: 10 * ms},
 			Event{At: 2120 * ms, Kind: EstablishedCallAnnounced, CallID: callID, SwitchID: switchID, ConnID: 1}), ""},
-		{"never told, and nobody was there", withEvents(withoutKind(withoutKind(normalCall(), ReleaseRead), CallerConnClosed), Event{At: 1900 * ms, Kind: CallerConnClosed, ConnID: 1}), ""},
-		{"tried again at once after a refusal", withEvents(callWithStatus(sip.ServiceUnavailable), at(retry, 110*ms+maxProxyDelay)), ""},
-		{"tried again at once after an answer", withEvents(normalCall(), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
-		{"tried again at once after a spoilt answer", withEvents(callWithStatus(0), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
-		{"tried again at once after a reset", withEvents(callWithStatus(sip.ServerTimeout), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
-		{"tried again at once after its connection was reset", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 112 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: "reset"}, at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
-		{"tried again after a connection fell silent", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 106 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: lossSilent}, at(retry, 400*ms)), ""},
-		{"cut by the controller, and its caller not told", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), ReleaseRead), ReleaseSent), CallEnded),
+		{"release not delivered, as no caller is connected", withEvents(withoutKind(withoutKind(normalCall(), ReleaseRead), CallerConnClosed), Event{At: 1900 * ms, Kind: CallerConnClosed, ConnID: 1}), ""},
+		{"immediate retry after a rejection", withEvents(callWithStatus(sip.ServiceUnavailable), at(retry, 110*ms+maxProxyDelay)), ""},
+		{"immediate retry after an answer", withEvents(normalCall(), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"immediate retry after a malformed answer", withEvents(callWithStatus(0), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"immediate retry after a server time-out", withEvents(callWithStatus(sip.ServerTimeout), at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"immediate retry after a connection reset", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 112 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: "reset"}, at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
+		{"retry after a connection was silenced", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 106 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: lossSilent}, at(retry, 400*ms)), ""},
+		{"released by the controller at the switch only", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), ReleaseRead), ReleaseSent), CallEnded),
 			Event{At: 2000 * ms, Kind: CallEnded, CallID: callID, SwitchID: switchID, Detail: releasedByController}), RuleReleaseDelivery},
-		{"told that it is over while it stands", withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), RuleEndedAtSwitch},
-		{"ended by its caller and never released at its switch", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), ReleaseRead),
+		{"released to the caller only", withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), RuleEndedAtSwitch},
+		{"released by its caller and never at its switch", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), ReleaseRead),
 			Event{At: 1500 * ms, Kind: CallReleased, CallID: callID, ConnID: 1}), RuleEndedAtSwitch},
-		{"two tries at once for long", withEvents(withoutKind(normalCall(), TryEnded), at(retry, 400*ms)), RuleSingleTry},
-		{"tried again too early", withEvents(normalCall(), cancelled, at(retry, 300*ms)), RuleReleaseTime},
-		{"tried again in time", withEvents(normalCall(), cancelled, at(retry, 111*ms+releaseTime)), ""},
-		{"sent past the grace", withEvents(withEvents(withoutKind(normalCall(), TryReceived), drained...), Event{At: 60 * ms, Kind: ListSent, Number: 2},
+		{"two pending tries", withEvents(withoutKind(normalCall(), TryEnded), at(retry, 400*ms)), RuleSingleTry},
+		{"retry before the release time", withEvents(normalCall(), cancelled, at(retry, 300*ms)), RuleReleaseTime},
+		{"retry after the release time", withEvents(normalCall(), cancelled, at(retry, 111*ms+releaseTime)), ""},
+		{"set-up to a draining switch after the grace period", withEvents(withEvents(withoutKind(normalCall(), TryReceived), drained...), Event{At: 60 * ms, Kind: ListSent, Number: 2},
 			Event{At: 500 * ms, Kind: TryReceived, CallID: callID, SwitchID: switchID, ConnID: 2, Detail: "offer of " + callID}), RuleDrain},
-		{"sent while nobody could know", withEvents(withEvents(withoutKind(normalCall(), TryReceived), drained...), Event{At: 40 * ms, Kind: BoardLost, Duration: outageRecoveryTime},
+		{"set-up to a draining switch while the board is away", withEvents(withEvents(withoutKind(normalCall(), TryReceived), drained...), Event{At: 40 * ms, Kind: BoardLost, Duration: outageRecoveryTime},
 			Event{At: 3000 * ms, Kind: BoardRestored}, Event{At: 500 * ms, Kind: TryReceived, CallID: callID, SwitchID: switchID, ConnID: 2, Detail: "offer of " + callID}), ""},
-		{"a set-up that nobody sent", withEvents(normalCall(), Event{At: 200 * ms, Kind: TryReceived, CallID: "00010000000000ff", SwitchID: switchID, ConnID: 2}), RuleValidSetUp},
-		{"bad client served", withEvents(normalCall(), Event{At: 200 * ms, Kind: BadClientServed, Status: sip.OK, Duration: ms}), RuleBadClient},
-		{"bad client left waiting", withEvents(normalCall(), Event{At: 9000 * ms, Kind: BadClientServed, Status: 1, Duration: 4 * time.Second}), RuleBadClient},
+		{"set-up that no caller sent", withEvents(normalCall(), Event{At: 200 * ms, Kind: TryReceived, CallID: "00010000000000ff", SwitchID: switchID, ConnID: 2}), RuleValidSetUp},
+		{"bad client answered with 200", withEvents(normalCall(), Event{At: 200 * ms, Kind: BadClientServed, Status: sip.OK, Duration: ms}), RuleBadClient},
+		{"bad client answered late", withEvents(normalCall(), Event{At: 9000 * ms, Kind: BadClientServed, Status: 1, Duration: 4 * time.Second}), RuleBadClient},
 		{"crash", withEvents(normalCall(), Event{At: 20000 * ms, Kind: ControllerExited, Status: 1, Detail: "exit status 2"}), RuleNoCrash},
-		{"slow start", withEvents(withoutKind(normalCall(), ControllerReady), Event{At: 11000 * ms, Kind: ControllerReady, Duration: 11 * time.Second}), RuleReady},
+		{"controller ready late", withEvents(withoutKind(normalCall(), ControllerReady), Event{At: 11000 * ms, Kind: ControllerReady, Duration: 11 * time.Second}), RuleReady},
 	} {
 		plan := Plan{Controllers: 1, Switches: SwitchPlan{Circuits: 10, MaxHoldingTime: time.Second}}
 		violations := Check(plan, test.events)
@@ -137,7 +138,7 @@
 	}
 }
 
-// A crowd of set-ups that a switch cannot bear just after its start is found, whichever controllers sent them.
+// Guards against a checker that counts set-ups to a cold switch per controller: the sum of all controllers overloads it.
 func TestCheckFindsAnOverloadedColdSwitch(t *testing.T) {
 	plan := Plan{Controllers: 2, Switches: SwitchPlan{Circuits: 4, MaxHoldingTime: 4 * time.Second}}
 	events := []Event{{At: time.Second, Kind: ListChanged, Controller: -1, SwitchID: switchID, Status: int(board.Ready), Number: 2, Duration: time.Hour}}
@@ -149,7 +150,7 @@
 		found = found || b.Rule == RuleColdSwitch
 	}
 	if !found {
-		t.Error("not found")
+		t.Error("overload of the cold switch not found")
 	}
 }
 
@@ -158,13 +159,13 @@
 	for seed := range uint64(200) {
 		p := NewPlan(seed, 12*time.Second)
 		if !reflect.DeepEqual(p, NewPlan(seed, 12*time.Second)) {
-			t.Fatalf("seed %d draws two plans", seed)
+			t.Fatalf("seed %d gives two different plans", seed)
 		}
 		for _, f := range p.Faults {
 			kinds[f.Kind] = true
 		}
 	}
 	if len(kinds) != int(numFaultKinds) {
-		t.Errorf("%d of %d kinds of faults drawn", len(kinds), numFaultKinds)
+		t.Errorf("%d of %d kinds of faults in the plans", len(kinds), numFaultKinds)
 	}
 }
--- a/internal/soak/check_tries.go
+++ b/internal/soak/check_tries.go
@@ -8,19 +8,19 @@
 	"indigodrift/internal/sip"
 )
 
-// try is one set-up at a switch.
+// try is one set-up received by a switch.
 type try struct {
 	received  Event
-	endedAt   time.Duration // never where it did not end
+	endedAt   time.Duration // never if it did not end
 	endKind   EventKind
 	status    int
-	endUnseen bool // its connection is silent: the switch cannot know of its end
-	delayed   bool // it may have lain unread
+	endUnseen bool // its connection is silent, so the switch doesn't see the end
+	delayed   bool // it may have been unread for a while
 }
 
-// checkTries judges the tries of a call.
+// checkTries checks that the tries of a call belong to a caller's set-up and follow each other properly.
 func (c *checker) checkTries(call *callHistory) {
-	if strings.HasPrefix(call.id, badCallPrefix) { // a bad client's, which may be passed on where it can be read
+	if strings.HasPrefix(call.id, badCallPrefix) { // a set-up of a bad client that is valid may be forwarded
 		return
 	}
 	var tries []*try
@@ -42,15 +42,15 @@
 		if lost, ok := c.lostAt[current.received.ConnID]; ok && lost <= current.endedAt {
 			current.endUnseen, current.endedAt, current.endKind = c.lostSilently[current.received.ConnID], lost, TryAbandoned
 		}
-		if closed, ok := c.closedByController[current.received.ConnID]; ok && closed < current.endedAt { // a close gives up what is open, though the switch may see it late
+		if closed, ok := c.closedByController[current.received.ConnID]; ok && closed < current.endedAt { // a close abandons pending set-ups, though the switch may see it late
 			current.endedAt, current.endKind = closed, TryAbandoned
 		}
 		own := int(current.received.SwitchID&0xffff) <= c.plan.Controllers && int(current.received.SwitchID&0xffff)-1 == call.controller
 		if !placed || sent.At > current.received.At || current.received.Detail != "offer of "+call.id || own {
-			c.addViolation(RuleValidSetUp, call, call.controller, "a set-up at %s that no caller sent, with %q", board.FormatID(current.received.SwitchID), current.received.Detail)
+			c.addViolation(RuleValidSetUp, call, call.controller, "set-up at %s that no caller sent, with body %q", board.FormatID(current.received.SwitchID), current.received.Detail)
 		}
 		if sent.Cell > 0 && c.cellOf[current.received.SwitchID] != sent.Cell-1 {
-			c.addViolation(RuleValidSetUp, call, call.controller, "a call in transit to cell %d at %s", sent.Cell-1, board.FormatID(current.received.SwitchID))
+			c.addViolation(RuleValidSetUp, call, call.controller, "transit call to cell %d at %s", sent.Cell-1, board.FormatID(current.received.SwitchID))
 		}
 		if i > 0 && !current.delayed && !tries[i-1].delayed {
 			c.checkRetry(call, tries[i-1], current)
@@ -58,21 +58,21 @@
 	}
 }
 
-// checkRetry judges a try against the one before it.
+// checkRetry checks that a try starts after the end of the previous one and, if required, after the release time.
 func (c *checker) checkRetry(call *callHistory, previous, next *try) {
 	tolerance := slack + maxProxyDelay + c.stallTime(previous.received.At, next.received.At)
 	if previous.endedAt > next.received.At+tolerance {
-		c.addViolation(RuleSingleTry, call, call.controller, "a set-up at %s at %.3f while one is out at %s since %.3f", board.FormatID(next.received.SwitchID), next.received.At.Seconds(),
+		c.addViolation(RuleSingleTry, call, call.controller, "set-up at %s at %.3f while one is pending at %s since %.3f", board.FormatID(next.received.SwitchID), next.received.At.Seconds(),
 			board.FormatID(previous.received.SwitchID), previous.received.At.Seconds())
 		return
 	}
 	if tolerance := c.releaseTimeTolerance(previous, next); previous.requiresReleaseTime() && next.received.At-previous.endedAt < releaseTime-tolerance {
-		c.addViolation(RuleReleaseTime, call, call.controller, "sent again %v after the end of the try (%s, status %d)", (next.received.At - previous.endedAt).Round(time.Millisecond), previous.endKind, previous.status)
+		c.addViolation(RuleReleaseTime, call, call.controller, "retried %v after the end of the previous try (%s, status %d)", (next.received.At - previous.endedAt).Round(time.Millisecond), previous.endKind, previous.status)
 	}
 }
 
-// requiresReleaseTime tells that a further try has to wait out the release time: all but a refusal that came whole is a time-out, a reset or a cancel. An answer
-// counts as well, since who sends again after it has not taken it.
+// requiresReleaseTime reports whether the next try must wait for the release time. Only a complete rejection doesn't require it; time-outs, resets
+// and cancels do. So does a positive answer, since a controller that retries after it has not received it.
 func (t *try) requiresReleaseTime() bool {
 	switch t.status {
 	case sip.ServiceUnavailable, sip.TemporarilyUnavailable, sip.BusyHere, sip.ServerInternalError:
@@ -81,8 +81,8 @@
 	return !t.endUnseen
 }
 
-// releaseTimeTolerance is by how much the release time may look shorter at the switches than it was at the controller: a CANCEL may have a longer way
-// than the set-up after it.
+// releaseTimeTolerance returns by how much the release time may seem shorter at the switches than at the controller, as a CANCEL may be delayed
+// more than the following set-up.
 func (c *checker) releaseTimeTolerance(previous, next *try) time.Duration {
 	tolerance := slack + maxRecordDelay + c.plan.Jitter + c.stallTime(previous.received.At, next.received.At)
 	if previous.received.SwitchID != next.received.SwitchID {
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -25,11 +25,11 @@
 	readyTimeout      = 10 * time.Second
 	readyPollInterval = 10 * time.Millisecond
 	sampleInterval    = 250 * time.Millisecond
-	maxDrainTime      = 3 * time.Second // the longest deadline counts as no more
-	killMargin        = 700 * time.Millisecond
+	maxDrainTime      = 3 * time.Second        // limits the abandon time in killDelay
+	killMargin        = 700 * time.Millisecond // between the end of the drain time and SIGKILL
 )
 
-// Controller runs one call controller, life after life.
+// Controller runs one call controller and restarts its process.
 type Controller struct {
 	log          *Log
 	number       int
@@ -43,17 +43,17 @@
 	mu              sync.Mutex
 	cmd             *exec.Cmd
 	starts          int
-	exitRequested   bool // its end was asked for
+	exitRequested   bool // SIGTERM or SIGKILL was sent
 	exited          chan struct{}
-	peakMemoryKB    int // greatest resident memory, KiB
-	peakDescriptors int // most descriptors
+	peakMemoryKB    int // resident memory
+	peakDescriptors int // open file descriptors
 }
 
 func (c *Controller) configPath() string {
 	return filepath.Join(c.dir, fmt.Sprintf("n%d.json", c.number))
 }
 
-// LogPath is where the process writes its log.
+// LogPath returns the path of the log of the process.
 func (c *Controller) LogPath() string {
 	return filepath.Join(c.dir, fmt.Sprintf("n%d.log", c.number))
 }
@@ -93,7 +93,7 @@
 
 var lifecycles = map[board.State]string{board.Ready: "in_service", board.Draining: "terminating", board.Gone: "terminated"}
 
-// Settings that the judge holds controllers to.
+// Settings of the controllers that the checker relies on.
 const (
 	releaseTime      = 300 * time.Millisecond
 	drainGrace       = 250 * time.Millisecond
@@ -103,6 +103,7 @@
 	overloadMultiple = 3.0
 )
 
+// settingsJSON returns the settings object of the configuration.
 func (c *Controller) settingsJSON() json.RawMessage {
 	var grades, holdingTimes []string
 	for _, bearer := range c.plan.Bearers {
@@ -116,7 +117,7 @@
 		c.plan.Controllers, c.number, releaseTime.Milliseconds(), strings.Join(holdingTimes, ","), strings.Join(grades, ","), initialCapacity, rampTime.Milliseconds(), drainGrace.Milliseconds(), overloadWindow.Milliseconds(), overloadMultiple))
 }
 
-// writeConfig writes the configuration as it is now.
+// writeConfig writes the configuration with the board's current address and events. It replaces the file atomically.
 func (c *Controller) writeConfig() error {
 	events, boardAddress := c.board.snapshot()
 	var config configJSON
@@ -135,23 +136,23 @@
 	config.Settings = c.settingsJSON()
 	data, err := json.Marshal(config)
 	if err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return fmt.Errorf("encode configuration: %w", err)
 	}
 	nextPath := c.configPath() + ".next"
 	if err := os.WriteFile(nextPath, data, 0o644); err != nil {
-		return fmt.Errorf("configuration: %w", err)
+		return fmt.Errorf("write configuration: %w", err)
 	}
 	return os.Rename(nextPath, c.configPath())
 }
 
-// start starts a life and waits until it passes a test.
+// start starts the process and waits until it is ready, has exited or readyTimeout has passed.
 func (c *Controller) start() error {
 	if err := c.writeConfig(); err != nil {
 		return err
 	}
 	logFile, err := os.OpenFile(c.LogPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return fmt.Errorf("log of the controller: %w", err)
+		return fmt.Errorf("open log of controller: %w", err)
 	}
 	defer logFile.Close()
 	args := []string{"platform"}
@@ -161,11 +162,11 @@
 	cmd := exec.Command(c.program, args...)
 	cmd.Env = append(os.Environ(), "GW_CONFIG="+c.configPath(), "GW_NAME=", "GW_LISTEN=")
 	cmd.Stdout, cmd.Stderr = logFile, logFile
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing outlives the run, however it ends
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the run, even if that crashes
 	startTime := c.log.Add(Event{Kind: ControllerStarted, Controller: c.number})
-	c.log.Add(Event{Kind: BoardLost, Controller: c.number, Duration: truncationRecoveryTime, Detail: "not asked yet"})
+	c.log.Add(Event{Kind: BoardLost, Controller: c.number, Duration: truncationRecoveryTime, Detail: "not connected yet"})
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("controller %d: %w", c.number, err)
+		return fmt.Errorf("start controller %d: %w", c.number, err)
 	}
 	exited := make(chan struct{})
 	c.mu.Lock()
@@ -182,14 +183,14 @@
 		}
 		select {
 		case <-exited:
-			return nil // the judge sees that it ended
+			return nil // reported by the checker as an exit
 		case <-time.After(readyPollInterval):
 		}
 	}
-	return nil // and that it is not ready
+	return nil // reported by the checker as not ready
 }
 
-// recordExit notes how a process ended.
+// recordExit waits for the end of a process and records it. The status is 1 if the exit was not requested or failed.
 func (c *Controller) recordExit(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	c.mu.Lock()
@@ -207,14 +208,14 @@
 	close(exited)
 }
 
-// isReady tells whether the controller passes a test.
+// isReady reports whether the controller answers OPTIONS with 200.
 func (c *Controller) isReady() bool {
 	conn, err := net.DialTimeout("tcp", c.listen, dialTimeout)
 	if err != nil {
 		return false
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(dialTimeout)) // else the read fails
+	_ = conn.SetDeadline(time.Now().Add(dialTimeout)) // if it fails, so does the read
 	if _, err := conn.Write(sip.Append(nil, &sip.Message{Method: sip.Options, URI: "sip:ping@net", CallID: "1", CSeq: 1})); err != nil {
 		return false
 	}
@@ -222,7 +223,7 @@
 	return err == nil && response.Status == sip.OK
 }
 
-// sampleUsage follows memory and descriptors of a process.
+// sampleUsage records the peak memory and descriptors of a process until it exits.
 func (c *Controller) sampleUsage(pid int, exited <-chan struct{}) {
 	for {
 		select {
@@ -240,6 +241,7 @@
 	}
 }
 
+// residentKB returns the resident memory of a process in KiB, 0 if it is unknown.
 func residentKB(pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -254,6 +256,7 @@
 	return 0
 }
 
+// signal records a signal and sends it.
 func (c *Controller) signal(sig syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,30 +264,31 @@
 		c.exitRequested = true
 	}
 	c.log.Add(Event{Kind: SignalSent, Controller: c.number, Status: int(sig), Detail: sig.String()})
-	_ = c.cmd.Process.Signal(sig) // it may have ended
+	_ = c.cmd.Process.Signal(sig) // the process may have exited
 }
 
-// signalIfExiting sends one more signal to a controller whose end was asked for already.
+// signalIfExiting sends one more signal to a controller whose exit was requested already. The signal is not recorded.
 func (c *Controller) signalIfExiting(sig syscall.Signal) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.exitRequested {
-		_ = c.cmd.Process.Signal(sig) // it may have ended
+		_ = c.cmd.Process.Signal(sig) // the process may have exited
 	}
 }
 
-// killDelay is how long after SIGTERM SIGKILL comes.
+// killDelay returns the time between SIGTERM and SIGKILL.
 func (c *Controller) killDelay() time.Duration {
 	return min(c.plan.MaxAbandonTime, maxDrainTime) + killMargin
 }
 
-// exit is the process's end.
+// exit returns a channel that is closed when the process has exited.
 func (c *Controller) exit() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.exited
 }
 
+// peakUsage returns the peak memory and descriptors of all processes so far.
 func (c *Controller) peakUsage() (memoryKB, descriptors int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/event.go
+++ b/internal/soak/event.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// EventKind tells what an Event is about.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// What callers, switches, the notice board and the rig itself see. A controller's own view is never recorded.
+// Kinds of events, as seen by callers, switches, boards and the test harness. What a controller itself sees is not recorded.
 const (
 	SetUpSent                EventKind = iota // a caller wrote a set-up
-	AnswerRead                                // and read its final answer
-	CallAbandoned                             // cancelled it or closed its connection
-	ConnEndedUnanswered                       // or its connection ended before an answer
-	ReleaseRead                               // it read the release of a call
-	CallReleased                              // it wrote one itself
-	EstablishedCallAnnounced                  // it told a controller of a call that stands, as after a restart
+	AnswerRead                                // a caller read a final answer
+	CallAbandoned                             // a caller cancelled its set-up
+	ConnEndedUnanswered                       // a caller's connection ended before the final answer
+	ReleaseRead                               // a caller read the release of a call
+	CallReleased                              // a caller wrote a release
+	EstablishedCallAnnounced                  // a caller announced an established call to a controller, as after a restart
 	CallerConnOpened
 	CallerConnClosed
-	CallerConnDisrupted // nothing passes on the connection any more
+	CallerConnDisrupted // a caller's connection was silenced or reset by a fault
 	TryReceived         // a switch read a set-up
-	TryEnded            // wrote its final answer
-	TryAbandoned        // read a CANCEL, or its connection ended under the set-up
-	CallEstablished
-	CallEnded // a call that stood is over at its switch
-	ReleaseSent
-	SwitchConnLost   // a connection to a switch was silenced or reset
-	SwitchConnClosed // or closed by the controller
-	ListChanged
-	ListSent // an event of the board was written to a controller
+	TryEnded            // a switch wrote the end of a set-up
+	TryAbandoned        // a switch read a CANCEL, or the connection of a pending set-up ended
+	CallEstablished     // a call is established at its switch
+	CallEnded           // an established call is over at its switch
+	ReleaseSent         // a switch wrote a release
+	SwitchConnLost      // a connection to a switch was silenced or reset
+	SwitchConnClosed    // a controller closed a connection to a switch
+	ListChanged         // the list of switches changed
+	ListSent            // a board event was written to a controller
 	BoardLost
 	BoardRestored
 	ControllerStarted
 	ControllerReady
-	SignalSent // a signal was sent
+	SignalSent
 	ControllerExited
-	BadClientServed // a bad client had what it is owed
+	BadClientServed // a bad client was answered or closed, or timed out
 	HarnessStalled
 	FaultInjected
 )
@@ -50,25 +50,25 @@
 
 func (k EventKind) String() string { return eventKindNames[k] }
 
-// How a connection is lost. Of the first two neither side can see the end.
+// Ways to lose a connection. In the first two neither side sees the loss.
 const (
 	lossSilent    = "silent"
 	lossPartition = "vanished"
 	lossReset     = "reset"
 )
 
-// Event is one thing that was seen. Fields that do not apply are zero.
+// Event is one observation. Fields that do not apply are zero.
 type Event struct {
-	At         time.Duration // since the run began
+	At         time.Duration // since the start of the run
 	Kind       EventKind
 	Controller int
 	SwitchID   uint32
-	Cell       int // of a switch that is listed; of a call in transit its destination, from 1
+	Cell       int // exchange of a listed switch; destination of a transit call, counted from 1
 	CallID     string
 	ConnID     int
 	Status     int
-	Number     uint64        // of an event of the board, or of a run at a switch
-	Duration   time.Duration // how long a message may have lain unread, a stall has lasted, a caller waits, news may take
+	Number     uint64        // of a board event, or of a call leg at a switch
+	Duration   time.Duration // how long a message may have been unread, a stall lasted, a caller waits or the board's recovery may take
 	Detail     string
 }
 
@@ -92,7 +92,7 @@
 	return text
 }
 
-// Log keeps the events of a run in the order in which they were seen.
+// Log records the events of a run in the order in which they occurred.
 type Log struct {
 	mu         sync.Mutex
 	startTime  time.Time
@@ -100,13 +100,13 @@
 	lastConnID int
 }
 
-// NewLog starts a log; its time begins now.
+// NewLog returns an empty log whose time starts now.
 func NewLog() *Log { return &Log{startTime: time.Now()} }
 
-// Now is the time since the run began.
+// Now returns the time since the start of the run.
 func (l *Log) Now() time.Duration { return time.Since(l.startTime) }
 
-// Add adds an event that is seen now.
+// Add records an event that occurs now and returns its time.
 func (l *Log) Add(e Event) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,7 +115,7 @@
 	return e.At
 }
 
-// NewConnID names a new connection.
+// NewConnID returns the id of a new connection.
 func (l *Log) NewConnID() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,7 +123,7 @@
 	return l.lastConnID
 }
 
-// Events returns what was seen so far.
+// Events returns a copy of the events so far.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +135,7 @@
 	minStall           = 30 * time.Millisecond
 )
 
-// watchStalls notes when the rig itself stands still: what it sees then is late.
+// watchStalls records stalls of the test harness, as its observations are late by them. It runs until stop is closed.
 func (l *Log) watchStalls(stop <-chan struct{}) {
 	last := l.Now()
 	for {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -11,17 +11,17 @@
 const (
 	numIdleClients = 120
 	callsPerBurst  = 100
-	maxListDelay   = 700 * time.Millisecond // how much later than a switch's death or start the board tells of it, at most
+	maxListDelay   = 700 * time.Millisecond // between the end or start of a switch and its publication on the board
 
-	// At a planned restart new connections go on coming for so long.
+	// Callers go on opening connections for a time in this range after SIGTERM.
 	minNewConnTime = 200 * time.Millisecond
 	maxNewConnTime = 400 * time.Millisecond
 )
 
-// inject does one fault.
+// inject injects one fault.
 func (h *harness) inject(f Injection) {
 	h.log.Add(Event{Kind: FaultInjected, Controller: f.Controller, Detail: f.String()})
-	if f.Cell == f.Controller { // a controller has no connection to its own cell
+	if f.Cell == f.Controller { // a controller doesn't connect to the switch of its own exchange
 		f.Cell = (f.Cell + 1) % h.plan.Controllers
 	}
 	proxy, sw, noticeBoard := h.switchProxies[f.Cell][f.Controller], h.currentSwitch(f.Cell), h.boards[f.Controller]
@@ -103,20 +103,21 @@
 	}
 }
 
-// noteFailure notes what the rig itself could not do.
+// noteFailure records a failure of the test harness itself.
 func (h *harness) noteFailure(err error) {
 	if err != nil {
-		h.log.Add(Event{Kind: FaultInjected, Controller: -1, Detail: "the rig failed: " + err.Error()})
+		h.log.Add(Event{Kind: FaultInjected, Controller: -1, Detail: "test harness failed: " + err.Error()})
 	}
 }
 
+// publishChange publishes changed entries of the switch list.
 func (h *harness) publishChange(entries ...board.Switch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.publishUpdate(false, entries...)
 }
 
-// partition cuts a switch off from all controllers: what is open is silent, and what is new too.
+// partition makes a switch unreachable from all controllers for a while: open and new connections drop all data.
 func (h *harness) partition(cell int, duration time.Duration) {
 	sw := h.currentSwitch(cell)
 	for i, p := range h.switchProxies[cell] {
@@ -127,14 +128,14 @@
 	h.sleepUnlessDone(duration)
 	for _, p := range h.switchProxies[cell] {
 		p.SetHanging(false)
-		p.Reset() // what came up meanwhile
+		p.Reset() // connections that were opened meanwhile
 	}
 }
 
-// replaceSwitch has a switch end and another stand in its place. With drain it is listed as draining first, else it dies and the list tells later.
-// The proxies' addresses stay, so the new one stands at the address of the old one.
+// replaceSwitch kills a switch and starts another in its place, at the same addresses since the proxies stay. With drain the switch is listed as
+// draining first. With listedFirst it is listed as gone before it is killed, otherwise afterwards.
 func (h *harness) replaceSwitch(cell int, drain, listedFirst bool) {
-	h.replaceMutexes[cell].Lock() // one after the other
+	h.replaceMutexes[cell].Lock() // one replacement at a time
 	defer h.replaceMutexes[cell].Unlock()
 	old := h.currentSwitch(cell)
 	gone := board.Switch{ID: old.id, Cell: cell, State: board.Gone, StartedMS: old.startedMS}
@@ -176,7 +177,7 @@
 	h.publishChange(board.Switch{ID: replacement.id, Cell: cell, State: board.Ready, StartedMS: replacement.startedMS})
 }
 
-// reload moves the board and tells the controller by SIGHUP, several times in a row.
+// reload moves the board, writes a new configuration and sends SIGHUP, f.Count times.
 func (h *harness) reload(f Injection) {
 	controller := h.controllers[f.Controller]
 	for range f.Count {
@@ -193,12 +194,12 @@
 	}
 }
 
-// signalBurst sends signals in a row, each a new configuration or none, and restarts the controller.
+// signalBurst sends SIGHUPs with and without a new configuration, then restarts the controller and sends more signals during the shutdown.
 func (h *harness) signalBurst(f Injection) {
 	f.Count = 1
 	for range 2 {
 		h.reload(f)
-		h.controllers[f.Controller].signal(syscall.SIGHUP) // nothing new
+		h.controllers[f.Controller].signal(syscall.SIGHUP) // without a new configuration
 	}
 	time.AfterFunc(h.randomDuration(0, 100*time.Millisecond), func() {
 		h.controllers[f.Controller].signalIfExiting(syscall.SIGTERM)
@@ -207,7 +208,7 @@
 	h.restart(f.Controller)
 }
 
-// restart is a planned one: SIGTERM, SIGKILL at the earliest, and a new life. Callers use open connections until the kill.
+// restart is a planned restart: SIGTERM, SIGKILL after killDelay, and a new process. Callers use open connections until the process ends.
 func (h *harness) restart(index int) {
 	if !h.restartMutexes[index].TryLock() {
 		return
@@ -232,7 +233,7 @@
 	h.startAgain(index)
 }
 
-// kill ends a controller without a warning and starts it again.
+// kill sends SIGKILL to a controller without warning and starts it again.
 func (h *harness) kill(index int) {
 	if !h.restartMutexes[index].TryLock() {
 		return
@@ -244,7 +245,7 @@
 	h.startAgain(index)
 }
 
-// startAgain starts a controller anew; its callers come at once.
+// startAgain starts a controller after a random delay and lets its callers connect.
 func (h *harness) startAgain(index int) {
 	h.sleepUnlessDone(h.randomDuration(0, 700*time.Millisecond))
 	if err := h.controllers[index].start(); err != nil {
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -17,29 +17,29 @@
 const (
 	sipPort    = 5060
 	boardPort  = 2379
-	settleTime = 9500 * time.Millisecond // after the last call: what is over must be told within 8 s and slack
+	settleTime = 9500 * time.Millisecond // after the last call; callers must learn of the end of a call within 8 s and slack
 )
 
-// harness is everything in one run: controllers as processes, and all they talk to.
+// harness holds one run: the controller processes and all their peers.
 type harness struct {
 	plan         Plan
 	log          *Log
 	dir          string
 	program      string
 	plantedFault string
-	network      int // second octet of all addresses
+	network      int // second octet of all addresses of the run
 
 	mu              sync.Mutex
 	random          *rand.Rand
-	lastUpdate      uint64 // of the last event of the board
-	switchesStarted int    // lives of switches so far
+	lastUpdate      uint64 // number of the last board event
+	switchesStarted int    // switch processes simulated so far
 	switches        []*Switch
-	switchProxies   [][]*faultproxy.Proxy // by cell, then controller
+	switchProxies   [][]*faultproxy.Proxy // in front of switches, by cell and controller
 	boards          []*Board
 	boardMoves      int
 	controllers     []*Controller
 	callerGroups    []*CallerGroup
-	callerProxies   []*faultproxy.Proxy // before each controller
+	callerProxies   []*faultproxy.Proxy // in front of controllers
 	done            chan struct{}
 	wg              sync.WaitGroup
 	restartMutexes  []sync.Mutex // by controller
@@ -50,11 +50,11 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", h.network, subnet, host, port)
 }
 
-// Third octets of addresses.
+// Third octets of addresses. Boards, switches and their proxies count up from theirs.
 const (
 	subnetController  = 1
 	subnetCallerProxy = 2
-	subnetBoard       = 3 // and more with each move
+	subnetBoard       = 3 // a board takes a new one with each move
 	subnetSwitch      = 100
 	subnetSwitchProxy = 150
 )
@@ -111,29 +111,29 @@
 }
 
 const (
-	maxChunkDelay      = 4 * time.Millisecond  // between two pieces of what passes a proxy
-	maxTotalChunkDelay = 20 * time.Millisecond // and for all pieces of what came at once
+	maxChunkDelay      = 4 * time.Millisecond  // between two chunks
+	maxTotalChunkDelay = 20 * time.Millisecond // for all chunks of one read
 )
 
 func (h *harness) switchAddress(sw *Switch, controller int) string {
 	return h.address(subnetSwitch+controller, int(sw.id&0xff), sipPort)
 }
 
-// startSwitch starts a life of a cell's switch, with one address for each controller.
+// startSwitch starts a new switch of a cell, with one address for each controller.
 func (h *harness) startSwitch(cell int, startedMS int64) (*Switch, error) {
 	h.switchesStarted++
 	sw := newSwitch(h.log, h.plan, uint32(h.plan.Seed&0xffff)<<16|uint32(h.switchesStarted), cell, startedMS)
 	for i := range h.plan.Controllers {
 		ln, err := net.Listen("tcp", h.switchAddress(sw, i))
 		if err != nil {
-			return nil, fmt.Errorf("switch: %w", err)
+			return nil, fmt.Errorf("listen for switch: %w", err)
 		}
 		sw.serve(i, ln)
 	}
 	return sw, nil
 }
 
-// publishUpdate tells a change of the list to every board, with the addresses at which its controller reaches the switches.
+// publishUpdate publishes an update of the switch list on every board, with the addresses at which the board's controller reaches the switches.
 func (h *harness) publishUpdate(complete bool, entries ...board.Switch) {
 	h.lastUpdate++
 	for _, sw := range entries {
@@ -150,7 +150,7 @@
 	}
 }
 
-// run runs a plan to its end.
+// run executes the plan.
 func (h *harness) run(ctx context.Context) error {
 	go h.log.watchStalls(h.done)
 	if err := h.startPeersAndControllers(); err != nil {
@@ -173,7 +173,7 @@
 	for _, group := range h.callerGroups {
 		group.stopPlacing()
 	}
-	// Each call has its answer, is over and told by then.
+	// By then each call is answered and over, and its caller has been told.
 	h.sleep(ctx, h.plan.MaxAbandonTime+h.plan.Switches.MaxHoldingTime+settleTime)
 	h.shutDown()
 	return ctx.Err()
@@ -188,13 +188,13 @@
 	}
 }
 
-// shutDown ends everything; controllers by SIGTERM, and SIGKILL at the earliest.
+// shutDown stops everything: first the controllers, by SIGTERM and, after killDelay, SIGKILL.
 func (h *harness) shutDown() {
 	close(h.done)
 	var exits sync.WaitGroup
 	for i, c := range h.controllers {
 		exits.Go(func() {
-			h.restartMutexes[i].Lock() // a restart under way ends first
+			h.restartMutexes[i].Lock() // waits for a restart in progress
 			defer h.restartMutexes[i].Unlock()
 			c.signal(syscall.SIGTERM)
 			h.awaitExitOrKill(c)
@@ -230,14 +230,14 @@
 	}
 }
 
-// randomDuration is a random wait.
+// randomDuration draws a duration between low and high.
 func (h *harness) randomDuration(low, high time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return randomDuration(h.random, low, high)
 }
 
-// sleepUnlessDone waits; false: the run ends.
+// sleepUnlessDone waits for a duration. It returns false if the run ends first.
 func (h *harness) sleepUnlessDone(duration time.Duration) bool {
 	select {
 	case <-h.done:
@@ -253,7 +253,7 @@
 	return h.switches[cell]
 }
 
-// claimNetwork picks a second octet that no other run uses, by holding a port on it.
+// claimNetwork claims a second octet that no other run uses, by listening on a port of that network until hold is closed.
 func claimNetwork(seed uint64) (network int, hold net.Listener, err error) {
 	for i := range 200 {
 		network = 20 + int((seed+uint64(i)*37+uint64(os.Getpid()))%200)
@@ -261,5 +261,5 @@
 			return network, hold, nil
 		}
 	}
-	return 0, nil, fmt.Errorf("no free loopback network: %w", err)
+	return 0, nil, fmt.Errorf("find a free loopback network: %w", err)
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// ReleaseResponse is how a caller answers the release of a call. The protocol leaves it free.
+// ReleaseResponse is how a caller responds to the release of a call. The protocol allows each.
 type ReleaseResponse uint8
 
-// The ways to answer a release.
+// Responses to a release.
 const (
 	RespondImmediately ReleaseResponse = iota
 	RespondLate
 	RespondNever
 )
 
-// FaultKind names a fault that is injected at an instant.
+// FaultKind is a kind of injected fault.
 type FaultKind uint8
 
-// The faults.
+// Kinds of faults.
 const (
-	SilenceLinks    FaultKind = iota // all connections of a controller to a switch fall silent
-	SilenceLink                      // one of them
-	ResetLinks                       // all are reset
-	ResetLink                        // one
-	RefuseLinks                      // new ones are refused for a while
-	HangLinks                        // new ones come up and nothing passes
-	PartitionSwitch                  // a switch is cut off from all for a while
+	SilenceLinks    FaultKind = iota // all connections of a controller to a switch drop all data
+	SilenceLink                      // one of these connections drops all data
+	ResetLinks                       // all connections of a controller to a switch are reset
+	ResetLink                        // one of these connections is reset
+	RefuseLinks                      // new connections of a controller to a switch are refused for a while
+	HangLinks                        // new connections are accepted for a while, and their data is dropped
+	PartitionSwitch                  // a switch is unreachable from all controllers for a while
 	HangSwitch                       // a switch neither reads nor writes for a while
-	KillSwitch                       // its process dies, and is listed as gone later
-	ReplaceSwitch                    // drains, ends, and another stands in its place
-	DrainSwitch                      // drains for a while and is ready again
-	DisconnectCalls                  // a switch cuts half of its calls
-	SilenceBoard                     // the board's open connections fall silent
-	TruncateBoard                    // the board breaks off within an event
-	StopBoard                        // the board refuses and resets for a while
-	Reload                           // new configurations in a row, each with another board
-	Restart                          // SIGTERM, SIGKILL at the earliest, a new start
-	ReloadRestart                    // a new configuration close to SIGTERM
-	KillController                   // SIGKILL out of the blue, a new start
-	SilenceCallers                   // the callers' connections fall silent
-	ResetCallers                     // or are reset
-	IdleClients                      // many connect, and many of them say nothing
-	BadClients                       // some send what cannot be read
-	HalfCloseLink                    // a connection is ended in the direction to the controller alone
+	KillSwitch                       // a switch is killed and replaced; it is listed as gone before or after
+	ReplaceSwitch                    // a switch drains, stops and is replaced
+	DrainSwitch                      // a switch drains for a while and is ready again
+	DisconnectCalls                  // a switch disconnects half of its calls
+	SilenceBoard                     // the board writes nothing more on its open connections
+	TruncateBoard                    // the board closes its connections in the middle of a frame
+	StopBoard                        // the board refuses connections for a while
+	Reload                           // a sequence of new configurations, each with another board address
+	Restart                          // planned restart: SIGTERM, SIGKILL after killDelay, start
+	ReloadRestart                    // new configuration shortly before a planned restart
+	KillController                   // SIGKILL without warning, start
+	SilenceCallers                   // the callers' connections drop all data
+	ResetCallers                     // the callers' connections are reset
+	IdleClients                      // many clients connect and send nothing
+	BadClients                       // clients send invalid messages
+	HalfCloseLink                    // a switch connection is closed in the direction to the controller only
 	CallBurst                        // callers place many calls at once
-	SignalBurst                      // SIGHUP and SIGTERM in a row, then a planned restart
+	SignalBurst                      // several SIGHUPs, then a planned restart with more signals
 	numFaultKinds
 )
 
@@ -57,12 +57,12 @@
 
 func (k FaultKind) String() string { return faultKindNames[k] }
 
-// Injection is one fault of a plan.
+// Injection is the injection of one fault.
 type Injection struct {
 	At         time.Duration
 	Kind       FaultKind
 	Controller int
-	Cell       int // whose switch
+	Cell       int // exchange whose switch is affected
 	Duration   time.Duration
 	Count      int
 }
@@ -71,60 +71,60 @@
 	return fmt.Sprintf("%s (n%d, cell %d, %v, %d times)", i.Kind, i.Controller, i.Cell, i.Duration.Round(time.Millisecond), i.Count)
 }
 
-// CallerPlan is how the callers of one controller behave.
+// CallerPlan sets how the callers of one controller behave.
 type CallerPlan struct {
 	Connections           int
-	CallsPerSecond        float64 // calls a second
+	CallsPerSecond        float64
 	ReleaseResponses      []ReleaseResponse
-	AbandonShare          float64 // share of calls given up early
-	RepeatShare           float64 // share of refused calls that come again at once
-	ReleaseShare          float64 // share of standing calls that the caller ends
-	TransitShare          float64 // share of calls in transit
-	RedialShare           float64 // share of calls that were cut and come again
-	ShortAbandonTimeShare float64 // share of calls with little time left
+	AbandonShare          float64 // share of calls abandoned before their abandon time
+	RepeatShare           float64 // twice the share of rejected calls that are repeated at once
+	ReleaseShare          float64 // share of established calls that the caller releases
+	TransitShare          float64 // share of transit calls
+	RedialShare           float64 // share of disconnected calls that are placed again
+	ShortAbandonTimeShare float64 // share of calls with a very short abandon time
 }
 
-// BearerPlan is one class of calls.
+// BearerPlan is one bearer type.
 type BearerPlan struct {
 	Name      string
 	GoSTarget time.Duration
 	Revenue   float64
 }
 
-// SwitchPlan is how switches behave.
+// SwitchPlan sets how switches behave.
 type SwitchPlan struct {
 	Circuits       int
 	MinAnswerDelay time.Duration
 	MaxAnswerDelay time.Duration
 	MinHoldingTime time.Duration
 	MaxHoldingTime time.Duration
-	OutcomeShares  [numSetUpOutcomes]float64 // of what becomes of set-ups; the rest stands
+	OutcomeShares  [numSetUpOutcomes]float64 // by SetUpOutcome; the remaining set-ups are established
 
-	EchoesCSeq         bool          // answers repeat the number in the set-up's CSeq, else they have 1
-	RespondsToReleases bool          // a release is answered
-	ResetNewShare      float64       // share of connections that are reset when new
-	IdleTimeout        time.Duration // connections are closed or reset when idle for so long, 0: never
-	LoadReportInterval time.Duration // between reports of the group's state that nobody asked for, 0: none
+	EchoesCSeq         bool          // answers carry the set-up's CSeq number, else 1
+	RespondsToReleases bool          // releases by controllers are answered
+	ResetNewShare      float64       // share of connections that are reset as they open
+	IdleTimeout        time.Duration // after which connections are closed or reset, 0 for never
+	LoadReportInterval time.Duration // between unsolicited load reports, 0 for none
 }
 
-// Plan is all that one seed draws. The same seed gives the same plan.
+// Plan is everything that is drawn from a seed before a run. The same seed gives the same plan.
 type Plan struct {
 	Seed                 uint64
 	Controllers          int
-	Duration             time.Duration // during which callers call and faults come
-	MaxAbandonTime       time.Duration // the longest a caller waits
+	Duration             time.Duration // of the part with calls and faults
+	MaxAbandonTime       time.Duration // of all calls
 	Callers              []CallerPlan
 	Bearers              []BearerPlan
 	Switches             SwitchPlan
-	MaxChunk             int             // octets of a piece, 0: as they come
-	Latencies            []time.Duration // one way between a controller and a switch, by cell and controller
-	Jitter               time.Duration   // and up to so much longer
+	MaxChunk             int             // octets that proxies write at once, 0 for no limit
+	Latencies            []time.Duration // one-way latency between a controller and a switch, by cell and controller
+	Jitter               time.Duration   // maximum random addition to the latency
 	MaxConnectDelay      time.Duration
-	DuplicateBoardEvents bool // boards write events twice
+	DuplicateBoardEvents bool // boards write each event twice
 	Faults               []Injection
 }
 
-// NewPlan draws a plan.
+// NewPlan draws the plan of a seed.
 func NewPlan(seed uint64, duration time.Duration) Plan {
 	random := rand.New(rand.NewPCG(seed, 0x708859))
 	plan := Plan{Seed: seed, Controllers: 3 + random.IntN(2), Duration: duration}
@@ -153,13 +153,13 @@
 	return plan
 }
 
-// The longest way between a controller and a switch, and how much longer octets take at times.
+// Limits of the one-way latency between a controller and a switch, and of its jitter.
 const (
 	maxLatency = 24 * time.Millisecond
 	maxJitter  = 8 * time.Millisecond
 )
 
-// maxOutcomeShare is the greatest share of set-ups that end in one of the unusual ways.
+// maxOutcomeShare limits the share of each unusual set-up outcome.
 const maxOutcomeShare = 0.08
 
 func newSwitchPlan(random *rand.Rand) SwitchPlan {
@@ -182,10 +182,10 @@
 	return plan
 }
 
-// onlyOutcomeShare is the share of set-ups that end in the one way of a run that has no other.
+// onlyOutcomeShare is the share of the only unusual outcome after RestrictTo.
 const onlyOutcomeShare = 0.35
 
-// RestrictTo leaves a plan with one unusual way in which set-ups end, and no faults: what is found then was found in that way.
+// RestrictTo leaves one unusual set-up outcome and no faults in the plan, so that a violation can only be due to that outcome.
 func (p *Plan) RestrictTo(outcome SetUpOutcome) {
 	p.Switches.OutcomeShares = [numSetUpOutcomes]float64{}
 	p.Switches.OutcomeShares[outcome] = onlyOutcomeShare
@@ -206,10 +206,10 @@
 	return low + time.Duration(random.Int64N(int64(high-low)+1))
 }
 
-// initialQuietTime is left without a fault, so that calls stand when the first one comes.
+// initialQuietTime has no faults, so that calls are established when the first fault is injected.
 const initialQuietTime = 1500 * time.Millisecond
 
-// addFaults draws some kinds of faults, each once or more: few kinds at a time make clearer runs than all at once.
+// addFaults draws the faults: a few kinds, each once or more, since a run with all kinds is hard to analyse.
 func (p *Plan) addFaults(random *rand.Rand) {
 	kinds := random.Perm(int(numFaultKinds))[:3+random.IntN(4)]
 	for _, kind := range kinds {
@@ -218,7 +218,7 @@
 				Cell: random.IntN(p.Controllers), Duration: randomDuration(random, 300*time.Millisecond, 6*time.Second), Count: 1 + random.IntN(5)})
 		}
 	}
-	if random.IntN(3) == 0 { // restarts of all, one after the other
+	if random.IntN(3) == 0 { // a rolling restart of all controllers
 		start := randomDuration(random, initialQuietTime, p.Duration/2)
 		for i := range p.Controllers {
 			p.Faults = append(p.Faults, Injection{At: start, Kind: Restart, Controller: i})
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,7 @@
-// Package soak runs real controller processes on loopback among callers, switches and notice boards of its own, with a TCP proxy between all
-// of them, and injects faults. One seed draws everything. What callers, switches and boards wrote and read is judged against the protocol's
-// rules; a controller's own log is never asked. The command `indigodrift soak` is its user.
+// Package soak runs real controller processes on loopback against simulated callers, switches and notice boards, with TCP proxies between
+// controllers and their callers and switches, and injects faults. Everything random is drawn from one seed. A run is checked against the
+// rules of the protocol by what callers, switches and boards wrote and read, never by a controller's own log. The command `indigodrift soak`
+// runs it.
 package soak
 
 import (
@@ -15,38 +16,38 @@
 	"time"
 )
 
-// Options say what to run.
+// Options selects the runs.
 type Options struct {
-	Program      string // the built binary
-	PlantedFault string // a fault that the controllers have on purpose, "" for none
-	OnlyOutcome  string // the one unusual way in which set-ups end, by SetUpOutcome's name, "" for what the seed draws
-	FirstSeed    uint64 // the first seed
+	Program      string // path of the indigodrift binary
+	PlantedFault string // fault that the controllers are made to have, "" for none
+	OnlyOutcome  string // name of the only unusual SetUpOutcome, without faults; "" for what the seed draws
+	FirstSeed    uint64
 	Seeds        int
-	Parallel     int           // runs side by side
-	Duration     time.Duration // of the part with faults
-	Dir          string        // where configurations and logs stay, "" to remove them
+	Parallel     int           // concurrent runs
+	Duration     time.Duration // of the part with calls and faults
+	Dir          string        // keeps configurations, events and logs; "" to remove them
 	Out          io.Writer
 }
 
-// Result is what became of one seed.
+// Result is the result of the run of one seed.
 type Result struct {
 	Plan         Plan
 	Violations   []Violation
 	SetUps       int
 	Established  int
 	ReleasesRead int
-	Retries      int // set-ups of calls that were tried before
+	Retries      int // set-ups that switches received after the first of a call
 	MemoryKB     int
 	Descriptors  int
-	Stalled      time.Duration // how long the rig itself stood still
-	Err          error         // of the rig
+	Stalled      time.Duration // total time for which the test harness stalled
+	Err          error         // failure of the test harness
 	Dir          string
 }
 
-// ErrUnknownOutcome tells that set-ups cannot end in such a way.
-var ErrUnknownOutcome = errors.New("no such end of a set-up")
+// ErrUnknownOutcome reports the name of a set-up outcome that does not exist.
+var ErrUnknownOutcome = errors.New("unknown set-up outcome")
 
-// Run runs the seeds and prints a line for each, and for a failure the rule, the call, its timeline and the command that plays it again.
+// Run runs the seeds and prints a line for each. For a violation it prints the rule, the call, its timeline and the command that repeats the run.
 func Run(ctx context.Context, options Options) ([]Result, error) {
 	results := make([]Result, options.Seeds)
 	semaphore := make(chan struct{}, max(1, options.Parallel))
@@ -85,7 +86,7 @@
 	if dir == "" {
 		tempDir, err := os.MkdirTemp("", "soak-")
 		if err != nil {
-			result.Err = fmt.Errorf("folder of the run: %w", err)
+			result.Err = fmt.Errorf("create directory for the run: %w", err)
 			return result
 		}
 		defer os.RemoveAll(tempDir)
@@ -125,12 +126,12 @@
 func writeEvents(path string, events []Event) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("events of the run: %w", err)
+		return fmt.Errorf("create event file: %w", err)
 	}
 	defer file.Close()
 	for _, e := range events {
 		if _, err := fmt.Fprintf(file, "%s call %s\n", e, e.CallID); err != nil {
-			return fmt.Errorf("events of the run: %w", err)
+			return fmt.Errorf("write event file: %w", err)
 		}
 	}
 	return nil
@@ -163,7 +164,7 @@
 	verdict := "kept"
 	switch {
 	case r.Err != nil:
-		verdict = "the rig failed: " + r.Err.Error()
+		verdict = "test harness failed: " + r.Err.Error()
 	case len(r.Violations) > 0:
 		verdict = "BROKEN " + Summary(r.Violations)
 	}
@@ -171,7 +172,7 @@
 	for _, f := range r.Plan.Faults {
 		faults[f.Kind.String()]++
 	}
-	fmt.Fprintf(options.Out, "seed %d: %s; %d controllers, %d set-ups, %d stood, %d tried again, %d releases told, faults %v, %d KiB, %d descriptors, rig stalled %v\n", r.Plan.Seed, verdict,
+	fmt.Fprintf(options.Out, "seed %d: %s; %d controllers, %d set-ups, %d established, %d retries, %d releases read, faults %v, %d KiB, %d descriptors, harness stalled %v\n", r.Plan.Seed, verdict,
 		r.Plan.Controllers, r.SetUps, r.Established, r.Retries, r.ReleasesRead, faults, r.MemoryKB, r.Descriptors, r.Stalled.Round(time.Millisecond))
 	for _, violation := range r.Violations[:min(maxViolationsShown, len(r.Violations))] {
 		fmt.Fprintf(options.Out, "  %s\n", violation)
@@ -187,6 +188,6 @@
 		if options.OnlyOutcome != "" {
 			command += " --only " + options.OnlyOutcome
 		}
-		fmt.Fprintf(options.Out, "  play it again: %s\n", command)
+		fmt.Fprintf(options.Out, "  repeat with: %s\n", command)
 	}
 }
--- a/internal/soak/switch.go
+++ b/internal/soak/switch.go
@@ -13,26 +13,27 @@
 
 const (
 	writeTimeout = time.Second
-	resumeMargin = 200 * time.Millisecond // what a switch reads so soon after a hang may have lain unread
+	resumeMargin = 200 * time.Millisecond // messages read within it after a hang may have been unread during the hang
 )
 
-// Switch is one life of the switch of a cell: it holds circuits, answers set-ups and ends calls.
+// Switch simulates one switch process of an exchange. It holds circuits, answers set-ups and releases calls. The switch of a cell that is killed
+// or replaced is succeeded by another Switch.
 type Switch struct {
 	log       *Log
 	plan      Plan
 	id        uint32
 	cell      int
-	startedMS int64 // Unix millisecond of a late start, 0 at the start of the run
+	startedMS int64 // Unix time in milliseconds, 0 if it started with the run
 
 	mu               sync.Mutex
 	random           *rand.Rand
-	conns            map[int][]*switchConn  // by controller, as they opened
-	connsByAddr      map[string]*switchConn // by the address of the far end, open or not
-	legs             map[string][]*callLeg  // by call
-	lastLeg          int                    // of the last run
-	repeatedReleases map[int][]release      // that go on the next connection as well
+	conns            map[int][]*switchConn  // open ones by controller, in the order in which they opened
+	connsByAddr      map[string]*switchConn // by remote address, including those that the switch does not read yet
+	legs             map[string][]*callLeg  // by call id
+	lastLeg          int                    // number of the last leg
+	repeatedReleases map[int][]release      // to repeat on the next connection, by controller
 	usedCircuits     int
-	hangEnd          chan struct{} // closed when the switch goes on; nil while it works
+	hangEnd          chan struct{} // closed when the switch resumes, nil unless it hangs
 	hangDuration     time.Duration
 	hangStart        time.Duration
 	resumedAt        time.Duration
@@ -49,10 +50,10 @@
 	controller int
 	openedAt   time.Duration
 	mu         sync.Mutex
-	legs       map[*callLeg]struct{} // set-ups open on it
-	lastReadAt time.Duration         // when a message came on it last
+	legs       map[*callLeg]struct{} // whose set-ups are pending on it
+	lastReadAt time.Duration         // time of the last message read
 	closed     bool
-	lost       bool // nothing passes on it any more
+	lost       bool // silenced or reset by a fault
 }
 
 func newSwitch(log *Log, plan Plan, id uint32, cell int, startedMS int64) *Switch {
@@ -60,7 +61,7 @@
 		conns: map[int][]*switchConn{}, connsByAddr: map[string]*switchConn{}, legs: map[string][]*callLeg{}, repeatedReleases: map[int][]release{}, died: make(chan struct{})}
 }
 
-// serve takes a controller's connections at a listener.
+// serve accepts the connections of a controller.
 func (s *Switch) serve(controller int, ln net.Listener) {
 	s.mu.Lock()
 	s.listeners = append(s.listeners, ln)
@@ -80,7 +81,7 @@
 	})
 }
 
-// awaitResume blocks while the switch hangs. False: it has died.
+// awaitResume blocks while the switch hangs. It returns false if the switch is dead.
 func (s *Switch) awaitResume() bool {
 	for {
 		s.mu.Lock()
@@ -100,9 +101,9 @@
 	}
 }
 
-// serveConn handles what comes on a connection until its end.
+// serveConn handles the messages on a connection until it ends.
 func (s *Switch) serveConn(conn *switchConn) {
-	if !s.awaitResume() || faultproxy.PeerClosed(conn.netConn) { // whoever dialled has given up meanwhile
+	if !s.awaitResume() || faultproxy.PeerClosed(conn.netConn) { // the controller gave up the dial during the hang
 		s.dropConn(conn)
 		return
 	}
@@ -110,7 +111,7 @@
 	s.conns[conn.controller] = append(s.conns[conn.controller], conn)
 	var repeated []release
 	resetNew := s.random.Float64() < s.plan.Switches.ResetNewShare
-	if !conn.lost && !resetNew { // else it was silenced while the switch hung, and never came up here
+	if !conn.lost && !resetNew { // a connection silenced during a hang never carries them
 		repeated, s.repeatedReleases[conn.controller] = s.repeatedReleases[conn.controller], nil
 	}
 	s.mu.Unlock()
@@ -143,7 +144,7 @@
 	s.dropConn(conn)
 }
 
-// sendLoadReports tells the group's state on a connection again and again, unasked.
+// sendLoadReports sends unsolicited load reports on a connection until it closes.
 func (s *Switch) sendLoadReports(conn *switchConn) {
 	for s.sleepUnlessDead(s.plan.Switches.LoadReportInterval) {
 		s.mu.Lock()
@@ -156,7 +157,7 @@
 	}
 }
 
-// closeWhenIdle closes a connection on which no set-up is open and nothing has come for long, or resets it.
+// closeWhenIdle closes or resets a connection once it has no pending set-up and has received nothing for the idle timeout.
 func (s *Switch) closeWhenIdle(conn *switchConn) {
 	for {
 		select {
@@ -181,16 +182,16 @@
 	}
 }
 
-// resetConn resets a connection.
+// resetConn records a connection as lost and resets it.
 func (s *Switch) resetConn(conn *switchConn, reason string) {
 	s.log.Add(Event{Kind: SwitchConnLost, Controller: conn.controller, SwitchID: s.id, ConnID: conn.id, Detail: reason})
 	if tcpConn, ok := conn.netConn.(*net.TCPConn); ok {
-		_ = tcpConn.SetLinger(0) // it may be closed already
+		_ = tcpConn.SetLinger(0) // may be closed already
 	}
 	conn.netConn.Close()
 }
 
-// dropConn ends a connection: the set-ups open on it are given up.
+// dropConn closes a connection and abandons its pending set-ups.
 func (s *Switch) dropConn(conn *switchConn) {
 	conn.netConn.Close()
 	s.mu.Lock()
@@ -209,13 +210,14 @@
 	}
 }
 
+// loadReport returns a NOTIFY with the load of the circuit group.
 func (s *Switch) loadReport() *sip.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &sip.Message{Method: sip.Notify, URI: "sip:group@net", CallID: "0", CSeq: 1, CSeqMethod: sip.Notify, Fields: []sip.Field{s.loadField()}}
 }
 
-// loadField is the report of the group's state; s.mu is held.
+// loadField returns the field with the free circuits and the size of the group. s.mu must be held.
 func (s *Switch) loadField() sip.Field {
 	return sip.Field{Name: "P-Load", Value: fmt.Sprintf("x0:%d;x1:%d", max(0, s.plan.Switches.Circuits-s.usedCircuits), s.plan.Switches.Circuits)}
 }
@@ -227,11 +229,11 @@
 func (s *Switch) sendOctets(conn *switchConn, octets []byte) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	_ = conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a connection that is gone is found by its reader
+	_ = conn.netConn.SetWriteDeadline(time.Now().Add(writeTimeout)) // the reader detects a lost connection
 	_, _ = conn.netConn.Write(octets)
 }
 
-// maxUnreadTime is how long a message that is read now may have lain unread, through no fault of its sender.
+// maxUnreadTime returns how long a message that is read now may have been unread because of a hang or a slow connection set-up.
 func (s *Switch) maxUnreadTime(conn *switchConn) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,7 +247,7 @@
 	return unread
 }
 
-// Hang has the switch neither read nor write until the returned function is called.
+// Hang makes the switch neither read nor write until the returned function is called.
 func (s *Switch) Hang() (resume func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -265,7 +267,8 @@
 	}
 }
 
-// removeClosedConns notes the connections that their controllers have closed, as a switch does that looks at its sockets before its timers; s.mu is held.
+// removeClosedConns removes the connections that controllers closed during a hang, as a switch that reads its sockets before it serves its timers.
+// s.mu must be held.
 func (s *Switch) removeClosedConns() {
 	for controller, conns := range s.conns {
 		var open []*switchConn
@@ -278,14 +281,14 @@
 	}
 }
 
-// noteConnLost notes that the connection of a controller from an address is lost; there is none where it is "".
+// noteConnLost records that the connection of a controller from a remote address is lost. It does nothing if the address is "".
 func (s *Switch) noteConnLost(controller int, remoteAddr, loss string) {
 	if remoteAddr != "" {
 		s.noteConnsLost(controller, remoteAddr, loss)
 	}
 }
 
-// noteConnsLost notes that connections of a controller are lost; from names the one, all where it is "".
+// noteConnsLost records that the connection of a controller from a remote address is lost, or all of its connections if the address is "".
 func (s *Switch) noteConnsLost(controller int, remoteAddr, loss string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -297,7 +300,7 @@
 	}
 }
 
-// noteConnClosed notes that a controller has closed its side of a connection, which the switch may not know yet.
+// noteConnClosed records that a controller has closed its end of a connection. The switch itself may read the close later.
 func (s *Switch) noteConnClosed(controller int, remoteAddr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -306,7 +309,7 @@
 	}
 }
 
-// Kill resets every connection and cuts every call, as a process that is killed does.
+// Kill resets all connections and ends all calls, as when the process is killed.
 func (s *Switch) Kill() {
 	s.mu.Lock()
 	if s.dead {
@@ -333,7 +336,7 @@
 	for _, conn := range conns {
 		s.log.Add(Event{Kind: SwitchConnLost, Controller: conn.controller, SwitchID: s.id, ConnID: conn.id, Detail: "the switch died"})
 		if tcpConn, ok := conn.netConn.(*net.TCPConn); ok {
-			_ = tcpConn.SetLinger(0) // it may be closed already
+			_ = tcpConn.SetLinger(0) // may be closed already
 		}
 		conn.netConn.Close()
 	}
--- a/internal/soak/switch_leg.go
+++ b/internal/soak/switch_leg.go
@@ -9,7 +9,7 @@
 	"indigodrift/internal/sip"
 )
 
-// Q.850 causes of releases.
+// Q.850 release causes.
 const (
 	causeNormalClearing    = 16
 	causeNormalUnspecified = 31
@@ -17,23 +17,23 @@
 )
 
 const (
-	maxLateAnswerDelay = 800 * time.Millisecond // after its time, at most
-	maxDuplicateDelay  = 20 * time.Millisecond  // a second copy after the first, at most
+	maxLateAnswerDelay = 800 * time.Millisecond // after the abandon time
+	maxDuplicateDelay  = 20 * time.Millisecond  // of the second copy after the first
 
-	// maxTimeLeftToDrop is the time left in a set-up under which a switch may drop it without a word.
+	// maxTimeLeftToDrop is the longest Expires-Ms of a set-up that a switch may drop without an answer.
 	maxTimeLeftToDrop = 150 * time.Millisecond
 )
 
 type legState uint8
 
 const (
-	legPending legState = iota // the set-up is worked on
+	legPending legState = iota // the set-up is being processed
 	legEstablished
 	legEnded
 )
 
-// callLeg is one set-up at a switch, and the call that stands by it. A call may have several, by its tries: each has circuits of its own, ends
-// by itself and is released by itself, as the answer to one that ran may have been lost on its way.
+// callLeg is one set-up at a switch and the call that it establishes. Each try of a call makes a leg, and several may be established at once
+// because answers may be lost: each leg holds its own circuits, ends on its own and is released on its own.
 type callLeg struct {
 	number       int
 	callID       string
@@ -42,36 +42,36 @@
 	conn         *switchConn
 	cseq         uint32
 	state        legState
-	setUpPending bool // its set-up is neither ended nor given up
+	setUpPending bool // the set-up is neither answered nor abandoned
 }
 
-// release is a release that the switch wrote, or has to.
+// release is a release of a leg that the switch sends.
 type release struct {
 	leg   *callLeg
 	cause int
 }
 
-// SetUpOutcome is what becomes of a set-up.
+// SetUpOutcome is what a switch does with a set-up.
 type SetUpOutcome uint8
 
-// What becomes of set-ups. From OutcomeMalformedAnswer to OutcomeDuplicateAnswer the call has run and stands.
+// Outcomes of set-ups. From OutcomeMalformedAnswer on the call is established at the switch, however the answer goes.
 const (
 	OutcomeEstablished      SetUpOutcome = iota
 	OutcomeFull                          // 503
 	OutcomeError                         // 486 or 500
 	OutcomeUnavailable                   // 480
-	OutcomeTimeout                       // 504: the set-up broke on its way
-	OutcomeReleased                      // a release before the answer
-	OutcomeDropped                       // nothing, where little time is left
-	OutcomeResetPending                  // the connection is reset under it, and it never ran
-	OutcomeMalformedAnswer               // cannot be read
-	OutcomeTruncatedClose                // breaks off with its connection
-	OutcomeTruncatedOpen                 // stops short on a connection that stays open
-	OutcomeNoAnswer                      // never comes
-	OutcomeLateAnswer                    // comes after its time
-	OutcomeResetEstablished              // the connection is reset instead
-	OutcomeDuplicateAnswer               // comes a second time
-	OutcomeUnknownIDFirst                // comes after one with an id that nobody knows
+	OutcomeTimeout                       // 504
+	OutcomeReleased                      // released before an answer
+	OutcomeDropped                       // no answer, if little time is left
+	OutcomeResetPending                  // the connection is reset, and the call is not established
+	OutcomeMalformedAnswer               // the answer is malformed
+	OutcomeTruncatedClose                // the answer is truncated, and the connection closed
+	OutcomeTruncatedOpen                 // the answer is truncated, and the connection stays open
+	OutcomeNoAnswer                      // the answer is never sent
+	OutcomeLateAnswer                    // the answer is sent after the abandon time
+	OutcomeResetEstablished              // the connection is reset instead of an answer, and the call is established
+	OutcomeDuplicateAnswer               // the answer is sent twice
+	OutcomeUnknownIDFirst                // an answer with an unknown call id is sent before it
 	numSetUpOutcomes
 )
 
@@ -80,7 +80,7 @@
 
 func (o SetUpOutcome) String() string { return setUpOutcomeNames[o] }
 
-// ParseSetUpOutcome finds an answer kind by its name.
+// ParseSetUpOutcome returns the outcome of a name.
 func ParseSetUpOutcome(name string) (SetUpOutcome, bool) {
 	for outcome, outcomeName := range setUpOutcomeNames {
 		if outcomeName == name {
@@ -90,7 +90,7 @@
 	return 0, false
 }
 
-// drawOutcome draws what becomes of a set-up; s.mu is held.
+// drawOutcome draws the outcome of a set-up. s.mu must be held.
 func (s *Switch) drawOutcome() SetUpOutcome {
 	x := s.random.Float64()
 	for outcome, share := range s.plan.Switches.OutcomeShares {
@@ -101,6 +101,7 @@
 	return OutcomeEstablished
 }
 
+// handle handles a message from a controller.
 func (s *Switch) handle(conn *switchConn, message *sip.Message) {
 	switch message.Method {
 	case sip.Invite:
@@ -125,7 +126,7 @@
 	}
 }
 
-// abandonSetUp notes that a set-up is given up. What is worked on ends; what has run goes on standing. s.mu is held.
+// abandonSetUp records that a set-up is abandoned. A leg that is being processed ends, an established one continues. s.mu must be held.
 func (s *Switch) abandonSetUp(leg *callLeg, reason string) {
 	delete(leg.conn.legs, leg)
 	if !leg.setUpPending {
@@ -139,7 +140,7 @@
 	}
 }
 
-// endLeg ends a call that stands; s.mu is held. False: it did not stand.
+// endLeg ends an established leg. It returns false if the leg is not established. s.mu must be held.
 func (s *Switch) endLeg(leg *callLeg, reason string) bool {
 	if leg.state != legEstablished {
 		return false
@@ -152,7 +153,7 @@
 
 const releasedByController = "released by the controller"
 
-// handleRelease takes a controller's release: it names the call and ends all that stands by it.
+// handleRelease handles a controller's release. It names only the call, so it ends all established legs of the call.
 func (s *Switch) handleRelease(callID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,6 +162,7 @@
 	}
 }
 
+// handleSetUp handles an INVITE: it seizes a circuit, draws the outcome and its delay, and may send 180 Ringing.
 func (s *Switch) handleSetUp(conn *switchConn, message *sip.Message) {
 	expires, _ := strconv.Atoi(message.Get("Expires-Ms"))
 	timeLeft := time.Duration(expires) * time.Millisecond
@@ -195,7 +197,7 @@
 	})
 }
 
-// sleepUnlessDead waits; false: the switch has died.
+// sleepUnlessDead waits for a duration and for the end of a hang. It returns false if the switch is dead.
 func (s *Switch) sleepUnlessDead(duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
@@ -205,7 +207,7 @@
 	}
 }
 
-// finishSetUp ends the work on a set-up in the way that was drawn.
+// finishSetUp ends the processing of a set-up with the outcome that was drawn.
 func (s *Switch) finishSetUp(leg *callLeg, outcome SetUpOutcome, timeLeft time.Duration) {
 	if !s.awaitResume() {
 		return
@@ -219,7 +221,7 @@
 		leg.state = legEstablished
 		s.log.Add(Event{Kind: CallEstablished, Controller: leg.controller, SwitchID: s.id, CallID: leg.callID, ConnID: leg.conn.id, Number: uint64(leg.number), Detail: outcome.String()})
 		holdingTime := randomDuration(s.random, s.plan.Switches.MinHoldingTime, s.plan.Switches.MaxHoldingTime)
-		if outcome != OutcomeEstablished && s.random.IntN(2) == 0 { // soon enough to meet a further try
+		if outcome != OutcomeEstablished && s.random.IntN(2) == 0 { // soon enough to overlap the next try
 			holdingTime = randomDuration(s.random, releaseTime/2, 2*releaseTime)
 		}
 		cause := []int{causeNormalClearing, causeNormalClearing, causeNormalClearing, causeTemporaryFailure, causeNormalUnspecified}[s.random.IntN(5)]
@@ -238,7 +240,7 @@
 	case OutcomeReleased:
 		s.releaseBeforeAnswer(leg)
 	case OutcomeResetPending, OutcomeResetEstablished:
-		s.resetConn(leg.conn, "reset under a set-up")
+		s.resetConn(leg.conn, "reset with a pending set-up")
 	case OutcomeLateAnswer:
 		if s.sleepUnlessDead(timeLeft + time.Duration(float64(maxLateAnswerDelay)*s.randomFloat())) {
 			s.sendAnswer(leg, outcome)
@@ -254,7 +256,7 @@
 	return s.random.Float64()
 }
 
-// endSetUp notes that a set-up's end is written; s.mu is held.
+// endSetUp records the end of a set-up that is about to be written. s.mu must be held.
 func (s *Switch) endSetUp(leg *callLeg, status int, detail string) {
 	delete(leg.conn.legs, leg)
 	if leg.setUpPending {
@@ -263,7 +265,7 @@
 	}
 }
 
-// reject writes a refusal.
+// reject answers a set-up with an error status.
 func (s *Switch) reject(leg *callLeg, outcome SetUpOutcome) {
 	message := &sip.Message{CallID: leg.callID, CSeq: leg.cseq, CSeqMethod: sip.Invite}
 	s.mu.Lock()
@@ -290,7 +292,7 @@
 	s.send(leg.conn, message)
 }
 
-// releaseBeforeAnswer releases a call before its answer: its set-up is reset.
+// releaseBeforeAnswer releases a call whose set-up is not answered yet.
 func (s *Switch) releaseBeforeAnswer(leg *callLeg) {
 	s.mu.Lock()
 	leg.state = legEnded
@@ -301,16 +303,16 @@
 	s.send(leg.conn, s.releaseMessage(release{leg, cause}))
 }
 
-// AnswerBody is the description with which a switch answers a set-up.
+// AnswerBody returns the session description with which a switch answers a set-up.
 func AnswerBody(switchID uint32, callID string, leg uint64) string {
 	return fmt.Sprintf("answer of %s to %s, run %d", board.FormatID(switchID), callID, leg)
 }
 
-// sendAnswer writes the answer of a call that stands, in the way that was drawn.
+// sendAnswer writes the answer of an established call, with the fault of the outcome that was drawn.
 func (s *Switch) sendAnswer(leg *callLeg, outcome SetUpOutcome) {
 	message := &sip.Message{Status: sip.OK, CallID: leg.callID, CSeq: leg.cseq, CSeqMethod: sip.Invite, Body: []byte(AnswerBody(s.id, leg.callID, uint64(leg.number)))}
 	s.mu.Lock()
-	if leg.state != legEstablished { // it was released meanwhile
+	if leg.state != legEstablished { // released meanwhile
 		s.mu.Unlock()
 		return
 	}
@@ -328,7 +330,7 @@
 		s.sendOctets(leg.conn, malformedAnswer(octets, leg.callID, variant))
 	case OutcomeTruncatedClose:
 		s.sendOctets(leg.conn, octets[:len(octets)/2])
-		s.log.Add(Event{Kind: SwitchConnLost, Controller: leg.controller, SwitchID: s.id, ConnID: leg.conn.id, Detail: "breaks off"})
+		s.log.Add(Event{Kind: SwitchConnLost, Controller: leg.controller, SwitchID: s.id, ConnID: leg.conn.id, Detail: "closed within an answer"})
 		leg.conn.netConn.Close()
 	case OutcomeTruncatedOpen:
 		s.sendOctets(leg.conn, octets[:len(octets)*2/3])
@@ -346,7 +348,7 @@
 	}
 }
 
-// malformedAnswer makes an answer that cannot be read.
+// malformedAnswer returns an answer that can't be parsed.
 func malformedAnswer(octets []byte, callID string, variant int) []byte {
 	switch variant {
 	case 0:
@@ -356,11 +358,11 @@
 	case 2:
 		return []byte("SIP/2.0 200 OK\r\nCall-ID: " + callID + "\r\nCSeq: 1 INVITE\r\nContent-Length: -7\r\n\r\n")
 	}
-	return append([]byte("SIP/2.0 200 OK\r\nCall-ID: "), make([]byte, 20<<10)...) // a line that does not end
+	return append([]byte("SIP/2.0 200 OK\r\nCall-ID: "), make([]byte, 20<<10)...) // an endless line
 }
 
-// endAndRelease ends a call that stands and releases it towards its controller: on the connection of its set-up, else on any that is open, and on the
-// next that opens as well.
+// endAndRelease ends an established leg and sends a release to its controller: on the connection of the set-up or, if that is closed, on any open
+// one. The release is repeated on the next connection that opens.
 func (s *Switch) endAndRelease(leg *callLeg, cause int) {
 	if !s.awaitResume() {
 		return
@@ -370,7 +372,7 @@
 		s.mu.Unlock()
 		return
 	}
-	s.endSetUp(leg, 0, "released, as its answer never came")
+	s.endSetUp(leg, 0, "released before its answer was sent")
 	conn := leg.conn
 	if conn.closed {
 		conn = nil
@@ -385,6 +387,7 @@
 	}
 }
 
+// releaseMessage returns the BYE of a release.
 func (s *Switch) releaseMessage(r release) *sip.Message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -397,7 +400,7 @@
 	s.log.Add(Event{Kind: ReleaseSent, Controller: r.leg.controller, SwitchID: s.id, CallID: r.leg.callID, ConnID: conn.id, Number: uint64(r.leg.number), Status: r.cause})
 }
 
-// DisconnectCalls cuts every second call that stands.
+// DisconnectCalls disconnects a random half of the established calls.
 func (s *Switch) DisconnectCalls() {
 	s.mu.Lock()
 	var established []*callLeg
