--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -4,24 +4,26 @@
 //
 // The agent translates what it sees on the network into calls to the policy:
 //
-// | event | reported to the policy |
-// | set-up from a caller | Offer, once for each id, with the time left |
-// | 200 to the set-up of the try that is out | Stands; the caller has been answered already |
-// | 503 | Ended(Blocked), with Warning-Word and P-Wait |
-// | 486, 500 and other refusals | Ended(Faulted) |
-// | 480 | Ended(Unsent) |
-// | 504, connection lost | Ended(Cut) |
-// | release with cause 16 or 41, no answer yet | CANCEL, Ended(Cut, final); the caller gets a failure |
-// | release with another cause, the first try is out | CANCEL, Ended(Cut) |
-// | the same, where it may refer to an earlier try | nothing; the try continues |
-// | no connection in time, or refused | Ended(Unreached) |
-// | try timed out, at the caller's deadline at the latest | CANCEL, Ended(TimedOut); the policy still has to answer |
-// | more than MaxTries, or no such switch in the list | Ended(Unsent) |
-// | the policy's Cancel | CANCEL, Ended(Cancelled) |
-// | caller abandons the call | CallerLeft, then Ended(Cancelled, final) of a try that is out |
-// | release by the switch with cause 16, or another | Ended(Released, final), Ended(Cut, final) |
-// | release by the caller | Ended(Cancelled, final) |
-// | NOTIFY | Circuits |
+//	| event                                             | reported to the policy                                           |
+//	| set-up from a caller                              | Offer, once for each id, with the time left                      |
+//	| 200 to the set-up of the try that is out          | Answered; the caller has its answer already                      |
+//	| 503                                               | TryEnded(Blocked), with Warning-Word and P-Wait                  |
+//	| 486, 500 and other refusals                       | TryEnded(Faulted)                                                |
+//	| 480                                               | TryEnded(Unsent)                                                 |
+//	| 504, connection lost                              | TryEnded(Disconnected)                                           |
+//	| release with cause 16 or 41, no answer yet        | CANCEL, TryEnded(Disconnected, final); the caller gets a failure |
+//	| release with another cause, the first try is out  | CANCEL, TryEnded(Disconnected)                                   |
+//	| the same, where it may refer to an earlier try    | nothing; the try continues                                       |
+//	| no connection in time, or refused                 | TryEnded(Unreachable)                                            |
+//	| no answer within the try's timeout                | CANCEL, TryEnded(TimedOut); the policy still has to answer       |
+//	| more than MaxTries, or no such switch in the list | TryEnded(Unsent)                                                 |
+//	| the policy's Cancel                               | CANCEL, TryEnded(Cancelled)                                      |
+//	| caller abandons the call                          | Abandoned, then TryEnded(Cancelled, final) of a try that is out  |
+//	| release by the switch with cause 16, or another   | TryEnded(Released, final), TryEnded(Disconnected, final)         |
+//	| release by the caller                             | TryEnded(Cancelled, final)                                       |
+//	| NOTIFY                                            | LoadReported                                                     |
+//
+// The timeout of a try ends at the caller's deadline at the latest.
 //
 // The policy is never called from inside its own Send or Cancel; results of these are deferred until it has returned.
 // An answer to an abandoned try is acknowledged and never passed on. The call that it established at its switch is
@@ -59,10 +61,10 @@
 
 // State is the state of a call. Only setState changes it.
 //
-// Offered -> Trying (a route try is out or waits for its connection), Ended
-// Trying -> Offered (the try ended or was abandoned; the policy decides), Established, Ended
-// Established -> Ended
-// Ended is retained for a while, since late answers and releases still refer to the call
+//	Offered     -> Trying (a route try is out or waits for its connection), Ended
+//	Trying      -> Offered (the try ended or was abandoned; the policy decides), Established, Ended
+//	Established -> Ended
+//	Ended          is retained for a while, since late answers and releases still refer to the call
 type State uint8
 
 const (
