--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -55,8 +55,8 @@
 	Dial(switchID, dialID uint32, address string) // reports the result to DialDone
 	// Abandoned reports whether the caller has disconnected or cancelled, even if that event is still queued.
 	Abandoned(caller ConnID, callID string) bool
-	Note(text string) // logs a message for the operator
-	Record(Record)    // logs an entry about a call or a connection
+	Log(text string) // logs a message for the operator
+	Record(Record)   // logs an entry about a call or a connection
 }
 
 // State is the state of a call. Only setState changes it.
@@ -123,7 +123,7 @@
 	handle    uint32
 	try       int
 	switchID  uint32
-	ending    policy.Outcome
+	outcome   policy.Outcome
 	reason    policy.Reason
 	wait      policy.Tenths
 	report    policy.LoadReport
@@ -231,7 +231,7 @@
 	if call == nil || call.state == Established || call.state == Ended {
 		return
 	}
-	a.transport.Note("a call had no final answer at its caller's deadline")
+	a.transport.Log("a call had no final answer at its caller's deadline")
 	a.failCall(call)
 }
 
@@ -249,14 +249,14 @@
 			a.callCounts.Abandoned++
 			continue
 		}
-		a.decider.TryEnded(a.now, result.handle, result.try, result.switchID, result.ending, false, result.reason, result.wait, result.report)
+		a.decider.TryEnded(a.now, result.handle, result.try, result.switchID, result.outcome, false, result.reason, result.wait, result.report)
 	}
 }
 
 // setState changes the state of a call; nothing else does.
 func (a *Agent) setState(call *trackedCall, state State) {
 	if !slices.Contains(callTransitions[call.state], state) {
-		a.transport.Note(fmt.Sprintf("fault: invalid transition of a call from state %d to %d", call.state, state))
+		a.transport.Log(fmt.Sprintf("fault: invalid transition of a call from state %d to %d", call.state, state))
 		return
 	}
 	open := func(state State) bool { return state == Offered || state == Trying }
@@ -349,16 +349,16 @@
 var noReport = policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 
 // endCall reports the end of an established call to the policy.
-func (a *Agent) endCall(call *trackedCall, ending policy.Outcome, report policy.LoadReport) {
+func (a *Agent) endCall(call *trackedCall, outcome policy.Outcome, report policy.LoadReport) {
 	try := call.lastTry()
 	a.advance(try, eventRelease, "the call is over")
 	a.setState(call, Ended)
 	if call.handle != 0 {
-		a.decider.TryEnded(a.now, call.handle, try.number, try.switchID, ending, true, policy.NoReason, 0, report)
+		a.decider.TryEnded(a.now, call.handle, try.number, try.switchID, outcome, true, policy.NoReason, 0, report)
 	} else if report.Size >= 0 && a.switches[try.switchID] != nil {
 		a.decider.LoadReported(a.now, try.switchID, report)
 	}
-	if ending == policy.Disconnected {
+	if outcome == policy.Disconnected {
 		a.callCounts.Disconnected++
 	} else {
 		a.callCounts.Released++
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -15,7 +15,7 @@
 	if len(a.callers.conns) >= a.callers.limit {
 		evicted := a.callers.evictionCandidate()
 		if evicted == 0 {
-			a.transport.Note("limit of caller connections reached")
+			a.transport.Log("limit of caller connections reached")
 			return false
 		}
 		a.transport.Close(evicted, "connection limit reached")
--- a/internal/b2bua/harness_test.go
+++ b/internal/b2bua/harness_test.go
@@ -444,7 +444,7 @@
 	h.dials = append(h.dials, dialRequest{switchID, dialID, address})
 }
 func (h *harness) Abandoned(caller ConnID, callID string) bool { return h.abandonedIDs[callID] }
-func (h *harness) Note(text string)                            { h.logged = append(h.logged, text) }
+func (h *harness) Log(text string)                             { h.logged = append(h.logged, text) }
 
 func (h *harness) Record(record Record) { h.records = append(h.records, record) }
 
--- a/internal/b2bua/link_recovery.go
+++ b/internal/b2bua/link_recovery.go
@@ -98,7 +98,7 @@
 	if link.silent && a.unansweredFor(link) <= silentLinkRetention {
 		return
 	}
-	a.transport.Note("connection to " + board.FormatID(remote.entry.ID) + " timed out without an answer to a keepalive")
+	a.transport.Log("connection to " + board.FormatID(remote.entry.ID) + " timed out without an answer to a keepalive")
 	if !link.messageSeen { // the waiting set-ups were never sent
 		a.endWaitingTries(remote)
 	}
--- a/internal/b2bua/lost_repeat.go
+++ b/internal/b2bua/lost_repeat.go
@@ -61,7 +61,7 @@
 		return ownLink == nil || ownLink.silent
 	})
 	if len(calls) > 0 {
-		a.transport.Note(fmt.Sprintf("%d calls established at %s are released: messages on connection %d may be lost", len(calls), board.FormatID(remote.entry.ID), suspect.conn))
+		a.transport.Log(fmt.Sprintf("%d calls established at %s are released: messages on connection %d may be lost", len(calls), board.FormatID(remote.entry.ID), suspect.conn))
 	}
 	for _, call := range calls {
 		a.releaseSwitch(remote.entry.ID, 0, a.newRelease(call.callID, call.uri, causeTemporaryFailure))
--- a/internal/b2bua/parse.go
+++ b/internal/b2bua/parse.go
@@ -146,22 +146,22 @@
 	"acc": policy.ProcessorOverloaded, "sub": policy.NumberBusy}
 
 // parseRefusal returns how a refused route try ended, the reason, and the wait that the switch asks for.
-func parseRefusal(msg *sip.Message) (ending policy.Outcome, reason policy.Reason, wait policy.Tenths) {
+func parseRefusal(msg *sip.Message) (outcome policy.Outcome, reason policy.Reason, wait policy.Tenths) {
 	reason = warningReasons[msg.Get(fieldWarning)]
 	if ms, err := strconv.ParseFloat(msg.Get(fieldWait), 64); err == nil && ms >= 0 && ms <= maxExpiresMS {
 		wait = deployment.TenthsFromMillis(ms)
 	}
 	switch msg.Status {
 	case sip.ServiceUnavailable:
-		ending = policy.Blocked
+		outcome = policy.Blocked
 	case sip.TemporarilyUnavailable:
-		ending = policy.Unsent
+		outcome = policy.Unsent
 	case sip.ServerTimeout:
-		ending = policy.Disconnected
+		outcome = policy.Disconnected
 	default:
-		ending = policy.Faulted
+		outcome = policy.Faulted
 	}
-	return ending, reason, wait
+	return outcome, reason, wait
 }
 
 // parseCause returns the Q.850 cause of a release, -1 if there is none (RFC 3326).
--- a/internal/b2bua/policy_output.go
+++ b/internal/b2bua/policy_output.go
@@ -13,7 +13,7 @@
 	a := (*Agent)(p)
 	call := a.byHandle[id]
 	if call == nil || call.state != Offered {
-		a.transport.Note("fault: the policy routed a call that is over or has a try out")
+		a.transport.Log("fault: the policy routed a call that is over or has a try out")
 		return
 	}
 	try := &routeTry{call: call, number: len(call.tries), switchID: switchID, state: tryHeld}
@@ -26,7 +26,7 @@
 	remote := a.switches[switchID]
 	if remote == nil || !a.shouldConnect(remote) || len(call.tries) > a.settings.Policy.MaxTries || a.now >= call.deadline {
 		a.advance(try, eventDrop, "unknown switch, too many tries, or too late")
-		a.deferred = append(a.deferred, deferredResult{handle: id, try: try.number, switchID: switchID, ending: policy.Unsent, report: noReport})
+		a.deferred = append(a.deferred, deferredResult{handle: id, try: try.number, switchID: switchID, outcome: policy.Unsent, report: noReport})
 		return
 	}
 	try.deadline = call.deadline
@@ -77,4 +77,4 @@
 func (p *policyOutput) Subscribe() {}
 
 // Log logs a message for the operator.
-func (p *policyOutput) Log(text string) { p.transport.Note(text) }
+func (p *policyOutput) Log(text string) { p.transport.Log(text) }
--- a/internal/b2bua/remote_switch.go
+++ b/internal/b2bua/remote_switch.go
@@ -381,7 +381,7 @@
 		return call.isEstablishedAt(remote.entry.ID) && call.establishedAt < before
 	})
 	if len(calls) > 0 {
-		a.transport.Note(fmt.Sprintf("%d calls established at %s count as disconnected: %s", len(calls), board.FormatID(remote.entry.ID), reason))
+		a.transport.Log(fmt.Sprintf("%d calls established at %s count as disconnected: %s", len(calls), board.FormatID(remote.entry.ID), reason))
 	}
 	for _, call := range calls {
 		a.releaseCaller(call, causeTemporaryFailure)
--- a/internal/b2bua/route_try_test.go
+++ b/internal/b2bua/route_try_test.go
@@ -300,9 +300,9 @@
 	d.Decider.LoadReported(now, switchID, report)
 }
 
-func (d *reportRecorder) TryEnded(now policy.Tenths, id uint32, try int, switchID uint32, ending policy.Outcome, final bool, reason policy.Reason, wait policy.Tenths, report policy.LoadReport) {
+func (d *reportRecorder) TryEnded(now policy.Tenths, id uint32, try int, switchID uint32, outcome policy.Outcome, final bool, reason policy.Reason, wait policy.Tenths, report policy.LoadReport) {
 	if report.Size == 33 {
 		d.switchIDs = append(d.switchIDs, switchID)
 	}
-	d.Decider.TryEnded(now, id, try, switchID, ending, final, reason, wait, report)
+	d.Decider.TryEnded(now, id, try, switchID, outcome, final, reason, wait, report)
 }
--- a/internal/b2bua/switch_release.go
+++ b/internal/b2bua/switch_release.go
@@ -136,6 +136,6 @@
 	if len(remote.pendingReleases) < maxPendingReleases {
 		remote.pendingReleases = append(remote.pendingReleases, *msg)
 	} else {
-		a.transport.Note("too many pending releases for a switch; release dropped")
+		a.transport.Log("too many pending releases for a switch; release dropped")
 	}
 }
--- a/internal/b2bua/try.go
+++ b/internal/b2bua/try.go
@@ -111,9 +111,9 @@
 }
 
 // endTry returns a call whose try is over to the policy, by a deferred result.
-func (a *Agent) endTry(try *routeTry, ending policy.Outcome) {
+func (a *Agent) endTry(try *routeTry, outcome policy.Outcome) {
 	a.setState(try.call, Offered)
-	a.deferred = append(a.deferred, deferredResult{handle: try.call.handle, try: try.number, switchID: try.switchID, ending: ending, report: noReport})
+	a.deferred = append(a.deferred, deferredResult{handle: try.call.handle, try: try.number, switchID: try.switchID, outcome: outcome, report: noReport})
 }
 
 // handleAnswer handles a switch's answer to a set-up.
@@ -141,11 +141,11 @@
 
 // tryRefused handles the refusal of the try that is out.
 func (a *Agent) tryRefused(try *routeTry, msg *sip.Message) {
-	ending, reason, wait := parseRefusal(msg)
+	outcome, reason, wait := parseRefusal(msg)
 	a.tryCounts.Refused++
 	a.advance(try, eventRefuse, strconv.Itoa(msg.Status))
 	a.setState(try.call, Offered)
-	a.deferred = append(a.deferred, deferredResult{handle: try.call.handle, try: try.number, switchID: try.switchID, ending: ending, reason: reason, wait: wait, report: parseLoad(msg)})
+	a.deferred = append(a.deferred, deferredResult{handle: try.call.handle, try: try.number, switchID: try.switchID, outcome: outcome, reason: reason, wait: wait, report: parseLoad(msg)})
 }
 
 // tryAnswered handles the successful answer of the try that is out, and passes it on.
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -84,5 +84,5 @@
 	return conn == nil || conn.callerLeft(callID)
 }
 
-// Note logs a line for operators.
-func (t *transport) Note(text string) { (*Server)(t).warn(text) }
+// Log logs a line for operators.
+func (t *transport) Log(text string) { (*Server)(t).warn(text) }
