--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -348,14 +348,14 @@
 		refs = append(refs, net.call(0, 1, 1, 1, 30000))
 		net.advance(500)
 	}
-	stood := 0
+	established := 0
 	for _, ref := range refs {
 		if net.callers[ref].established {
-			stood++
+			established++
 		}
 	}
-	if stood < 15 {
-		t.Fatalf("%d of 18 calls are established over 12 direct circuits and one tandem", stood)
+	if established < 15 {
+		t.Fatalf("%d of 18 calls are established over 12 direct circuits and one tandem", established)
 	}
 	for _, ref := range refs {
 		if net.callers[ref].established {
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -372,7 +372,7 @@
 	return msg, malformed("%v is not known", msg.Type)
 }
 
-// variableParameter returns the mandatory variable parameter whose pointer is at b[at].
+// variableParameter returns the mandatory variable parameter whose pointer is at body[pointer].
 func variableParameter(body []byte, pointer int, what string) ([]byte, error) {
 	if pointer >= len(body) {
 		return nil, malformed("no pointer to the %s", what)
@@ -409,7 +409,7 @@
 	return string(signals), nil
 }
 
-// decodeOptional decodes the optional part, whose pointer is at b[at]. A parameter that the message type does not carry is
+// decodeOptional decodes the optional part, whose pointer is at body[pointer]. A parameter that the message type does not carry is
 // ignored like an unknown one, as Append could not write it again.
 func (m *Message) decodeOptional(body []byte, pointer int) error {
 	if body[pointer] == 0 {
