--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -74,8 +74,10 @@
 	Ended
 )
 
+// callTransitions lists the states that may follow each state.
 var callTransitions = [...][]State{Offered: {Trying, Ended}, Trying: {Offered, Established, Ended}, Established: {Ended}, Ended: nil}
 
+// trackedCall is a call that the agent knows, including ended calls that are retained.
 type trackedCall struct {
 	id           uint64
 	handle       uint32 // 0 for an adopted call, which the policy does not know
@@ -346,6 +348,7 @@
 	a.setState(call, Ended)
 }
 
+// noReport is the load report of an event that carries none.
 var noReport = policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
 
 // endCall reports the end of an established call to the policy.
--- a/internal/b2bua/caller_release.go
+++ b/internal/b2bua/caller_release.go
@@ -14,8 +14,8 @@
 	callerReleaseLimit = policy.Tenths(10000)
 
 	// releaseRoundInterval is how long a release waits for its confirmation before it is written on further
-	// connections. Each round doubles the number of copies, so that callers who do not read cannot use up
-	// callerReleaseLimit.
+	// connections. Each round doubles the number of copies, so that connections that are not read,
+	// however many, delay it by no more than callerReleaseLimit.
 	releaseRoundInterval      = policy.Tenths(2000)
 	fastRounds                = 5                    // rounds within callerReleaseLimit
 	slowRoundInterval         = policy.Tenths(10000) // of later rounds
--- a/internal/b2bua/parse.go
+++ b/internal/b2bua/parse.go
@@ -39,6 +39,7 @@
 	adopted bool
 }
 
+// errSetUp is wrapped by all errors of parsing a set-up.
 var errSetUp = errors.New("invalid set-up")
 
 func setUpError(format string, args ...any) error {
