--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -15,8 +15,8 @@
 )
 
 func newLedgerCommand() *cobra.Command {
-	c := &cobra.Command{Use: "ledger", Short: "Read the file that preserves calls over a restart"}
-	read := func(name string) (ledger.Contents, error) {
+	cmd := &cobra.Command{Use: "ledger", Short: "Read the file that preserves calls over a restart"}
+	readLedger := func(name string) (ledger.Contents, error) {
 		b, err := os.ReadFile(name)
 		if err != nil {
 			return ledger.Contents{}, fmt.Errorf("read ledger: %w", err)
@@ -24,35 +24,35 @@
 		return ledger.Read(b), nil
 	}
 	inspect := &cobra.Command{Use: "inspect FILE", Short: "Print a summary of the contents", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-		l, err := read(args[0])
+		contents, err := readLedger(args[0])
 		if err != nil {
 			return err
 		}
 		phases := map[recovery.Phase]int{}
-		for _, k := range l.Calls {
-			phases[k.Phase]++
+		for _, call := range contents.Calls {
+			phases[call.Phase]++
 		}
-		fmt.Printf("format %d, %d frames, %d octets read\n", l.Version, l.Frames, l.ReadOctets)
+		fmt.Printf("format %d, %d frames, %d octets read\n", contents.Version, contents.Frames, contents.ReadOctets)
 		fmt.Printf("%d calls stand, %d are being set up\n", phases[recovery.Established], phases[recovery.SettingUp])
-		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", formatTime(l.Process.LastHeartbeat), l.Process.OwnIncarnation, len(l.Process.Incarnations))
-		if l.UnreadReason != "" {
-			fmt.Printf("%d octets at the end were not read: %s\n", l.UnreadOctets, l.UnreadReason)
+		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", formatTime(contents.Process.LastHeartbeat), contents.Process.OwnIncarnation, len(contents.Process.Incarnations))
+		if contents.UnreadReason != "" {
+			fmt.Printf("%d octets at the end were not read: %s\n", contents.UnreadOctets, contents.UnreadReason)
 		}
 		return nil
 	}}
 	verify := &cobra.Command{Use: "verify FILE...", Short: "Check every frame; exit code 1 if one is damaged", Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		damaged := false
 		for _, name := range args {
-			l, err := read(name)
+			contents, err := readLedger(name)
 			if err != nil {
 				return err
 			}
-			if l.UnreadReason != "" {
+			if contents.UnreadReason != "" {
 				damaged = true
-				fmt.Printf("%s: whole up to octet %d, %d after it are not: %s\n", name, l.ReadOctets, l.UnreadOctets, l.UnreadReason)
+				fmt.Printf("%s: whole up to octet %d, %d after it are not: %s\n", name, contents.ReadOctets, contents.UnreadOctets, contents.UnreadReason)
 				continue
 			}
-			fmt.Printf("%s: %d frames, whole\n", name, l.Frames)
+			fmt.Printf("%s: %d frames, whole\n", name, contents.Frames)
 		}
 		if damaged {
 			return exitCode(1)
@@ -61,41 +61,41 @@
 	}}
 	var asJSON bool
 	dump := &cobra.Command{Use: "dump FILE", Short: "Print every stored call", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-		l, err := read(args[0])
+		contents, err := readLedger(args[0])
 		if err != nil {
 			return err
 		}
-		calls := make([]recovery.StoredCall, 0, len(l.Calls))
-		for _, k := range l.Calls {
-			calls = append(calls, k)
+		calls := make([]recovery.StoredCall, 0, len(contents.Calls))
+		for _, call := range contents.Calls {
+			calls = append(calls, call)
 		}
 		slices.SortFunc(calls, func(a, b recovery.StoredCall) int { return int(int64(a.ID) - int64(b.ID)) })
 		if asJSON {
-			out := json.NewEncoder(os.Stdout)
-			for _, k := range calls {
-				if err := out.Encode(k); err != nil {
+			encoder := json.NewEncoder(os.Stdout)
+			for _, call := range calls {
+				if err := encoder.Encode(call); err != nil {
 					return fmt.Errorf("dump: %w", err)
 				}
 			}
 			return nil
 		}
-		t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(t, "call\treference\tphase\tsince\tfrom\tto")
-		for _, k := range calls {
+		table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+		fmt.Fprintln(table, "call\treference\tphase\tsince\tfrom\tto")
+		for _, call := range calls {
 			phase, to := "being set up", "-"
-			if k.Phase == recovery.Established {
-				phase, to = "stands", formatPlace(k.Out)
+			if call.Phase == recovery.Established {
+				phase, to = "stands", formatPlace(call.Out)
 			}
-			fmt.Fprintf(t, "%d\t%d/%d\t%s\t%s\t%s\t%s\n", k.ID, k.Ref.Point, k.Ref.Identity, phase, formatTime(k.Since), formatPlace(k.In), to)
+			fmt.Fprintf(table, "%d\t%d/%d\t%s\t%s\t%s\t%s\n", call.ID, call.Ref.Point, call.Ref.Identity, phase, formatTime(call.Since), formatPlace(call.In), to)
 		}
-		if err := t.Flush(); err != nil {
+		if err := table.Flush(); err != nil {
 			return fmt.Errorf("dump: %w", err)
 		}
 		return nil
 	}}
 	dump.Flags().BoolVar(&asJSON, "json", false, "print one line of JSON for each call")
-	c.AddCommand(inspect, verify, dump)
-	return c
+	cmd.AddCommand(inspect, verify, dump)
+	return cmd
 }
 
 // formatTime formats a time in tenths of a millisecond since 1970.
@@ -103,9 +103,9 @@
 	return time.Unix(0, tenths*100_000).Format("2006-01-02 15:04:05.000")
 }
 
-func formatPlace(p recovery.Leg) string {
-	if p.Trunk {
-		return fmt.Sprintf("exchange %d circuit %d", p.Number, p.CIC)
+func formatPlace(place recovery.Leg) string {
+	if place.Trunk {
+		return fmt.Sprintf("exchange %d circuit %d", place.Number, place.CIC)
 	}
-	return fmt.Sprintf("line %04x/%d", p.Point, p.CIC)
+	return fmt.Sprintf("line %04x/%d", place.Point, place.CIC)
 }
--- a/cmd/indigodrift/numbers.go
+++ b/cmd/indigodrift/numbers.go
@@ -17,13 +17,13 @@
 )
 
 func newNumbersCommand() *cobra.Command {
-	c := &cobra.Command{Use: "numbers", Short: "Check, compare and explain tables for number analysis, and change them in a running exchange"}
-	var exchanges int
-	c.PersistentFlags().IntVar(&exchanges, "exchanges", 999, "number of exchanges in the network")
-	read := func(name string) (numberfile.Source, *numbers.Table, error) {
+	cmd := &cobra.Command{Use: "numbers", Short: "Check, compare and explain tables for number analysis, and change them in a running exchange"}
+	var exchangeCount int
+	cmd.PersistentFlags().IntVar(&exchangeCount, "exchanges", 999, "number of exchanges in the network")
+	readTable := func(name string) (numberfile.Source, *numbers.Table, error) {
 		if b, err := os.ReadFile(name); err == nil {
 			if src, err := numberfile.Decode(b); err == nil { // a file written by the build command
-				t, err := src.Table(exchanges)
+				t, err := src.Table(exchangeCount)
 				return src, t, err
 			}
 		}
@@ -31,61 +31,61 @@
 		if err != nil {
 			return src, nil, err
 		}
-		t, err := src.Table(exchanges)
+		t, err := src.Table(exchangeCount)
 		return src, t, err
 	}
 	check := &cobra.Command{Use: "check TABLE", Short: "Check a table", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-		_, t, err := read(args[0])
+		_, t, err := readTable(args[0])
 		if err == nil {
 			fmt.Printf("version %d %q: %d routes, %d prefixes, %d screens, search takes %.1f MiB\n", t.Version, t.Name, len(t.Routes), t.PrefixCount(),
 				len(t.Screens), float64(t.MemoryBytes())/(1<<20))
 		}
 		return err
 	}}
-	var out string
+	var outFile string
 	build := &cobra.Command{Use: "build TABLE -o FILE", Short: "Write a table and its prefixes to one file with a checksum", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			src, _, err := read(args[0])
+			src, _, err := readTable(args[0])
 			if err != nil {
 				return err
 			}
-			if err := os.WriteFile(out, numberfile.Encode(src), 0o644); err != nil {
+			if err := os.WriteFile(outFile, numberfile.Encode(src), 0o644); err != nil {
 				return fmt.Errorf("write table: %w", err)
 			}
 			return nil
 		}}
-	build.Flags().StringVarP(&out, "out", "o", "", "file to write")
+	build.Flags().StringVarP(&outFile, "out", "o", "", "file to write")
 	build.MarkFlagRequired("out")
 
-	var at, caller, table, sample, address, why string
+	var timeText, caller, table, sampleFile, addresses, reason string
 	var count int
 	var seed uint64
-	when := func() (time.Time, error) {
-		if at == "" {
+	parseTime := func() (time.Time, error) {
+		if timeText == "" {
 			return time.Now(), nil
 		}
-		t, err := time.Parse(time.RFC3339, at)
+		t, err := time.Parse(time.RFC3339, timeText)
 		if err != nil {
-			return t, fmt.Errorf("--at is %q, not a time such as 2026-12-01T22:00:00+02:00", at)
+			return t, fmt.Errorf("--at is %q, not a time such as 2026-12-01T22:00:00+02:00", timeText)
 		}
 		return t, nil
 	}
 	explain := &cobra.Command{Use: "explain NUMBER --table TABLE", Short: "Print each step of the analysis of a number", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, t, err := read(table)
+			_, t, err := readTable(table)
 			if err != nil {
 				return err
 			}
-			instant, err := when()
+			callTime, err := parseTime()
 			if err != nil {
 				return err
 			}
-			r := t.Analyse(caller, args[0], instant.Unix(), numbers.NewDistributor(1).ForVersion(t.Version), func(step string) { fmt.Println(step) })
-			fmt.Printf("%s", r.Outcome)
-			if r.Outcome == numbers.ToExchange {
-				fmt.Printf(" %d, by version %d\n", r.Exchange, r.Version)
+			result := t.Analyse(caller, args[0], callTime.Unix(), numbers.NewDistributor(1).ForVersion(t.Version), func(step string) { fmt.Println(step) })
+			fmt.Printf("%s", result.Outcome)
+			if result.Outcome == numbers.ToExchange {
+				fmt.Printf(" %d, by version %d\n", result.Exchange, result.Version)
 			} else {
-				fmt.Printf(", cause %d, by version %d\n", r.Cause, r.Version)
+				fmt.Printf(", cause %d, by version %d\n", result.Cause, result.Version)
 			}
 			return nil
 		}}
@@ -94,34 +94,34 @@
 	explain.MarkFlagRequired("table")
 	diff := &cobra.Command{Use: "diff OLD NEW", Short: "Print the share of calls that would be routed differently", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			_, before, err := read(args[0])
+			_, before, err := readTable(args[0])
 			if err != nil {
 				return err
 			}
-			_, after, err := read(args[1])
+			_, after, err := readTable(args[1])
 			if err != nil {
 				return err
 			}
-			instant, err := when()
+			callTime, err := parseTime()
 			if err != nil {
 				return err
 			}
-			dialled, err := sampleNumbers(sample, count, seed, before, after)
+			dialled, err := sampleNumbers(sampleFile, count, seed, before, after)
 			if err != nil {
 				return err
 			}
-			return printDifferences(dialled, before, after, instant.Unix())
+			return printDifferences(dialled, before, after, callTime.Unix())
 		}}
-	diff.Flags().StringVar(&sample, "numbers", "", "file of dialled numbers, one per line; by default random numbers are drawn from both tables")
+	diff.Flags().StringVar(&sampleFile, "numbers", "", "file of dialled numbers, one per line; by default random numbers are drawn from both tables")
 	diff.Flags().IntVar(&count, "count", 10000, "how many numbers to draw")
 	diff.Flags().Uint64Var(&seed, "seed", 1, "seed of the draw")
-	for _, c := range []*cobra.Command{explain, diff} {
-		c.Flags().StringVar(&at, "at", "", "time of the call, by default now")
+	for _, cmd := range []*cobra.Command{explain, diff} {
+		cmd.Flags().StringVar(&timeText, "at", "", "time of the call, by default now")
 	}
-	tell := func(o control.Command) error {
+	sendToAll := func(command control.Command) error {
 		failed := 0
-		for _, a := range strings.Split(address, ",") { // an error at one exchange does not stop the others
-			if err := sendCommand(a, o); err != nil {
+		for _, address := range strings.Split(addresses, ",") { // an error at one exchange does not stop the others
+			if err := sendCommand(address, command); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				failed++
 			}
@@ -137,109 +137,111 @@
 			if err != nil {
 				return fmt.Errorf("load: %w", err)
 			}
-			o := control.Command{Name: "load", File: name}
-			if at != "" {
-				t, err := when()
+			command := control.Command{Name: "load", File: name}
+			if timeText != "" {
+				t, err := parseTime()
 				if err != nil {
 					return err
 				}
-				o.ActivationTime = t.Unix()
+				command.ActivationTime = t.Unix()
 			}
-			return tell(o)
+			return sendToAll(command)
 		}}
-	load.Flags().StringVar(&at, "at", "", "time at which the table comes into force")
+	load.Flags().StringVar(&timeText, "at", "", "time at which the table comes into force")
 	rollback := &cobra.Command{Use: "rollback", Short: "Return to the previous table in running exchanges", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return tell(control.Command{Name: "rollback", Reason: why}) }}
-	rollback.Flags().StringVar(&why, "why", "", "reason to record in the history")
+		RunE: func(*cobra.Command, []string) error {
+			return sendToAll(control.Command{Name: "rollback", Reason: reason})
+		}}
+	rollback.Flags().StringVar(&reason, "why", "", "reason to record in the history")
 	versions := &cobra.Command{Use: "versions", Short: "Print the table in force at running exchanges", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return tell(control.Command{Name: "versions"}) }}
-	for _, c := range []*cobra.Command{load, rollback, versions} {
-		c.Flags().StringVar(&address, "control", "127.0.0.1:7900", "comma-separated control addresses of the exchanges")
+		RunE: func(*cobra.Command, []string) error { return sendToAll(control.Command{Name: "versions"}) }}
+	for _, cmd := range []*cobra.Command{load, rollback, versions} {
+		cmd.Flags().StringVar(&addresses, "control", "127.0.0.1:7900", "comma-separated control addresses of the exchanges")
 	}
-	c.AddCommand(check, build, diff, explain, load, rollback, versions)
-	return c
+	cmd.AddCommand(check, build, diff, explain, load, rollback, versions)
+	return cmd
 }
 
 // sendCommand sends a command to one exchange and prints the version in force there.
-func sendCommand(address string, o control.Command) error {
-	r, err := control.SendCommand(address, o)
+func sendCommand(address string, command control.Command) error {
+	reply, err := control.SendCommand(address, command)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("exchange %d: version %d %q in force, %d held", r.Exchange, r.Version, r.Name, r.HeldVersions)
-	if r.PendingVersion != 0 {
-		fmt.Printf(", version %d waits for %s", r.PendingVersion, time.Unix(r.ActivationTime, 0).Format(time.RFC3339))
+	fmt.Printf("exchange %d: version %d %q in force, %d held", reply.Exchange, reply.Version, reply.Name, reply.HeldVersions)
+	if reply.PendingVersion != 0 {
+		fmt.Printf(", version %d waits for %s", reply.PendingVersion, time.Unix(reply.ActivationTime, 0).Format(time.RFC3339))
 	}
 	fmt.Println()
-	if r.Error != "" {
-		return fmt.Errorf("exchange %d: %s", r.Exchange, r.Error)
+	if reply.Error != "" {
+		return fmt.Errorf("exchange %d: %s", reply.Exchange, reply.Error)
 	}
 	return nil
 }
 
 // sampleNumbers returns the numbers by which to compare tables: those in a file, or random ones under the prefixes of all tables.
 func sampleNumbers(file string, count int, seed uint64, tables ...*numbers.Table) ([]string, error) {
-	var all []string
+	var sample []string
 	if file != "" {
-		f, err := os.Open(file)
+		input, err := os.Open(file)
 		if err != nil {
 			return nil, fmt.Errorf("read numbers: %w", err)
 		}
-		defer f.Close()
-		in := bufio.NewScanner(f)
-		for in.Scan() {
-			if line := strings.TrimSpace(in.Text()); line != "" {
-				all = append(all, line)
+		defer input.Close()
+		scanner := bufio.NewScanner(input)
+		for scanner.Scan() {
+			if line := strings.TrimSpace(scanner.Text()); line != "" {
+				sample = append(sample, line)
 			}
 		}
-		return all, in.Err()
+		return sample, scanner.Err()
 	}
-	chance := rand.New(rand.NewPCG(seed, 1))
+	random := rand.New(rand.NewPCG(seed, 1))
 	for _, t := range tables {
-		n, taken := t.PrefixCount(), 0
+		remaining, drawn := t.PrefixCount(), 0
 		t.Walk(func(prefix string, entry uint32) bool {
-			n--
-			want := float64(count/len(tables)-taken) / float64(n+1) // share of the remaining numbers for each remaining prefix
-			for ; want > 0; want-- {
-				if want < 1 && chance.Float64() > want {
+			remaining--
+			quota := float64(count/len(tables)-drawn) / float64(remaining+1) // share of the remaining numbers for each remaining prefix
+			for ; quota > 0; quota-- {
+				if quota < 1 && random.Float64() > quota {
 					break
 				}
 				number := prefix
 				for len(number) < t.Routes[entry].MinDigits {
-					number += string(rune('0' + chance.IntN(10)))
+					number += string(rune('0' + random.IntN(10)))
 				}
-				all = append(all, t.DialPlan.InternationalPrefix+number)
-				taken++
+				sample = append(sample, t.DialPlan.InternationalPrefix+number)
+				drawn++
 			}
-			return taken < count/len(tables)
+			return drawn < count/len(tables)
 		})
 	}
-	return all, nil
+	return sample, nil
 }
 
 // printDifferences prints the share of the numbers that are routed differently, and the first of them.
-func printDifferences(dialled []string, before, after *numbers.Table, at int64) error {
-	const shown = 10
+func printDifferences(dialled []string, before, after *numbers.Table, unixTime int64) error {
+	const maxShown = 10
 	moved, lost, found := 0, 0, 0
-	for _, d := range dialled {
-		a, b := before.Analyse("", d, at, nil, nil), after.Analyse("", d, at, nil, nil)
-		if a.Outcome == b.Outcome && a.Exchange == b.Exchange && a.OutgoingDigits == b.OutgoingDigits && a.Cause == b.Cause {
+	for _, number := range dialled {
+		oldResult, newResult := before.Analyse("", number, unixTime, nil, nil), after.Analyse("", number, unixTime, nil, nil)
+		if oldResult.Outcome == newResult.Outcome && oldResult.Exchange == newResult.Exchange && oldResult.OutgoingDigits == newResult.OutgoingDigits && oldResult.Cause == newResult.Cause {
 			continue
 		}
 		switch {
-		case b.Outcome == numbers.NoRoute:
+		case newResult.Outcome == numbers.NoRoute:
 			lost++
-		case a.Outcome == numbers.NoRoute:
+		case oldResult.Outcome == numbers.NoRoute:
 			found++
 		default:
 			moved++
 		}
-		if moved+lost+found <= shown {
-			fmt.Printf("%s: %s %d -> %s %d\n", d, a.Outcome, a.Exchange, b.Outcome, b.Exchange)
+		if moved+lost+found <= maxShown {
+			fmt.Printf("%s: %s %d -> %s %d\n", number, oldResult.Outcome, oldResult.Exchange, newResult.Outcome, newResult.Exchange)
 		}
 	}
-	of := float64(max(1, len(dialled)))
+	total := float64(max(1, len(dialled)))
 	fmt.Printf("version %d to %d, %d numbers: %.2f%% go elsewhere, %.2f%% lose their route, %.2f%% find one\n", before.Version, after.Version,
-		len(dialled), float64(moved)/of*100, float64(lost)/of*100, float64(found)/of*100)
+		len(dialled), float64(moved)/total*100, float64(lost)/total*100, float64(found)/total*100)
 	return nil
 }
--- a/cmd/indigodrift/platform.go
+++ b/cmd/indigodrift/platform.go
@@ -25,15 +25,15 @@
 )
 
 func newPlatformCommand() *cobra.Command {
-	plant := ""
-	c := &cobra.Command{Use: "platform", Short: "Run one call controller on the platform, configured by GW_CONFIG", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return runOnPlatform(plant) }}
-	c.Flags().StringVar(&plant, "plant", "", "inject a fault: release, answer, early, standing, crossing")
-	_ = c.Flags().MarkHidden("plant") // cannot fail: the flag exists
-	return c
+	fault := ""
+	cmd := &cobra.Command{Use: "platform", Short: "Run one call controller on the platform, configured by GW_CONFIG", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return runOnPlatform(fault) }}
+	cmd.Flags().StringVar(&fault, "plant", "", "inject a fault: release, answer, early, standing, crossing")
+	_ = cmd.Flags().MarkHidden("plant") // cannot fail: the flag exists
+	return cmd
 }
 
-func runOnPlatform(plant string) error {
+func runOnPlatform(fault string) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -46,26 +46,26 @@
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	file := os.Getenv(envConfig)
-	m, err := platform.ReadConfig(file)
+	config, err := platform.ReadConfig(file)
 	if err != nil {
 		return err
 	}
-	for _, told := range []struct{ env, here string }{{envName, m.Name}, {envListen, m.Listen}} {
-		if v := os.Getenv(told.env); v != "" && v != told.here {
-			return fmt.Errorf("%s is %q, but the configuration has %q", told.env, v, told.here)
+	for _, expected := range []struct{ env, configured string }{{envName, config.Name}, {envListen, config.Listen}} {
+		if value := os.Getenv(expected.env); value != "" && value != expected.configured {
+			return fmt.Errorf("%s is %q, but the configuration has %q", expected.env, value, expected.configured)
 		}
 	}
-	if err := m.InjectFault(plant); err != nil {
+	if err := config.InjectFault(fault); err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(m.MemoryTarget())
-	ln, err := net.Listen("tcp", m.Listen)
+	debug.SetMemoryLimit(config.MemoryTarget())
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	station := platform.New(m, newPolicy, dialTCP, log)
-	again := make(chan platform.Config)
+	server := platform.New(config, newPolicy, dialTCP, log)
+	reloads := make(chan platform.Config)
 	go func() {
 		for range hup {
 			next, err := platform.ReadConfig(file)
@@ -73,8 +73,8 @@
 				log.Error("configuration rejected, nothing changes", "why", err)
 				continue
 			}
-			again <- next
+			reloads <- next
 		}
 	}()
-	return station.Run(ctx, ln, again)
+	return server.Run(ctx, listener, reloads)
 }
--- a/cmd/indigodrift/release_test.go
+++ b/cmd/indigodrift/release_test.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	toldWithin    = time.Second     // limit of the protocol between a switch's release and the caller's
-	toldAfterLoss = 8 * time.Second // limit if the switch could not send its release
+	maxReleaseDelay          = time.Second     // limit of the protocol between a switch's release and the caller's
+	maxReleaseDelayAfterLoss = 8 * time.Second // limit if the switch could not send its release
 )
 
-func switchEntries(address string) string {
+func knownSwitches(address string) string {
 	return fmt.Sprintf(`{"rev":1,"pool":{"reset":true,"instances":[{"cell":0,"hostPort":"127.0.0.1:1","instanceId":"s-000000a0","lifecycle":"in_service"},
 {"cell":1,"hostPort":%q,"instanceId":"s-000000a1","lifecycle":"in_service"}]}}`, address)
 }
 
 // establishCalls starts a controller with one switch and sets up calls, in turn on the connections of callers.
-func standingCalls(t *testing.T, connections, calls int) (sw *siptest.Peer, callers []*siptest.Peer, ids []string) {
-	n := newPlatformNet(t)
-	n.start(1, switchEntries(n.switches[0].Addr().String()))
-	sw = n.up(0)
+func establishCalls(t *testing.T, connections, calls int) (sw *siptest.Peer, callers []*siptest.Peer, ids []string) {
+	env := newPlatformNet(t)
+	env.start(1, knownSwitches(env.switches[0].Addr().String()))
+	sw = env.acceptLink(0)
 	time.Sleep(50 * time.Millisecond) // the load report of the switch is read
 	for range connections {
-		callers = append(callers, n.caller())
+		callers = append(callers, env.caller())
 	}
 	for i := range calls {
 		ids = append(ids, fmt.Sprintf("%016x", 0x100+i))
-		setUpOnPlatform(callers[i%connections], sw, ids[i])
+		establishCall(callers[i%connections], sw, ids[i])
 	}
 	return sw, callers, ids
 }
 
-func setUpOnPlatform(caller, sw *siptest.Peer, id string) {
+func establishCall(caller, sw *siptest.Peer, id string) {
 	caller.Send(platformSetUp(id, 1, ""))
 	m := sw.Expect(sip.Invite)
 	sw.Answer(m, "answer to "+id)
@@ -47,26 +47,26 @@
 }
 
 // releaseLog records when callers received the first release of each call.
-type told struct {
-	mu sync.Mutex
-	at map[string]time.Time
+type releaseLog struct {
+	mu            sync.Mutex
+	firstReceived map[string]time.Time
 }
 
-// listen reads a caller's connection until it closes, and calls answer for each release.
-func (x *told) listen(c *siptest.Peer, answer func(sip.Message)) {
+// record reads a caller's connection until it closes, and calls answer for each release.
+func (l *releaseLog) record(caller *siptest.Peer, answer func(sip.Message)) {
 	for {
-		m, ok := c.Receive(20 * time.Second)
+		m, ok := caller.Receive(20 * time.Second)
 		if !ok {
 			return
 		}
 		if m.Method != sip.Bye {
 			continue
 		}
-		x.mu.Lock()
-		if _, before := x.at[m.CallID]; !before {
-			x.at[m.CallID] = time.Now()
+		l.mu.Lock()
+		if _, seen := l.firstReceived[m.CallID]; !seen {
+			l.firstReceived[m.CallID] = time.Now()
 		}
-		x.mu.Unlock()
+		l.mu.Unlock()
 		answer(m)
 	}
 }
@@ -74,54 +74,54 @@
 // releaseEach releases calls at the switch one after the other, and checks that the callers receive the releases in time.
 func releaseEach(t *testing.T, sw *siptest.Peer, callers []*siptest.Peer, ids []string, answer func(*siptest.Peer, sip.Message)) {
 	t.Helper()
-	x := &told{at: map[string]time.Time{}}
+	log := &releaseLog{firstReceived: map[string]time.Time{}}
 	for _, c := range callers {
-		go x.listen(c, func(m sip.Message) { answer(c, m) })
+		go log.record(c, func(m sip.Message) { answer(c, m) })
 	}
-	written := map[string]time.Time{}
+	sentAt := map[string]time.Time{}
 	for _, id := range ids {
-		written[id] = time.Now()
+		sentAt[id] = time.Now()
 		sw.Send(siptest.Release(id, 16))
 		sw.Expect("200")
 		time.Sleep(50 * time.Millisecond)
 	}
-	time.Sleep(toldWithin)
-	x.mu.Lock()
-	defer x.mu.Unlock()
+	time.Sleep(maxReleaseDelay)
+	log.mu.Lock()
+	defer log.mu.Unlock()
 	late := 0
 	for _, id := range ids {
-		if at, ok := x.at[id]; !ok || at.Sub(written[id]) > toldWithin {
+		if receivedAt, ok := log.firstReceived[id]; !ok || receivedAt.Sub(sentAt[id]) > maxReleaseDelay {
 			late++
 		}
 	}
 	if late > 0 {
-		t.Errorf("%d of %d callers received no release within %v", late, len(ids), toldWithin)
+		t.Errorf("%d of %d callers received no release within %v", late, len(ids), maxReleaseDelay)
 	}
 }
 
 // Guards against releases that are held back because callers do not send the optional 200 to BYE.
-func TestCallersWhoAnswerNoReleaseAreToldOfEachCall(t *testing.T) {
-	sw, callers, ids := standingCalls(t, 2, 24)
+func TestReleasesReachCallersThatDoNotAnswerThem(t *testing.T) {
+	sw, callers, ids := establishCalls(t, 2, 24)
 	releaseEach(t, sw, callers, ids, func(*siptest.Peer, sip.Message) {})
 }
 
 // Guards against releases that are late because the optional 200 to an earlier BYE is late.
-func TestCallersWhoAnswerReleasesLateAreToldOfEachCallInTime(t *testing.T) {
-	const late = 900 * time.Millisecond
-	sw, callers, ids := standingCalls(t, 2, 24)
+func TestReleasesReachCallersThatAnswerLateInTime(t *testing.T) {
+	const answerDelay = 900 * time.Millisecond
+	sw, callers, ids := establishCalls(t, 2, 24)
 	releaseEach(t, sw, callers, ids, func(c *siptest.Peer, m sip.Message) {
-		time.AfterFunc(late, func() { c.Send(m.Response(sip.OK)) })
+		time.AfterFunc(answerDelay, func() { c.Send(m.Response(sip.OK)) })
 	})
 }
 
 // Guards against a connection blocked for releases because its caller did not answer releases of calls unknown to it.
-func TestReleasesOfUnknownCallsDoNotKeepLaterReleasesBack(t *testing.T) {
-	sw, callers, ids := standingCalls(t, 1, 6)
+func TestReleasesOfUnknownCallsDoNotBlockLaterReleases(t *testing.T) {
+	sw, callers, ids := establishCalls(t, 1, 6)
 	for i := range 3 { // calls of an earlier controller process, unknown to the callers
 		sw.Send(siptest.Release(fmt.Sprintf("%016x", 0x900+i), 16))
 		sw.Expect("200")
 	}
-	time.Sleep(toldWithin)
+	time.Sleep(maxReleaseDelay)
 	known := map[string]bool{}
 	for _, id := range ids {
 		known[id] = true
@@ -134,19 +134,19 @@
 }
 
 // Guards against losing a release on a connection that is silent, when another connection to the switch is already open.
-func TestReleaseLostOnASilentConnectionIsFetchedOnANewOne(t *testing.T) {
-	n := newPlatformNet(t)
-	proxy, err := faultproxy.Listen("127.0.0.1:0", n.switches[0].Addr().String(), faultproxy.Shape{}, 1)
+func TestReleaseLostOnASilentConnectionReachesCaller(t *testing.T) {
+	env := newPlatformNet(t)
+	proxy, err := faultproxy.Listen("127.0.0.1:0", env.switches[0].Addr().String(), faultproxy.Shape{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	n.start(1, switchEntries(proxy.Address()))
-	first := n.up(0)
+	env.start(1, knownSwitches(proxy.Address()))
+	first := env.acceptLink(0)
 	time.Sleep(50 * time.Millisecond)
-	caller := n.caller()
+	caller := env.caller()
 	const id = "0000000000000100"
-	setUpOnPlatform(caller, first, id)
+	establishCall(caller, first, id)
 	go func() { // answers keepalives while they arrive
 		for {
 			if _, ok := first.Receive(20 * time.Second); !ok {
@@ -155,12 +155,12 @@
 		}
 	}()
 	proxy.SilenceOne()
-	second := n.up(0) // opened because the first is silent
+	second := env.acceptLink(0) // opened because the first is silent
 	go second.Receive(20 * time.Second)
 	first.Send(siptest.Release(id, 16)) // lost on the silent connection of the set-up
 	go func() {
 		for { // the switch repeats it on its next connection
-			c, err := n.switches[0].Accept()
+			c, err := env.switches[0].Accept()
 			if err != nil {
 				return
 			}
@@ -170,32 +170,32 @@
 			go next.Receive(20 * time.Second)
 		}
 	}()
-	n.switches[0].(*net.TCPListener).SetDeadline(time.Time{})
-	if m, ok := caller.Receive(toldAfterLoss); !ok || m.Method != sip.Bye {
-		t.Errorf("the caller received no release within %v: %v %+v", toldAfterLoss, ok, m)
+	env.switches[0].(*net.TCPListener).SetDeadline(time.Time{})
+	if m, ok := caller.Receive(maxReleaseDelayAfterLoss); !ok || m.Method != sip.Bye {
+		t.Errorf("the caller received no release within %v: %v %+v", maxReleaseDelayAfterLoss, ok, m)
 	}
 }
 
 // Guards against calls that are never released when a release and its only repetition are both lost, the latter with the
 // switch's connection.
-func TestReleaseThatIsLostTwiceIsToldInTime(t *testing.T) {
-	n := newPlatformNet(t)
-	proxy, err := faultproxy.Listen("127.0.0.1:0", n.switches[0].Addr().String(), faultproxy.Shape{}, 1)
+func TestReleaseLostTwiceReachesCallerInTime(t *testing.T) {
+	env := newPlatformNet(t)
+	proxy, err := faultproxy.Listen("127.0.0.1:0", env.switches[0].Addr().String(), faultproxy.Shape{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(proxy.Close)
-	n.start(1, switchEntries(proxy.Address()))
-	first := n.up(0)
+	env.start(1, knownSwitches(proxy.Address()))
+	first := env.acceptLink(0)
 	time.Sleep(50 * time.Millisecond)
-	caller := n.caller()
+	caller := env.caller()
 	const id = "0000000000000100"
-	setUpOnPlatform(caller, first, id)
+	establishCall(caller, first, id)
 	go first.Receive(20 * time.Second)
 	proxy.Silence()
 	first.Send(siptest.Release(id, 16)) // lost on the silent connection of the set-up
-	n.switches[0].(*net.TCPListener).SetDeadline(time.Now().Add(toldAfterLoss))
-	c, err := n.switches[0].Accept()
+	env.switches[0].(*net.TCPListener).SetDeadline(time.Now().Add(maxReleaseDelayAfterLoss))
+	c, err := env.switches[0].Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 	go next.Receive(20 * time.Second)
 	go func() { // later connections work, but carry no release
 		for {
-			later, err := n.switches[0].Accept()
+			later, err := env.switches[0].Accept()
 			if err != nil {
 				return
 			}
@@ -215,7 +215,7 @@
 			go p.Receive(20 * time.Second)
 		}
 	}()
-	if m, ok := caller.Receive(toldAfterLoss); !ok || m.Method != sip.Bye {
-		t.Errorf("the caller received no release within %v: %v %+v", toldAfterLoss, ok, m)
+	if m, ok := caller.Receive(maxReleaseDelayAfterLoss); !ok || m.Method != sip.Bye {
+		t.Errorf("the caller received no release within %v: %v %+v", maxReleaseDelayAfterLoss, ok, m)
 	}
 }
--- a/cmd/indigodrift/route_try_test.go
+++ b/cmd/indigodrift/route_try_test.go
@@ -26,11 +26,11 @@
 
 // breakFirstAnswer starts a call and closes the connection in the middle of the first answer.
 func breakFirstAnswer(t *testing.T) *brokenTry {
-	n := newPlatformNet(t)
-	n.start(1, switchEntries(n.switches[0].Addr().String()))
-	first := n.up(0)
+	env := newPlatformNet(t)
+	env.start(1, knownSwitches(env.switches[0].Addr().String()))
+	first := env.acceptLink(0)
 	time.Sleep(50 * time.Millisecond) // the load report of the switch is read
-	caller := n.caller()
+	caller := env.caller()
 	caller.Send(platformSetUp(tryCallID, 1, ""))
 	m := first.Expect(sip.Invite)
 	answer := m.Response(sip.OK)
@@ -38,7 +38,7 @@
 	octets := sip.Append(nil, &answer)
 	first.SendRaw(string(octets[:len(octets)/2]))
 	first.Close()
-	next := n.up(0)
+	next := env.acceptLink(0)
 	second, ok := next.Receive(2 * time.Second)
 	if ok && second.Method == sip.Bye { // release of the first try, which crosses the switch's own
 		second = next.Expect(sip.Invite)
@@ -46,23 +46,23 @@
 	if second.Method != sip.Invite || second.CallID != tryCallID || second.CSeq != 2 {
 		t.Fatalf("the switch received %+v", second)
 	}
-	return &brokenTry{platformNet: n, caller: caller, sw: next, second: second}
+	return &brokenTry{platformNet: env, caller: caller, sw: next, second: second}
 }
 
 // answerSecondTry answers the second set-up after a processing delay.
-func (b *brokenTry) answers() {
+func (b *brokenTry) answerSecondTry() {
 	time.Sleep(75 * time.Millisecond)
 	b.sw.Answer(b.second, "answer to the second try")
 }
 
 // checkEstablished checks that the second answer reaches the caller and that no further try is sent.
-func (b *brokenTry) wantsTheCallToStand() {
+func (b *brokenTry) checkEstablished() {
 	b.t.Helper()
 	if m, ok := b.caller.Receive(2 * netReleaseTime); !ok || m.Status != sip.OK || string(m.Body) != "answer to the second try" {
 		b.t.Errorf("the caller received %v %+v", ok, m)
 	}
-	for until := time.Now().Add(2 * netReleaseTime); time.Now().Before(until); {
-		if m, ok := b.sw.Receive(time.Until(until)); ok && (m.Method == sip.Invite || m.Method == sip.Bye || m.Method == sip.Cancel) {
+	for deadline := time.Now().Add(2 * netReleaseTime); time.Now().Before(deadline); {
+		if m, ok := b.sw.Receive(time.Until(deadline)); ok && (m.Method == sip.Invite || m.Method == sip.Bye || m.Method == sip.Cancel) {
 			b.t.Errorf("the switch received %s, CSeq %d", m.Method, m.CSeq)
 		}
 	}
@@ -73,8 +73,8 @@
 	b := breakFirstAnswer(t)
 	time.Sleep(10 * time.Millisecond)
 	b.sw.Send(siptest.Release(tryCallID, 31))
-	b.answers()
-	b.wantsTheCallToStand()
+	b.answerSecondTry()
+	b.checkEstablished()
 }
 
 // Guards against a call that is sent again too soon, or answered and never released, when a switch releases the call that an
@@ -89,14 +89,14 @@
 			if m, ok := b.caller.Receive(netReleaseTime); !ok || m.Status != sip.ServerInternalError {
 				t.Errorf("the caller received %v %+v", ok, m)
 			}
-			b.answers() // crosses the CANCEL
-			var read []string
-			for until := time.Now().Add(3 * netReleaseTime); time.Now().Before(until); {
-				if m, ok := b.sw.Receive(time.Until(until)); ok && m.Method != "" && m.Method != sip.Ack {
-					read = append(read, m.Method)
+			b.answerSecondTry() // crosses the CANCEL
+			var received []string
+			for deadline := time.Now().Add(3 * netReleaseTime); time.Now().Before(deadline); {
+				if m, ok := b.sw.Receive(time.Until(deadline)); ok && m.Method != "" && m.Method != sip.Ack {
+					received = append(received, m.Method)
 				}
 			}
-			if got := strings.Join(read, " "); got != "CANCEL BYE" {
+			if got := strings.Join(received, " "); got != "CANCEL BYE" {
 				t.Errorf("the switch received %q", got)
 			}
 		})
@@ -104,14 +104,14 @@
 }
 
 // Guards against a call that stays established at its switch only, when the release of an earlier try is taken for its own.
-func TestReleaseOfABrokenTryWhileTheNextStandsLeavesNothingStanding(t *testing.T) {
+func TestReleaseOfABrokenTryAfterTheNextIsAnsweredReleasesBothSides(t *testing.T) {
 	b := breakFirstAnswer(t)
-	b.answers()
-	b.wantsTheCallToStand()
+	b.answerSecondTry()
+	b.checkEstablished()
 	b.sw.Send(siptest.Release(tryCallID, 16)) // may belong to either try: the message does not say
 	b.caller.ExpectRelease(tryCallID)
-	for until := time.Now().Add(toldWithin); ; {
-		m, ok := b.sw.Receive(time.Until(until))
+	for deadline := time.Now().Add(maxReleaseDelay); ; {
+		m, ok := b.sw.Receive(time.Until(deadline))
 		if !ok {
 			t.Fatal("the caller received a release, the switch did not")
 		}
@@ -122,9 +122,9 @@
 }
 
 // Guards against rejecting the answer to a further try: a switch need not repeat the CSeq number of the set-up in its answer.
-func TestAnswerToAFurtherTryIsTakenWhateverItsCSeqNumber(t *testing.T) {
+func TestAnswerToAFurtherTryIsAcceptedWithAnyCSeqNumber(t *testing.T) {
 	b := breakFirstAnswer(t)
 	b.second.CSeq = 1
-	b.answers()
-	b.wantsTheCallToStand()
+	b.answerSecondTry()
+	b.checkEstablished()
 }
--- a/cmd/indigodrift/serve.go
+++ b/cmd/indigodrift/serve.go
@@ -20,22 +20,22 @@
 )
 
 func newServeCommand() *cobra.Command {
-	var file, format, level, routing, plant string
-	c := &cobra.Command{Use: "serve -f SITE", Short: "Run one exchange until SIGTERM, then drain", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return serve(file, format, level, routing, plant) }}
-	c.Flags().StringVarP(&file, "file", "f", "", "settings file of the exchange")
-	c.Flags().StringVar(&format, "log", "text", "log format: text or json")
-	c.Flags().StringVar(&level, "level", "info", "minimum log level: debug, info, warn, error")
-	c.Flags().StringVar(&routing, "routing", "module", "for scripted days: module, direct or random")
-	c.Flags().StringVar(&plant, "plant", "", "for scripted days: rule to break on purpose")
-	c.MarkFlagRequired("file")
-	c.Flags().MarkHidden("routing")
-	c.Flags().MarkHidden("plant")
-	return c
+	var file, format, level, routing, fault string
+	cmd := &cobra.Command{Use: "serve -f SITE", Short: "Run one exchange until SIGTERM, then drain", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return serve(file, format, level, routing, fault) }}
+	cmd.Flags().StringVarP(&file, "file", "f", "", "settings file of the exchange")
+	cmd.Flags().StringVar(&format, "log", "text", "log format: text or json")
+	cmd.Flags().StringVar(&level, "level", "info", "minimum log level: debug, info, warn, error")
+	cmd.Flags().StringVar(&routing, "routing", "module", "for scripted days: module, direct or random")
+	cmd.Flags().StringVar(&fault, "plant", "", "for scripted days: rule to break on purpose")
+	cmd.MarkFlagRequired("file")
+	cmd.Flags().MarkHidden("routing")
+	cmd.Flags().MarkHidden("plant")
+	return cmd
 }
 
-func newPolicy(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
-	return policy.New(d, out, now)
+func newPolicy(deployment policy.Deployment, executor policy.Executor, now policy.Tenths) exchange.Decider {
+	return policy.New(deployment, executor, now)
 }
 
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
@@ -43,12 +43,12 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-func serve(file, format, level, routing, plant string) error {
-	var least slog.LevelVar
-	if err := least.UnmarshalText([]byte(level)); err != nil {
+func serve(file, format, level, routing, fault string) error {
+	var minLevel slog.LevelVar
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return fmt.Errorf("--level: %w", err)
 	}
-	options := &slog.HandlerOptions{Level: &least}
+	options := &slog.HandlerOptions{Level: &minLevel}
 	var handler slog.Handler = slog.NewTextHandler(os.Stderr, options)
 	switch format {
 	case "text":
@@ -57,11 +57,11 @@
 	default:
 		return fmt.Errorf("--log is %q, not text or json", format)
 	}
-	s, err := site.Read(file)
+	config, err := site.Read(file)
 	if err != nil {
 		return err
 	}
-	log := slog.New(handler).With("exchange", s.Deployment.OwnExchange)
+	log := slog.New(handler).With("exchange", config.Deployment.OwnExchange)
 	build := control.DeciderBuilder(newPolicy)
 	switch routing {
 	case "module":
@@ -70,24 +70,24 @@
 	default:
 		return fmt.Errorf("--routing is %q, not module, direct or random", routing)
 	}
-	var wrong *day.Wrong
-	if plant != "" {
-		var near []exchange.Neighbour
-		for _, n := range s.Neighbours {
-			near = append(near, n.Neighbour)
+	var injector *day.Wrong
+	if fault != "" {
+		var neighbours []exchange.Neighbour
+		for _, n := range config.Neighbours {
+			neighbours = append(neighbours, n.Neighbour)
 		}
-		if wrong, err = day.NewWrong(plant, near); err != nil {
+		if injector, err = day.NewWrong(fault, neighbours); err != nil {
 			return err
 		}
-		build = wrong.Deciding(build)
+		build = injector.Deciding(build)
 	}
-	station, err := control.New(s, build, dialTCP, log)
+	server, err := control.New(config, build, dialTCP, log)
 	if err != nil {
 		return err
 	}
-	station.OnReady = func() { fmt.Println("ready") }
-	if wrong != nil {
-		station.InterceptSend = wrong.Sent
+	server.OnReady = func() { fmt.Println("ready") }
+	if injector != nil {
+		server.InterceptSend = injector.Sent
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -96,18 +96,18 @@
 	defer signal.Stop(hup)
 	go func() {
 		for range hup {
-			again, err := site.Read(file)
+			next, err := site.Read(file)
 			switch {
 			case err != nil:
 				log.Error("settings rejected, nothing changes", "why", err)
-			case station.Reload(again):
+			case server.Reload(next):
 				log.Info("settings reloaded")
 			default:
 				log.Warn("settings reloaded; some changes need a restart")
 			}
 		}
 	}()
-	return station.Run(ctx)
+	return server.Run(ctx)
 }
 
 func newCheckCommand() *cobra.Command {
@@ -115,7 +115,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			_, err := site.Read(args[0])
 			if err != nil {
-				if _, other := day.Read(args[0]); other == nil {
+				if _, dayErr := day.Read(args[0]); dayErr == nil {
 					err = nil
 				}
 			}
--- a/internal/enum/enum.go
+++ b/internal/enum/enum.go
@@ -37,12 +37,12 @@
 
 // DomainName returns the domain name of a number: its digits in reverse order, each a label (RFC 6116, 3.2).
 func DomainName(number, zone string) string {
-	var b strings.Builder
+	var name strings.Builder
 	for i := len(number) - 1; i >= 0; i-- {
-		b.WriteByte(number[i])
-		b.WriteByte('.')
+		name.WriteByte(number[i])
+		name.WriteByte('.')
 	}
-	return b.String() + zone
+	return name.String() + zone
 }
 
 // Query queries a server over UDP, and again over TCP if the answer is truncated. An answer with another ID or to another
@@ -50,12 +50,12 @@
 func (c *Client) Query(ctx context.Context, server int, number string) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	q := new(dns.Msg)
-	q.SetQuestion(DomainName(number, c.Zone), dns.TypeNAPTR) // with a random ID
-	q.SetEdns0(1232, false)
-	reply, err := c.roundTrip(ctx, "udp", server, q)
+	request := new(dns.Msg)
+	request.SetQuestion(DomainName(number, c.Zone), dns.TypeNAPTR) // with a random ID
+	request.SetEdns0(1232, false)
+	reply, err := c.roundTrip(ctx, "udp", server, request)
 	if err == nil && reply.Truncated {
-		reply, err = c.roundTrip(ctx, "tcp", server, q)
+		reply, err = c.roundTrip(ctx, "tcp", server, request)
 	}
 	if err != nil {
 		return Answer{}, err
@@ -63,30 +63,30 @@
 	return ParseAnswer(reply)
 }
 
-func (c *Client) roundTrip(ctx context.Context, network string, server int, q *dns.Msg) (*dns.Msg, error) {
-	d := dns.Client{Net: network}
-	conn, err := d.DialContext(ctx, c.Servers[server])
+func (c *Client) roundTrip(ctx context.Context, network string, server int, request *dns.Msg) (*dns.Msg, error) {
+	dialer := dns.Client{Net: network}
+	conn, err := dialer.DialContext(ctx, c.Servers[server])
 	if err != nil {
 		return nil, fmt.Errorf("dial %s: %w", c.Servers[server], err)
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	if err := conn.WriteMsg(q); err != nil {
+	if err := conn.WriteMsg(request); err != nil {
 		return nil, fmt.Errorf("query %s: %w", c.Servers[server], err)
 	}
 	for { // over UDP, unrelated and malformed messages are ignored until the timeout
-		m, err := conn.ReadMsg()
-		var broken net.Error
+		reply, err := conn.ReadMsg()
+		var netErr net.Error
 		if err != nil {
-			if ctx.Err() != nil || errors.As(err, &broken) || network == "tcp" {
+			if ctx.Err() != nil || errors.As(err, &netErr) || network == "tcp" {
 				return nil, fmt.Errorf("read answer of %s: %w", c.Servers[server], err)
 			}
 			continue
 		}
-		if m.Id == q.Id && m.Response && len(m.Question) == 1 && strings.EqualFold(m.Question[0].Name, q.Question[0].Name) &&
-			m.Question[0].Qtype == dns.TypeNAPTR {
-			return m, nil
+		if reply.Id == request.Id && reply.Response && len(reply.Question) == 1 && strings.EqualFold(reply.Question[0].Name, request.Question[0].Name) &&
+			reply.Question[0].Qtype == dns.TypeNAPTR {
+			return reply, nil
 		}
 		if network == "tcp" {
 			return nil, fmt.Errorf("%w: %s answered another question", ErrUnusableAnswer, c.Servers[server])
@@ -97,32 +97,32 @@
 var routingNumberPattern = regexp.MustCompile(`^\+?[0-9]{1,24}$`)
 
 // ParseAnswer interprets an answer. If the name does not exist, the number is unknown for the negative TTL of the zone.
-func ParseAnswer(m *dns.Msg) (Answer, error) {
-	switch m.Rcode {
+func ParseAnswer(reply *dns.Msg) (Answer, error) {
+	switch reply.Rcode {
 	case dns.RcodeNameError:
-		a := Answer{}
-		for _, rr := range m.Ns {
+		answer := Answer{}
+		for _, rr := range reply.Ns {
 			if soa, ok := rr.(*dns.SOA); ok {
-				a.TTL = policy.Tenths(min(soa.Hdr.Ttl, soa.Minttl)) * 10000
+				answer.TTL = policy.Tenths(min(soa.Hdr.Ttl, soa.Minttl)) * 10000
 			}
 		}
-		return a, nil
+		return answer, nil
 	case dns.RcodeSuccess:
 	default:
-		return Answer{}, fmt.Errorf("%w: %s", ErrUnusableAnswer, dns.RcodeToString[m.Rcode])
+		return Answer{}, fmt.Errorf("%w: %s", ErrUnusableAnswer, dns.RcodeToString[reply.Rcode])
 	}
 	var best *dns.NAPTR
-	for _, rr := range m.Answer {
-		n, ok := rr.(*dns.NAPTR)
-		if !ok || !strings.EqualFold(n.Flags, "u") || !strings.HasPrefix(strings.ToLower(n.Service), "e2u+pstn") {
+	for _, rr := range reply.Answer {
+		naptr, ok := rr.(*dns.NAPTR)
+		if !ok || !strings.EqualFold(naptr.Flags, "u") || !strings.HasPrefix(strings.ToLower(naptr.Service), "e2u+pstn") {
 			continue
 		}
-		if !strings.EqualFold(n.Hdr.Name, m.Question[0].Name) {
-			return Answer{}, fmt.Errorf("%w: record for another name, %s", ErrUnusableAnswer, n.Hdr.Name)
+		if !strings.EqualFold(naptr.Hdr.Name, reply.Question[0].Name) {
+			return Answer{}, fmt.Errorf("%w: record for another name, %s", ErrUnusableAnswer, naptr.Hdr.Name)
 		}
-		if best == nil || n.Order < best.Order || n.Order == best.Order && n.Preference < best.Preference {
-			best = n
-		} else if n.Order == best.Order && n.Preference == best.Preference && n.Regexp != best.Regexp {
+		if best == nil || naptr.Order < best.Order || naptr.Order == best.Order && naptr.Preference < best.Preference {
+			best = naptr
+		} else if naptr.Order == best.Order && naptr.Preference == best.Preference && naptr.Regexp != best.Regexp {
 			return Answer{}, fmt.Errorf("%w: contradictory records", ErrUnusableAnswer)
 		}
 	}
@@ -133,18 +133,18 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	a := Answer{Known: true, TTL: policy.Tenths(best.Hdr.Ttl) * 10000}
+	answer := Answer{Known: true, TTL: policy.Tenths(best.Hdr.Ttl) * 10000}
 	parts := strings.Split(uri, ";")
-	for _, p := range parts[1:] {
-		name, value, _ := strings.Cut(p, "=")
+	for _, parameter := range parts[1:] {
+		name, value, _ := strings.Cut(parameter, "=")
 		if strings.EqualFold(name, "rn") {
 			if !routingNumberPattern.MatchString(value) {
 				return Answer{}, fmt.Errorf("%w: routing number %q", ErrUnusableAnswer, value)
 			}
-			a.Porting = numbers.Porting{Ported: true, RoutingNumber: strings.TrimPrefix(value, "+")}
+			answer.Porting = numbers.Porting{Ported: true, RoutingNumber: strings.TrimPrefix(value, "+")}
 		}
 	}
-	return a, nil
+	return answer, nil
 }
 
 // telURI returns the tel URI, without its scheme, of a NAPTR regular expression of the form in RFC 4769: !^.*$!tel:...!
--- a/internal/numberfile/source.go
+++ b/internal/numberfile/source.go
@@ -36,9 +36,9 @@
 		return Source{}, fmt.Errorf("read table: %w", err)
 	}
 	s := Source{RulesFile: name, Rules: rules}
-	f, b := hclread.Parse(name, rules)
-	s.PrefixFile = b.Text("prefixes", false, "")
-	if err := f.Err(); err != nil {
+	file, root := hclread.Parse(name, rules)
+	s.PrefixFile = root.Text("prefixes", false, "")
+	if err := file.Err(); err != nil {
 		return s, err
 	}
 	if s.PrefixFile != "" {
@@ -51,143 +51,143 @@
 
 // Table parses a source and builds its table for a network with a number of exchanges. The error has a line for each fault with
 // file, line and column.
-func (s Source) Table(exchanges int) (*numbers.Table, error) {
-	f, b := hclread.Parse(s.RulesFile, s.Rules)
-	t := &numbers.Table{Name: b.Text("name", false, ""), Version: uint64(b.Whole("version", 1, math.MaxInt32, 0))}
-	b.Text("prefixes", false, "")
-	d := b.Only("dialling", false)
-	t.DialPlan = numbers.DialPlan{InternationalPrefix: d.Text("international", false, "00"), NationalPrefix: d.Text("national", false, ""),
-		CountryCode: d.Text("country", false, ""), MaxShortDigits: d.Whole("short_most", 0, numbers.MaxDigits, 0)}
-	d.Done()
+func (s Source) Table(exchangeCount int) (*numbers.Table, error) {
+	file, root := hclread.Parse(s.RulesFile, s.Rules)
+	t := &numbers.Table{Name: root.Text("name", false, ""), Version: uint64(root.Whole("version", 1, math.MaxInt32, 0))}
+	root.Text("prefixes", false, "")
+	dialling := root.Only("dialling", false)
+	t.DialPlan = numbers.DialPlan{InternationalPrefix: dialling.Text("international", false, "00"), NationalPrefix: dialling.Text("national", false, ""),
+		CountryCode: dialling.Text("country", false, ""), MaxShortDigits: dialling.Whole("short_most", 0, numbers.MaxDigits, 0)}
+	dialling.Done()
 	var err error
-	if t.Zone, err = numbers.NewZone(b.Text("zone", false, "UTC")); err != nil {
-		b.FaultAt("zone", "%v", err)
+	if t.Zone, err = numbers.NewZone(root.Text("zone", false, "UTC")); err != nil {
+		root.FaultAt("zone", "%v", err)
 	}
-	for _, h := range b.Texts("holidays") {
-		t.Holidays = append(t.Holidays, parseDay(b, "holidays", h))
+	for _, date := range root.Texts("holidays") {
+		t.Holidays = append(t.Holidays, parseDay(root, "holidays", date))
 	}
 	slices.Sort(t.Holidays)
 	var prefixes []numbers.Prefix
 	routes := map[string]uint32{}
-	for _, n := range b.Blocks("route", true) {
-		if _, twice := routes[n.Label]; twice {
-			n.Fault("route %q is defined twice", n.Label)
+	for _, block := range root.Blocks("route", true) {
+		if _, duplicate := routes[block.Label]; duplicate {
+			block.Fault("route %q is defined twice", block.Label)
 		}
-		id := uint32(len(t.Routes))
-		routes[n.Label] = id
-		for _, p := range n.Texts("prefixes") {
-			prefixes = append(prefixes, numbers.Prefix{Digits: p, Value: id})
+		index := uint32(len(t.Routes))
+		routes[block.Label] = index
+		for _, prefix := range block.Texts("prefixes") {
+			prefixes = append(prefixes, numbers.Prefix{Digits: prefix, Value: index})
 		}
-		t.Routes = append(t.Routes, parseRoute(n, exchanges))
+		t.Routes = append(t.Routes, parseRoute(block, exchangeCount))
 	}
-	for _, n := range b.Blocks("screen", true) {
-		t.Screens = append(t.Screens, numbers.Screen{Name: n.Label, CallerPrefix: n.Text("callers", false, ""), NumberPrefix: n.Text("numbers", true, "")})
-		n.Done()
+	for _, block := range root.Blocks("screen", true) {
+		t.Screens = append(t.Screens, numbers.Screen{Name: block.Label, CallerPrefix: block.Text("callers", false, ""), NumberPrefix: block.Text("numbers", true, "")})
+		block.Done()
 	}
-	b.Done()
-	if err := f.Err(); err != nil {
+	root.Done()
+	if err := file.Err(); err != nil {
 		return nil, err
 	}
 	if prefixes, err = s.parsePrefixes(prefixes, routes); err != nil {
 		return nil, err
 	}
-	if err := t.Build(prefixes, exchanges); err != nil {
+	if err := t.Build(prefixes, exchangeCount); err != nil {
 		return nil, fmt.Errorf("%s: %w", s.RulesFile, err)
 	}
 	return t, nil
 }
 
-func parseDay(b *hclread.Block, name, text string) int {
+func parseDay(block *hclread.Block, name, text string) int {
 	t, err := time.Parse(time.DateOnly, text)
 	if err != nil {
-		b.FaultAt(name, "%q is not a date such as 2026-11-18", text)
+		block.FaultAt(name, "%q is not a date such as 2026-11-18", text)
 		return 0
 	}
 	return numbers.DayNumber(t.Date())
 }
 
-func parseRoute(n *hclread.Block, exchanges int) numbers.Route {
-	e := numbers.Route{Name: n.Label, MinDigits: n.Whole("least", 1, numbers.MaxDigits, 1), MaxDigits: n.Whole("most", 1, numbers.MaxDigits, numbers.MaxDigits),
-		DeleteDigits: n.Whole("delete", 0, numbers.MaxDigits, 0), InsertDigits: n.Text("insert", false, ""), Priority: n.Flag("priority", false),
-		Emergency: n.Flag("emergency", false), MayBePorted: n.Flag("ported", false)}
-	if e.MinDigits > e.MaxDigits {
-		n.FaultAt("least", "least is %d, more than most, which is %d", e.MinDigits, e.MaxDigits)
+func parseRoute(block *hclread.Block, exchangeCount int) numbers.Route {
+	route := numbers.Route{Name: block.Label, MinDigits: block.Whole("least", 1, numbers.MaxDigits, 1), MaxDigits: block.Whole("most", 1, numbers.MaxDigits, numbers.MaxDigits),
+		DeleteDigits: block.Whole("delete", 0, numbers.MaxDigits, 0), InsertDigits: block.Text("insert", false, ""), Priority: block.Flag("priority", false),
+		Emergency: block.Flag("emergency", false), MayBePorted: block.Flag("ported", false)}
+	if route.MinDigits > route.MaxDigits {
+		block.FaultAt("least", "least is %d, more than most, which is %d", route.MinDigits, route.MaxDigits)
 	}
-	for _, c := range n.Blocks("choice", false) {
-		e.Choices = append(e.Choices, parseChoice(c, exchanges))
+	for _, choice := range block.Blocks("choice", false) {
+		route.Choices = append(route.Choices, parseChoice(choice, exchangeCount))
 	}
-	if len(e.Choices) == 0 {
-		n.Fault("route %q has no choice", n.Label)
+	if len(route.Choices) == 0 {
+		block.Fault("route %q has no choice", block.Label)
 	}
-	n.Done()
-	return e
+	block.Done()
+	return route
 }
 
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-func parseChoice(c *hclread.Block, exchanges int) numbers.Choice {
-	var out numbers.Choice
-	w := numbers.Schedule{}
-	for _, d := range c.Texts("days") {
-		known := false
+func parseChoice(block *hclread.Block, exchangeCount int) numbers.Choice {
+	var choice numbers.Choice
+	schedule := numbers.Schedule{}
+	for _, text := range block.Texts("days") {
+		found := false
 		for i, name := range weekdays {
-			if d == name {
-				w.Weekdays |= 1 << i
-				known = true
+			if text == name {
+				schedule.Weekdays |= 1 << i
+				found = true
 			}
 		}
-		if !known {
-			c.FaultAt("days", "day %q is not one of %s", d, strings.Join(weekdays, ", "))
+		if !found {
+			block.FaultAt("days", "day %q is not one of %s", text, strings.Join(weekdays, ", "))
 		}
 	}
-	for _, d := range c.Texts("dates") {
-		from, to, both := strings.Cut(d, "..")
-		if !both {
+	for _, text := range block.Texts("dates") {
+		from, to, isRange := strings.Cut(text, "..")
+		if !isRange {
 			to = from
 		}
-		s := numbers.DayRange{From: parseDay(c, "dates", from), To: parseDay(c, "dates", to)}
-		if s.To < s.From {
-			c.FaultAt("dates", "%q ends before it begins", d)
+		dates := numbers.DayRange{From: parseDay(block, "dates", from), To: parseDay(block, "dates", to)}
+		if dates.To < dates.From {
+			block.FaultAt("dates", "%q ends before it begins", text)
 		}
-		w.Dates = append(w.Dates, s)
+		schedule.Dates = append(schedule.Dates, dates)
 	}
-	w.FromMinute, w.ToMinute = parseMinute(c, "from"), parseMinute(c, "to")
-	if w.ToMinute <= w.FromMinute && c.Has("to") {
-		w.ToMinute += 24 * 60 // past midnight
+	schedule.FromMinute, schedule.ToMinute = parseMinute(block, "from"), parseMinute(block, "to")
+	if schedule.ToMinute <= schedule.FromMinute && block.Has("to") {
+		schedule.ToMinute += 24 * 60 // past midnight
 	}
-	switch c.One("holidays", "", "", "only", "never") {
+	switch block.One("holidays", "", "", "only", "never") {
 	case "only":
-		w.OnlyHolidays = true
+		schedule.OnlyHolidays = true
 	case "never":
-		w.ExceptHolidays = true
+		schedule.ExceptHolidays = true
 	}
-	for _, to := range c.Blocks("to", true) {
-		x, err := strconv.Atoi(to.Label)
-		if err != nil || x < 0 || x >= exchanges {
-			to.Fault("exchange %q is not a number below %d", to.Label, exchanges)
+	for _, to := range block.Blocks("to", true) {
+		exchange, err := strconv.Atoi(to.Label)
+		if err != nil || exchange < 0 || exchange >= exchangeCount {
+			to.Fault("exchange %q is not a number below %d", to.Label, exchangeCount)
 		}
-		out.Shares = append(out.Shares, numbers.Share{Weight: to.Whole("weight", 0, 1e6, 1), Exchange: x})
+		choice.Shares = append(choice.Shares, numbers.Share{Weight: to.Whole("weight", 0, 1e6, 1), Exchange: exchange})
 		to.Done()
 	}
-	for _, a := range c.Blocks("announce", false) {
-		out.Shares = append(out.Shares, numbers.Share{Weight: a.Whole("weight", 0, 1e6, 1), Exchange: -1, Cause: uint8(a.Whole("cause", 1, 127, 0))})
-		a.Done()
+	for _, announcement := range block.Blocks("announce", false) {
+		choice.Shares = append(choice.Shares, numbers.Share{Weight: announcement.Whole("weight", 0, 1e6, 1), Exchange: -1, Cause: uint8(announcement.Whole("cause", 1, 127, 0))})
+		announcement.Done()
 	}
-	if len(out.Shares) == 0 {
-		c.Fault("choice has no destination: it needs a \"to\" or \"announce\" block")
+	if len(choice.Shares) == 0 {
+		block.Fault("choice has no destination: it needs a \"to\" or \"announce\" block")
 	}
-	c.Done()
-	if w.Weekdays != 0 || len(w.Dates) > 0 || w.FromMinute != w.ToMinute || w.OnlyHolidays || w.ExceptHolidays {
-		out.Schedule = &w
+	block.Done()
+	if schedule.Weekdays != 0 || len(schedule.Dates) > 0 || schedule.FromMinute != schedule.ToMinute || schedule.OnlyHolidays || schedule.ExceptHolidays {
+		choice.Schedule = &schedule
 	}
-	return out
+	return choice
 }
 
-func parseMinute(c *hclread.Block, name string) int {
-	text := c.Text(name, false, "00:00")
+func parseMinute(block *hclread.Block, name string) int {
+	text := block.Text(name, false, "00:00")
 	t, err := time.Parse("15:04", text)
 	if err != nil && text != "24:00" {
-		c.FaultAt(name, "%q is not a time of day such as 08:30", text)
+		block.FaultAt(name, "%q is not a time of day such as 08:30", text)
 		return 0
 	}
 	if text == "24:00" {
@@ -197,28 +197,28 @@
 }
 
 // parsePrefixes appends the prefixes of the CSV file, whose lines are a prefix and the label of a route.
-func (s Source) parsePrefixes(all []numbers.Prefix, routes map[string]uint32) ([]numbers.Prefix, error) {
-	r := csv.NewReader(bytes.NewReader(s.Prefixes))
-	r.FieldsPerRecord, r.ReuseRecord, r.Comment = 2, true, '#'
+func (s Source) parsePrefixes(prefixes []numbers.Prefix, routes map[string]uint32) ([]numbers.Prefix, error) {
+	reader := csv.NewReader(bytes.NewReader(s.Prefixes))
+	reader.FieldsPerRecord, reader.ReuseRecord, reader.Comment = 2, true, '#'
 	for {
-		line, err := r.Read()
+		record, err := reader.Read()
 		if errors.Is(err, io.EOF) {
-			return all, nil
+			return prefixes, nil
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", s.PrefixFile, err)
 		}
-		id, ok := routes[line[1]]
+		route, ok := routes[record[1]]
 		if !ok {
-			at, col := r.FieldPos(1)
-			return nil, fmt.Errorf("%s:%d,%d: route %q is not defined", s.PrefixFile, at, col, line[1])
+			line, column := reader.FieldPos(1)
+			return nil, fmt.Errorf("%s:%d,%d: route %q is not defined", s.PrefixFile, line, column, record[1])
 		}
-		for i := range len(line[0]) {
-			if !strings.ContainsRune("0123456789BC", rune(line[0][i])) {
-				at, col := r.FieldPos(0)
-				return nil, fmt.Errorf("%s:%d,%d: %q is not a digit", s.PrefixFile, at, col+i, line[0][i])
+		for i := range len(record[0]) {
+			if !strings.ContainsRune("0123456789BC", rune(record[0][i])) {
+				line, column := reader.FieldPos(0)
+				return nil, fmt.Errorf("%s:%d,%d: %q is not a digit", s.PrefixFile, line, column+i, record[0][i])
 			}
 		}
-		all = append(all, numbers.Prefix{Digits: line[0], Value: id})
+		prefixes = append(prefixes, numbers.Prefix{Digits: record[0], Value: route})
 	}
 }
--- a/internal/numberfile/store.go
+++ b/internal/numberfile/store.go
@@ -51,9 +51,9 @@
 // checksum, then the parts.
 func Encode(s Source) []byte {
 	body := append(append([]byte{}, s.Rules...), s.Prefixes...)
-	sum := sha256.Sum256(body)
-	head, _ := json.Marshal(header{s.RulesFile, s.PrefixFile, len(s.Rules), len(s.Prefixes), hex.EncodeToString(sum[:])})
-	return append(append([]byte(magic), append(head, '\n')...), body...)
+	checksum := sha256.Sum256(body)
+	headerLine, _ := json.Marshal(header{s.RulesFile, s.PrefixFile, len(s.Rules), len(s.Prefixes), hex.EncodeToString(checksum[:])})
+	return append(append([]byte(magic), append(headerLine, '\n')...), body...)
 }
 
 // header is the JSON header of a stored version.
@@ -66,8 +66,8 @@
 }
 
 // Decode parses a file written by Encode. It rejects any other content.
-func Decode(b []byte) (Source, error) {
-	rest, ok := bytes.CutPrefix(b, []byte(magic))
+func Decode(content []byte) (Source, error) {
+	rest, ok := bytes.CutPrefix(content, []byte(magic))
 	if !ok {
 		return Source{}, fmt.Errorf("%w: unknown format", ErrDamaged)
 	}
@@ -79,7 +79,7 @@
 	if h.RulesOctets < 0 || h.PrefixOctets < 0 || len(body) != h.RulesOctets+h.PrefixOctets {
 		return Source{}, fmt.Errorf("%w: body has %d octets, header has %d and %d", ErrDamaged, len(body), h.RulesOctets, h.PrefixOctets)
 	}
-	if sum := sha256.Sum256(body); hex.EncodeToString(sum[:]) != h.Checksum {
+	if checksum := sha256.Sum256(body); hex.EncodeToString(checksum[:]) != h.Checksum {
 		return Source{}, ErrDamaged
 	}
 	return Source{RulesFile: h.RulesFile, Rules: body[:h.RulesOctets], PrefixFile: h.PrefixFile, Prefixes: body[h.RulesOctets:]}, nil
@@ -91,16 +91,16 @@
 }
 
 // writeFileAtomically writes and syncs a temporary file in the same folder, then renames it.
-func writeFileAtomically(name string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(name), ".writing-*")
+func writeFileAtomically(path string, content []byte) error {
+	f, err := os.CreateTemp(filepath.Dir(path), ".writing-*")
 	if err != nil {
 		return fmt.Errorf("store table: %w", err)
 	}
 	defer os.Remove(f.Name())
-	_, err = f.Write(text)
+	_, err = f.Write(content)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), name)
+		err = os.Rename(f.Name(), path)
 	}
 	if err != nil {
 		return fmt.Errorf("store table: %w", err)
@@ -109,14 +109,14 @@
 }
 
 // AppendHistory appends a record, completed by the checksum of the version's file, to the history.
-func (s *Store) AppendHistory(r Record) error {
-	b, err := os.ReadFile(s.path(r.Version))
+func (s *Store) AppendHistory(record Record) error {
+	content, err := os.ReadFile(s.path(record.Version))
 	if err != nil {
 		return fmt.Errorf("append to table history: %w", err)
 	}
-	sum := sha256.Sum256(b)
-	r.Checksum = hex.EncodeToString(sum[:])
-	line, err := json.Marshal(r)
+	checksum := sha256.Sum256(content)
+	record.Checksum = hex.EncodeToString(checksum[:])
+	line, err := json.Marshal(record)
 	if err != nil {
 		return fmt.Errorf("append to table history: %w", err)
 	}
@@ -132,7 +132,7 @@
 }
 
 // History reads the history. It skips and counts malformed lines, as the last one may be after a kill.
-func (s *Store) History() (all []Record, bad int, err error) {
+func (s *Store) History() (records []Record, malformed int, err error) {
 	f, err := os.Open(filepath.Join(s.dir, "history"))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, 0, nil
@@ -141,37 +141,37 @@
 		return nil, 0, fmt.Errorf("read table history: %w", err)
 	}
 	defer f.Close()
-	in := bufio.NewReader(f)
+	reader := bufio.NewReader(f)
 	for {
-		line, err := in.ReadBytes('\n')
-		var r Record
+		line, err := reader.ReadBytes('\n')
+		var record Record
 		if len(bytes.TrimSpace(line)) > 0 {
-			if json.Unmarshal(line, &r) == nil {
-				all = append(all, r)
+			if json.Unmarshal(line, &record) == nil {
+				records = append(records, record)
 			} else {
-				bad++
+				malformed++
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return all, bad, nil
+			return records, malformed, nil
 		}
 		if err != nil {
-			return all, bad, fmt.Errorf("read table history: %w", err)
+			return records, malformed, fmt.Errorf("read table history: %w", err)
 		}
 	}
 }
 
 // Load reads a stored version and builds its table.
-func (s *Store) Load(version uint64, exchanges int) (*numbers.Table, error) {
-	b, err := os.ReadFile(s.path(version))
+func (s *Store) Load(version uint64, exchangeCount int) (*numbers.Table, error) {
+	content, err := os.ReadFile(s.path(version))
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", version, err)
 	}
-	src, err := Decode(b)
+	src, err := Decode(content)
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", version, err)
 	}
-	t, err := src.Table(exchanges)
+	t, err := src.Table(exchangeCount)
 	if err != nil {
 		return nil, fmt.Errorf("version %d: %w", version, err)
 	}
@@ -183,26 +183,26 @@
 
 // LoadInForce loads the version that was last in force or, if that cannot be loaded, the latest one before it that can.
 // warnings say what was skipped and why. A store without a version is not an error: the table is nil.
-func (s *Store) LoadInForce(exchanges int) (t *numbers.Table, doubts []string, err error) {
-	all, bad, err := s.History()
+func (s *Store) LoadInForce(exchangeCount int) (t *numbers.Table, warnings []string, err error) {
+	records, malformed, err := s.History()
 	if err != nil {
 		return nil, nil, err
 	}
-	if bad > 0 {
-		doubts = append(doubts, fmt.Sprintf("%d malformed lines in the history", bad))
+	if malformed > 0 {
+		warnings = append(warnings, fmt.Sprintf("%d malformed lines in the history", malformed))
 	}
 	tried := map[uint64]bool{}
-	for i := len(all) - 1; i >= 0; i-- {
-		v := all[i].Version
-		if tried[v] {
+	for i := len(records) - 1; i >= 0; i-- {
+		version := records[i].Version
+		if tried[version] {
 			continue
 		}
-		tried[v] = true
-		if t, err := s.Load(v, exchanges); err == nil {
-			return t, doubts, nil
+		tried[version] = true
+		if t, err := s.Load(version, exchangeCount); err == nil {
+			return t, warnings, nil
 		} else {
-			doubts = append(doubts, err.Error())
+			warnings = append(warnings, err.Error())
 		}
 	}
-	return nil, doubts, nil
+	return nil, warnings, nil
 }
--- a/internal/numbers/bench_test.go
+++ b/internal/numbers/bench_test.go
@@ -13,32 +13,32 @@
 	"indigodrift/policy"
 )
 
-// plan returns random prefixes like those of a national numbering plan: a country code and at least 5 more digits.
-func plan(n int) []Prefix {
-	chance := rand.New(rand.NewPCG(7, uint64(n)))
+// randomPrefixes returns random prefixes like those of a national numbering plan: a country code and at least 5 more digits.
+func randomPrefixes(n int) []Prefix {
+	random := rand.New(rand.NewPCG(7, uint64(n)))
 	seen := make(map[string]bool, n)
-	all := make([]Prefix, 0, n)
-	for len(all) < n {
-		length := 5 + chance.IntN(4)
+	prefixes := make([]Prefix, 0, n)
+	for len(prefixes) < n {
+		length := 5 + random.IntN(4)
 		if n > 100000 {
 			length += 2
 		}
-		d := []byte("371")
+		digits := []byte("371")
 		for range length {
-			d = append(d, byte('0'+chance.IntN(10)))
+			digits = append(digits, byte('0'+random.IntN(10)))
 		}
-		if !seen[string(d)] {
-			seen[string(d)] = true
-			all = append(all, Prefix{string(d), uint32(chance.IntN(1000))})
+		if !seen[string(digits)] {
+			seen[string(digits)] = true
+			prefixes = append(prefixes, Prefix{string(digits), uint32(random.IntN(1000))})
 		}
 	}
-	return all
+	return prefixes
 }
 
 // finder is a search method: the trie, or a baseline to compare it with.
 type finder struct {
-	name string
-	make func(all []Prefix) func(digits string) (uint32, bool)
+	name  string
+	build func(all []Prefix) func(digits string) (uint32, bool)
 }
 
 var finders = []finder{
@@ -50,16 +50,16 @@
 		return func(d string) (uint32, bool) { e, _, ok := t.Find(d); return e, ok }
 	}},
 	{"map-by-length", func(all []Prefix) func(string) (uint32, bool) {
-		var by [MaxDigits + 1]map[string]uint32
+		var byLength [MaxDigits + 1]map[string]uint32
 		for _, p := range all {
-			if by[len(p.Digits)] == nil {
-				by[len(p.Digits)] = map[string]uint32{}
+			if byLength[len(p.Digits)] == nil {
+				byLength[len(p.Digits)] = map[string]uint32{}
 			}
-			by[len(p.Digits)][strings.Clone(p.Digits)] = p.Value // as a table, which does not retain its source
+			byLength[len(p.Digits)][strings.Clone(p.Digits)] = p.Value // as a table, which does not retain its source
 		}
 		return func(d string) (uint32, bool) {
 			for n := min(len(d), MaxDigits); n >= 0; n-- {
-				if e, ok := by[n][d[:n]]; ok {
+				if e, ok := byLength[n][d[:n]]; ok {
 					return e, true
 				}
 			}
@@ -90,12 +90,12 @@
 		if testing.Short() && n > 1_000_000 {
 			continue
 		}
-		all := plan(n)
-		chance := rand.New(rand.NewPCG(9, 9))
+		prefixes := randomPrefixes(n)
+		random := rand.New(rand.NewPCG(9, 9))
 		dialled := make([]string, 4096)
 		for i := range dialled {
-			for dialled[i] = all[chance.IntN(n)].Digits; len(dialled[i]) < 15; { // the maximum length of an E.164 number
-				dialled[i] += string(rune('0' + chance.IntN(10)))
+			for dialled[i] = prefixes[random.IntN(n)].Digits; len(dialled[i]) < 15; { // the maximum length of an E.164 number
+				dialled[i] += string(rune('0' + random.IntN(10)))
 			}
 		}
 		for _, f := range finders {
@@ -103,9 +103,9 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				from := time.Now()
-				find := f.make(all)
-				built := time.Since(from)
+				start := time.Now()
+				find := f.build(prefixes)
+				buildTime := time.Since(start)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				i, missed := 0, 0
@@ -120,71 +120,71 @@
 					b.Fatalf("%d searches found nothing", missed)
 				}
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(n), "B/prefix")
-				b.ReportMetric(built.Seconds(), "build-s")
-				runtime.KeepAlive(all)
+				b.ReportMetric(buildTime.Seconds(), "build-s")
+				runtime.KeepAlive(prefixes)
 			})
 		}
 	}
 }
 
-// BenchmarkSwitch measures the activation of a version, which swaps a pointer whatever the size of the table.
-func BenchmarkSwitch(b *testing.B) {
-	v := NewVersions(&Table{Version: 1}, Trial{})
+// BenchmarkActivate measures the activation of a version, which swaps a pointer whatever the size of the table.
+func BenchmarkActivate(b *testing.B) {
+	versions := NewVersions(&Table{Version: 1}, Trial{})
 	for n := uint64(2); b.Loop(); n++ {
-		v.Pin()
-		if err := v.Load(&Table{Version: n}, 0, 0, 0); err != nil {
+		versions.Pin()
+		if err := versions.Load(&Table{Version: n}, 0, 0, 0); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
 // discardNet accepts queries and never answers them.
-type quiet struct{}
+type discardNet struct{}
 
-func (quiet) Query(uint32, int, string)        {}
-func (quiet) LookupDone(uint32, Porting, bool) {}
+func (discardNet) Query(uint32, int, string)        {}
+func (discardNet) LookupDone(uint32, Porting, bool) {}
 
 // BenchmarkStorm measures the memory retained after look-ups of ten million distinct numbers that the server reports as unknown,
 // and how many of the numbers known before stay cached.
 func BenchmarkStorm(b *testing.B) {
-	storm := 10_000_000
+	unknownCount := 10_000_000
 	if testing.Short() {
-		storm = 1_000_000
+		unknownCount = 1_000_000
 	}
 	for range b.N {
-		q, err := NewPortabilityResolver(ResolverLimits{MaxKnown: 100000, MaxUnknown: 10000, MaxAge: 36000000, MaxPending: 256, QueryTimeout: 10000, RetryRatio: 0.1}, 1, quiet{})
+		resolver, err := NewPortabilityResolver(ResolverLimits{MaxKnown: 100000, MaxUnknown: 10000, MaxAge: 36000000, MaxPending: 256, QueryTimeout: 10000, RetryRatio: 0.1}, 1, discardNet{})
 		if err != nil {
 			b.Fatal(err)
 		}
 		now := policy.Tenths(1)
 		id := uint32(0)
-		ask := func(number string, known bool) {
+		lookUp := func(number string, known bool) {
 			now++
-			if _, v := q.Lookup(now, 1, number, now+3000); v != LookupAnswered {
+			if _, status := resolver.Lookup(now, 1, number, now+3000); status != LookupAnswered {
 				id++
-				q.HandleAnswer(now+10, id, Porting{}, known, 0)
+				resolver.HandleAnswer(now+10, id, Porting{}, known, 0)
 			}
 		}
 		for i := range 100000 {
-			ask(fmt.Sprint("good", i), true)
+			lookUp(fmt.Sprint("good", i), true)
 		}
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		for i := range storm {
-			ask(strconv.Itoa(i), false)
+		for i := range unknownCount {
+			lookUp(strconv.Itoa(i), false)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		kept := 0
+		stillKnown := 0
 		for i := range 100000 {
-			if _, v := q.Lookup(now, 1, fmt.Sprint("good", i), now); v == LookupAnswered {
-				kept++
+			if _, status := resolver.Lookup(now, 1, fmt.Sprint("good", i), now); status == LookupAnswered {
+				stillKnown++
 			}
 		}
 		b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/(1<<20), "MiB-more")
 		b.ReportMetric(float64(before.HeapAlloc)/(1<<20), "MiB-before")
-		b.ReportMetric(float64(kept)/100000, "known-kept")
-		runtime.KeepAlive(q)
+		b.ReportMetric(float64(stillKnown)/100000, "known-kept")
+		runtime.KeepAlive(resolver)
 	}
 }
--- a/internal/numbers/decay.go
+++ b/internal/numbers/decay.go
@@ -7,4 +7,6 @@
 )
 
 // decayFactor returns the part of a weight that remains after an age.
-func decayFactor(age, half policy.Tenths) float64 { return math.Exp2(-float64(age) / float64(half)) }
+func decayFactor(age, halfLife policy.Tenths) float64 {
+	return math.Exp2(-float64(age) / float64(halfLife))
+}
--- a/internal/numbers/distributor.go
+++ b/internal/numbers/distributor.go
@@ -19,49 +19,49 @@
 }
 
 // NewDistributor returns a Distributor that remembers the shares of at most maxCallers callers. The oldest are forgotten first.
-func NewDistributor(callers int) *Distributor {
-	return &Distributor{deficits: map[choiceKey][]float64{}, assigned: map[callerKey]int{}, maxCallers: callers}
+func NewDistributor(maxCallers int) *Distributor {
+	return &Distributor{deficits: map[choiceKey][]float64{}, assigned: map[callerKey]int{}, maxCallers: maxCallers}
 }
 
 // ForVersion returns the ShareSelector for a version of the table.
-func (s *Distributor) ForVersion(version uint64) ShareSelector {
-	return func(entry, choice int, shares []Share, caller string) int {
-		if version > s.version { // calls pinned to an older version use the counts of the newest
-			s.version = version
-			clear(s.deficits)
-			clear(s.assigned)
-			s.assignmentOrder = s.assignmentOrder[:0]
+func (d *Distributor) ForVersion(version uint64) ShareSelector {
+	return func(route, choice int, shares []Share, caller string) int {
+		if version > d.version { // calls pinned to an older version use the counts of the newest
+			d.version = version
+			clear(d.deficits)
+			clear(d.assigned)
+			d.assignmentOrder = d.assignmentOrder[:0]
 		}
-		at := choiceKey{entry, choice}
-		held := callerKey{at, caller}
-		if i, ok := s.assigned[held]; ok && caller != "" && i < len(shares) && shares[i].Weight > 0 {
+		ofChoice := choiceKey{route, choice}
+		ofCaller := callerKey{ofChoice, caller}
+		if i, ok := d.assigned[ofCaller]; ok && caller != "" && i < len(shares) && shares[i].Weight > 0 {
 			return i
 		}
-		behind := s.deficits[at]
-		if len(behind) != len(shares) {
-			behind = make([]float64, len(shares))
-			s.deficits[at] = behind
+		deficits := d.deficits[ofChoice]
+		if len(deficits) != len(shares) {
+			deficits = make([]float64, len(shares))
+			d.deficits[ofChoice] = deficits
 		}
-		sum := 0
-		for _, x := range shares {
-			sum += x.Weight
+		totalWeight := 0
+		for _, share := range shares {
+			totalWeight += share.Weight
 		}
-		best := 0
-		for i, x := range shares {
-			behind[i] += float64(x.Weight) / float64(sum)
-			if behind[i] > behind[best] {
-				best = i
+		selected := 0
+		for i, share := range shares {
+			deficits[i] += float64(share.Weight) / float64(totalWeight)
+			if deficits[i] > deficits[selected] {
+				selected = i
 			}
 		}
-		behind[best]--
+		deficits[selected]--
 		if caller != "" {
-			if len(s.assignmentOrder) >= s.maxCallers {
-				delete(s.assigned, s.assignmentOrder[0])
-				s.assignmentOrder = s.assignmentOrder[1:]
+			if len(d.assignmentOrder) >= d.maxCallers {
+				delete(d.assigned, d.assignmentOrder[0])
+				d.assignmentOrder = d.assignmentOrder[1:]
 			}
-			s.assigned[held] = best
-			s.assignmentOrder = append(s.assignmentOrder, held)
+			d.assigned[ofCaller] = selected
+			d.assignmentOrder = append(d.assignmentOrder, ofCaller)
 		}
-		return best
+		return selected
 	}
 }
--- a/internal/numbers/resolver.go
+++ b/internal/numbers/resolver.go
@@ -103,94 +103,94 @@
 }
 
 // NewPortabilityResolver returns a resolver with an empty cache. seed makes its random choices reproducible.
-func NewPortabilityResolver(l ResolverLimits, seed uint64, out PortabilityNet) (*PortabilityResolver, error) {
-	known, err := simplelru.NewLRU[string, cacheEntry](l.MaxKnown, nil)
+func NewPortabilityResolver(limits ResolverLimits, seed uint64, net PortabilityNet) (*PortabilityResolver, error) {
+	known, err := simplelru.NewLRU[string, cacheEntry](limits.MaxKnown, nil)
 	if err != nil {
 		return nil, err
 	}
-	unknown, err := simplelru.NewLRU[string, policy.Tenths](l.MaxUnknown, nil)
+	unknown, err := simplelru.NewLRU[string, policy.Tenths](limits.MaxUnknown, nil)
 	if err != nil {
 		return nil, err
 	}
-	return &PortabilityResolver{limits: l, net: out, random: rand.New(rand.NewPCG(seed, 0x9)), known: known, unknown: unknown,
+	return &PortabilityResolver{limits: limits, net: net, random: rand.New(rand.NewPCG(seed, 0x9)), known: known, unknown: unknown,
 		byNumber: map[string]*query{}, byID: map[uint32]*query{}, retryTokens: maxRetryTokens}, nil
 }
 
 // LookupDeadline returns the time until which a call may wait for a look-up: a quarter of the time left to its GoS target or to
 // the caller's abandon time, whichever is earlier. The rest is for its route tries.
-func LookupDeadline(now, gosAt, leavesAt policy.Tenths) policy.Tenths {
-	return now + max(0, min(gosAt, leavesAt)-now)/lookupTimeDivisor
+func LookupDeadline(now, gosDeadline, abandonTime policy.Tenths) policy.Tenths {
+	return now + max(0, min(gosDeadline, abandonTime)-now)/lookupTimeDivisor
 }
 
 // Lookup looks a number up for a call that may wait until a deadline.
-func (q *PortabilityResolver) Lookup(now policy.Tenths, call uint32, number string, until policy.Tenths) (Porting, LookupStatus) {
-	if r, ok := q.known.Get(number); ok && now < r.expires {
-		return r.porting, LookupAnswered
+func (r *PortabilityResolver) Lookup(now policy.Tenths, call uint32, number string, deadline policy.Tenths) (Porting, LookupStatus) {
+	if cached, ok := r.known.Get(number); ok && now < cached.expires {
+		return cached.porting, LookupAnswered
 	}
-	if t, ok := q.unknown.Get(number); ok && now < t {
+	if expires, ok := r.unknown.Get(number); ok && now < expires {
 		return Porting{}, LookupAnswered
 	}
-	if o := q.byNumber[number]; o != nil { // one query serves all calls that look up the number
-		if q.expectedDelay(now, o.server)-(now-o.sentAt) > until-now && !o.isRetry {
+	if q := r.byNumber[number]; q != nil { // one query serves all calls that look up the number
+		if r.expectedDelay(now, q.server)-(now-q.sentAt) > deadline-now && !q.isRetry {
 			return Porting{}, LookupSkipped
 		}
-		o.waiters = append(o.waiters, waiter{call, until})
+		q.waiters = append(q.waiters, waiter{call, deadline})
 		return Porting{}, LookupPending
 	}
-	to, probe, ok := q.chooseServer(now)
-	if !ok || len(q.byNumber) >= q.limits.MaxPending {
-		q.skipped++
+	server, probe, ok := r.chooseServer(now)
+	if !ok || len(r.byNumber) >= r.limits.MaxPending {
+		r.skipped++
 		return Porting{}, LookupSkipped
 	}
-	inTime := q.expectedDelay(now, to) <= until-now
+	inTime := r.expectedDelay(now, server) <= deadline-now
 	if !inTime && !probe {
 		// No call waits for a slow server, but a sample of the queries is sent. They measure when it has recovered, and
 		// their answers are cached for the next call to the number. A dead server gets probes only.
-		if q.skipped++; q.skipped%skippedSampling != 0 {
+		if r.skipped++; r.skipped%skippedSampling != 0 {
 			return Porting{}, LookupSkipped
 		}
 	}
-	o := q.sendQuery(now, number, to, probe)
-	q.retryTokens = min(maxRetryTokens, q.retryTokens+q.limits.RetryRatio)
-	if inTime && until > now {
-		o.waiters = append(o.waiters, waiter{call, until})
+	q := r.sendQuery(now, number, server, probe)
+	r.retryTokens = min(maxRetryTokens, r.retryTokens+r.limits.RetryRatio)
+	if inTime && deadline > now {
+		q.waiters = append(q.waiters, waiter{call, deadline})
 		return Porting{}, LookupPending
 	}
 	return Porting{}, LookupSkipped
 }
 
-func (q *PortabilityResolver) sendQuery(now policy.Tenths, number string, to int, probe bool) *query {
-	q.nextID++
-	o := &query{id: q.nextID, number: number, server: to, sentAt: now, deadline: now + q.limits.QueryTimeout, isProbe: probe}
-	q.byNumber[number], q.byID[o.id] = o, o
-	q.sendOrder = append(q.sendOrder, o)
-	q.net.Query(o.id, to, number)
-	return o
+func (r *PortabilityResolver) sendQuery(now policy.Tenths, number string, server int, probe bool) *query {
+	r.nextID++
+	q := &query{id: r.nextID, number: number, server: server, sentAt: now, deadline: now + r.limits.QueryTimeout, isProbe: probe}
+	r.byNumber[number], r.byID[q.id] = q, q
+	r.sendOrder = append(r.sendOrder, q)
+	r.net.Query(q.id, server, number)
+	return q
 }
 
 // expectedDelay estimates the answer time of a server: the greater of the mean of recent answers and the age of its oldest
 // pending query.
-func (q *PortabilityResolver) expectedDelay(now policy.Tenths, to int) policy.Tenths {
-	s := &q.servers[to]
-	worst := policy.Tenths(0)
+func (r *PortabilityResolver) expectedDelay(now policy.Tenths, server int) policy.Tenths {
+	s := &r.servers[server]
+	delay := policy.Tenths(0)
 	if s.answerWeight > 0.1 {
-		worst = policy.Tenths(s.answerTimeSum / s.answerWeight)
+		delay = policy.Tenths(s.answerTimeSum / s.answerWeight)
 	}
-	for _, o := range q.sendOrder {
-		if o.server == to && q.byID[o.id] == o {
-			worst = max(worst, now-o.sentAt)
+	for _, q := range r.sendOrder {
+		if q.server == server && r.byID[q.id] == q {
+			delay = max(delay, now-q.sentAt)
 			break
 		}
 	}
-	return worst
+	return delay
 }
 
 // chooseServer returns the server to query: a dead one whose probe is due, else the faster of those alive, or occasionally the
 // slower to measure it.
-func (q *PortabilityResolver) chooseServer(now policy.Tenths) (to int, probe, ok bool) {
+func (r *PortabilityResolver) chooseServer(now policy.Tenths) (server int, probe, ok bool) {
 	var alive []int
-	for i := range q.servers {
-		s := &q.servers[i]
+	for i := range r.servers {
+		s := &r.servers[i]
 		if s.unanswered < maxUnanswered {
 			alive = append(alive, i)
 		} else if !s.probing && now >= s.nextProbe {
@@ -204,107 +204,107 @@
 	case 1:
 		return alive[0], false, true
 	}
-	better, other := 0, 1
-	if q.expectedDelay(now, 1) < q.expectedDelay(now, 0) {
-		better, other = 1, 0
+	faster, slower := 0, 1
+	if r.expectedDelay(now, 1) < r.expectedDelay(now, 0) {
+		faster, slower = 1, 0
 	}
-	if q.random.IntN(slowerServerSampling) == 0 {
-		return other, false, true
+	if r.random.IntN(slowerServerSampling) == 0 {
+		return slower, false, true
 	}
-	return better, false, true
+	return faster, false, true
 }
 
 // HandleAnswer handles the answer to a query. known is true if the server knows the number. age is how long the answer may be
 // cached, or 0 for the limit of the resolver. An answer for which no call waits any longer is cached as well.
-func (q *PortabilityResolver) HandleAnswer(now policy.Tenths, id uint32, p Porting, known bool, age policy.Tenths) {
-	o := q.byID[id]
-	if o == nil {
+func (r *PortabilityResolver) HandleAnswer(now policy.Tenths, id uint32, porting Porting, known bool, maxAge policy.Tenths) {
+	q := r.byID[id]
+	if q == nil {
 		return
 	}
-	s := &q.servers[o.server]
+	s := &r.servers[q.server]
 	s.unanswered, s.probing, s.probeInterval = 0, false, 0
-	q.recordAnswerTime(now, s, now-o.sentAt)
-	if age <= 0 || age > q.limits.MaxAge {
-		age = q.limits.MaxAge
+	r.recordAnswerTime(now, s, now-q.sentAt)
+	if maxAge <= 0 || maxAge > r.limits.MaxAge {
+		maxAge = r.limits.MaxAge
 	}
 	if known {
-		q.known.Add(o.number, cacheEntry{p, now + age})
+		r.known.Add(q.number, cacheEntry{porting, now + maxAge})
 	} else {
-		q.unknown.Add(o.number, now+age/unknownAgeDivisor)
+		r.unknown.Add(q.number, now+maxAge/unknownAgeDivisor)
 	}
-	q.removeQuery(o)
-	for _, w := range o.waiters {
-		q.net.LookupDone(w.call, p, true)
+	r.removeQuery(q)
+	for _, w := range q.waiters {
+		r.net.LookupDone(w.call, porting, true)
 	}
 }
 
-func (q *PortabilityResolver) recordAnswerTime(now policy.Tenths, s *server, took policy.Tenths) {
+func (r *PortabilityResolver) recordAnswerTime(now policy.Tenths, s *server, answerTime policy.Tenths) {
 	if now > s.updatedAt {
-		f := decayFactor(now-s.updatedAt, answerTimeHalfLife)
-		s.answerTimeSum, s.answerWeight, s.updatedAt = s.answerTimeSum*f, s.answerWeight*f, now
+		factor := decayFactor(now-s.updatedAt, answerTimeHalfLife)
+		s.answerTimeSum, s.answerWeight, s.updatedAt = s.answerTimeSum*factor, s.answerWeight*factor, now
 	}
-	const newer = 0.8 // factor on the weight of earlier answers for each new one
-	s.answerTimeSum, s.answerWeight = s.answerTimeSum*newer+float64(took), s.answerWeight*newer+1
+	const retained = 0.8 // factor on the weight of earlier answers for each new one
+	s.answerTimeSum, s.answerWeight = s.answerTimeSum*retained+float64(answerTime), s.answerWeight*retained+1
 }
 
 // HandleFailure handles an error reply or a failed connection. It counts as an unanswered query without waiting for the timeout.
-func (q *PortabilityResolver) HandleFailure(now policy.Tenths, id uint32) {
-	if o := q.byID[id]; o != nil {
-		q.handleUnanswered(now, o)
+func (r *PortabilityResolver) HandleFailure(now policy.Tenths, id uint32) {
+	if q := r.byID[id]; q != nil {
+		r.handleUnanswered(now, q)
 	}
 }
 
 // handleUnanswered records a failure of the server and retries at the other one if the retry budget and the calls' deadlines allow.
-func (q *PortabilityResolver) handleUnanswered(now policy.Tenths, o *query) {
-	s := &q.servers[o.server]
+func (r *PortabilityResolver) handleUnanswered(now policy.Tenths, q *query) {
+	s := &r.servers[q.server]
 	s.unanswered++
-	q.recordAnswerTime(now, s, now-o.sentAt)
+	r.recordAnswerTime(now, s, now-q.sentAt)
 	if s.unanswered >= maxUnanswered {
 		s.probing = false
 		s.probeInterval = min(maxProbeInterval, max(initialProbeInterval, 2*s.probeInterval))
-		s.nextProbe = now + s.probeInterval/2 + policy.Tenths(q.random.Int64N(int64(s.probeInterval)))
+		s.nextProbe = now + s.probeInterval/2 + policy.Tenths(r.random.Int64N(int64(s.probeInterval)))
 	}
-	q.removeQuery(o)
-	other := 1 - o.server
-	var patient []waiter
-	for _, w := range o.waiters {
-		if w.deadline > now+q.expectedDelay(now, other) {
-			patient = append(patient, w)
+	r.removeQuery(q)
+	other := 1 - q.server
+	var remaining []waiter
+	for _, w := range q.waiters {
+		if w.deadline > now+r.expectedDelay(now, other) {
+			remaining = append(remaining, w)
 		} else {
-			q.net.LookupDone(w.call, Porting{}, false)
+			r.net.LookupDone(w.call, Porting{}, false)
 		}
 	}
-	if len(patient) == 0 {
+	if len(remaining) == 0 {
 		return
 	}
-	if o.isRetry || q.retryTokens < 1 || q.servers[other].unanswered >= maxUnanswered {
-		for _, w := range patient {
-			q.net.LookupDone(w.call, Porting{}, false)
+	if q.isRetry || r.retryTokens < 1 || r.servers[other].unanswered >= maxUnanswered {
+		for _, w := range remaining {
+			r.net.LookupDone(w.call, Porting{}, false)
 		}
 		return
 	}
-	q.retryTokens--
-	n := q.sendQuery(now, o.number, other, false)
-	n.isRetry, n.waiters = true, patient
+	r.retryTokens--
+	retry := r.sendQuery(now, q.number, other, false)
+	retry.isRetry, retry.waiters = true, remaining
 }
 
-func (q *PortabilityResolver) removeQuery(o *query) {
-	delete(q.byNumber, o.number)
-	delete(q.byID, o.id)
-	for len(q.sendOrder) > 0 && q.byID[q.sendOrder[0].id] != q.sendOrder[0] {
-		q.sendOrder = q.sendOrder[1:]
+func (r *PortabilityResolver) removeQuery(q *query) {
+	delete(r.byNumber, q.number)
+	delete(r.byID, q.id)
+	for len(r.sendOrder) > 0 && r.byID[r.sendOrder[0].id] != r.sendOrder[0] {
+		r.sendOrder = r.sendOrder[1:]
 	}
 }
 
 // CancelLookup removes a call from the look-up that it waits for, since its caller has abandoned.
-func (q *PortabilityResolver) CancelLookup(call uint32) {
-	for _, o := range q.sendOrder {
-		if q.byID[o.id] != o {
+func (r *PortabilityResolver) CancelLookup(call uint32) {
+	for _, q := range r.sendOrder {
+		if r.byID[q.id] != q {
 			continue
 		}
-		for i, w := range o.waiters {
+		for i, w := range q.waiters {
 			if w.call == call {
-				o.waiters = append(o.waiters[:i], o.waiters[i+1:]...)
+				q.waiters = append(q.waiters[:i], q.waiters[i+1:]...)
 				return
 			}
 		}
@@ -312,46 +312,46 @@
 }
 
 // Tick ends the waits and queries whose deadline has passed.
-func (q *PortabilityResolver) Tick(now policy.Tenths) {
-	for _, o := range append([]*query(nil), q.sendOrder...) {
-		if q.byID[o.id] != o {
+func (r *PortabilityResolver) Tick(now policy.Tenths) {
+	for _, q := range append([]*query(nil), r.sendOrder...) {
+		if r.byID[q.id] != q {
 			continue
 		}
-		still := o.waiters[:0]
-		for _, w := range o.waiters {
+		remaining := q.waiters[:0]
+		for _, w := range q.waiters {
 			if w.deadline <= now {
-				q.net.LookupDone(w.call, Porting{}, false)
+				r.net.LookupDone(w.call, Porting{}, false)
 			} else {
-				still = append(still, w)
+				remaining = append(remaining, w)
 			}
 		}
-		o.waiters = still
-		if o.deadline <= now {
-			q.handleUnanswered(now, o)
+		q.waiters = remaining
+		if q.deadline <= now {
+			r.handleUnanswered(now, q)
 		}
 	}
 }
 
 // NextTick returns when Tick must be called next, or false if no query is pending.
-func (q *PortabilityResolver) NextTick() (at policy.Tenths, ok bool) {
-	for _, o := range q.sendOrder {
-		if q.byID[o.id] != o {
+func (r *PortabilityResolver) NextTick() (next policy.Tenths, ok bool) {
+	for _, q := range r.sendOrder {
+		if r.byID[q.id] != q {
 			continue
 		}
-		if !ok || o.deadline < at {
-			at, ok = o.deadline, true
+		if !ok || q.deadline < next {
+			next, ok = q.deadline, true
 		}
-		for _, w := range o.waiters {
-			at = min(at, w.deadline)
+		for _, w := range q.waiters {
+			next = min(next, w.deadline)
 		}
 	}
-	return at, ok
+	return next, ok
 }
 
 // CachedCounts returns how many known and unknown numbers are cached.
-func (q *PortabilityResolver) CachedCounts() (known, unknown int) {
-	return q.known.Len(), q.unknown.Len()
+func (r *PortabilityResolver) CachedCounts() (known, unknown int) {
+	return r.known.Len(), r.unknown.Len()
 }
 
 // PendingCount returns how many queries are pending.
-func (q *PortabilityResolver) PendingCount() int { return len(q.byNumber) }
+func (r *PortabilityResolver) PendingCount() int { return len(r.byNumber) }
--- a/internal/numbers/schedule.go
+++ b/internal/numbers/schedule.go
@@ -16,8 +16,8 @@
 }
 
 type transition struct {
-	at     int64 // Unix seconds
-	offset int32 // seconds east of UTC
+	unixTime int64 // Unix seconds
+	offset   int32 // seconds east of UTC
 }
 
 // Transitions are read for these years only, which cover the lifetime of a table.
@@ -28,18 +28,18 @@
 
 // NewZone reads a zone by its name in the time zone database, such as Europe/Riga.
 func NewZone(name string) (*Zone, error) {
-	loc, err := time.LoadLocation(name)
+	location, err := time.LoadLocation(name)
 	if err != nil {
 		return nil, fmt.Errorf("time zone %q: %w", name, err)
 	}
 	z := &Zone{Name: name}
 	t := time.Date(firstYear, 1, 1, 0, 0, 0, 0, time.UTC)
 	for end := time.Date(lastYear+1, 1, 1, 0, 0, 0, 0, time.UTC); t.Before(end); {
-		_, offset := t.In(loc).Zone()
+		_, offset := t.In(location).Zone()
 		if n := len(z.transitions); n == 0 || z.transitions[n-1].offset != int32(offset) {
 			z.transitions = append(z.transitions, transition{t.Unix(), int32(offset)})
 		}
-		_, next := t.In(loc).ZoneBounds()
+		_, next := t.In(location).ZoneBounds()
 		if next.IsZero() {
 			break
 		}
@@ -52,8 +52,8 @@
 }
 
 // offset returns the offset from UTC at a time, in seconds.
-func (z *Zone) offset(at int64) int32 {
-	i := sort.Search(len(z.transitions), func(i int) bool { return z.transitions[i].at > at })
+func (z *Zone) offset(unixTime int64) int32 {
+	i := sort.Search(len(z.transitions), func(i int) bool { return z.transitions[i].unixTime > unixTime })
 	return z.transitions[max(0, i-1)].offset
 }
 
@@ -64,13 +64,13 @@
 }
 
 // Local returns the local time at a time in Unix seconds.
-func (z *Zone) Local(at int64) LocalTime {
-	s := at + int64(z.offset(at))
-	day := s / 86400
-	if s%86400 < 0 {
+func (z *Zone) Local(unixTime int64) LocalTime {
+	localSeconds := unixTime + int64(z.offset(unixTime))
+	day := localSeconds / 86400
+	if localSeconds%86400 < 0 {
 		day--
 	}
-	return LocalTime{int(day), int((s - day*86400) / 60)}
+	return LocalTime{int(day), int((localSeconds - day*86400) / 60)}
 }
 
 // Weekday returns the day of the week, 0 for Sunday as in time.Weekday.
@@ -95,31 +95,31 @@
 type DayRange struct{ From, To int }
 
 // Contains reports whether a time in Unix seconds is within the schedule. holidays are day numbers in ascending order.
-func (w *Schedule) Contains(z *Zone, holidays []int, at int64) bool {
-	now := z.Local(at)
-	if w.FromMinute == 0 && w.ToMinute == 0 {
-		return w.containsDay(now, holidays)
+func (s *Schedule) Contains(z *Zone, holidays []int, unixTime int64) bool {
+	now := z.Local(unixTime)
+	if s.FromMinute == 0 && s.ToMinute == 0 {
+		return s.containsDay(now, holidays)
 	}
-	if now.Minute >= w.FromMinute && now.Minute < w.ToMinute && w.containsDay(now, holidays) {
+	if now.Minute >= s.FromMinute && now.Minute < s.ToMinute && s.containsDay(now, holidays) {
 		return true
 	}
-	return now.Minute+1440 < w.ToMinute && w.containsDay(LocalTime{now.Day - 1, now.Minute + 1440}, holidays)
+	return now.Minute+1440 < s.ToMinute && s.containsDay(LocalTime{now.Day - 1, now.Minute + 1440}, holidays)
 }
 
-func (w *Schedule) containsDay(l LocalTime, holidays []int) bool {
-	if w.Weekdays != 0 && w.Weekdays&(1<<l.Weekday()) == 0 {
+func (s *Schedule) containsDay(l LocalTime, holidays []int) bool {
+	if s.Weekdays != 0 && s.Weekdays&(1<<l.Weekday()) == 0 {
 		return false
 	}
-	if w.OnlyHolidays || w.ExceptHolidays {
-		if _, is := slices.BinarySearch(holidays, l.Day); is != w.OnlyHolidays {
+	if s.OnlyHolidays || s.ExceptHolidays {
+		if _, isHoliday := slices.BinarySearch(holidays, l.Day); isHoliday != s.OnlyHolidays {
 			return false
 		}
 	}
-	if len(w.Dates) == 0 {
+	if len(s.Dates) == 0 {
 		return true
 	}
-	for _, s := range w.Dates {
-		if l.Day >= s.From && l.Day <= s.To {
+	for _, dates := range s.Dates {
+		if l.Day >= dates.From && l.Day <= dates.To {
 			return true
 		}
 	}
--- a/internal/numbers/table.go
+++ b/internal/numbers/table.go
@@ -94,9 +94,9 @@
 
 // Build validates a table and builds its tries. exchanges is the number of exchanges in the network. An error names the route or
 // prefix at fault.
-func (t *Table) Build(prefixes []Prefix, exchanges int) error {
+func (t *Table) Build(prefixes []Prefix, exchangeCount int) error {
 	for i := range t.Routes {
-		if err := t.Routes[i].check(exchanges); err != nil {
+		if err := t.Routes[i].check(exchangeCount); err != nil {
 			return fmt.Errorf("route %q: %w", t.Routes[i].Name, err)
 		}
 	}
@@ -112,7 +112,7 @@
 	return t.buildScreens()
 }
 
-func (e *Route) check(exchanges int) error {
+func (e *Route) check(exchangeCount int) error {
 	if e.MinDigits < 1 || e.MaxDigits > MaxDigits || e.MinDigits > e.MaxDigits {
 		return fmt.Errorf("length range of %d to %d digits is not within 1 to %d", e.MinDigits, e.MaxDigits, MaxDigits)
 	}
@@ -125,14 +125,14 @@
 		}
 	}
 	for _, c := range e.Choices {
-		sum := 0
+		totalWeight := 0
 		for _, s := range c.Shares {
-			if s.Weight < 0 || s.Exchange >= exchanges {
-				return fmt.Errorf("share with weight %d to exchange %d: exchanges are numbered below %d and weights are not negative", s.Weight, s.Exchange, exchanges)
+			if s.Weight < 0 || s.Exchange >= exchangeCount {
+				return fmt.Errorf("share with weight %d to exchange %d: exchanges are numbered below %d and weights are not negative", s.Weight, s.Exchange, exchangeCount)
 			}
-			sum += s.Weight
+			totalWeight += s.Weight
 		}
-		if sum == 0 {
+		if totalWeight == 0 {
 			return fmt.Errorf("the weights of a choice add up to zero")
 		}
 	}
@@ -141,19 +141,19 @@
 
 // buildScreens collects, for each caller prefix, the prefixes barred for it and for every shorter caller prefix.
 func (t *Table) buildScreens() error {
-	by := map[string][]string{}
+	byCaller := map[string][]string{}
 	for _, s := range t.Screens {
-		by[s.CallerPrefix] = append(by[s.CallerPrefix], s.NumberPrefix)
+		byCaller[s.CallerPrefix] = append(byCaller[s.CallerPrefix], s.NumberPrefix)
 	}
 	var prefixes []Prefix
 	t.barredPrefixes = nil
-	for callers := range by {
-		var all []string
-		for n := 0; n <= len(callers); n++ {
-			all = append(all, by[callers[:n]]...)
+	for callers := range byCaller {
+		var barred []string
+		for length := 0; length <= len(callers); length++ {
+			barred = append(barred, byCaller[callers[:length]]...)
 		}
 		prefixes = append(prefixes, Prefix{callers, uint32(len(t.barredPrefixes))})
-		t.barredPrefixes = append(t.barredPrefixes, all)
+		t.barredPrefixes = append(t.barredPrefixes, barred)
 	}
 	var err error
 	t.screensByCaller, err = NewTrie(prefixes)
@@ -202,90 +202,90 @@
 )
 
 // Analyse finds the route of a dialled number at a time in Unix seconds. trace, if not nil, is called with each step.
-func (t *Table) Analyse(caller, dialled string, at int64, pick ShareSelector, trace func(string)) Result {
-	say := func(format string, args ...any) {
+func (t *Table) Analyse(caller, dialled string, unixTime int64, selectShare ShareSelector, trace func(string)) Result {
+	tracef := func(format string, args ...any) {
 		if trace != nil {
 			trace(fmt.Sprintf(format, args...))
 		}
 	}
 	number, kind := t.DialPlan.Normalise(dialled)
-	say("dialled %s is a %s number, %s", dialled, kind, number)
-	return t.route(Result{Version: t.Version, Kind: kind, Number: number, RouteIndex: -1, ChoiceIndex: -1, Exchange: -1}, caller, at, pick, true, say)
+	tracef("dialled %s is a %s number, %s", dialled, kind, number)
+	return t.route(Result{Version: t.Version, Kind: kind, Number: number, RouteIndex: -1, ChoiceIndex: -1, Exchange: -1}, caller, unixTime, selectShare, true, tracef)
 }
 
 // AnalysePorted finds the route of a routing number returned by a portability look-up. It never asks for another look-up.
-func (t *Table) AnalysePorted(caller, number string, at int64, pick ShareSelector) Result {
-	return t.route(Result{Version: t.Version, Number: number, RouteIndex: -1, ChoiceIndex: -1, Exchange: -1}, caller, at, pick, false, func(string, ...any) {})
+func (t *Table) AnalysePorted(caller, number string, unixTime int64, selectShare ShareSelector) Result {
+	return t.route(Result{Version: t.Version, Number: number, RouteIndex: -1, ChoiceIndex: -1, Exchange: -1}, caller, unixTime, selectShare, false, func(string, ...any) {})
 }
 
-func (t *Table) route(r Result, caller string, at int64, pick ShareSelector, mayAsk bool, say func(string, ...any)) Result {
-	entry, matched, ok := t.routesByPrefix.Find(r.Number)
+func (t *Table) route(result Result, caller string, unixTime int64, selectShare ShareSelector, lookupAllowed bool, tracef func(string, ...any)) Result {
+	index, matched, ok := t.routesByPrefix.Find(result.Number)
 	if !ok {
-		say("no prefix fits")
-		r.Cause = causeUnallocatedNumber
-		return r
+		tracef("no prefix fits")
+		result.Cause = causeUnallocatedNumber
+		return result
 	}
-	e := &t.Routes[entry]
-	r.RouteIndex, r.MatchedDigits, r.Priority = int(entry), matched, e.Priority || e.Emergency
-	say("the longest prefix is %s, route %q", r.Number[:matched], e.Name)
+	route := &t.Routes[index]
+	result.RouteIndex, result.MatchedDigits, result.Priority = int(index), matched, route.Priority || route.Emergency
+	tracef("the longest prefix is %s, route %q", result.Number[:matched], route.Name)
 	switch {
-	case len(r.Number) < e.MinDigits:
-		say("%d digits, at least %d are needed", len(r.Number), e.MinDigits)
-		r.Outcome, r.Cause = TooShort, causeInvalidFormat
-		return r
-	case len(r.Number) > e.MaxDigits:
-		say("%d digits, at most %d can be", len(r.Number), e.MaxDigits)
-		r.Outcome, r.Cause = TooLong, causeInvalidFormat
-		return r
+	case len(result.Number) < route.MinDigits:
+		tracef("%d digits, at least %d are needed", len(result.Number), route.MinDigits)
+		result.Outcome, result.Cause = TooShort, causeInvalidFormat
+		return result
+	case len(result.Number) > route.MaxDigits:
+		tracef("%d digits, at most %d can be", len(result.Number), route.MaxDigits)
+		result.Outcome, result.Cause = TooLong, causeInvalidFormat
+		return result
 	}
-	if e.Emergency {
-		say("emergency: never barred")
-	} else if by, is := t.barred(caller, r.Number); is {
-		say("barred for caller %s by %s", caller, by)
-		r.Outcome, r.Cause = Barred, causeCallRejected
-		return r
+	if route.Emergency {
+		tracef("emergency: never barred")
+	} else if barredPrefix, isBarred := t.barred(caller, result.Number); isBarred {
+		tracef("barred for caller %s by %s", caller, barredPrefix)
+		result.Outcome, result.Cause = Barred, causeCallRejected
+		return result
 	}
-	r.NeedsLookup = mayAsk && e.MayBePorted && !e.Emergency
-	if r.NeedsLookup {
-		say("portability is asked for; without an answer the route below holds")
+	result.NeedsLookup = lookupAllowed && route.MayBePorted && !route.Emergency
+	if result.NeedsLookup {
+		tracef("portability is asked for; without an answer the route below holds")
 	}
-	for i, c := range e.Choices {
-		if c.Schedule != nil && !c.Schedule.Contains(t.Zone, t.Holidays, at) {
-			say("choice %d does not hold now", i+1)
+	for i, choice := range route.Choices {
+		if choice.Schedule != nil && !choice.Schedule.Contains(t.Zone, t.Holidays, unixTime) {
+			tracef("choice %d does not hold now", i+1)
 			continue
 		}
-		r.ChoiceIndex, r.Shares = i, c.Shares
+		result.ChoiceIndex, result.Shares = i, choice.Shares
 		break
 	}
-	if r.ChoiceIndex < 0 {
-		say("no choice holds now")
-		r.Cause = causeUnallocatedNumber
-		return r
+	if result.ChoiceIndex < 0 {
+		tracef("no choice holds now")
+		result.Cause = causeUnallocatedNumber
+		return result
 	}
-	if len(r.Shares) > 1 && pick != nil {
-		r.ShareIndex = pick(r.RouteIndex, r.ChoiceIndex, r.Shares, caller)
-		say("choice %d has %d shares, this caller gets number %d", r.ChoiceIndex+1, len(r.Shares), r.ShareIndex+1)
+	if len(result.Shares) > 1 && selectShare != nil {
+		result.ShareIndex = selectShare(result.RouteIndex, result.ChoiceIndex, result.Shares, caller)
+		tracef("choice %d has %d shares, this caller gets number %d", result.ChoiceIndex+1, len(result.Shares), result.ShareIndex+1)
 	}
-	s := r.Shares[r.ShareIndex]
-	if s.Exchange < 0 {
-		say("announcement, cause %d", s.Cause)
-		r.Outcome, r.Cause = Announcement, s.Cause
-		return r
+	share := result.Shares[result.ShareIndex]
+	if share.Exchange < 0 {
+		tracef("announcement, cause %d", share.Cause)
+		result.Outcome, result.Cause = Announcement, share.Cause
+		return result
 	}
-	r.Outcome, r.Exchange, r.OutgoingDigits = ToExchange, s.Exchange, e.InsertDigits+r.Number[e.DeleteDigits:]
-	say("to exchange %d with %s", r.Exchange, r.OutgoingDigits)
-	return r
+	result.Outcome, result.Exchange, result.OutgoingDigits = ToExchange, share.Exchange, route.InsertDigits+result.Number[route.DeleteDigits:]
+	tracef("to exchange %d with %s", result.Exchange, result.OutgoingDigits)
+	return result
 }
 
 // barred returns the barred prefix that matches a number for a caller.
 func (t *Table) barred(caller, number string) (string, bool) {
-	list, _, ok := t.screensByCaller.Find(caller)
+	index, _, ok := t.screensByCaller.Find(caller)
 	if !ok {
 		return "", false
 	}
-	for _, n := range t.barredPrefixes[list] {
-		if strings.HasPrefix(number, n) {
-			return n, true
+	for _, prefix := range t.barredPrefixes[index] {
+		if strings.HasPrefix(number, prefix) {
+			return prefix, true
 		}
 	}
 	return "", false
@@ -296,4 +296,4 @@
 func (t *Table) MemoryBytes() int { return t.routesByPrefix.MemoryBytes() }
 
 // Walk calls each for every prefix in ascending order until it returns false.
-func (t *Table) Walk(each func(digits string, entry uint32) bool) { t.routesByPrefix.Walk(each) }
+func (t *Table) Walk(visit func(digits string, routeIndex uint32) bool) { t.routesByPrefix.Walk(visit) }
--- a/internal/numbers/trie.go
+++ b/internal/numbers/trie.go
@@ -59,20 +59,20 @@
 
 const digitsPerWord = 12
 
-func newKey(digits string, at int) (key, error) {
+func newKey(digits string, index int) (key, error) {
 	if len(digits) > MaxDigits {
 		return key{}, fmt.Errorf("prefix %s has %d digits, the maximum is %d", digits, len(digits), MaxDigits)
 	}
-	k := key{index: uint32(at)}
+	k := key{index: uint32(index)}
 	for i := range len(digits) {
-		d, ok := digitValue(digits[i])
-		if !ok {
+		value, valid := digitValue(digits[i])
+		if !valid {
 			return k, fmt.Errorf("prefix %q: %q is not a digit", digits, digits[i])
 		}
-		if half := &k.high; i < digitsPerWord {
-			*half |= uint64(d+1) << (5 * (digitsPerWord - 1 - i))
+		if word := &k.high; i < digitsPerWord {
+			*word |= uint64(value+1) << (5 * (digitsPerWord - 1 - i))
 		} else {
-			k.low |= uint64(d+1) << (5 * (2*digitsPerWord - 1 - i))
+			k.low |= uint64(value+1) << (5 * (2*digitsPerWord - 1 - i))
 		}
 	}
 	return k, nil
@@ -80,9 +80,9 @@
 
 // sortPrefixes returns the prefixes in order of their digits. It compares integer keys instead of strings, which cuts the
 // build of a trie of ten million prefixes from 17 s to 11 s.
-func sortPrefixes(all []Prefix) ([]Prefix, error) {
-	keys := make([]key, len(all))
-	for i, p := range all {
+func sortPrefixes(prefixes []Prefix) ([]Prefix, error) {
+	keys := make([]key, len(prefixes))
+	for i, p := range prefixes {
 		var err error
 		if keys[i], err = newKey(p.Digits, i); err != nil {
 			return nil, err
@@ -94,91 +94,91 @@
 		}
 		return cmp.Compare(a.low, b.low)
 	})
-	out := make([]Prefix, len(all))
+	sorted := make([]Prefix, len(prefixes))
 	for i, k := range keys {
-		out[i] = all[k.index]
-		if i > 0 && out[i-1].Digits == out[i].Digits && out[i-1].Value != out[i].Value {
-			return nil, fmt.Errorf("prefix %s is defined twice with different routes", out[i].Digits)
+		sorted[i] = prefixes[k.index]
+		if i > 0 && sorted[i-1].Digits == sorted[i].Digits && sorted[i-1].Value != sorted[i].Value {
+			return nil, fmt.Errorf("prefix %s is defined twice with different routes", sorted[i].Digits)
 		}
 	}
-	return out, nil
+	return sorted, nil
 }
 
 // NewTrie builds a trie. It returns an error that names the prefix if a prefix occurs twice with different values, is too long
 // or has an invalid digit.
-func NewTrie(unsorted []Prefix) (*Trie, error) {
-	all, err := sortPrefixes(unsorted)
+func NewTrie(prefixes []Prefix) (*Trie, error) {
+	sorted, err := sortPrefixes(prefixes)
 	if err != nil {
 		return nil, err
 	}
-	t := &Trie{nodes: make([]node, 1, len(all)+1), prefixCount: len(all)}
+	t := &Trie{nodes: make([]node, 1, len(sorted)+1), prefixCount: len(sorted)}
 	type span struct {
 		node     uint32
 		depth    int
 		from, to int
 	}
-	for level := []span{{0, 0, 0, len(all)}}; len(level) > 0; { // breadth first: the children of a node become adjacent
-		var below []span
-		for _, s := range level {
-			n, from, depth := &t.nodes[s.node], s.from, s.depth
-			for from < s.to && n.skippedCount < maxSkippedDigits && len(all[from].Digits) > depth && // sorted: digits common to the first and the last are common to all
-				len(all[s.to-1].Digits) > depth && all[from].Digits[depth] == all[s.to-1].Digits[depth] {
-				d, _ := digitValue(all[from].Digits[depth])
-				n.skipped |= uint32(d) << (4 * n.skippedCount)
+	for level := []span{{0, 0, 0, len(sorted)}}; len(level) > 0; { // breadth first: the children of a node become adjacent
+		var nextLevel []span
+		for _, current := range level {
+			n, from, depth := &t.nodes[current.node], current.from, current.depth
+			for from < current.to && n.skippedCount < maxSkippedDigits && len(sorted[from].Digits) > depth && // sorted: digits common to the first and the last are common to all
+				len(sorted[current.to-1].Digits) > depth && sorted[from].Digits[depth] == sorted[current.to-1].Digits[depth] {
+				value, _ := digitValue(sorted[from].Digits[depth])
+				n.skipped |= uint32(value) << (4 * n.skippedCount)
 				n.skippedCount++
 				depth++
 			}
-			for from < s.to && len(all[from].Digits) == depth {
-				n.valuePlusOne = all[from].Value + 1
+			for from < current.to && len(sorted[from].Digits) == depth {
+				n.valuePlusOne = sorted[from].Value + 1
 				from++
 			}
 			n.firstChild = uint32(len(t.nodes))
-			next := uint16(0)
-			for from < s.to {
-				c := all[from].Digits[depth]
+			children := uint16(0)
+			for from < current.to {
+				digit := sorted[from].Digits[depth]
 				to := from + 1
-				for to < s.to && all[to].Digits[depth] == c {
+				for to < current.to && sorted[to].Digits[depth] == digit {
 					to++
 				}
-				d, _ := digitValue(c)
-				next |= 1 << d
-				below = append(below, span{uint32(len(t.nodes)), depth + 1, from, to})
+				value, _ := digitValue(digit)
+				children |= 1 << value
+				nextLevel = append(nextLevel, span{uint32(len(t.nodes)), depth + 1, from, to})
 				t.nodes = append(t.nodes, node{})
 				from = to
 			}
-			t.nodes[s.node].children = next // append may have moved the array that n points into
+			t.nodes[current.node].children = children // append may have moved the array that n points into
 		}
-		level = below
+		level = nextLevel
 	}
 	t.nodes = slices.Clip(t.nodes)
 	return t, nil
 }
 
 // Find returns the value and the length of the longest prefix of a number. It returns false if no prefix matches.
-func (t *Trie) Find(digits string) (entry uint32, length int, ok bool) {
+func (t *Trie) Find(digits string) (value uint32, length int, ok bool) {
 	n := &t.nodes[0]
 	for i := 0; ; i++ {
-		for passed, count := n.skipped, n.skippedCount; count > 0; count-- {
+		for skipped, count := n.skipped, n.skippedCount; count > 0; count-- {
 			if i == len(digits) {
-				return entry, length, ok
+				return value, length, ok
 			}
-			if d, is := digitValue(digits[i]); !is || uint32(d) != passed&15 {
-				return entry, length, ok
+			if digit, valid := digitValue(digits[i]); !valid || uint32(digit) != skipped&15 {
+				return value, length, ok
 			}
-			passed >>= 4
+			skipped >>= 4
 			i++
 		}
 		if n.valuePlusOne != 0 {
-			entry, length, ok = n.valuePlusOne-1, i, true
+			value, length, ok = n.valuePlusOne-1, i, true
 		}
 		if i == len(digits) {
-			return entry, length, ok
+			return value, length, ok
 		}
-		d, is := digitValue(digits[i])
-		if !is || n.children&(1<<d) == 0 {
-			return entry, length, ok
+		digit, valid := digitValue(digits[i])
+		if !valid || n.children&(1<<digit) == 0 {
+			return value, length, ok
 		}
-		n = &t.nodes[n.firstChild+uint32(bits.OnesCount16(n.children&(1<<d-1)))]
+		n = &t.nodes[n.firstChild+uint32(bits.OnesCount16(n.children&(1<<digit-1)))]
 	}
 }
 
@@ -187,22 +187,22 @@
 func (t *Trie) MemoryBytes() int { return len(t.nodes) * 16 }
 
 // Walk calls each for every prefix in ascending order until it returns false.
-func (t *Trie) Walk(each func(digits string, entry uint32) bool) {
+func (t *Trie) Walk(visit func(digits string, value uint32) bool) {
 	var path [MaxDigits + 1]byte
-	var down func(n node, depth int) bool
-	down = func(n node, depth int) bool {
+	var walk func(n node, depth int) bool
+	walk = func(n node, depth int) bool {
 		for k := range n.skippedCount {
 			path[depth] = digitSymbols[n.skipped>>(4*k)&15]
 			depth++
 		}
-		if n.valuePlusOne != 0 && !each(string(path[:depth]), n.valuePlusOne-1) {
+		if n.valuePlusOne != 0 && !visit(string(path[:depth]), n.valuePlusOne-1) {
 			return false
 		}
 		child := n.firstChild
 		for d := range len(digitSymbols) {
 			if n.children&(1<<d) != 0 {
 				path[depth] = digitSymbols[d]
-				if !down(t.nodes[child], depth+1) {
+				if !walk(t.nodes[child], depth+1) {
 					return false
 				}
 				child++
@@ -210,5 +210,5 @@
 		}
 		return true
 	}
-	down(t.nodes[0], 0)
+	walk(t.nodes[0], 0)
 }
--- a/internal/numbers/versions.go
+++ b/internal/numbers/versions.go
@@ -67,8 +67,8 @@
 		v.current.pins--
 		return
 	}
-	if h := v.superseded[t.Version]; h != nil {
-		if h.pins--; h.pins <= 0 {
+	if pinned := v.superseded[t.Version]; pinned != nil {
+		if pinned.pins--; pinned.pins <= 0 {
 			delete(v.superseded, t.Version)
 		}
 	}
@@ -79,21 +79,21 @@
 
 // Load schedules a version for activation at a time in Unix seconds, or activates it at once if that has passed. A newer version
 // replaces one that is pending.
-func (v *Versions) Load(t *Table, at, clock int64, now policy.Tenths) error {
-	if why, bad := v.rejected[t.Version]; bad {
-		return fmt.Errorf("version %d: %w: %s", t.Version, ErrRolledBack, why)
+func (v *Versions) Load(t *Table, activationTime, unixNow int64, now policy.Tenths) error {
+	if reason, isRejected := v.rejected[t.Version]; isRejected {
+		return fmt.Errorf("version %d: %w: %s", t.Version, ErrRolledBack, reason)
 	}
 	if t.Version <= v.current.table.Version || v.pending != nil && t.Version < v.pending.Version {
 		return fmt.Errorf("version %d: %w", t.Version, ErrNotNewer)
 	}
-	v.pending, v.activationTime = t, at
-	v.ActivateDue(clock, now)
+	v.pending, v.activationTime = t, activationTime
+	v.ActivateDue(unixNow, now)
 	return nil
 }
 
 // ActivateDue activates the pending version if its activation time has come, and reports whether it did.
-func (v *Versions) ActivateDue(clock int64, now policy.Tenths) bool {
-	if v.pending == nil || clock < v.activationTime {
+func (v *Versions) ActivateDue(unixNow int64, now policy.Tenths) bool {
+	if v.pending == nil || unixNow < v.activationTime {
 		return false
 	}
 	t := v.pending
@@ -108,9 +108,9 @@
 	if v.current.pins > 0 {
 		v.superseded[v.current.table.Version] = v.current
 	}
-	if h := v.superseded[t.Version]; h != nil && h.table == t { // a rollback to a version that calls still use
+	if pinned := v.superseded[t.Version]; pinned != nil && pinned.table == t { // a rollback to a version that calls still use
 		delete(v.superseded, t.Version)
-		v.current = h
+		v.current = pinned
 	} else {
 		v.current = &pinnedTable{table: t}
 	}
@@ -118,11 +118,11 @@
 }
 
 // Rollback returns to the previous version. Load rejects the version rolled back from then on.
-func (v *Versions) Rollback(why string, now policy.Tenths) (*Table, error) {
+func (v *Versions) Rollback(reason string, now policy.Tenths) (*Table, error) {
 	if v.previous == nil {
 		return nil, ErrNoPrevious
 	}
-	v.rejected[v.current.table.Version] = why
+	v.rejected[v.current.table.Version] = reason
 	t := v.previous
 	v.previous, v.pending = nil, nil
 	v.activate(t, now)
@@ -134,7 +134,7 @@
 
 // RecordCall counts a call that a version analysed. If the version in force fails its trial, it returns true and the reason, and the
 // caller must roll back.
-func (v *Versions) RecordCall(t *Table, found bool, now policy.Tenths) (why string, back bool) {
+func (v *Versions) RecordCall(t *Table, found bool, now policy.Tenths) (reason string, rollback bool) {
 	if t != v.current.table {
 		return "", false
 	}
@@ -148,7 +148,7 @@
 	}
 	v.trialCalls++
 	v.trialFailures += int(missed)
-	if share := float64(v.trialFailures) / float64(v.trialCalls); v.trialFailures >= v.trial.MinFailures && share > v.baselineFailureRatio+v.trial.MaxIncrease {
+	if ratio := float64(v.trialFailures) / float64(v.trialCalls); v.trialFailures >= v.trial.MinFailures && ratio > v.baselineFailureRatio+v.trial.MaxIncrease {
 		return fmt.Sprintf("%d of %d calls found no route, ratio before %.3f", v.trialFailures, v.trialCalls, v.baselineFailureRatio), true
 	}
 	return "", false
