--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -27,12 +27,12 @@
 // Gateway is one gateway as the settings have it: endpoints aaln/1 to aaln/Endpoints at Name, whose lines have consecutive
 // numbers at this exchange.
 type Gateway struct {
-	Name      string           // domain of its endpoints' names
-	Addresses []netip.AddrPort // the first is used until it does not answer; none: known once it reports
-	Endpoints int
-	FirstLine int
-	Bearer    int // row of the bearer types
-	Width     int
+	Name        string           // domain of its endpoints' names
+	Addresses   []netip.AddrPort // the first is used until it does not answer; none: known once it reports
+	Endpoints   int
+	FirstLine   int
+	BearerIndex int // row of the bearer types
+	Width       int
 }
 
 // Config is what the agent of one exchange is told.
@@ -49,7 +49,7 @@
 	MaxRingTime       policy.Tenths   // until somebody picks up
 	MediaAddress      string          // where the own switch takes media for calls that leave by circuits
 	NotifiedEntities  []string        // the site's call agents, as gateways are to name them
-	OwnEntity         int             // which of them this is
+	OwnEntityIndex    int             // which of them this is
 	RestartRate       float64         // gateways a second that may be brought into service
 	MaxQueuedRestarts int             // reports that may wait for it
 }
@@ -118,7 +118,7 @@
 	transactionID  uint32 // transaction that is out, 0 none
 	requestID      uint32 // id of the last notification request sent, and of the last one that was heard of
 	notifiedID     uint32
-	guardAt        policy.Tenths
+	stateTimeoutAt policy.Tenths
 	retryAt        policy.Tenths
 	answerDeadline policy.Tenths // what is sent now is of use to a call until then
 	lastNumber     uint64        // digest of the last number
@@ -132,18 +132,18 @@
 
 type gatewayRecord struct {
 	Gateway
-	lineOffset    int // index of its first line
-	addressIndex  int // which of its addresses is in use
-	presence      gateways.Presence
-	sender        *mgcp.Sender
-	receiver      *mgcp.Receiver
-	joinStep      joinStep
-	transactionID uint32 // transaction for all its endpoints
-	queuedReports []queuedReport
-	suspect       bool // commands are repeated without an answer
-	timerAt       policy.Tenths
-	auditAt       policy.Tenths
-	nextAudit     int // line to be audited next
+	lineOffset     int // index of its first line
+	currentAddress int // which of its addresses is in use
+	presence       gateways.Presence
+	sender         *mgcp.Sender
+	receiver       *mgcp.Receiver
+	joinStep       joinStep
+	transactionID  uint32 // transaction for all its endpoints
+	queuedReports  []queuedReport
+	suspect        bool // commands are repeated without an answer
+	timerAt        policy.Tenths
+	auditAt        policy.Tenths
+	nextAudit      int // line to be audited next
 }
 
 // queuedReport is one that is answered when its gateway's turn comes.
@@ -275,8 +275,8 @@
 	return a.timers[0].at, true
 }
 
-func (a *Agent) schedule(at policy.Tenths, kind timerKind, n int) {
-	heap.Push(&a.timers, timer{at, kind, n})
+func (a *Agent) schedule(at policy.Tenths, kind timerKind, index int) {
+	heap.Push(&a.timers, timer{at, kind, index})
 }
 
 // Tick does what has fallen due.
@@ -287,9 +287,9 @@
 		switch due.kind {
 		case lineTimer:
 			line := &a.lines[due.index]
-			if line.guardAt == due.at {
-				line.guardAt = 0
-				a.handleEvent(due.index, guardExpired, eventData{})
+			if line.stateTimeoutAt == due.at {
+				line.stateTimeoutAt = 0
+				a.handleEvent(due.index, stateTimedOut, eventData{})
 			}
 			if line.auditAt == due.at {
 				line.auditAt, line.auditDue = 0, true
@@ -319,9 +319,9 @@
 }
 
 // SetCallDelay tells how long what the program reads now has waited; the door follows it.
-func (a *Agent) SetCallDelay(now, wait policy.Tenths) {
-	a.callDelay = wait
-	a.restarts.SetCallDelay(now, wait)
+func (a *Agent) SetCallDelay(now, callDelay policy.Tenths) {
+	a.callDelay = callDelay
+	a.restarts.SetCallDelay(now, callDelay)
 }
 
 // CountLines counts the lines in a state.
--- a/internal/callagent/door.go
+++ b/internal/callagent/door.go
@@ -110,14 +110,14 @@
 	a.selectAddress(gatewayIndex, from)
 	// It speaks from where it is. In service only a report moves it; one that is being brought into service at an address of the
 	// settings that it has left would be asked there for ever, as it is heard and so is not held to be gone.
-	if state := gateway.presence.State(); state == gateways.Joining && msg.Verb != mgcp.RestartInProgress && (len(gateway.Addresses) == 0 || gateway.Addresses[gateway.addressIndex%len(gateway.Addresses)] != from) {
+	if state := gateway.presence.State(); state == gateways.Joining && msg.Verb != mgcp.RestartInProgress && (len(gateway.Addresses) == 0 || gateway.Addresses[gateway.currentAddress%len(gateway.Addresses)] != from) {
 		a.adoptAddress(gatewayIndex, from)
 		defer a.startJoin(gatewayIndex)
 	}
 	reply := func(code int, comment string) {
 		a.output.Send(from, gateway.receiver.StoreResponse(a.now, mgcp.Message{Transaction: msg.Transaction, Code: code, Comment: comment}))
 	}
-	if owner := a.owner(gateway.Name); owner != a.config.OwnEntity {
+	if owner := a.owner(gateway.Name); owner != a.config.OwnEntityIndex {
 		response := mgcp.Message{Transaction: msg.Transaction, Code: mgcp.CodeRedirected, Comment: "it belongs to another call agent",
 			Params: []mgcp.Param{{Name: "N", Value: a.config.NotifiedEntities[owner]}}}
 		a.output.Send(from, gateway.receiver.StoreResponse(a.now, response))
@@ -144,7 +144,7 @@
 
 func (a *Agent) owner(name string) int {
 	if len(a.config.NotifiedEntities) < 2 {
-		return a.config.OwnEntity
+		return a.config.OwnEntityIndex
 	}
 	return gateways.Owner(name, a.config.NotifiedEntities, func(int) bool { return true })
 }
@@ -153,7 +153,7 @@
 func (a *Agent) selectAddress(gatewayIndex int, from netip.AddrPort) {
 	gateway := &a.gateways[gatewayIndex]
 	if n := slices.Index(gateway.Addresses, from); n >= 0 {
-		gateway.addressIndex = n
+		gateway.currentAddress = n
 	}
 }
 
@@ -162,13 +162,13 @@
 	gateway := &a.gateways[gatewayIndex]
 	for n, address := range gateway.Addresses {
 		if address == from {
-			gateway.addressIndex = n
+			gateway.currentAddress = n
 			a.gatewayByAddress[from] = gatewayIndex
 			return
 		}
 	}
 	gateway.Addresses = append([]netip.AddrPort{from}, gateway.Addresses[:min(len(gateway.Addresses), maxAddresses-1)]...)
-	gateway.addressIndex = 0
+	gateway.currentAddress = 0
 	a.gatewayByAddress[from] = gatewayIndex
 }
 
@@ -296,7 +296,7 @@
 	gateway.transactionID = a.sendCommand(gatewayIndex, mgcp.Message{Verb: mgcp.DeleteConnection, Endpoint: allEndpoints + "@" + gateway.Name}, outstandingCommand{gatewayCommand, gatewayIndex, mgcp.DeleteConnection, a.now})
 }
 
-func (a *Agent) requestOffHook(gatewayIndex int) {
+func (a *Agent) requestOffHookEvents(gatewayIndex int) {
 	gateway := &a.gateways[gatewayIndex]
 	gateway.joinStep = joinRequestingEvents
 	msg := mgcp.Message{Verb: mgcp.NotificationRequest, Endpoint: allEndpoints + "@" + gateway.Name}
@@ -322,7 +322,7 @@
 		a.gatewayLost(gatewayIndex, "it belongs to another call agent")
 		return
 	case gateway.joinStep == joinDeletingConnections:
-		a.requestOffHook(gatewayIndex)
+		a.requestOffHookEvents(gatewayIndex)
 		return
 	}
 	gateway.transactionID, gateway.joinStep = 0, joinNone
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -44,7 +44,7 @@
 	connectionLost   // the connection of the call is gone from the gateway
 	endpointLost     // the gateway, or this endpoint
 	endpointBack     // it is there again, on hook as far as is known
-	guardExpired     // the guard of the state
+	stateTimedOut    // the guard of the state
 	eventCount
 )
 
@@ -72,23 +72,23 @@
 	OutOfService: {endpointBack: {Idle, (*Agent).goIdle}, endpointLost: {OutOfService, (*Agent).noAction}, incomingCall: {OutOfService, (*Agent).refuseCall}},
 	Idle: {offHook: {Dialing, (*Agent).startDialling}, offHookRejected: {HearingTone, (*Agent).rejectOverload}, incomingCall: {Incoming, (*Agent).startIncoming},
 		endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}, onHook: {Idle, (*Agent).noAction}},
-	Dialing: {numberDialled: {CreatingConnection, (*Agent).startCall}, numberInvalid: {HearingTone, (*Agent).rejectNumber}, guardExpired: {HearingTone, (*Agent).rejectNumber},
+	Dialing: {numberDialled: {CreatingConnection, (*Agent).startCall}, numberInvalid: {HearingTone, (*Agent).rejectNumber}, stateTimedOut: {HearingTone, (*Agent).rejectNumber},
 		hookFlash: {Dialing, (*Agent).startDialling}, onHook: {Idle, (*Agent).goIdle}, incomingCall: {Dialing, (*Agent).refuseCall},
 		endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
-	CreatingConnection: {connectionReady: {Calling, (*Agent).offerCall}, connectionFailed: {HearingTone, (*Agent).failSetUp}, guardExpired: {HearingTone, (*Agent).failSetUp}, connectionLost: {HearingTone, (*Agent).failSetUp},
+	CreatingConnection: {connectionReady: {Calling, (*Agent).offerCall}, connectionFailed: {HearingTone, (*Agent).failSetUp}, stateTimedOut: {HearingTone, (*Agent).failSetUp}, connectionLost: {HearingTone, (*Agent).failSetUp},
 		onHook: {Idle, (*Agent).goIdle}, hookFlash: {CreatingConnection, (*Agent).noAction}, incomingCall: {CreatingConnection, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
-	Calling: {callAnswered: {Talking, (*Agent).connectCall}, callReleased: {HearingTone, (*Agent).playCause}, guardExpired: {HearingTone, (*Agent).failCall},
+	Calling: {callAnswered: {Talking, (*Agent).connectCall}, callReleased: {HearingTone, (*Agent).playCause}, stateTimedOut: {HearingTone, (*Agent).failCall},
 		connectionLost: {HearingTone, (*Agent).failCall}, onHook: {Idle, (*Agent).clearCall}, hookFlash: {Calling, (*Agent).noAction},
 		incomingCall: {Calling, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
 	Talking: {callReleased: {HearingTone, (*Agent).playCause}, connectionLost: {HearingTone, (*Agent).failCall}, onHook: {Idle, (*Agent).clearCall},
 		hookFlash: {Talking, (*Agent).noAction}, incomingCall: {Talking, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
-	HearingTone: {onHook: {Idle, (*Agent).goIdle}, guardExpired: {HearingTone, (*Agent).warnOffHook}, hookFlash: {Dialing, (*Agent).startDialling},
+	HearingTone: {onHook: {Idle, (*Agent).goIdle}, stateTimedOut: {HearingTone, (*Agent).warnOffHook}, hookFlash: {Dialing, (*Agent).startDialling},
 		incomingCall: {HearingTone, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
-	Incoming: {connectionReady: {Ringing, (*Agent).answerExchange}, connectionFailed: {Idle, (*Agent).failIncoming}, connectionLost: {Idle, (*Agent).failIncoming}, callReleased: {Idle, (*Agent).goIdle},
+	Incoming: {connectionReady: {Ringing, (*Agent).sendAnswer}, connectionFailed: {Idle, (*Agent).failIncoming}, connectionLost: {Idle, (*Agent).failIncoming}, callReleased: {Idle, (*Agent).goIdle},
 		// Glare: the user lifted to dial as the call came and has not heard it ring. The call finds the line engaged.
 		offHook: {Dialing, (*Agent).resolveGlare}, offHookRejected: {Dialing, (*Agent).resolveGlare}, onHook: {Incoming, (*Agent).noAction},
 		incomingCall: {Incoming, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
-	Ringing: {offHook: {Talking, (*Agent).pickUpCall}, offHookRejected: {Talking, (*Agent).pickUpCall}, callReleased: {Idle, (*Agent).goIdle}, guardExpired: {Idle, (*Agent).releaseUnanswered},
+	Ringing: {offHook: {Talking, (*Agent).pickUpCall}, offHookRejected: {Talking, (*Agent).pickUpCall}, callReleased: {Idle, (*Agent).goIdle}, stateTimedOut: {Idle, (*Agent).releaseUnanswered},
 		connectionLost: {Idle, (*Agent).failIncoming}, onHook: {Ringing, (*Agent).noAction}, incomingCall: {Ringing, (*Agent).refuseCall},
 		endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
 }
@@ -108,15 +108,15 @@
 }
 
 // setDesired has a line be so from now on; push brings the gateway there.
-func (a *Agent) setDesired(i int, events RequestedEvents, tone gateways.Tone, mode Mode, guardAt policy.Tenths) {
+func (a *Agent) setDesired(i int, events RequestedEvents, tone gateways.Tone, mode Mode, timeoutAt policy.Tenths) {
 	line := &a.lines[i]
 	line.desired = endpointState{events, tone, mode}
 	if mode == NoMode {
 		line.call = nil
 	}
-	line.guardAt = guardAt
-	if guardAt > 0 {
-		a.schedule(guardAt, lineTimer, i)
+	line.stateTimeoutAt = timeoutAt
+	if timeoutAt > 0 {
+		a.schedule(timeoutAt, lineTimer, i)
 	}
 }
 
@@ -153,7 +153,7 @@
 // startCall takes a dialled number: the caller's time runs from here.
 func (a *Agent) startCall(i int, data eventData) {
 	line := &a.lines[i]
-	line.answerDeadline = a.now - data.age + a.config.AbandonTimes[a.gateways[line.gateway].Bearer]
+	line.answerDeadline = a.now - data.age + a.config.AbandonTimes[a.gateways[line.gateway].BearerIndex]
 	remaining := line.answerDeadline - a.now
 	remaining -= gateways.AnswerMargin(a.gateways[line.gateway].sender.RetransmissionTimeout(), remaining, a.gateways[line.gateway].sender.LossRate())
 	a.lastCallID++
@@ -172,10 +172,10 @@
 	}
 	line.lastNumber, line.lastFlags = numberDigest(call.digits), isup.FlagRedial
 	a.lastIdentity = (a.lastIdentity + 1) & identityMask
-	userInfo := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall | isup.PartSession, TimeLeft: uint32(max(1, call.deadline-a.now)), Bearer: uint8(gateway.Bearer),
+	userInfo := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall | isup.PartSession, TimeLeft: uint32(max(1, call.deadline-a.now)), Bearer: uint8(gateway.BearerIndex),
 		Flags: flags, Session: call.localSession}
-	line.guardAt = call.deadline + policy.Tenths(lateAnswerMargin)
-	a.schedule(line.guardAt, lineTimer, i)
+	line.stateTimeoutAt = call.deadline + policy.Tenths(lateAnswerMargin)
+	a.schedule(line.stateTimeoutAt, lineTimer, i)
 	a.sendToExchange(call.circuit, isup.Message{Type: isup.IAM, Digits: call.digits, Caller: a.numberOf(i), Width: gateway.Width,
 		Ref: isup.Reference{Point: a.config.PointCode, Identity: a.lastIdentity | firstGatewayIdentity}, UserInfo: userInfo})
 }
@@ -254,12 +254,12 @@
 	a.setDesired(i, DetectOffHook, gateways.Ring, SendReceive, 0)
 }
 
-// answerExchange tells the exchange that the phone rings: the way is there from end to end, and the call stands. Whether somebody
+// sendAnswer tells the exchange that the phone rings: the way is there from end to end, and the call stands. Whether somebody
 // picks up is not the network's.
-func (a *Agent) answerExchange(i int, _ eventData) {
+func (a *Agent) sendAnswer(i int, _ eventData) {
 	line := &a.lines[i]
-	line.guardAt = a.now + a.config.MaxRingTime
-	a.schedule(line.guardAt, lineTimer, i)
+	line.stateTimeoutAt = a.now + a.config.MaxRingTime
+	a.schedule(line.stateTimeoutAt, lineTimer, i)
 	a.sendToExchange(line.call.circuit, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: line.call.localSession}})
 }
 
--- a/internal/callagent/wish.go
+++ b/internal/callagent/wish.go
@@ -107,7 +107,7 @@
 func (a *Agent) sendCommand(gatewayIndex int, msg mgcp.Message, command outstandingCommand) uint32 {
 	gateway := &a.gateways[gatewayIndex]
 	if len(a.config.NotifiedEntities) > 1 && msg.Verb == mgcp.NotificationRequest {
-		msg.Set("N", a.config.NotifiedEntities[a.config.OwnEntity])
+		msg.Set("N", a.config.NotifiedEntities[a.config.OwnEntityIndex])
 	}
 	deadline := policy.Tenths(0)
 	if command.kind == lineCommand {
@@ -123,8 +123,8 @@
 type commandOutput Agent
 
 // Transmit puts a command on its way; the transaction's id tells whose it is.
-func (event *commandOutput) Transmit(msg mgcp.Message, repeat int) {
-	a := (*Agent)(event)
+func (o *commandOutput) Transmit(msg mgcp.Message, repeat int) {
+	a := (*Agent)(o)
 	_, domain, _ := strings.Cut(msg.Endpoint, "@")
 	gatewayIndex, ok := a.gatewayByName[strings.ToLower(domain)]
 	if msg.Verb == "" { // the acknowledgement of a response
@@ -133,7 +133,7 @@
 	}
 	if gateway := &a.gateways[gatewayIndex]; ok && len(gateway.Addresses) > 0 {
 		a.Counts.DatagramsSent++
-		a.output.Send(gateway.Addresses[gateway.addressIndex%len(gateway.Addresses)], msg)
+		a.output.Send(gateway.Addresses[gateway.currentAddress%len(gateway.Addresses)], msg)
 	}
 }
 
@@ -146,8 +146,8 @@
 
 // HandleConflict has an endpoint audited that answered a command a second time, otherwise: the first answer counts, and what the
 // second told of is looked for and taken away.
-func (event *commandOutput) HandleConflict(id uint32, _ int, response mgcp.Message) {
-	a := (*Agent)(event)
+func (o *commandOutput) HandleConflict(id uint32, _ int, response mgcp.Message) {
+	a := (*Agent)(o)
 	a.Counts.ConflictingResponses++
 	if a.onConflict != nil {
 		a.onConflict(response)
@@ -155,8 +155,8 @@
 }
 
 // HandleOutcome takes the end of a command.
-func (event *commandOutput) HandleOutcome(id uint32, outcome mgcp.Outcome, response mgcp.Message) {
-	a := (*Agent)(event)
+func (o *commandOutput) HandleOutcome(id uint32, outcome mgcp.Outcome, response mgcp.Message) {
+	a := (*Agent)(o)
 	command := a.outstanding[id]
 	gatewayIndex := a.gatewayOfCommand(command)
 	gateway := &a.gateways[gatewayIndex]
@@ -165,7 +165,7 @@
 		// gateway that had moved went to the address it had left.
 		if !gateway.presence.ReceivedSince(command.sentAt) {
 			gateway.suspect = true
-			gateway.addressIndex++
+			gateway.currentAddress++
 		}
 		return
 	}
@@ -176,7 +176,7 @@
 	}
 	switch {
 	case outcome == mgcp.PeerDisconnected && gateway.presence.ReceivedSince(command.sentAt):
-		a.commandUnanswered(gatewayIndex, id, command)
+		a.handleUnanswered(gatewayIndex, id, command)
 	case command.kind == probeCommand:
 		a.handleProbeResponse(gatewayIndex, outcome, response)
 	case command.kind == gatewayCommand:
@@ -191,9 +191,9 @@
 	}
 }
 
-// commandUnanswered takes the end of a command that a gateway which is there did not answer: what it has done is not known, and is asked
+// handleUnanswered takes the end of a command that a gateway which is there did not answer: what it has done is not known, and is asked
 // for and put right.
-func (a *Agent) commandUnanswered(gatewayIndex int, id uint32, command outstandingCommand) {
+func (a *Agent) handleUnanswered(gatewayIndex int, id uint32, command outstandingCommand) {
 	switch {
 	case command.kind == gatewayCommand && a.gateways[gatewayIndex].transactionID == id:
 		a.startJoin(gatewayIndex)
@@ -255,7 +255,7 @@
 			a.Counts.OrphanedConnections++
 			break
 		}
-		a.commandApplied(i, command.verb, response)
+		a.handleSuccess(i, command.verb, response)
 		return
 	case gateways.IsOffHook:
 		a.handleEvent(i, a.offHookEvent(), eventData{})
@@ -275,7 +275,7 @@
 			return
 		}
 	case gateways.EndpointUnavailable, gateways.OtherCallAgent:
-		a.takeOutOfService(i)
+		a.endpointOutOfService(i)
 		return
 	case gateways.Failed:
 		a.output.Note("gateway: " + a.endpointName(i) + " answers " + string(command.verb) + " with " + strconv.Itoa(response.Code) + " " + response.Comment)
@@ -302,8 +302,8 @@
 	a.reconcile(i)
 }
 
-// takeOutOfService takes an endpoint out of service that its gateway says it does not have, or not now; it is asked after.
-func (a *Agent) takeOutOfService(i int) {
+// endpointOutOfService takes an endpoint out of service that its gateway says it does not have, or not now; it is asked after.
+func (a *Agent) endpointOutOfService(i int) {
 	line := &a.lines[i]
 	a.handleEvent(i, endpointLost, eventData{})
 	a.setConnection(i, ConnectionNone)
@@ -312,8 +312,8 @@
 	a.schedule(line.retryAt, lineTimer, i)
 }
 
-// commandApplied notes that the gateway is as the command asked.
-func (a *Agent) commandApplied(i int, verb mgcp.Verb, response mgcp.Message) {
+// handleSuccess notes that the gateway is as the command asked.
+func (a *Agent) handleSuccess(i int, verb mgcp.Verb, response mgcp.Message) {
 	line := &a.lines[i]
 	alreadyNotified := line.notifiedID == line.requestID && line.applied.events == DetectNothing && line.pending.events != DetectNothing
 	line.applied = line.pending
@@ -367,7 +367,7 @@
 	line := &a.lines[i]
 	if mgcp.ClassOf(response.Code) != mgcp.Success {
 		if gateways.ResultOf(mgcp.AuditEndpoint, response.Code) == gateways.EndpointUnavailable {
-			a.takeOutOfService(i)
+			a.endpointOutOfService(i)
 		}
 		return
 	}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -142,7 +142,7 @@
 		b.FaultAt("digit_map", "%v", err)
 	}
 	g.NotifiedEntities = b.Texts("notified")
-	g.OwnEntity = b.Whole("notified_self", 0, max(0, len(g.NotifiedEntities)-1), 0)
+	g.OwnEntityIndex = b.Whole("notified_self", 0, max(0, len(g.NotifiedEntities)-1), 0)
 	for _, t := range d.Bearers {
 		g.AbandonTimes = append(g.AbandonTimes, t.AbandonTime)
 		if g.GoSTarget == 0 || t.GoSTarget < g.GoSTarget {
@@ -164,7 +164,7 @@
 		if !ok {
 			n.FaultAt("bearer", "there is no such bearer type")
 		}
-		one.Bearer = bearer
+		one.BearerIndex = bearer
 		switch {
 		case names[strings.ToLower(one.Name)]:
 			n.Fault("a gateway named %q stands twice", one.Name)
