--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -1,11 +1,11 @@
-// Package callagent is the call agent of an exchange (RFC 3435): it brings MGCP gateways into service, follows the phones at
-// their endpoints, and takes their calls to the exchange's call control and from it. It is pure: internal/control tells it the
-// time and every datagram, and carries out what it asks through Carrier.
+// Package callagent is the call agent of an exchange (RFC 3435). It brings MGCP gateways into service, tracks the telephones at
+// their endpoints and passes calls between them and the exchange's call control. It does no I/O and reads no clock:
+// internal/control passes it the time and the received messages, and implements Output.
 //
-// It does not send commands as things happen. Each line has what it should be like (what to listen for, which tone, which
-// connection) and what its gateway is known to be like; push sends the one command that brings the two closer, one at a time for
-// an endpoint, so that a lost answer, a restart or a crossing of two events needs no case of its own. Which of two things that
-// contradict each other counts, how long is waited and which tone goes with which cause stand in internal/gateways.
+// Each line is a small reconciler: it holds the desired state of its endpoint (requested events, tone, connection mode) and the
+// state that the gateway has confirmed. reconcile sends the one command that brings the two closer, with at most one command
+// outstanding for an endpoint. Lost responses, restarts and crossing events therefore need no special cases. The decisions that
+// don't depend on a call (conflict resolution, delays, tones by cause) are in internal/gateways.
 package callagent
 
 import (
@@ -24,134 +24,139 @@
 	"indigodrift/policy"
 )
 
-// Gateway is one gateway as the settings have it: endpoints aaln/1 to aaln/Endpoints at Name, whose lines have consecutive
-// numbers at this exchange.
+// Gateway holds the settings of one gateway. Its endpoints are aaln/1 to aaln/Endpoints at the domain Name. Their lines have
+// consecutive numbers of this exchange.
 type Gateway struct {
-	Name        string           // domain of its endpoints' names
-	Addresses   []netip.AddrPort // the first is used until it does not answer; none: known once it reports
+	Name        string           // domain of its endpoint names
+	Addresses   []netip.AddrPort // the first is used until it stops answering; empty: learned from the first report
 	Endpoints   int
-	FirstLine   int
-	BearerIndex int // row of the bearer types
-	Width       int
+	FirstLine   int // number of its first line within the exchange
+	BearerIndex int // index of its bearer type in the settings
+	Width       int // circuits per call
 }
 
-// Config is what the agent of one exchange is told.
+// Config holds the settings of an Agent.
 type Config struct {
 	OwnExchange       int
 	PointCode         uint16
-	Seed              uint64
-	Incarnation       uint32 // no two starts of the program have the same: call ids, transactions and requests count from it
+	Seed              uint64 // of the jitter of retransmissions
+	Incarnation       uint32 // differs between starts of the process; call, transaction and request IDs start from it
 	Gateways          []Gateway
 	DigitMap          mgcp.DigitMap
-	AbandonTimes      []policy.Tenths // of each bearer type
-	GoSTarget         policy.Tenths   // the tightest target
-	MaxDialTime       policy.Tenths   // until the digits are there
-	MaxRingTime       policy.Tenths   // until somebody picks up
-	MediaAddress      string          // where the own switch takes media for calls that leave by circuits
-	NotifiedEntities  []string        // the site's call agents, as gateways are to name them
-	OwnEntityIndex    int             // which of them this is
-	RestartRate       float64         // gateways a second that may be brought into service
-	MaxQueuedRestarts int             // reports that may wait for it
+	AbandonTimes      []policy.Tenths // by bearer type
+	GoSTarget         policy.Tenths   // the tightest of all bearer types
+	MaxDialTime       policy.Tenths   // until the number is complete
+	MaxRingTime       policy.Tenths   // until the call is answered
+	MediaAddress      string          // of the own switch, for calls over circuits
+	NotifiedEntities  []string        // the call agents of the site, as gateways are to address them
+	OwnEntityIndex    int             // index of this call agent in NotifiedEntities
+	RestartRate       float64         // gateways brought into service per second
+	MaxQueuedRestarts int             // restart reports that may wait for admission
 }
 
-// Output carries out what the agent asks. Its methods must not call back.
+// Output sends the agent's messages. Its methods must not call the agent.
 type Output interface {
 	Send(to netip.AddrPort, m mgcp.Message)
-	Offer(point, cic uint16, m isup.Message) // to the exchange, from the line side
-	Note(text string)
-	Told(line int, words string) // why a call of a line came to nothing
+	Offer(point, cic uint16, m isup.Message) // passes a message from the line side to the exchange
+	Note(text string)                        // logs an event
+	Told(line int, words string)             // reports why a call of a line failed
 }
 
-// RequestedEvents is what a gateway listens for at an endpoint, Mode what its connection does.
+// RequestedEvents is the set of events that a gateway is asked to detect at an endpoint.
 type RequestedEvents uint8
 
 const (
 	DetectNothing RequestedEvents = iota
 	DetectOffHook
-	DetectDigits
-	DetectOnHook
+	DetectDigits // also on-hook and hook flash
+	DetectOnHook // also hook flash
 )
 
-// Mode of a connection (RFC 3435, 3.2.2.6).
+// Mode is the mode of a connection (RFC 3435, 3.2.2.6).
 type Mode uint8
 
 const (
-	NoMode Mode = iota // there is no connection
+	NoMode Mode = iota // no connection
 	ReceiveOnly
 	SendReceive
 )
 
+// String returns the mode as the M parameter has it.
 func (m Mode) String() string { return [...]string{"", "recvonly", "sendrecv"}[m] }
 
+// endpointState is a desired or applied state of an endpoint.
 type endpointState struct {
 	events RequestedEvents
 	tone   gateways.Tone
 	mode   Mode
 }
 
-// circuitKey is where a call stands between the agent and the exchange: a circuit of a block of lines.
+// circuitKey identifies a call between the agent and the exchange by the circuit on the exchange's line side.
 type circuitKey struct{ point, cic uint16 }
 
-// lineCall is one call at one line.
+// lineCall is a call at a line.
 type lineCall struct {
-	id             uint32 // its id is this and the agent's life
-	connectionID   string // connection id, "" not known
-	localSession   string // session descriptions
-	remoteSession  string
-	appliedSession string // the remote one that the gateway has
-	pendingSession string // and the one on its way there
+	id             uint32 // with the incarnation it makes the MGCP call ID
+	connectionID   string // "" until the gateway has reported it
+	localSession   string // session description of the gateway
+	remoteSession  string // session description for the gateway to send to
+	appliedSession string // remote session description that the gateway has confirmed
+	pendingSession string // remote session description in the outstanding command
 	digits         string
-	deadline       policy.Tenths
+	deadline       policy.Tenths // end of the caller's abandon time, less the time to deliver the answer
 	circuit        circuitKey
 }
 
+// lineRecord is the state of one line.
 type lineRecord struct {
 	state          State
 	connection     ConnectionState
 	desired        endpointState
-	applied        endpointState
-	pending        endpointState // what the command that is out asks for
-	refusals       uint8
-	auditDue       bool  // ask what it holds, once nothing else is to be done
-	lastFlags      uint8 // what a call to the last number is to be marked with
-	gateway        int32
-	transactionID  uint32 // transaction that is out, 0 none
-	requestID      uint32 // id of the last notification request sent, and of the last one that was heard of
-	notifiedID     uint32
+	applied        endpointState // confirmed by the gateway
+	pending        endpointState // applied once the outstanding command succeeds
+	refusals       uint8         // transient errors in a row
+	auditDue       bool          // audit the endpoint when no other command is needed
+	lastFlags      uint8         // ISUP flags for a repeated call to lastNumber
+	gateway        int32         // index of its gateway
+	transactionID  uint32        // of the outstanding command, 0 for none
+	requestID      uint32        // of the last notification request sent
+	notifiedID     uint32        // request ID of the last notification received
 	stateTimeoutAt policy.Tenths
 	retryAt        policy.Tenths
-	answerDeadline policy.Tenths // what is sent now is of use to a call until then
+	answerDeadline policy.Tenths // commands sent now are of use to the call until then
 	lastNumber     uint64        // digest of the last number
 	call           *lineCall
-	connectedCall  *lineCall // whose connection the gateway holds
-	pendingCall    *lineCall
-	uncertainCall  *lineCall // a command to make its connection was given up: it may be there
+	connectedCall  *lineCall // its connection exists at the gateway
+	pendingCall    *lineCall // whose connection the outstanding command creates or modifies
+	uncertainCall  *lineCall // its CRCX was abandoned unanswered: the connection may exist
 	auditAt        policy.Tenths
-	orphaned       []string // connections of no call, to be deleted
+	orphaned       []string // connections without a call, to be deleted
 }
 
+// gatewayRecord is the state of one gateway.
 type gatewayRecord struct {
 	Gateway
-	lineOffset     int // index of its first line
-	currentAddress int // which of its addresses is in use
+	lineOffset     int // index of its first line in Agent.lines
+	currentAddress int // index into Addresses, modulo their number
 	presence       gateways.Presence
 	sender         *mgcp.Sender
 	receiver       *mgcp.Receiver
 	joinStep       joinStep
-	transactionID  uint32 // transaction for all its endpoints
-	queuedReports  []queuedReport
-	suspect        bool // commands are repeated without an answer
+	transactionID  uint32         // of the outstanding command for all endpoints, 0 for none
+	queuedReports  []queuedReport // restart reports to answer on admission
+	suspect        bool           // commands have been retransmitted often without a response
 	timerAt        policy.Tenths
 	auditAt        policy.Tenths
-	nextAudit      int // line to be audited next
+	nextAudit      int // endpoint to audit next
 }
 
-// queuedReport is one that is answered when its gateway's turn comes.
+// queuedReport is a restart report that is answered when its gateway is admitted.
 type queuedReport struct {
 	message mgcp.Message
 	from    netip.AddrPort
 }
 
+// timerKind tells what a timer is for.
 type timerKind uint8
 
 const (
@@ -160,12 +165,14 @@
 	admissionTimer
 )
 
+// timer is valid only while the time it is for is still at.
 type timer struct {
 	at    policy.Tenths
 	kind  timerKind
-	index int
+	index int // of the line or the gateway
 }
 
+// timerHeap implements heap.Interface by time.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -174,44 +181,47 @@
 func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
 func (h *timerHeap) Pop() any          { n := len(*h) - 1; x := (*h)[n]; *h = (*h)[:n]; return x }
 
+// queuedISUP is a message from the exchange that has not been handled yet.
 type queuedISUP struct {
 	circuit circuitKey
 	message isup.Message
 }
 
+// commandKind tells what a command is addressed to.
 type commandKind uint8
 
 const (
-	lineCommand commandKind = iota
-	gatewayCommand
-	probeCommand
+	lineCommand    commandKind = iota
+	gatewayCommand             // to all endpoints of a gateway while it joins
+	probeCommand               // checks whether a gateway answers
 )
 
+// outstandingCommand is a command that has not been answered.
 type outstandingCommand struct {
 	kind   commandKind
-	index  int // line, or gateway
+	index  int // of the line or the gateway
 	verb   mgcp.Verb
 	sentAt policy.Tenths
 }
 
-// Counts of what came of calls and gateways.
+// Counts holds counters of calls, gateways and messages.
 type Counts struct {
 	Dialled, Answered, Refused, Failed, Rung, Rejected                          int
 	Joined, Lost, OrphanedConnections, ConflictingResponses, StaleNotifications int
-	InvalidTransitions                                                          int // moves that no table has
-	IncompleteMessages                                                          int // messages cut short
-	DatagramsSent                                                               int // datagrams
+	InvalidTransitions                                                          int // of connection states, a fault in the program
+	IncompleteMessages                                                          int // truncated messages
+	DatagramsSent                                                               int // datagrams sent
 }
 
 const (
-	maxToneTime          = policy.Tenths(300000) // a tone is given for so long, then the off-hook warning
-	lateAnswerMargin     = 500                   // tenths after a caller's time at which a call that the exchange never answered is given up
-	auditInterval        = policy.Tenths(300000) // a line of each gateway is audited so often, whatever it does
-	auditDelay           = policy.Tenths(100000) // and each so long after a connection was deleted
-	firstGatewayIdentity = 1 << 23               // calls from lines at gateways: references above those that the switch gives
+	maxToneTime          = policy.Tenths(300000) // then the off-hook warning replaces the tone
+	lateAnswerMargin     = 500                   // after the call's deadline a call without an answer from the exchange is released
+	auditInterval        = policy.Tenths(300000) // one endpoint of each gateway is audited at this interval
+	auditDelay           = policy.Tenths(100000) // from deleting a connection to auditing the endpoint
+	firstGatewayIdentity = 1 << 23               // references of gateway calls lie above those that the switch assigns
 	identityMask         = firstGatewayIdentity - 1
-	maxRefusals          = 6
-	maxAddresses         = 4
+	maxRefusals          = 6 // transient errors in a row before a command counts as failed
+	maxAddresses         = 4 // of one gateway
 	allEndpoints         = "aaln/*"
 )
 
@@ -225,8 +235,8 @@
 	gatewayByName    map[string]int
 	lineByNumber     map[int]int
 	gatewayByAddress map[netip.AddrPort]int
-	onConflict       func(mgcp.Message) // takes a second answer that differs, while responses are read
-	lineByCircuit    map[circuitKey]int // calls of the exchange to lines
+	onConflict       func(mgcp.Message) // set while a response of an unknown transaction is handled
+	lineByCircuit    map[circuitKey]int // calls from the exchange to lines
 	queue            []queuedISUP
 	outstanding      map[uint32]outstandingCommand
 	timers           timerHeap
@@ -236,18 +246,33 @@
 	lastIdentity     uint32
 	admissionAt      policy.Tenths
 	restarts         *gateways.RestartLimiter
-	callDelay        policy.Tenths // how long what is read now has waited
-	processing       bool
+	callDelay        policy.Tenths // how long the message being handled waited in the queue
+	processing       bool          // guards processQueue against recursion
 
 	Counts           Counts
 	UnexpectedEvents [stateCount][eventCount]int
 }
 
-// New makes the agent; Tick at once brings the gateways whose addresses are known into service, at the door's pace.
+// New returns an agent. It starts at once to bring the gateways whose addresses are configured into service, at RestartRate.
 func New(config Config, output Output, now policy.Tenths) *Agent {
-	a := &Agent{config: config, output: output, now: now, gatewayByName: map[string]int{}, lineByNumber: map[int]int{}, gatewayByAddress: map[netip.AddrPort]int{}, lineByCircuit: map[circuitKey]int{}, outstanding: map[uint32]outstandingCommand{},
-		transactionIDs: mgcp.NewTransactionIDs(config.Incarnation * 7919), lastRequestID: config.Incarnation << 12, lastIdentity: config.Incarnation & identityMask,
-		restarts: gateways.NewRestartLimiter(gateways.Limits{Rate: config.RestartRate, MaxQueued: max(config.MaxQueuedRestarts, len(config.Gateways)), GoSTarget: config.GoSTarget}, now)}
+	a := &Agent{
+		config:           config,
+		output:           output,
+		now:              now,
+		gatewayByName:    map[string]int{},
+		lineByNumber:     map[int]int{},
+		gatewayByAddress: map[netip.AddrPort]int{},
+		lineByCircuit:    map[circuitKey]int{},
+		outstanding:      map[uint32]outstandingCommand{},
+		transactionIDs:   mgcp.NewTransactionIDs(config.Incarnation * 7919),
+		lastRequestID:    config.Incarnation << 12,
+		lastIdentity:     config.Incarnation & identityMask,
+		restarts: gateways.NewRestartLimiter(gateways.Limits{
+			Rate:      config.RestartRate,
+			MaxQueued: max(config.MaxQueuedRestarts, len(config.Gateways)),
+			GoSTarget: config.GoSTarget,
+		}, now),
+	}
 	for i, settings := range config.Gateways {
 		record := gatewayRecord{Gateway: settings, lineOffset: len(a.lines), receiver: mgcp.NewReceiver()}
 		record.sender = mgcp.NewSender(a.transactionIDs, config.Seed+uint64(i), (*commandOutput)(a))
@@ -260,14 +285,14 @@
 			a.lineByNumber[settings.FirstLine+n] = len(a.lines)
 			a.lines = append(a.lines, lineRecord{gateway: int32(i)})
 		}
-		if len(settings.Addresses) > 0 { // it may have been served by an earlier life of this program
+		if len(settings.Addresses) > 0 { // an earlier process may have served it
 			a.admit(i)
 		}
 	}
 	return a
 }
 
-// Next is when Tick must be called next.
+// Next returns the time at which Tick must be called next; false if no timer is set.
 func (a *Agent) Next() (policy.Tenths, bool) {
 	if len(a.timers) == 0 {
 		return 0, false
@@ -275,11 +300,12 @@
 	return a.timers[0].at, true
 }
 
+// schedule sets a timer.
 func (a *Agent) schedule(at policy.Tenths, kind timerKind, index int) {
 	heap.Push(&a.timers, timer{at, kind, index})
 }
 
-// Tick does what has fallen due.
+// Tick runs the timers that have expired.
 func (a *Agent) Tick(now policy.Tenths) {
 	a.now = now
 	for len(a.timers) > 0 && a.timers[0].at <= now {
@@ -318,13 +344,13 @@
 	}
 }
 
-// SetCallDelay tells how long what the program reads now has waited; the door follows it.
+// SetCallDelay sets how long the messages being handled waited in the queue. Admission of gateways and of new calls depends on it.
 func (a *Agent) SetCallDelay(now, callDelay policy.Tenths) {
 	a.callDelay = callDelay
 	a.restarts.SetCallDelay(now, callDelay)
 }
 
-// CountLines counts the lines in a state.
+// CountLines returns the number of lines in a state.
 func (a *Agent) CountLines(state State) (n int) {
 	for i := range a.lines {
 		if a.lines[i].state == state {
@@ -334,8 +360,8 @@
 	return n
 }
 
-// LinesAwaitingResponse counts the lines whose gateway has not answered a command that is still of use to a call: a program that ended now would
-// leave callers without their answer where the network lost it.
+// LinesAwaitingResponse returns the number of lines whose gateway has not answered a command that is still of use to a call. If the
+// process ended now and the network lost the command, the caller would not get the answer.
 func (a *Agent) LinesAwaitingResponse(now policy.Tenths) (n int) {
 	for i := range a.lines {
 		if line := &a.lines[i]; line.transactionID != 0 && now < line.answerDeadline {
@@ -345,8 +371,8 @@
 	return n
 }
 
-// HandleISUP takes what the exchange sends to its line side, and tells whether it is for a line at a gateway. It only notes it; Settle
-// follows.
+// HandleISUP queues a message that the exchange sends to its line side, and reports whether it is for a line at a gateway.
+// ProcessQueue must follow.
 func (a *Agent) HandleISUP(point, cic uint16, msg isup.Message) bool {
 	circuit := circuitKey{point, cic}
 	if point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint {
@@ -372,13 +398,13 @@
 	return found
 }
 
-// HasCircuit tells whether a circuit of a block of lines is a call at one of its lines.
+// HasCircuit reports whether a circuit of the exchange's line side belongs to a line at a gateway.
 func (a *Agent) HasCircuit(point, cic uint16) bool {
 	_, found := a.lineByCircuit[circuitKey{point, cic}]
 	return found || point >= exchange.FirstGatewayPoint && point < exchange.FirstCalledPoint
 }
 
-// ProcessQueue does what follows from what the exchange sent.
+// ProcessQueue handles the messages queued by HandleISUP.
 func (a *Agent) ProcessQueue(now policy.Tenths) {
 	a.now = now
 	a.processQueue()
@@ -394,7 +420,7 @@
 		queued := a.queue[0]
 		a.queue = a.queue[1:]
 		i, incoming := a.lineByCircuit[queued.circuit]
-		if !incoming {
+		if !incoming { // a call from a line: the circuit is that of the line
 			i = int(queued.circuit.point-exchange.FirstGatewayPoint)<<12 + int(queued.circuit.cic)
 		}
 		if i >= len(a.lines) {
@@ -423,7 +449,7 @@
 	}
 }
 
-// sendToExchange passes a message of a line's on.
+// sendToExchange passes a message from a line to the exchange.
 func (a *Agent) sendToExchange(circuit circuitKey, msg isup.Message) {
 	if msg.Type == isup.REL {
 		delete(a.lineByCircuit, circuit)
@@ -432,6 +458,7 @@
 	a.output.Offer(circuit.point, circuit.cic, msg)
 }
 
+// pointOf and cicOf return the circuit of calls from a line, and numberOf its number.
 func (a *Agent) pointOf(i int) uint16 { return exchange.FirstGatewayPoint + uint16(i>>12) }
 func (a *Agent) cicOf(i int) uint16   { return uint16(i & isup.MaxCIC) }
 
@@ -440,12 +467,13 @@
 	return exchange.LineNumber(a.config.OwnExchange, uint32(gateway.FirstLine+i-gateway.lineOffset))
 }
 
-// endpointName is the name of a line; find the line of a name, -1 for all of a gateway's, and whether there is such a one.
+// endpointName returns the MGCP name of a line's endpoint.
 func (a *Agent) endpointName(i int) string {
 	gateway := &a.gateways[a.lines[i].gateway]
 	return "aaln/" + strconv.Itoa(i-gateway.lineOffset+1) + "@" + gateway.Name
 }
 
+// findEndpoint returns the gateway and the line of an endpoint name; i is -1 for all endpoints of the gateway.
 func (a *Agent) findEndpoint(name string) (gatewayIndex, i int, ok bool) {
 	local, domain, _ := strings.Cut(name, "@")
 	gatewayIndex, ok = a.gatewayByName[strings.ToLower(domain)]
@@ -463,8 +491,10 @@
 	return gatewayIndex, a.gateways[gatewayIndex].lineOffset + n - 1, true
 }
 
+// numberDigest returns a digest of a dialled number; it is never 0.
 func numberDigest(digits string) uint64 { return max(1, xxhash.Sum64String(digits)) }
 
+// callID returns the MGCP call ID of a call.
 func (a *Agent) callID(call *lineCall) string {
 	return fmt.Sprintf("%X%08X", a.config.Incarnation, call.id)
 }
--- a/internal/callagent/callagent_test.go
+++ b/internal/callagent/callagent_test.go
@@ -25,17 +25,17 @@
 
 var gatewayAddress = netip.MustParseAddrPort("127.0.0.1:2427")
 
-// simulatedPhone is one endpoint as simply as it can be: what it was last asked for, and its connections.
+// simulatedPhone is an endpoint of a simulated gateway: its last notification request and its connections.
 type simulatedPhone struct {
 	offHook           bool
 	requestID         string
 	requested, signal string
 	armed             bool
 	connections       map[string]bool
-	quarantined       []string // events while nothing is asked for
+	quarantined       []string // events while no request is active (RFC 3435, quarantine)
 }
 
-// harness is an agent between two gateways as plain as can be and an exchange that answers at random.
+// harness connects an agent to two simulated gateways and an exchange that answers at random.
 type harness struct {
 	t              *rapid.T
 	agent          *Agent
@@ -46,10 +46,10 @@
 	receivers      []*mgcp.Receiver
 	senders        []*mgcp.Sender
 	inFlight       []func()
-	reorders       bool // some of what is sent is overtaken by what follows
+	reorders       bool // some messages are delayed and overtaken by later ones
 	delayed        map[policy.Tenths][]func()
 	lastConnection int
-	calls          map[circuitKey]string // offered to the exchange, or from it: "asked", "stands"
+	calls          map[circuitKey]string // offered to the exchange or by it: "asked", "ringing" (to a line) or "stands" (answered)
 	ended          int
 	started        int
 }
@@ -77,34 +77,34 @@
 	}
 }
 
-// Offer is the exchange: it answers calls at random, later.
+// Offer receives a message from the agent for the exchange.
 func (h *harness) Offer(point, cic uint16, msg isup.Message) {
 	circuit := circuitKey{point, cic}
 	switch msg.Type {
 	case isup.IAM:
 		if h.calls[circuit] != "" {
-			h.t.Fatalf("a second call on %v, where one is %s", circuit, h.calls[circuit])
+			h.t.Fatalf("second call on circuit %v, where the first is %s", circuit, h.calls[circuit])
 		}
 		h.calls[circuit] = "asked"
 		h.started++
 	case isup.ANM:
 		if h.calls[circuit] != "ringing" {
-			h.t.Fatalf("an answer on %v, which is %q", circuit, h.calls[circuit])
+			h.t.Fatalf("answer on circuit %v, whose call is %q", circuit, h.calls[circuit])
 		}
 		h.calls[circuit] = "stands"
 	case isup.REL:
 		if h.calls[circuit] == "" {
-			h.t.Fatalf("a release on %v, where there is no call", circuit)
+			h.t.Fatalf("release on circuit %v without a call", circuit)
 		}
 		delete(h.calls, circuit)
 		h.ended++
 	}
 }
 
-// Send is the way to a gateway.
+// Send transmits a message from the agent to a gateway.
 func (h *harness) Send(_ netip.AddrPort, msg mgcp.Message) {
 	if _, err := mgcp.Append(nil, msg); err != nil {
-		h.t.Fatalf("a message that cannot be sent: %v", err)
+		h.t.Fatalf("encode message: %v", err)
 	}
 	h.transmit(func() { h.receive(msg) })
 }
@@ -170,7 +170,7 @@
 		return
 	case msg.Verb == mgcp.CreateConnection:
 		if len(phone.connections) > 0 && !h.reorders {
-			h.t.Fatalf("a second connection at %s", msg.Endpoint)
+			h.t.Fatalf("second connection at %s", msg.Endpoint)
 		}
 		h.lastConnection++
 		id = fmt.Sprintf("%X", h.lastConnection)
@@ -191,7 +191,7 @@
 	}
 }
 
-// reportEvent: a user did something at a phone.
+// reportEvent notifies the agent of an event at a telephone, or quarantines it while no request is active.
 func (h *harness) reportEvent(phone *simulatedPhone, event string) {
 	wanted := strings.Contains(phone.requested, "D/") && strings.HasPrefix(event, "D/") || strings.Contains(phone.requested, event)
 	switch {
@@ -213,7 +213,7 @@
 func (h *harness) advance(duration policy.Tenths) {
 	for end := h.now + duration; h.now < end; {
 		next := h.now + 50
-		if len(h.inFlight)+len(h.delayed) == 0 { // nothing on its way: on to what falls due
+		if len(h.inFlight)+len(h.delayed) == 0 { // no message in flight: skip to the next timer
 			next = end
 			if at, ok := h.agent.Next(); ok {
 				next = min(next, at)
@@ -245,25 +245,25 @@
 			h.agent.Tick(h.now)
 		}
 	}
-	outstanding := map[int]int{} // commands out for a line
+	outstanding := map[int]int{} // commands by line
 	for _, command := range h.agent.outstanding {
 		if command.kind == lineCommand {
 			if outstanding[command.index]++; outstanding[command.index] > 1 {
-				h.t.Fatalf("two commands are out for line %d", command.index)
+				h.t.Fatalf("two outstanding commands for line %d", command.index)
 			}
 		}
 	}
 	for i := range h.agent.lines {
 		line := &h.agent.lines[i]
 		if (line.state == CreatingConnection || line.state == Calling || line.state == Talking || line.state == Incoming || line.state == Ringing) != (line.call != nil) {
-			h.t.Fatalf("line %d is %v, call %v", i, line.state, line.call)
+			h.t.Fatalf("line %d in state %v has call %v", i, line.state, line.call)
 		}
 		if (line.connection.mayExist() && line.uncertainCall == nil) != (line.applied.mode != NoMode) || (line.connection == ConnectionUncertain) && line.uncertainCall == nil || h.agent.Counts.InvalidTransitions > 0 {
-			h.t.Fatalf("line %d: connection %v, has %v, unsure %v, %d faults", i, line.connection, line.applied, line.uncertainCall, h.agent.Counts.InvalidTransitions)
+			h.t.Fatalf("line %d: connection %v, applied state %v, uncertain call %v, %d invalid transitions", i, line.connection, line.applied, line.uncertainCall, h.agent.Counts.InvalidTransitions)
 		}
 		if line.transactionID != 0 {
 			if command, ok := h.agent.outstanding[line.transactionID]; !ok || command.kind != lineCommand || command.index != i {
-				h.t.Fatalf("line %d waits for a command that is not out", i)
+				h.t.Fatalf("line %d waits for a command that is not outstanding", i)
 			}
 		}
 	}
@@ -287,28 +287,29 @@
 	return h
 }
 
-// sendFromExchange has the exchange say something of a call.
+// sendFromExchange sends a message from the exchange to the agent.
 func (h *harness) sendFromExchange(circuit circuitKey, msg isup.Message) {
 	msg.CIC = circuit.cic
 	if !h.agent.HandleISUP(circuit.point, circuit.cic, msg) {
-		h.t.Fatalf("%v is not taken", circuit)
+		h.t.Fatalf("message on circuit %v is not for a line", circuit)
 	}
 	h.agent.ProcessQueue(h.now)
 }
 
-// mayExist tells whether the gateway holds a connection, or may.
+// mayExist reports whether the gateway has the connection, or may have it.
 func (c ConnectionState) mayExist() bool {
 	return c == ConnectionCreated || c == ConnectionModifying || c == ConnectionDeleting
 }
 
-// Users, the exchange and the network do anything in any order. After each step every line is whole; once all is quiet and well
-// again every phone is idle, no connection is left and every call has ended once.
+// Guards against lines that get stuck after any sequence of actions of users, exchange, network and gateways. The state of every line
+// is consistent after each step. In the end, with a good network and all telephones on hook, every line is idle, no connection is
+// left and every call has ended exactly once.
 func TestLinesReturnToIdle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(t, rapid.Uint64().Draw(t, "seed"))
 		h.advance(20000)
 		if n := h.agent.CountLines(Idle); n != 6 {
-			t.Fatalf("%d lines of 6 came into service", n)
+			t.Fatalf("%d of 6 lines are in service", n)
 		}
 		h.loss = rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss")
 		h.reorders = rapid.Bool().Draw(t, "mixed")
@@ -331,7 +332,7 @@
 				if phone.offHook {
 					h.reportEvent(phone, rapid.SampledFrom([]string{"D/1, D/2, D/3", "D/1, D/T", "D/4, D/4, D/4"}).Draw(t, "digits"))
 				}
-			case 4, 5: // the exchange ends, or answers, a call
+			case 4, 5: // the exchange releases or answers a call
 				for i := range h.agent.lines {
 					call := h.agent.lines[i].call
 					if call == nil || h.calls[call.circuit] == "" || call.circuit.point < exchange.FirstCalledPoint && h.agent.lines[i].state == CreatingConnection {
@@ -348,13 +349,13 @@
 					}
 					break
 				}
-			case 6: // a call for a phone
+			case 6: // a call to a line
 				lastCIC++
 				circuit := circuitKey{exchange.FirstCalledPoint, lastCIC}
 				h.calls[circuit] = "ringing"
 				h.started++
 				h.sendFromExchange(circuit, isup.Message{Type: isup.IAM, Digits: exchange.LineNumber(4, uint32(10*gw+n)), UserInfo: isup.UserInfo{Present: isup.PartTimeLeft, TimeLeft: 50000}})
-			case 7: // a gateway starts anew
+			case 7: // a gateway restarts
 				for i := range h.phones[gw] {
 					h.phones[gw][i] = simulatedPhone{connections: map[string]bool{}, offHook: h.phones[gw][i].offHook}
 				}
@@ -363,7 +364,7 @@
 			h.advance(policy.Tenths(rapid.SampledFrom([]int{0, 50, 1000, 20000, 200000}).Draw(t, "gap")))
 		}
 		h.loss, h.reorders = 0, false
-		for gw := range h.phones { // everybody hangs up, and everybody is asked
+		for gw := range h.phones { // all telephones go on hook
 			for n := range h.phones[gw] {
 				if phone := &h.phones[gw][n]; phone.offHook {
 					phone.offHook = false
@@ -373,7 +374,7 @@
 		}
 		h.advance(1500000)
 		for circuit, state := range h.calls {
-			t.Fatalf("the call on %v is still %s", circuit, state)
+			t.Fatalf("the call on circuit %v is still %s", circuit, state)
 		}
 		for gw := range h.phones {
 			for n, phone := range h.phones[gw] {
@@ -383,12 +384,12 @@
 			}
 		}
 		if h.started != h.ended {
-			t.Fatalf("%d calls began, %d ended", h.started, h.ended)
+			t.Fatalf("%d calls started, %d ended", h.started, h.ended)
 		}
 	})
 }
 
-// A gateway that moved while the program was down is not at its address in the settings: it is followed to where it speaks from.
+// Guards against joining a gateway only at its configured address after it moved to another one while the program was down.
 func TestGatewayIsFollowedToNewAddress(t *testing.T) {
 	digitMap, _ := mgcp.ParseDigitMap("(xxx)")
 	newAddress := netip.MustParseAddrPort("127.0.0.1:3000")
@@ -400,7 +401,7 @@
 		t.Fatal(sent)
 	}
 	agent.HandleMessage(2000, newAddress, mgcp.Message{Verb: mgcp.Notify, Transaction: 5, Endpoint: "aaln/1@gw", Params: []mgcp.Param{{Name: "X", Value: "1"}, {Name: "O", Value: "L/hd"}}}, 0)
-	if last := sent[len(sent)-1]; last != newAddress || len(sent) != 3 { // its answer, and the first command again
+	if last := sent[len(sent)-1]; last != newAddress || len(sent) != 3 { // the response and the first command again
 		t.Fatal(sent)
 	}
 }
@@ -414,15 +415,16 @@
 func (c fakeOutput) Note(string)                            {}
 func (c fakeOutput) Told(int, string)                       {}
 
-// Each state says what becomes of each event, or that it changes nothing; a line that is called is answered in every state.
+// Guards against states without a transition for an incoming call, which the exchange waits to have answered, or for the loss of the
+// gateway.
 func TestEveryStateHandlesCallAndLoss(t *testing.T) {
 	for state := range stateCount {
 		if transitions[state][incomingCall].action == nil || transitions[state][endpointLost].action == nil {
-			t.Errorf("%v: a call, or the loss of the gateway, is passed over", state)
+			t.Errorf("%v: no transition for an incoming call or the loss of the gateway", state)
 		}
 		for e, entry := range transitions[state] {
 			if entry.action != nil && entry.next >= stateCount {
-				t.Errorf("%v, %v: to nowhere", state, event(e))
+				t.Errorf("%v, %v: transition to an invalid state", state, event(e))
 			}
 		}
 	}
--- a/internal/callagent/connection.go
+++ b/internal/callagent/connection.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// ConnectionState is where the one connection of an endpoint stands, as far as is known. connect is the one place that changes it.
+// ConnectionState is the state of the connection of an endpoint, as far as the agent knows. Only setConnection changes it.
 //
-//	None     -> Making
-//	Making   -> Made, None (refused), Unsure (given up unanswered)
-//	Made     -> Changing, Deleting, None (the gateway no longer has it)
-//	Changing -> Made, None, Deleting (given up unanswered, and the call is over)
-//	Deleting -> None, Made (it cannot now), Unsure
-//	Unsure   -> None, Deleting: it may be there and is deleted by its call's id
+//	None      -> Creating
+//	Creating  -> Created, None (refused), Uncertain (abandoned unanswered)
+//	Created   -> Modifying, Deleting, None (the gateway no longer has it)
+//	Modifying -> Created, None, Deleting (abandoned unanswered, and the call has ended)
+//	Deleting  -> None, Created (transient error), Uncertain
+//	Uncertain -> None, Deleting: the connection may exist and is deleted by its call ID
 //
-// Whatever it is, a gateway that starts anew or is lost makes it None.
+// A restart or loss of the gateway changes any state to None.
 type ConnectionState uint8
 
 const (
@@ -25,12 +25,19 @@
 
 var connectionNames = [...]string{"none", "making", "made", "changing", "deleting", "unsure"}
 
+// String returns the name of the state for the log.
 func (c ConnectionState) String() string { return connectionNames[c] }
 
-var connectionTransitions = [...][]ConnectionState{ConnectionNone: {ConnectionCreating}, ConnectionCreating: {ConnectionCreated, ConnectionNone, ConnectionUncertain}, ConnectionCreated: {ConnectionModifying, ConnectionDeleting, ConnectionNone},
-	ConnectionModifying: {ConnectionCreated, ConnectionNone, ConnectionDeleting}, ConnectionDeleting: {ConnectionNone, ConnectionCreated, ConnectionUncertain}, ConnectionUncertain: {ConnectionDeleting, ConnectionNone}}
+var connectionTransitions = [...][]ConnectionState{
+	ConnectionNone:      {ConnectionCreating},
+	ConnectionCreating:  {ConnectionCreated, ConnectionNone, ConnectionUncertain},
+	ConnectionCreated:   {ConnectionModifying, ConnectionDeleting, ConnectionNone},
+	ConnectionModifying: {ConnectionCreated, ConnectionNone, ConnectionDeleting},
+	ConnectionDeleting:  {ConnectionNone, ConnectionCreated, ConnectionUncertain},
+	ConnectionUncertain: {ConnectionDeleting, ConnectionNone},
+}
 
-// setConnection changes where a line's connection stands.
+// setConnection changes the connection state of a line. An invalid transition is logged and counted.
 func (a *Agent) setConnection(i int, next ConnectionState) {
 	line := &a.lines[i]
 	allowed := line.connection == next || next == ConnectionNone
@@ -39,7 +46,7 @@
 	}
 	if !allowed {
 		a.Counts.InvalidTransitions++
-		a.output.Note(fmt.Sprintf("fault: a connection at %s goes from %v to %v", a.endpointName(i), line.connection, next))
+		a.output.Note(fmt.Sprintf("fault: invalid transition of the connection at %s from %v to %v", a.endpointName(i), line.connection, next))
 	}
 	line.connection = next
 }
--- a/internal/callagent/door.go
+++ b/internal/callagent/door.go
@@ -11,11 +11,11 @@
 	"indigodrift/policy"
 )
 
-// joinStep is what is being done for a gateway that comes into service.
+// joinStep is the step of bringing a gateway into service.
 //
-//	joinNone -> clearing, asking
-//	clearing   -> asking      all connections are being deleted: no call of ours stands there
-//	asking     -> joinNone  all endpoints are being asked to tell when a receiver is lifted
+//	joinNone                -> joinDeletingConnections
+//	joinDeletingConnections -> joinRequestingEvents   all connections of the gateway are deleted: none has a call here
+//	joinRequestingEvents    -> joinNone               all endpoints are requested to report off-hook
 type joinStep uint8
 
 const (
@@ -24,12 +24,12 @@
 	joinRequestingEvents
 )
 
-// HandleMessage takes one message of a datagram. age is how long it waited before it was read.
+// HandleMessage handles one message of a datagram; age is how long the datagram waited in the queue.
 func (a *Agent) HandleMessage(now policy.Tenths, from netip.AddrPort, msg mgcp.Message, age policy.Tenths) {
 	a.now = now
 	switch {
 	case msg.IsAcknowledgement():
-		if gatewayIndex, ok := a.gatewayByAddress[from]; ok { // it names no endpoint
+		if gatewayIndex, ok := a.gatewayByAddress[from]; ok { // an acknowledgement names no endpoint
 			a.gateways[gatewayIndex].receiver.HandleAck(msg.Transaction)
 		}
 	case msg.Verb == "":
@@ -51,7 +51,7 @@
 		if gatewayIndex, ok = a.gatewayByAddress[from]; !ok {
 			return
 		}
-		// The endpoint is not told in a second answer: all of the gateway's are looked at.
+		// A response names no endpoint: a conflicting one leads to an audit of all endpoints of the gateway.
 		a.onConflict = func(mgcp.Message) {
 			for i := range a.gateways[gatewayIndex].Endpoints {
 				a.lines[a.gateways[gatewayIndex].lineOffset+i].auditDue = true
@@ -65,8 +65,8 @@
 	a.superviseGateway(gatewayIndex)
 }
 
-// isComplete tells whether a response has what its command asked for. One that was cut short is passed over, as the command is
-// repeated and the whole of it comes.
+// isComplete reports whether a response has the parameters that its command requires. A truncated response is ignored: the
+// command is retransmitted and the whole response follows.
 func isComplete(verb mgcp.Verb, msg mgcp.Message) bool {
 	if mgcp.ClassOf(msg.Code) != mgcp.Success {
 		return true
@@ -108,9 +108,10 @@
 	gateway.presence.Received(a.now)
 	gateway.suspect = false
 	a.selectAddress(gatewayIndex, from)
-	// It speaks from where it is. In service only a report moves it; one that is being brought into service at an address of the
-	// settings that it has left would be asked there for ever, as it is heard and so is not held to be gone.
-	if state := gateway.presence.State(); state == gateways.Joining && msg.Verb != mgcp.RestartInProgress && (len(gateway.Addresses) == 0 || gateway.Addresses[gateway.currentAddress%len(gateway.Addresses)] != from) {
+	// A joining gateway that sends from a new address is joined again there. Commands to a configured address that it has left
+	// would be sent forever, since its own messages keep it from counting as lost. In service only RSIP changes the address.
+	if state := gateway.presence.State(); state == gateways.Joining && msg.Verb != mgcp.RestartInProgress &&
+		(len(gateway.Addresses) == 0 || gateway.Addresses[gateway.currentAddress%len(gateway.Addresses)] != from) {
 		a.adoptAddress(gatewayIndex, from)
 		defer a.startJoin(gatewayIndex)
 	}
@@ -128,7 +129,7 @@
 		a.handleRestart(gatewayIndex, i, from, msg, reply)
 	case mgcp.Notify:
 		reply(mgcp.CodeOK, "OK")
-		if gateway.presence.State() == gateways.Absent { // it is there, whatever we held: from the start
+		if gateway.presence.State() == gateways.Absent { // it is reachable after all: join it anew
 			a.adoptAddress(gatewayIndex, from)
 			a.admit(gatewayIndex)
 			return
@@ -142,6 +143,7 @@
 	a.superviseGateway(gatewayIndex)
 }
 
+// owner returns the index of the call agent that a gateway belongs to.
 func (a *Agent) owner(name string) int {
 	if len(a.config.NotifiedEntities) < 2 {
 		return a.config.OwnEntityIndex
@@ -149,7 +151,7 @@
 	return gateways.Owner(name, a.config.NotifiedEntities, func(int) bool { return true })
 }
 
-// selectAddress has a gateway be spoken to at that of its addresses from which it was heard last.
+// selectAddress selects the address from which a gateway last sent, if it is one of its known addresses.
 func (a *Agent) selectAddress(gatewayIndex int, from netip.AddrPort) {
 	gateway := &a.gateways[gatewayIndex]
 	if n := slices.Index(gateway.Addresses, from); n >= 0 {
@@ -157,7 +159,7 @@
 	}
 }
 
-// adoptAddress takes a gateway's address from what it reports, when it is another than the ones known.
+// adoptAddress selects the address from which a gateway sent, and adds it if it is new.
 func (a *Agent) adoptAddress(gatewayIndex int, from netip.AddrPort) {
 	gateway := &a.gateways[gatewayIndex]
 	for n, address := range gateway.Addresses {
@@ -172,7 +174,7 @@
 	a.gatewayByAddress[from] = gatewayIndex
 }
 
-// handleRestart takes a report (RSIP, 2.3.12).
+// handleRestart handles a RestartInProgress command (RSIP, RFC 3435, 2.3.12).
 func (a *Agent) handleRestart(gatewayIndex, i int, from netip.AddrPort, msg mgcp.Message, reply func(int, string)) {
 	gateway := &a.gateways[gatewayIndex]
 	method, _ := msg.Param("RM")
@@ -190,10 +192,10 @@
 			a.handleEvent(i, endpointLost, eventData{})
 			return
 		}
-		a.gatewayLost(gatewayIndex, "it leaves service")
+		a.gatewayLost(gatewayIndex, "it reported a forced restart")
 	case "disconnected":
 		a.adoptAddress(gatewayIndex, from)
-		if gateway.presence.State() == gateways.Serving { // its calls may stand: what it holds is asked for, line by line
+		if gateway.presence.State() == gateways.Serving { // its calls may still be connected: audit each endpoint
 			reply(mgcp.CodeOK, "OK")
 			for n := range gateway.Endpoints {
 				a.lines[gateway.lineOffset+n].auditDue = true
@@ -217,7 +219,7 @@
 	}
 }
 
-// resetLine notes that an endpoint has started anew: it holds nothing and is asked for nothing.
+// resetLine forgets the applied state and the outstanding command of an endpoint that has restarted.
 func (a *Agent) resetLine(i int) {
 	line := &a.lines[i]
 	a.setConnection(i, ConnectionNone)
@@ -225,13 +227,14 @@
 	if line.transactionID != 0 {
 		a.gateways[line.gateway].sender.Cancel(a.now, line.transactionID)
 		delete(a.outstanding, line.transactionID)
-		auditAt = a.now + auditDelay // it may be carried out yet
+		auditAt = a.now + auditDelay // the endpoint may still execute it
 		a.schedule(auditAt, lineTimer, i)
 	}
-	line.transactionID, line.applied, line.connectedCall, line.orphaned, line.auditDue, line.retryAt, line.refusals, line.uncertainCall, line.auditAt = 0, endpointState{}, nil, nil, false, 0, 0, nil, auditAt
+	line.transactionID, line.applied, line.connectedCall, line.orphaned, line.auditDue, line.retryAt, line.refusals, line.uncertainCall, line.auditAt =
+		0, endpointState{}, nil, nil, false, 0, 0, nil, auditAt
 }
 
-// resetGateway ends what goes on at a gateway that has started anew, or is gone.
+// resetGateway ends all calls and commands of a gateway that has restarted or is lost.
 func (a *Agent) resetGateway(gatewayIndex int) {
 	gateway := &a.gateways[gatewayIndex]
 	gateway.transactionID, gateway.joinStep = 0, joinNone
@@ -244,8 +247,8 @@
 	}
 }
 
-// admitReported has the door say when a gateway that reported is brought into service; its report is answered then, so that one
-// whose turn has not come waits rather than reports again.
+// admitReported requests admission for a gateway that reported a restart. Its report is answered on admission, so that a queued
+// gateway waits and doesn't report again.
 func (a *Agent) admitReported(gatewayIndex int, from netip.AddrPort, msg mgcp.Message, reply func(int, string)) {
 	gateway := &a.gateways[gatewayIndex]
 	switch a.restarts.Admit(a.now, uint32(gatewayIndex)) {
@@ -262,18 +265,19 @@
 	a.scheduleAdmission()
 }
 
-// admit has the door say when a gateway that did not ask is brought into service.
+// admit requests admission for a gateway that didn't report a restart.
 func (a *Agent) admit(gatewayIndex int) {
 	switch a.restarts.Admit(a.now, uint32(gatewayIndex)) {
 	case gateways.Admitted:
 		a.startJoin(gatewayIndex)
 	case gateways.Rejected:
-		a.gateways[gatewayIndex].presence.Lost(a.now) // asked after later
+		a.gateways[gatewayIndex].presence.Lost(a.now) // probed later
 		a.superviseGateway(gatewayIndex)
 	}
 	a.scheduleAdmission()
 }
 
+// scheduleAdmission sets the timer for the next admission from the queue.
 func (a *Agent) scheduleAdmission() {
 	if at, ok := a.restarts.Next(a.now); ok && (a.admissionAt == 0 || at < a.admissionAt) {
 		a.admissionAt = at
@@ -281,7 +285,7 @@
 	}
 }
 
-// startJoin brings a gateway into service: three commands for all its endpoints together, not three for each.
+// startJoin starts to bring a gateway into service. Each command of the join goes to all endpoints together, not to each.
 func (a *Agent) startJoin(gatewayIndex int) {
 	gateway := &a.gateways[gatewayIndex]
 	for _, report := range gateway.queuedReports {
@@ -290,12 +294,13 @@
 	gateway.queuedReports = nil
 	a.resetGateway(gatewayIndex)
 	gateway.presence.Join(a.now)
-	// Also where it has just restarted and holds nothing: a command to make a connection that was on its way to it then may have
-	// been carried out since.
+	// Connections are deleted even after a restart: the gateway may have executed a delayed CRCX since.
 	gateway.joinStep = joinDeletingConnections
-	gateway.transactionID = a.sendCommand(gatewayIndex, mgcp.Message{Verb: mgcp.DeleteConnection, Endpoint: allEndpoints + "@" + gateway.Name}, outstandingCommand{gatewayCommand, gatewayIndex, mgcp.DeleteConnection, a.now})
+	gateway.transactionID = a.sendCommand(gatewayIndex, mgcp.Message{Verb: mgcp.DeleteConnection, Endpoint: allEndpoints + "@" + gateway.Name},
+		outstandingCommand{gatewayCommand, gatewayIndex, mgcp.DeleteConnection, a.now})
 }
 
+// requestOffHookEvents requests all endpoints of a joining gateway to report off-hook.
 func (a *Agent) requestOffHookEvents(gatewayIndex int) {
 	gateway := &a.gateways[gatewayIndex]
 	gateway.joinStep = joinRequestingEvents
@@ -304,12 +309,12 @@
 	a.addNotificationRequest(&msg, requestID, DetectOffHook, gateways.Silence, "")
 	for n := range gateway.Endpoints {
 		line := &a.lines[gateway.lineOffset+n]
-		line.requestID, line.notifiedID = requestID, requestID-1 // what it noticed before it came into service is over
+		line.requestID, line.notifiedID = requestID, requestID-1 // earlier notifications are stale
 	}
 	gateway.transactionID = a.sendCommand(gatewayIndex, msg, outstandingCommand{gatewayCommand, gatewayIndex, msg.Verb, a.now})
 }
 
-// handleJoinResponse takes the answer to a command for all endpoints.
+// handleJoinResponse handles the response to a command to all endpoints of a joining gateway, or its failure.
 func (a *Agent) handleJoinResponse(gatewayIndex int, id uint32, outcome mgcp.Outcome, response mgcp.Message) {
 	gateway := &a.gateways[gatewayIndex]
 	switch {
@@ -328,7 +333,7 @@
 	gateway.transactionID, gateway.joinStep = 0, joinNone
 	gateway.presence.Joined()
 	a.Counts.Joined++
-	accepted := mgcp.ClassOf(response.Code) == mgcp.Success // else one by one: a single phone that is off hook refuses it for all
+	accepted := mgcp.ClassOf(response.Code) == mgcp.Success // otherwise requested one by one: a single endpoint off hook refuses the request for all
 	for n := range gateway.Endpoints {
 		line := &a.lines[gateway.lineOffset+n]
 		if accepted {
@@ -339,7 +344,7 @@
 	gateway.auditAt = a.now + auditInterval
 }
 
-// gatewayLost holds a gateway to be gone: its calls are over, and it is asked after ever less often.
+// gatewayLost takes a gateway out of service and ends its calls. It is then probed at growing intervals.
 func (a *Agent) gatewayLost(gatewayIndex int, reason string) {
 	gateway := &a.gateways[gatewayIndex]
 	if gateway.presence.Lost(a.now) {
@@ -350,7 +355,7 @@
 	a.superviseGateway(gatewayIndex)
 }
 
-// handleProbeResponse takes the answer to the question whether a gateway is there.
+// handleProbeResponse handles the response to a probe, or its failure.
 func (a *Agent) handleProbeResponse(gatewayIndex int, outcome mgcp.Outcome, response mgcp.Message) {
 	gateway := &a.gateways[gatewayIndex]
 	switch {
@@ -361,7 +366,7 @@
 	}
 }
 
-// superviseGateway asks after a gateway that has been quiet, audits its lines in turn, and sets when to look again.
+// superviseGateway probes a silent gateway, audits its endpoints in turn and sets the timer of the gateway.
 func (a *Agent) superviseGateway(gatewayIndex int) {
 	gateway := &a.gateways[gatewayIndex]
 	probe, next := gateway.presence.ProbeDue(a.now)
@@ -384,13 +389,14 @@
 	a.scheduleGateway(gatewayIndex, next)
 }
 
-// scheduleRetransmission sets when a gateway's commands are to be looked at, wake when it is itself.
+// scheduleRetransmission sets the timer of a gateway for its next retransmission.
 func (a *Agent) scheduleRetransmission(gatewayIndex int) {
 	if at, ok := a.gateways[gatewayIndex].sender.Next(); ok {
 		a.scheduleGateway(gatewayIndex, at)
 	}
 }
 
+// scheduleGateway sets the timer of a gateway, unless it is set for an earlier time.
 func (a *Agent) scheduleGateway(gatewayIndex int, next policy.Tenths) {
 	gateway := &a.gateways[gatewayIndex]
 	if next = max(next, a.now+1); gateway.timerAt == 0 || next < gateway.timerAt {
@@ -399,12 +405,12 @@
 	}
 }
 
-// handleNotify takes what an endpoint noticed (NTFY, 2.3.3).
+// handleNotify handles a Notify command (NTFY, RFC 3435, 2.3.3).
 func (a *Agent) handleNotify(i int, msg mgcp.Message, age policy.Tenths) {
 	line := &a.lines[i]
 	requestText, _ := msg.Param("X")
 	requestID, err := strconv.ParseUint(requestText, 16, 32)
-	if err != nil || gateways.Stale(uint32(requestID), line.notifiedID) { // overtaken on its way: what it is like now is asked for
+	if err != nil || gateways.Stale(uint32(requestID), line.notifiedID) { // overtaken by a later one: audit the current state
 		a.Counts.StaleNotifications++
 		line.auditDue = true
 		a.reconcile(i)
@@ -413,19 +419,20 @@
 	observed, _ := msg.Param("O")
 	events, err := mgcp.ParseEvents(observed)
 	if err != nil {
-		a.output.Note("gateway: " + a.endpointName(i) + " notifies what cannot be read: " + err.Error())
+		a.output.Note("gateway: " + a.endpointName(i) + " sent a malformed event list: " + err.Error())
 		return
 	}
-	if line.transactionID != 0 && uint32(requestID) == line.requestID && line.notifiedID != line.requestID && a.outstanding[line.transactionID].verb == mgcp.NotificationRequest {
-		// It has noticed what that request asks for, and so has carried it out, whatever became of its answer: a number that was
-		// dialled waited for it.
+	if line.transactionID != 0 && uint32(requestID) == line.requestID && line.notifiedID != line.requestID &&
+		a.outstanding[line.transactionID].verb == mgcp.NotificationRequest {
+		// The endpoint detected an event of the outstanding request, so it has executed the request even if the response was lost.
+		// Without this, a dialled number had to wait for the response.
 		line.applied = line.pending
 		a.gateways[line.gateway].sender.Cancel(a.now, line.transactionID)
 		delete(a.outstanding, line.transactionID)
 		line.transactionID = 0
 	}
 	line.notifiedID = uint32(requestID)
-	line.applied.events, line.applied.tone = DetectNothing, gateways.Silence // a notification ends what was asked for, and tones with it
+	line.applied.events, line.applied.tone = DetectNothing, gateways.Silence // a notification ends the request and its tone
 	if line.state == OutOfService {
 		a.handleEvent(i, endpointBack, eventData{})
 	}
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -6,94 +6,161 @@
 	"indigodrift/policy"
 )
 
-// State of a line, that is of an endpoint at a gateway with the user's phone. happen is the one place that changes it.
+// State is the state of a line, an endpoint of a gateway with a subscriber's telephone. Only handleEvent changes it.
 type State uint8
 
 const (
-	OutOfService       State = iota // its gateway, or it alone, is out of service
+	OutOfService       State = iota // the gateway or the endpoint is out of service
 	Idle                            // on hook
-	Dialing                         // off hook, dial tone, digits come
-	CreatingConnection              // a number is known; its connection is being made
+	Dialing                         // off hook with dial tone, digits are collected
+	CreatingConnection              // a number was dialled; the connection is being created
 	Calling                         // offered to the exchange
-	Talking                         // the call stands, in either direction
-	HearingTone                     // off hook with a tone: refused, failed, over
-	Incoming                        // a call for it: its connection is being made and its phone is to ring
-	Ringing                         // its phone rings; the call stands
+	Talking                         // the call is connected, in either direction
+	HearingTone                     // off hook; the tone tells that the call was refused, failed or has ended
+	Incoming                        // call to this line: the connection is being created and ringing started
+	Ringing                         // the telephone rings; the exchange has the call as answered
 	stateCount
 )
 
+// String returns the name of the state for logs and tests.
 func (s State) String() string {
 	return [...]string{"away", "idle", "dialing", "opening", "calling", "talking", "hearing", "taking", "ringing"}[s]
 }
 
-// event is what happens to a line, whatever message told it.
+// event is an event at a line, whichever message reported it.
 type event uint8
 
 const (
-	offHook         event = iota // the receiver, to dial
-	offHookRejected              // lifted, but the program has no room for another call
+	offHook         event = iota // to dial or to answer
+	offHookRejected              // off hook while the program is overloaded: no new call is accepted
 	onHook
 	hookFlash
-	numberDialled    // a whole number
-	numberInvalid    // digits that are no number
-	connectionReady  // the connection is made, and what was asked with it obeyed
-	connectionFailed // it cannot be made
-	callAnswered     // the exchange: the call stands
-	callReleased     // the exchange: it is over
-	incomingCall     // the exchange: a call for this line
-	connectionLost   // the connection of the call is gone from the gateway
-	endpointLost     // the gateway, or this endpoint
-	endpointBack     // it is there again, on hook as far as is known
-	stateTimedOut    // the guard of the state
+	numberDialled    // a complete number
+	numberInvalid    // the digits match no number
+	connectionReady  // the connection is created, with the events and the tone requested with it
+	connectionFailed // the connection can't be created
+	callAnswered     // by the exchange
+	callReleased     // by the exchange
+	incomingCall     // from the exchange to this line
+	connectionLost   // the gateway no longer has the connection of the call
+	endpointLost     // the gateway or the endpoint is out of service
+	endpointBack     // back in service, on hook as far as is known
+	stateTimedOut    // the timer of the state has expired
 	eventCount
 )
 
+// String returns the name of the event for logs and tests.
 func (e event) String() string {
-	return [...]string{"lifted", "turned away", "hung up", "flashed", "dialled", "misdialled", "opened", "unopened", "answered", "released", "called",
+	return [...]string{"lifted", "off hook under overload", "hung up", "flashed", "dialled", "misdialled", "opened", "unopened", "answered", "released", "called",
 		"vanished", "lost", "back", "expired"}[e]
 }
 
-// eventData is what an event brings.
+// eventData holds the parameters of an event.
 type eventData struct {
-	digits  string
-	age     policy.Tenths // how long ago it happened, as far as is known
-	circuit circuitKey    // called
-	message isup.Message  // answered, released, called
+	digits  string        // of numberDialled
+	age     policy.Tenths // how long ago it occurred, as far as is known
+	circuit circuitKey    // of incomingCall
+	message isup.Message  // of callAnswered, callReleased and incomingCall
 }
 
+// transition is the next state of a line and the action on the way there.
 type transition struct {
 	next   State
 	action func(*Agent, int, eventData)
 }
 
-// transitions is the whole of a line's life. What is not in it changes nothing: a notification is answered by the door before it
-// comes here, a call by the exchange gets its answer from refuse, and every other is counted.
+// transitions is the state machine of a line. An event without an entry changes nothing and is counted: notifications have been
+// acknowledged before they get here, and calls from the exchange have an entry in every state.
 var transitions = [stateCount][eventCount]transition{
-	OutOfService: {endpointBack: {Idle, (*Agent).goIdle}, endpointLost: {OutOfService, (*Agent).noAction}, incomingCall: {OutOfService, (*Agent).refuseCall}},
-	Idle: {offHook: {Dialing, (*Agent).startDialling}, offHookRejected: {HearingTone, (*Agent).rejectOverload}, incomingCall: {Incoming, (*Agent).startIncoming},
-		endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}, onHook: {Idle, (*Agent).noAction}},
-	Dialing: {numberDialled: {CreatingConnection, (*Agent).startCall}, numberInvalid: {HearingTone, (*Agent).rejectNumber}, stateTimedOut: {HearingTone, (*Agent).rejectNumber},
-		hookFlash: {Dialing, (*Agent).startDialling}, onHook: {Idle, (*Agent).goIdle}, incomingCall: {Dialing, (*Agent).refuseCall},
-		endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
-	CreatingConnection: {connectionReady: {Calling, (*Agent).offerCall}, connectionFailed: {HearingTone, (*Agent).failSetUp}, stateTimedOut: {HearingTone, (*Agent).failSetUp}, connectionLost: {HearingTone, (*Agent).failSetUp},
-		onHook: {Idle, (*Agent).goIdle}, hookFlash: {CreatingConnection, (*Agent).noAction}, incomingCall: {CreatingConnection, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
-	Calling: {callAnswered: {Talking, (*Agent).connectCall}, callReleased: {HearingTone, (*Agent).playCause}, stateTimedOut: {HearingTone, (*Agent).failCall},
-		connectionLost: {HearingTone, (*Agent).failCall}, onHook: {Idle, (*Agent).clearCall}, hookFlash: {Calling, (*Agent).noAction},
-		incomingCall: {Calling, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
-	Talking: {callReleased: {HearingTone, (*Agent).playCause}, connectionLost: {HearingTone, (*Agent).failCall}, onHook: {Idle, (*Agent).clearCall},
-		hookFlash: {Talking, (*Agent).noAction}, incomingCall: {Talking, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
-	HearingTone: {onHook: {Idle, (*Agent).goIdle}, stateTimedOut: {HearingTone, (*Agent).warnOffHook}, hookFlash: {Dialing, (*Agent).startDialling},
-		incomingCall: {HearingTone, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).goIdle}, endpointBack: {Idle, (*Agent).goIdle}},
-	Incoming: {connectionReady: {Ringing, (*Agent).sendAnswer}, connectionFailed: {Idle, (*Agent).failIncoming}, connectionLost: {Idle, (*Agent).failIncoming}, callReleased: {Idle, (*Agent).goIdle},
-		// Glare: the user lifted to dial as the call came and has not heard it ring. The call finds the line engaged.
-		offHook: {Dialing, (*Agent).resolveGlare}, offHookRejected: {Dialing, (*Agent).resolveGlare}, onHook: {Incoming, (*Agent).noAction},
-		incomingCall: {Incoming, (*Agent).refuseCall}, endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
-	Ringing: {offHook: {Talking, (*Agent).pickUpCall}, offHookRejected: {Talking, (*Agent).pickUpCall}, callReleased: {Idle, (*Agent).goIdle}, stateTimedOut: {Idle, (*Agent).releaseUnanswered},
-		connectionLost: {Idle, (*Agent).failIncoming}, onHook: {Ringing, (*Agent).noAction}, incomingCall: {Ringing, (*Agent).refuseCall},
-		endpointLost: {OutOfService, (*Agent).disconnectCall}, endpointBack: {Idle, (*Agent).disconnectCall}},
+	OutOfService: {
+		endpointBack: {Idle, (*Agent).goIdle},
+		endpointLost: {OutOfService, (*Agent).noAction},
+		incomingCall: {OutOfService, (*Agent).refuseCall},
+	},
+	Idle: {
+		offHook:         {Dialing, (*Agent).startDialling},
+		offHookRejected: {HearingTone, (*Agent).rejectOverload},
+		incomingCall:    {Incoming, (*Agent).startIncoming},
+		endpointLost:    {OutOfService, (*Agent).goIdle},
+		endpointBack:    {Idle, (*Agent).goIdle},
+		onHook:          {Idle, (*Agent).noAction},
+	},
+	Dialing: {
+		numberDialled: {CreatingConnection, (*Agent).startCall},
+		numberInvalid: {HearingTone, (*Agent).rejectNumber},
+		stateTimedOut: {HearingTone, (*Agent).rejectNumber},
+		hookFlash:     {Dialing, (*Agent).startDialling},
+		onHook:        {Idle, (*Agent).goIdle},
+		incomingCall:  {Dialing, (*Agent).refuseCall},
+		endpointLost:  {OutOfService, (*Agent).goIdle},
+		endpointBack:  {Idle, (*Agent).goIdle},
+	},
+	CreatingConnection: {
+		connectionReady:  {Calling, (*Agent).offerCall},
+		connectionFailed: {HearingTone, (*Agent).failSetUp},
+		stateTimedOut:    {HearingTone, (*Agent).failSetUp},
+		connectionLost:   {HearingTone, (*Agent).failSetUp},
+		onHook:           {Idle, (*Agent).goIdle},
+		hookFlash:        {CreatingConnection, (*Agent).noAction},
+		incomingCall:     {CreatingConnection, (*Agent).refuseCall},
+		endpointLost:     {OutOfService, (*Agent).goIdle},
+		endpointBack:     {Idle, (*Agent).goIdle},
+	},
+	Calling: {
+		callAnswered:   {Talking, (*Agent).connectCall},
+		callReleased:   {HearingTone, (*Agent).playCause},
+		stateTimedOut:  {HearingTone, (*Agent).failCall},
+		connectionLost: {HearingTone, (*Agent).failCall},
+		onHook:         {Idle, (*Agent).clearCall},
+		hookFlash:      {Calling, (*Agent).noAction},
+		incomingCall:   {Calling, (*Agent).refuseCall},
+		endpointLost:   {OutOfService, (*Agent).disconnectCall},
+		endpointBack:   {Idle, (*Agent).disconnectCall},
+	},
+	Talking: {
+		callReleased:   {HearingTone, (*Agent).playCause},
+		connectionLost: {HearingTone, (*Agent).failCall},
+		onHook:         {Idle, (*Agent).clearCall},
+		hookFlash:      {Talking, (*Agent).noAction},
+		incomingCall:   {Talking, (*Agent).refuseCall},
+		endpointLost:   {OutOfService, (*Agent).disconnectCall},
+		endpointBack:   {Idle, (*Agent).disconnectCall},
+	},
+	HearingTone: {
+		onHook:        {Idle, (*Agent).goIdle},
+		stateTimedOut: {HearingTone, (*Agent).warnOffHook},
+		hookFlash:     {Dialing, (*Agent).startDialling},
+		incomingCall:  {HearingTone, (*Agent).refuseCall},
+		endpointLost:  {OutOfService, (*Agent).goIdle},
+		endpointBack:  {Idle, (*Agent).goIdle},
+	},
+	Incoming: {
+		connectionReady:  {Ringing, (*Agent).sendAnswer},
+		connectionFailed: {Idle, (*Agent).failIncoming},
+		connectionLost:   {Idle, (*Agent).failIncoming},
+		callReleased:     {Idle, (*Agent).goIdle},
+		// Glare: the user went off hook to dial as the call arrived and hasn't heard the ringing. The call finds the line busy.
+		offHook:         {Dialing, (*Agent).resolveGlare},
+		offHookRejected: {Dialing, (*Agent).resolveGlare},
+		onHook:          {Incoming, (*Agent).noAction},
+		incomingCall:    {Incoming, (*Agent).refuseCall},
+		endpointLost:    {OutOfService, (*Agent).disconnectCall},
+		endpointBack:    {Idle, (*Agent).disconnectCall},
+	},
+	Ringing: {
+		offHook:         {Talking, (*Agent).pickUpCall},
+		offHookRejected: {Talking, (*Agent).pickUpCall},
+		callReleased:    {Idle, (*Agent).goIdle},
+		stateTimedOut:   {Idle, (*Agent).releaseUnanswered},
+		connectionLost:  {Idle, (*Agent).failIncoming},
+		onHook:          {Ringing, (*Agent).noAction},
+		incomingCall:    {Ringing, (*Agent).refuseCall},
+		endpointLost:    {OutOfService, (*Agent).disconnectCall},
+		endpointBack:    {Idle, (*Agent).disconnectCall},
+	},
 }
 
-// handleEvent is the one place where a line changes its state.
+// handleEvent runs the state machine of a line.
 func (a *Agent) handleEvent(i int, e event, data eventData) {
 	line := &a.lines[i]
 	t := transitions[line.state][e]
@@ -107,7 +174,7 @@
 	a.reconcile(i)
 }
 
-// setDesired has a line be so from now on; push brings the gateway there.
+// setDesired sets the desired state of a line's endpoint and the timer of its state, 0 for none; reconcile applies it.
 func (a *Agent) setDesired(i int, events RequestedEvents, tone gateways.Tone, mode Mode, timeoutAt policy.Tenths) {
 	line := &a.lines[i]
 	line.desired = endpointState{events, tone, mode}
@@ -120,20 +187,22 @@
 	}
 }
 
+// noAction is the action of events that change nothing.
 func (a *Agent) noAction(int, eventData) {}
 
-// goIdle leaves a line on hook with nothing going on; away, nothing is asked of it.
+// goIdle ends all activity at a line. Out of service it requests nothing from the endpoint.
 func (a *Agent) goIdle(i int, _ eventData) {
 	a.setDesired(i, DetectOffHook, gateways.Silence, NoMode, 0)
 }
 
+// startDialling starts dial tone and collects digits.
 func (a *Agent) startDialling(i int, _ eventData) {
 	a.setDesired(i, DetectDigits, gateways.DialTone, NoMode, a.now+a.config.MaxDialTime)
-	a.lines[i].applied.events, a.lines[i].applied.tone = DetectNothing, gateways.Silence // also after a flash: the digits begin anew
+	a.lines[i].applied.events, a.lines[i].applied.tone = DetectNothing, gateways.Silence // request both again after a hook flash: the digits start over
 }
 
-// playTone has a user hear a tone. It is the final answer of a call, or the end of one, and does not wait behind a command that the
-// gateway has not answered: that one is given up, and what it may have made is deleted by the call's id with the tone.
+// playTone plays a tone that refuses or ends a call. It doesn't wait for the response to an outstanding command: that command is
+// abandoned, and a connection that it may have created is deleted by its call ID together with the tone.
 func (a *Agent) playTone(i int, tone gateways.Tone) {
 	if a.lines[i].transactionID != 0 {
 		a.abandonCommand(i)
@@ -145,12 +214,14 @@
 	a.Counts.Rejected++
 	a.playTone(i, gateways.Congestion)
 }
+
 func (a *Agent) rejectNumber(i int, _ eventData) { a.playTone(i, gateways.Reorder) }
+
 func (a *Agent) warnOffHook(i int, _ eventData) {
 	a.setDesired(i, DetectOnHook, gateways.OffHookWarning, NoMode, 0)
 }
 
-// startCall takes a dialled number: the caller's time runs from here.
+// startCall starts a call to the dialled number. The caller's abandon time runs from here.
 func (a *Agent) startCall(i int, data eventData) {
 	line := &a.lines[i]
 	line.answerDeadline = a.now - data.age + a.config.AbandonTimes[a.gateways[line.gateway].BearerIndex]
@@ -162,12 +233,12 @@
 	a.setDesired(i, DetectOnHook, gateways.Silence, ReceiveOnly, line.call.deadline)
 }
 
-// offerCall gives the call to the exchange, with the time that is left of the caller's.
+// offerCall offers the call to the exchange with the rest of the caller's abandon time.
 func (a *Agent) offerCall(i int, _ eventData) {
 	line := &a.lines[i]
 	call, gateway := line.call, &a.gateways[line.gateway]
 	flags := uint8(0)
-	if line.lastNumber == numberDigest(call.digits) { // it was turned away or cut, and comes again
+	if line.lastNumber == numberDigest(call.digits) { // a redial after a refused or disconnected call
 		flags = line.lastFlags
 	}
 	line.lastNumber, line.lastFlags = numberDigest(call.digits), isup.FlagRedial
@@ -180,7 +251,7 @@
 		Ref: isup.Reference{Point: a.config.PointCode, Identity: a.lastIdentity | firstGatewayIdentity}, UserInfo: userInfo})
 }
 
-// connectCall joins caller and called: the call stands.
+// connectCall connects the caller to the answered call.
 func (a *Agent) connectCall(i int, data eventData) {
 	line := &a.lines[i]
 	a.Counts.Answered++
@@ -189,7 +260,7 @@
 	a.setDesired(i, DetectOnHook, gateways.Silence, SendReceive, 0)
 }
 
-// playCause lets a user hear why the call is over, or never was.
+// playCause plays the tone for the cause of a release.
 func (a *Agent) playCause(i int, data eventData) {
 	line := &a.lines[i]
 	tone, reason := gateways.ToneFor(data.message.Cause)
@@ -205,20 +276,22 @@
 	a.playTone(i, tone)
 }
 
-// failSetUp answers a call that never came to the exchange; failCall one that is there.
+// failSetUp ends a call that wasn't offered to the exchange.
 func (a *Agent) failSetUp(i int, _ eventData) {
 	a.Counts.Failed++
-	a.output.Told(i, "the gateway did not make the connection in time")
+	a.output.Told(i, "the gateway did not create the connection in time")
 	a.playTone(i, gateways.Reorder)
 }
 
+// failCall ends a call that the exchange has.
 func (a *Agent) failCall(i int, _ eventData) {
 	a.sendRelease(i, isup.NetworkOutOfOrder)
 	a.Counts.Failed++
-	a.output.Told(i, "the connection at the gateway is gone")
+	a.output.Told(i, "the gateway lost the connection or the exchange did not answer")
 	a.playTone(i, gateways.Reorder)
 }
 
+// sendRelease releases the call of a line, if any, towards the exchange.
 func (a *Agent) sendRelease(i int, cause isup.Cause) {
 	if call := a.lines[i].call; call != nil {
 		a.sendToExchange(call.circuit, isup.Message{Type: isup.REL, Cause: cause, Location: isup.User})
@@ -229,12 +302,13 @@
 	a.sendRelease(i, isup.NormalClearing)
 	a.goIdle(i, data)
 }
+
 func (a *Agent) disconnectCall(i int, data eventData) {
 	a.sendRelease(i, isup.NetworkOutOfOrder)
 	a.goIdle(i, data)
 }
 
-// refuseCall answers a call for a line that cannot take it.
+// refuseCall releases a call to a line that can't accept it.
 func (a *Agent) refuseCall(i int, data eventData) {
 	cause := isup.UserBusy
 	if a.lines[i].state == OutOfService {
@@ -243,7 +317,7 @@
 	a.sendToExchange(data.circuit, isup.Message{Type: isup.REL, Cause: cause, Location: isup.User})
 }
 
-// startIncoming has a phone ring: its connection, the ring and the caller's ring-back go out as one command.
+// startIncoming rings the telephone: one command creates the connection, starts ringing and plays ringback to the caller.
 func (a *Agent) startIncoming(i int, data eventData) {
 	a.lastCallID++
 	if data.message.UserInfo.Present&isup.PartTimeLeft != 0 {
@@ -254,8 +328,8 @@
 	a.setDesired(i, DetectOffHook, gateways.Ring, SendReceive, 0)
 }
 
-// sendAnswer tells the exchange that the phone rings: the way is there from end to end, and the call stands. Whether somebody
-// picks up is not the network's.
+// sendAnswer reports the call to the exchange as answered when the telephone rings: the path is complete from end to end. Whether
+// the subscriber answers is not part of the set-up.
 func (a *Agent) sendAnswer(i int, _ eventData) {
 	line := &a.lines[i]
 	line.stateTimeoutAt = a.now + a.config.MaxRingTime
@@ -267,14 +341,17 @@
 	a.sendRelease(i, isup.TemporaryFailure)
 	a.goIdle(i, data)
 }
+
 func (a *Agent) releaseUnanswered(i int, data eventData) {
 	a.sendRelease(i, isup.NoAnswer)
 	a.goIdle(i, data)
 }
+
 func (a *Agent) resolveGlare(i int, data eventData) {
 	a.sendRelease(i, isup.UserBusy)
 	a.startDialling(i, data)
 }
+
 func (a *Agent) pickUpCall(i int, _ eventData) {
 	a.setDesired(i, DetectOnHook, gateways.Silence, SendReceive, 0)
 }
--- a/internal/callagent/session.go
+++ b/internal/callagent/session.go
@@ -10,8 +10,8 @@
 	"indigodrift/internal/isup"
 )
 
-// readSession checks a session description (RFC 4566): an audio stream with a port, and an address for it. One that is too long
-// to ride along to another exchange is cut down to what says where media goes. Media is never carried here.
+// readSession checks that a session description (RFC 4566) has an audio stream with a port and an address. A description that is
+// too long for an ISUP message is reduced to the address and port of the media.
 func readSession(text []byte) (string, error) {
 	var session sdp.SessionDescription
 	if len(text) == 0 {
@@ -36,7 +36,7 @@
 	return "", errors.New("session description without an audio stream that has a port and an address")
 }
 
-// pcmuSession describes PCMU at an address and a port.
+// pcmuSession returns a session description of PCMU audio at an address and a port.
 func pcmuSession(address string, port int) string {
 	return "v=0\r\no=- 0 0 IN IP4 " + address + "\r\ns=-\r\nc=IN IP4 " + address + "\r\nt=0 0\r\nm=audio " + strconv.Itoa(port) + " RTP/AVP 0\r\n"
 }
--- a/internal/callagent/wish.go
+++ b/internal/callagent/wish.go
@@ -10,17 +10,32 @@
 	"indigodrift/policy"
 )
 
-// What is listened for and what is heard, as the packages of RFC 3660 name it.
-var requestedEventLists = [...]string{DetectNothing: "", DetectOffHook: "L/hd(N)", DetectDigits: "L/hu(N), L/hf(N), D/[0-9#*T](D)", DetectOnHook: "L/hu(N), L/hf(N)"}
+// requestedEventLists holds the R parameters of the requested events, with the event names of RFC 3660.
+var requestedEventLists = [...]string{
+	DetectNothing: "",
+	DetectOffHook: "L/hd(N)",
+	DetectDigits:  "L/hu(N), L/hf(N), D/[0-9#*T](D)",
+	DetectOnHook:  "L/hu(N), L/hf(N)",
+}
 
-var toneSignals = [...]string{gateways.Silence: "", gateways.DialTone: "L/dl", gateways.Busy: "L/bz", gateways.Congestion: "G/cg",
-	gateways.Reorder: "L/ro", gateways.Ring: "L/rg, G/rt@", gateways.OffHookWarning: "L/ot"}
+// toneSignals holds the S parameters of the tones, with the signal names of RFC 3660. A connection ID follows a final @.
+var toneSignals = [...]string{
+	gateways.Silence:        "",
+	gateways.DialTone:       "L/dl",
+	gateways.Busy:           "L/bz",
+	gateways.Congestion:     "G/cg",
+	gateways.Reorder:        "L/ro",
+	gateways.Ring:           "L/rg, G/rt@",
+	gateways.OffHookWarning: "L/ot",
+}
 
-// reconcile sends the one command that brings a line's gateway nearer to what is wished, if there is one to send and none is out.
+// reconcile sends the next command that brings the applied state of a line's endpoint closer to the desired state. It sends nothing
+// while a command is outstanding.
 func (a *Agent) reconcile(i int) {
 	line := &a.lines[i]
 	gateway := &a.gateways[line.gateway]
-	if line.transactionID != 0 || line.state == OutOfService || gateway.presence.State() != gateways.Serving && gateway.presence.State() != gateways.Leaving || a.now < line.retryAt {
+	if line.transactionID != 0 || line.state == OutOfService ||
+		gateway.presence.State() != gateways.Serving && gateway.presence.State() != gateways.Leaving || a.now < line.retryAt {
 		return
 	}
 	desired, applied := line.desired, line.applied
@@ -44,7 +59,7 @@
 		msg.Set("C", a.callID(line.connectedCall))
 		msg.Set("I", line.connectedCall.connectionID)
 		pending.mode = NoMode
-		requestEvents = requestEvents && desired.mode == NoMode // else with the new connection
+		requestEvents = requestEvents && desired.mode == NoMode // otherwise requested with the new connection
 	case desired.mode != NoMode && applied.mode == NoMode:
 		msg.Verb, connectionID = mgcp.CreateConnection, "$"
 		a.setConnection(i, ConnectionCreating)
@@ -87,9 +102,10 @@
 	line.transactionID = a.sendCommand(int(line.gateway), msg, outstandingCommand{lineCommand, i, msg.Verb, a.now})
 }
 
+// newRequestID returns the next request ID (X parameter).
 func (a *Agent) newRequestID() uint32 { a.lastRequestID++; return a.lastRequestID }
 
-// addNotificationRequest adds a request for notifications and a tone.
+// addNotificationRequest adds the parameters that request events and a tone to a command.
 func (a *Agent) addNotificationRequest(msg *mgcp.Message, requestID uint32, events RequestedEvents, tone gateways.Tone, connectionID string) {
 	msg.Set("X", strconv.FormatUint(uint64(requestID), 16))
 	msg.Set("R", requestedEventLists[events])
@@ -103,7 +119,7 @@
 	msg.Set("S", signal)
 }
 
-// sendCommand sends a command and notes what it is about.
+// sendCommand sends a command, records it as outstanding and returns its transaction ID.
 func (a *Agent) sendCommand(gatewayIndex int, msg mgcp.Message, command outstandingCommand) uint32 {
 	gateway := &a.gateways[gatewayIndex]
 	if len(a.config.NotifiedEntities) > 1 && msg.Verb == mgcp.NotificationRequest {
@@ -115,14 +131,14 @@
 	}
 	id := gateway.sender.SendWithDeadline(a.now, msg, deadline)
 	a.outstanding[id] = command
-	a.scheduleRetransmission(gatewayIndex) // to look at the gateway here began an audit of the very line whose command is being sent: it got two at once
+	a.scheduleRetransmission(gatewayIndex) // superviseGateway could start an audit of the same line here: two commands would be outstanding
 	return id
 }
 
-// commandOutput is the agent as its senders see it.
+// commandOutput implements mgcp.SenderOutput for the agent.
 type commandOutput Agent
 
-// Transmit puts a command on its way; the transaction's id tells whose it is.
+// Transmit sends a command, or the acknowledgement of a response, to the current address of its gateway.
 func (o *commandOutput) Transmit(msg mgcp.Message, repeat int) {
 	a := (*Agent)(o)
 	_, domain, _ := strings.Cut(msg.Endpoint, "@")
@@ -137,6 +153,7 @@
 	}
 }
 
+// gatewayOfCommand returns the index of the gateway of a command.
 func (a *Agent) gatewayOfCommand(command outstandingCommand) int {
 	if command.kind == lineCommand {
 		return int(a.lines[command.index].gateway)
@@ -144,8 +161,8 @@
 	return command.index
 }
 
-// HandleConflict has an endpoint audited that answered a command a second time, otherwise: the first answer counts, and what the
-// second told of is looked for and taken away.
+// HandleConflict handles a second, different response to a command. The first response counts; the endpoints are audited, and
+// what the second response reported is found there and deleted.
 func (o *commandOutput) HandleConflict(id uint32, _ int, response mgcp.Message) {
 	a := (*Agent)(o)
 	a.Counts.ConflictingResponses++
@@ -154,15 +171,15 @@
 	}
 }
 
-// HandleOutcome takes the end of a command.
+// HandleOutcome handles the response to a command or the lack of one.
 func (o *commandOutput) HandleOutcome(id uint32, outcome mgcp.Outcome, response mgcp.Message) {
 	a := (*Agent)(o)
 	command := a.outstanding[id]
 	gatewayIndex := a.gatewayOfCommand(command)
 	gateway := &a.gateways[gatewayIndex]
 	if outcome == mgcp.PeerSuspect {
-		// Another address of it, if there is one; not while it is heard: on a network that loses much, half of what was sent to a
-		// gateway that had moved went to the address it had left.
+		// Try the next address, but not while the gateway sends: on a lossy network, half of the commands to a gateway that had
+		// moved went to its old address.
 		if !gateway.presence.ReceivedSince(command.sentAt) {
 			gateway.suspect = true
 			gateway.currentAddress++
@@ -191,8 +208,8 @@
 	}
 }
 
-// handleUnanswered takes the end of a command that a gateway which is there did not answer: what it has done is not known, and is asked
-// for and put right.
+// handleUnanswered handles a command that a reachable gateway didn't answer. Whether it was executed is unknown: the endpoint is
+// audited, or a joining gateway is joined again.
 func (a *Agent) handleUnanswered(gatewayIndex int, id uint32, command outstandingCommand) {
 	switch {
 	case command.kind == gatewayCommand && a.gateways[gatewayIndex].transactionID == id:
@@ -204,7 +221,7 @@
 	}
 }
 
-// abandonCommand lets go of the command that is out for a line, whether the gateway has carried it out or not.
+// abandonCommand stops waiting for the response to the outstanding command of a line. The gateway may have executed it.
 func (a *Agent) abandonCommand(i int) {
 	line := &a.lines[i]
 	a.gateways[line.gateway].sender.Cancel(a.now, line.transactionID)
@@ -221,7 +238,7 @@
 	}
 }
 
-// handleLineResponse takes the answer to a command of a line.
+// handleLineResponse handles the response to a command to one endpoint.
 func (a *Agent) handleLineResponse(command outstandingCommand, response mgcp.Message) {
 	i := command.index
 	line := &a.lines[i]
@@ -240,7 +257,7 @@
 		a.setConnection(i, ConnectionNone)
 		line.uncertainCall, line.auditDue = nil, true
 	}
-	if result != gateways.Succeeded { // as it was before the command
+	if result != gateways.Succeeded { // restore the state from before the command
 		switch line.connection {
 		case ConnectionCreating:
 			a.setConnection(i, ConnectionNone)
@@ -295,14 +312,14 @@
 				a.handleEvent(i, connectionLost, eventData{})
 				return
 			}
-		default: // a tone or an event it does not know: go on without, rather than ask for ever
+		default: // unknown tone or event: continue without it instead of requesting it forever
 			line.applied.events, line.applied.tone = line.pending.events, line.pending.tone
 		}
 	}
 	a.reconcile(i)
 }
 
-// endpointOutOfService takes an endpoint out of service that its gateway says it does not have, or not now; it is asked after.
+// endpointOutOfService takes an endpoint out of service that its gateway reported as unknown or unavailable. It is audited later.
 func (a *Agent) endpointOutOfService(i int) {
 	line := &a.lines[i]
 	a.handleEvent(i, endpointLost, eventData{})
@@ -312,12 +329,12 @@
 	a.schedule(line.retryAt, lineTimer, i)
 }
 
-// handleSuccess notes that the gateway is as the command asked.
+// handleSuccess records the state that a successful command has applied.
 func (a *Agent) handleSuccess(i int, verb mgcp.Verb, response mgcp.Message) {
 	line := &a.lines[i]
 	alreadyNotified := line.notifiedID == line.requestID && line.applied.events == DetectNothing && line.pending.events != DetectNothing
 	line.applied = line.pending
-	if alreadyNotified { // what was asked for has been notified before the answer came: it must be asked for anew
+	if alreadyNotified { // the notification came before the response and ended the request
 		line.applied.events, line.applied.tone = DetectNothing, gateways.Silence
 	}
 	call := line.pendingCall
@@ -329,7 +346,7 @@
 		} else {
 			line.connectedCall = nil
 		}
-		// A command to make it that was held up on its way may be carried out after this one: the endpoint is asked later.
+		// A delayed CRCX for the same call may be executed after this command: audit the endpoint later.
 		line.auditAt = a.now + auditDelay
 		a.schedule(line.auditAt, lineTimer, i)
 	case mgcp.CreateConnection:
@@ -339,7 +356,7 @@
 		call.appliedSession = call.pendingSession
 		session, err := readSession(response.Session)
 		if call.localSession = session; err != nil || call.connectionID == "" {
-			a.output.Note("gateway: " + a.endpointName(i) + " makes a connection that cannot be used: " + sessionErrorText(err))
+			a.output.Note("gateway: " + a.endpointName(i) + " created an unusable connection: " + sessionErrorText(err))
 			if call == line.call {
 				a.handleEvent(i, connectionFailed, eventData{})
 				return
@@ -355,14 +372,16 @@
 	a.reconcile(i)
 }
 
+// sessionErrorText returns why a created connection is unusable.
 func sessionErrorText(err error) string {
 	if err == nil {
-		return "it has no name"
+		return "it has no connection ID"
 	}
 	return err.Error()
 }
 
-// handleAudit takes what an endpoint says of itself: connections of no call are deleted, and its hook counts against what we hold.
+// handleAudit handles the response to an audit of an endpoint. Connections without a call are deleted, and the reported hook state
+// overrides the known one.
 func (a *Agent) handleAudit(i int, response mgcp.Message) {
 	line := &a.lines[i]
 	if mgcp.ClassOf(response.Code) != mgcp.Success {
@@ -375,8 +394,8 @@
 		a.handleEvent(i, endpointBack, eventData{})
 	}
 	if line.state == Idle {
-		// What it listens for is asked for anew: one that noticed something and could not tell it listens for nothing more, and
-		// does not say so.
+		// Request the events again: an endpoint that couldn't deliver a notification detects nothing any more, and an audit
+		// doesn't show it.
 		line.applied.events = DetectNothing
 	}
 	list, _ := response.Param("I")
@@ -415,7 +434,7 @@
 	a.reconcile(i)
 }
 
-// offHookEvent is what it means that a receiver is lifted now.
+// offHookEvent returns the event for a line that goes off hook now.
 func (a *Agent) offHookEvent() event {
 	if gateways.Overloaded(a.callDelay, a.config.GoSTarget) {
 		return offHookRejected
@@ -423,7 +442,7 @@
 	return offHook
 }
 
-// retryLine takes a line up that could not do what it was asked a while ago.
+// retryLine continues with a line after a retry delay. An endpoint out of service is audited.
 func (a *Agent) retryLine(i int) {
 	line := &a.lines[i]
 	if line.state == OutOfService && line.transactionID == 0 && a.gateways[line.gateway].presence.State() == gateways.Serving {
@@ -436,7 +455,7 @@
 	a.reconcile(i)
 }
 
-// remoteSessionOf is where the other side of a call takes media: as it told, or the own switch where it told nothing.
+// remoteSessionOf returns the session description of the other side of a call, or that of the own switch if none was given.
 func (a *Agent) remoteSessionOf(userInfo isup.UserInfo, circuit circuitKey) string {
 	if userInfo.Present&isup.PartSession != 0 && userInfo.Session != "" {
 		if _, err := readSession([]byte(userInfo.Session)); err == nil {
--- a/internal/gateways/decisions_test.go
+++ b/internal/gateways/decisions_test.go
@@ -31,18 +31,18 @@
 	}
 }
 
-// The room for an answer grows with loss and with the wait, is enough for the sendings that it is reckoned for, and leaves at
-// least half of the time to set the call up.
+// The answer margin grows with the loss rate and the timeout, suffices for the minimum of transmissions, and leaves at least half of
+// the time for the set-up.
 func TestAnswerMargin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		timeout, remaining := policy.Tenths(rapid.IntRange(500, 40000).Draw(t, "wait")), policy.Tenths(rapid.IntRange(1, 100000).Draw(t, "left"))
 		loss := rapid.Float64Range(0, 1).Draw(t, "loss")
 		margin := AnswerMargin(timeout, remaining, loss)
 		if margin < 0 || margin > remaining/2 || margin < min(remaining/2, timeout+2*timeout) {
-			t.Fatalf("room %d of %d, wait %d", margin, remaining, timeout)
+			t.Fatalf("margin %d of %d, timeout %d", margin, remaining, timeout)
 		}
 		if AnswerMargin(timeout, remaining, min(1, loss+0.2)) < margin || AnswerMargin(timeout+100, remaining, loss) < margin {
-			t.Fatalf("less room for a worse network")
+			t.Fatalf("smaller margin for a worse network")
 		}
 	})
 	if withoutLoss, withLoss := AnswerMargin(2000, 90000, 0), AnswerMargin(2000, 90000, 0.3); withoutLoss >= withLoss {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Leftovers against the plainest reckoning.
+// Compares OrphanedConnections with a plain filter.
 func TestOrphanedConnections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := rapid.SliceOfDistinct(rapid.StringMatching(`[0-9A-F]{1,3}`), rapid.ID).Draw(t, "held")
@@ -64,12 +64,12 @@
 		slices.Sort(want)
 		got, liveGone := OrphanedConnections(ids, live)
 		if !slices.Equal(got, want) || liveGone != (live != "" && !slices.Contains(ids, live)) {
-			t.Fatalf("left %v gone %v of %v, live %q", got, liveGone, ids, live)
+			t.Fatalf("orphaned %v, live gone %v, of %v, live %q", got, liveGone, ids, live)
 		}
 	})
 }
 
-// Ids that count over the end of 32 bits are still in order.
+// Request IDs that wrap around at 32 bits stay in order.
 func TestStaleHandlesWraparound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lastID, by := rapid.Uint32().Draw(t, "heard"), rapid.Uint32Range(1, 1<<30).Draw(t, "by")
@@ -79,7 +79,7 @@
 	})
 }
 
-// A gateway changes its controller only when its own goes, and each controller has its share.
+// The loss of a controller moves only its own gateways, and each controller has its share of them.
 func TestOwnerBalancesAndMovesFew(t *testing.T) {
 	controllers := []string{"ca@a:2727", "ca@b:2727", "ca@c:2727"}
 	count := map[int]int{}
@@ -89,7 +89,7 @@
 		count[owner]++
 		for down := range controllers {
 			if got := Owner(name, controllers, func(i int) bool { return i != down }); got == down || owner != down && got != owner {
-				t.Fatalf("%s goes from %d to %d as %d is down", name, owner, got, down)
+				t.Fatalf("%s moves from %d to %d when %d is down", name, owner, got, down)
 			}
 		}
 	}
@@ -100,7 +100,8 @@
 	}
 }
 
-// Presence against its table, and its questions: never two within their least wait, and an absent gateway is asked for ever.
+// Compares Presence with a model of its transitions. Probes are never closer than the shortest interval, and an absent gateway is
+// probed forever.
 func TestPresenceTransitionsAndProbes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Presence
@@ -127,7 +128,7 @@
 			case 4:
 				wasPresent := p.Lost(now)
 				if wasPresent != (want != Absent) {
-					t.Fatalf("lost from %v: %v", want, wasPresent)
+					t.Fatalf("Lost in state %v returned %v", want, wasPresent)
 				}
 				want, everLost = Absent, true
 			case 5:
@@ -135,13 +136,13 @@
 			case 6:
 				probe, next := p.ProbeDue(now)
 				if probe && now-lastProbe < min(initialProbeInterval, keepaliveInterval) && lastProbe > 0 {
-					t.Fatalf("asked twice within %d", now-lastProbe)
+					t.Fatalf("two probes within %d", now-lastProbe)
 				}
 				if probe {
 					lastProbe = now
 				}
 				if next <= now {
-					t.Fatalf("to be looked at in the past")
+					t.Fatalf("next probe is not in the future")
 				}
 			}
 			if p.State() != want {
@@ -150,7 +151,7 @@
 		}
 		if everLost && want == Absent {
 			if probe, _ := p.ProbeDue(now + 2*maxProbeInterval); !probe {
-				t.Fatal("an absent gateway is not asked for any more")
+				t.Fatal("an absent gateway is no longer probed")
 			}
 		}
 	})
--- a/internal/gateways/presence.go
+++ b/internal/gateways/presence.go
@@ -2,33 +2,38 @@
 
 import "indigodrift/policy"
 
-// State of a gateway with its call agent.
+// State is the service state of a gateway.
 //
-//	Absent  -> Joining (it reported, or answered a probe), Absent
-//	Joining -> Serving (its endpoints are as they should be), Absent (no answer)
-//	Serving -> Joining (it restarted), Leaving (it goes gracefully), Absent (no answer, or forced)
+//	Absent  -> Joining (it sent a message or answered a probe)
+//	Joining -> Serving (its endpoints are set up), Joining (it restarted), Absent (no response)
+//	Serving -> Joining (it restarted), Leaving (graceful restart), Absent (no response, or forced restart)
 //	Leaving -> Joining, Serving (cancelled), Absent
 type State uint8
 
 const (
-	Absent  State = iota // no call goes there; it is probed now and then
+	Absent  State = iota // gets no calls and is probed at intervals
 	Joining              // being brought into service
-	Serving
-	Leaving // calls that stand go on, no new one is put there
+	Serving              // in service
+	Leaving              // existing calls continue, new ones are refused
 )
 
+// String returns the name of the state for logs and tests.
 func (s State) String() string { return [...]string{"absent", "joining", "serving", "leaving"}[s] }
 
-var stateTransitions = [...][]State{Absent: {Joining}, Joining: {Serving, Absent, Joining}, Serving: {Joining, Leaving, Absent},
-	Leaving: {Joining, Serving, Absent}}
+var stateTransitions = [...][]State{
+	Absent:  {Joining},
+	Joining: {Serving, Absent, Joining},
+	Serving: {Joining, Leaving, Absent},
+	Leaving: {Joining, Serving, Absent},
+}
 
 const (
-	keepaliveInterval    = policy.Tenths(300000) // a gateway that says nothing for so long is asked whether it is there
-	initialProbeInterval = policy.Tenths(20000)  // one that is absent is asked again after so long, then ever less often
+	keepaliveInterval    = policy.Tenths(300000) // a gateway that is silent for so long is audited
+	initialProbeInterval = policy.Tenths(20000)  // for absent gateways, doubled after each probe
 	maxProbeInterval     = policy.Tenths(600000)
 )
 
-// Presence follows one gateway: whether it is in service, and when to ask after it. The zero value is absent and never asked.
+// Presence tracks whether a gateway is in service and when to probe it. The zero value is Absent and never probed.
 type Presence struct {
 	state            State
 	lastReceived     policy.Tenths
@@ -36,10 +41,10 @@
 	nextProbe        policy.Tenths
 }
 
-// State is where the gateway stands.
+// State returns the service state of the gateway.
 func (p *Presence) State() State { return p.state }
 
-// setState is the one place where a standing changes; false: it may not so.
+// setState changes the state. It returns false if the transition is not allowed.
 func (p *Presence) setState(next State) bool {
 	for _, allowed := range stateTransitions[p.state] {
 		if allowed == next {
@@ -50,22 +55,22 @@
 	return p.state == next
 }
 
-// Received notes that something came from the gateway.
+// Received records a message from the gateway.
 func (p *Presence) Received(now policy.Tenths) { p.lastReceived, p.unansweredProbes = now, 0 }
 
-// ReceivedSince tells whether it was heard since an instant. A command that it did not answer since then tells that the network is bad,
-// not that the gateway is gone: on a network that loses every other datagram, gateways full of calls were held to be gone.
+// ReceivedSince reports whether the gateway has sent a message since a time. If it has, an unanswered command means a bad network
+// and not a lost gateway: with half of all datagrams lost, gateways with many calls were taken for lost.
 func (p *Presence) ReceivedSince(since policy.Tenths) bool { return p.lastReceived > since }
 
-// Join tells that it is being brought into service, Joined that it is.
+// Join records that the gateway is being brought into service, Joined that it is in service.
 func (p *Presence) Join(now policy.Tenths) bool { p.Received(now); return p.setState(Joining) }
 func (p *Presence) Joined() bool                { return p.setState(Serving) }
 
-// Leave and Stay: it announced that it goes, or took that back.
+// Leave records that the gateway announced a graceful restart, CancelLeave that it cancelled it.
 func (p *Presence) Leave() bool       { return p.setState(Leaving) }
 func (p *Presence) CancelLeave() bool { return p.setState(Serving) }
 
-// Lost tells that a command was given up, or that it said it is out of service. True when it was there until now.
+// Lost records that the gateway doesn't respond or left service. It returns true if the gateway wasn't absent before.
 func (p *Presence) Lost(now policy.Tenths) bool {
 	wasPresent := p.state != Absent
 	p.setState(Absent)
@@ -77,7 +82,7 @@
 	return wasPresent
 }
 
-// ProbeDue tells whether to ask after it now (AUEP), and when to look again.
+// ProbeDue reports whether to probe the gateway (AUEP) now, and when to call ProbeDue again.
 func (p *Presence) ProbeDue(now policy.Tenths) (probe bool, next policy.Tenths) {
 	switch p.state {
 	case Absent:
@@ -94,14 +99,14 @@
 		if at := p.lastReceived + keepaliveInterval; now < at {
 			return false, at
 		}
-		p.lastReceived = now // one question at a time
+		p.lastReceived = now // no further probe until the next interval
 		return true, now + keepaliveInterval
 	}
 }
 
-// Owner tells which of a site's controllers a gateway belongs to: the one with the greatest weight for its name among those
-// that are up (rendezvous hashing), so that the loss of one moves its own gateways alone and all reckon alike without a word.
-// With none up it is the first.
+// Owner returns the index of the controller of a site that a gateway belongs to: of those that are up, the one with the greatest
+// weight for the gateway's name (rendezvous hashing). The loss of a controller moves only its own gateways, and all controllers
+// reach the same result without communicating. If none is up, the result is 0.
 func Owner(gateway string, controllers []string, up func(i int) bool) int {
 	best, bestWeight := 0, uint64(0)
 	for i, controller := range controllers {
--- a/internal/gateways/read.go
+++ b/internal/gateways/read.go
@@ -9,21 +9,21 @@
 	"indigodrift/policy"
 )
 
-// Result is what a response to a command means for the endpoint and its call.
+// Result is the meaning of a response to a command for the endpoint and its call.
 type Result uint8
 
 const (
-	Succeeded           Result = iota // the endpoint is as it was asked to be
-	IsOffHook                         // its phone is off hook, which nobody has told us
-	IsOnHook                          // its phone is on hook, which nobody has told us
-	RetryLater                        // it cannot now: once more after a while
-	ConnectionGone                    // the connection that was named is not there any more
-	EndpointUnavailable               // there is no such endpoint, or it is out of service
-	OtherCallAgent                    // it belongs to another call agent
-	Failed                            // it will never do this
+	Succeeded           Result = iota // the command was executed
+	IsOffHook                         // the endpoint is off hook, without a notification so far
+	IsOnHook                          // the endpoint is on hook, without a notification so far
+	RetryLater                        // transient error: retry after RetryDelay
+	ConnectionGone                    // the connection doesn't exist any more
+	EndpointUnavailable               // the endpoint is unknown or out of service
+	OtherCallAgent                    // the endpoint belongs to another call agent
+	Failed                            // permanent error
 )
 
-// ResultOf reads a return code (RFC 3435, 2.4; RFC 3661, 4) for a verb.
+// ResultOf returns the meaning of a return code (RFC 3435, 2.4; RFC 3661, 4) for a verb.
 func ResultOf(verb mgcp.Verb, code int) Result {
 	switch code {
 	case mgcp.CodeOffHook:
@@ -31,7 +31,7 @@
 	case mgcp.CodeOnHook:
 		return IsOnHook
 	case mgcp.CodeUnknownConnection, mgcp.CodeUnknownCall:
-		if verb == mgcp.DeleteConnection { // what was to be gone is gone
+		if verb == mgcp.DeleteConnection { // already deleted
 			return Succeeded
 		}
 		return ConnectionGone
@@ -40,7 +40,7 @@
 	case mgcp.CodeRedirected:
 		return OtherCallAgent
 	case mgcp.CodeNoResources, mgcp.CodeInsufficientResources, mgcp.CodeNoBandwidth, mgcp.CodeInsufficientBandwidth:
-		if verb == mgcp.CreateConnection || verb == mgcp.ModifyConnection { // the call cannot be had; the next one perhaps
+		if verb == mgcp.CreateConnection || verb == mgcp.ModifyConnection { // this call fails, a later one may succeed
 			return Failed
 		}
 		return RetryLater
@@ -54,65 +54,66 @@
 	return Failed
 }
 
-// Waits between repeats of what an endpoint cannot do now.
+// Delays between retries after transient errors.
 const (
 	initialRetryDelay = policy.Tenths(2000)
 	maxRetryDelay     = policy.Tenths(80000)
 )
 
-// RetryDelay is how long to wait before something is asked for again, refused so many times in a row.
+// RetryDelay returns the delay before the next retry after a number of transient errors in a row.
 func RetryDelay(refusals int) policy.Tenths {
 	return min(maxRetryDelay, initialRetryDelay<<min(refusals, 8))
 }
 
-// Tone is what a user hears, or how a phone rings.
+// Tone is a tone that the user hears, or ringing.
 type Tone uint8
 
 const (
 	Silence Tone = iota
 	DialTone
-	Busy       // the called user is engaged, or hung up after the call
-	Congestion // circuits or processors are full: it may be tried again
-	Reorder    // the call cannot be set up as dialled, or failed
+	Busy       // the called line is busy, or the other side ended the call
+	Congestion // no free circuit or an overloaded processor; the caller may redial
+	Reorder    // the call can't be set up as dialled, or failed
 	Ring
-	OffHookWarning // the receiver is off and nothing is going on
+	OffHookWarning // off hook without a call for too long
 )
 
+// String returns the name of the tone for logs and tests.
 func (t Tone) String() string {
 	return [...]string{"silence", "dial tone", "busy", "congestion", "reorder", "ring", "off-hook warning"}[t]
 }
 
-// ToneFor tells which tone goes with a cause (Q.850), and the words that go into the log and to staff.
+// ToneFor returns the tone for a release cause (Q.850) and a text for the log.
 func ToneFor(cause isup.Cause) (Tone, string) {
 	switch cause {
 	case isup.NormalClearing, isup.NormalUnspecified:
-		return Busy, "the far end hung up"
+		return Busy, "the other side hung up"
 	case isup.UserBusy:
-		return Busy, "the called line is engaged"
+		return Busy, "the called line is busy"
 	case isup.NoAnswer:
 		return Busy, "the called line did not answer"
 	case isup.NoCircuit:
 		return Congestion, "no circuit is free"
 	case isup.Congestion:
-		return Congestion, "an exchange has more work than it can do"
+		return Congestion, "an exchange is overloaded"
 	case isup.OutOfOrder, isup.NetworkOutOfOrder:
-		return Reorder, "the destination cannot be reached"
+		return Reorder, "the destination is out of order"
 	case isup.TimerExpiry, isup.TemporaryFailure:
-		return Reorder, "the call failed on its way"
+		return Reorder, "the call set-up failed"
 	}
 	return Reorder, "the number cannot be reached"
 }
 
-// A final answer is given time to be told so often that one in a thousand stays unheard at the loss seen, within bounds.
+// The answer margin allows for so many transmissions that at most maxUndelivered of all answers are lost, within bounds.
 const (
 	maxUndelivered   = 0.001
 	minTransmissions = 3
 	maxTransmissions = 8
 )
 
-// AnswerMargin is how much of a caller's time is kept for telling its answer to the gateway, which may have to be told several
-// times with waits that double; wait is the first of them, loss the share of commands to that gateway that had to be repeated
-// of late. Half of the time left bounds it, or a bad network would have no time to set up calls.
+// AnswerMargin returns the part of a caller's remaining time that is reserved to deliver the answer to the gateway, with
+// retransmissions at doubling timeouts. timeout is the first of them; loss is the recent share of commands to the gateway that were
+// retransmitted. The margin is at most half of the remaining time, or a bad network would leave no time to set up calls.
 func AnswerMargin(timeout, remaining policy.Tenths, loss float64) policy.Tenths {
 	transmissions := minTransmissions
 	for undelivered := math.Pow(loss, minTransmissions); undelivered > maxUndelivered && transmissions < maxTransmissions; undelivered *= loss {
@@ -125,14 +126,13 @@
 	return min(margin, remaining/2)
 }
 
-// Overloaded tells whether a user who lifts the receiver now should hear congestion in place of dial tone: calls wait longer for
-// the program than a part of the tightest GoSTarget target, so that the call would likely be late, and to let it dial adds to what is
-// late already. Those who have dialled go on.
+// Overloaded reports whether a user who goes off hook now gets congestion tone instead of dial tone. Calls then wait in the queue for
+// more than half of the tightest GoS target: a new call would probably be late and delay others. Users who have dialled continue.
 func Overloaded(callDelay, gosTarget policy.Tenths) bool { return callDelay > gosTarget/2 }
 
-// OrphanedConnections picks from what an endpoint holds the connections of no live call. It was asked while no command of ours was out on
-// that endpoint, so that none is being made that we do not know yet; live is the connection of the call that goes on there, ""
-// none. gone: the live one is not there.
+// OrphanedConnections returns the connections held by an endpoint that belong to no call, and whether the connection of its call,
+// live ("" for none), is missing. The endpoint must be audited while no command to it is outstanding, so that no connection is
+// being created.
 func OrphanedConnections(held []string, live string) (orphaned []string, liveGone bool) {
 	liveGone = live != ""
 	for _, id := range held {
@@ -146,6 +146,6 @@
 	return orphaned, liveGone
 }
 
-// Stale tells whether a notification under request id got says less than was heard under request id heard: ids count up, and
-// one from before the last that was heard had been overtaken on its way.
+// Stale reports whether a notification with a request ID was overtaken by one with a later request ID, lastID. Request IDs count up
+// and wrap around.
 func Stale(id, lastID uint32) bool { return int32(id-lastID) < 0 }
--- a/internal/gateways/restarts.go
+++ b/internal/gateways/restarts.go
@@ -1,5 +1,5 @@
-// Package gateways decides about MGCP gateways at the door of an exchange, apart from any call: so far, when those that
-// restart together are answered. It is pure; a call agent that speaks internal/mgcp calls it.
+// Package gateways holds the decisions of a call agent about MGCP gateways that don't depend on the state of a call: admission
+// after restarts, supervision, the meaning of return codes, tones, retry delays and audits. It does no I/O and reads no clock.
 package gateways
 
 import (
@@ -8,51 +8,52 @@
 	"indigodrift/policy"
 )
 
-// Admission on a restart that a gateway reports (RSIP, RFC 3435, 2.3.12).
+// Admission is the decision on a gateway that reports a restart (RSIP, RFC 3435, 2.3.12).
 type Admission uint8
 
 const (
-	Admitted Admission = iota // take it into service and answer
-	Queued                    // answer that it is being carried out; Tick will name it
-	Rejected                  // answer that there is no room now (403): the gateway comes again with its random delay
+	Admitted Admission = iota // bring it into service and confirm the report
+	Queued                    // send a provisional response; Tick admits it later
+	Rejected                  // respond with 403; the gateway reports again after a random delay
 )
 
 const (
-	burstTime          = policy.Tenths(5000)   // restarts of so long may be answered at once after a quiet time
-	maxQueueTime       = policy.Tenths(150000) // none is kept past what a gateway repeats its report for, with room to spare
-	overloadRateShare  = 0.5                   // of its pace, what is left to restarts while calls wait longer than they should
-	lightDelayShare    = 0.05                  // below which they are not, and the pace may grow
-	rateDoublingTime   = 1000.0                // tenths in which it doubles then
-	maxRateMultiple    = 64                    // times the stated rate that it grows to
-	overloadDelayShare = 0.2                   // share of the tightest GoSTarget target that calls wait for the program, from which they are pressed
+	burstTime          = policy.Tenths(5000)   // burst size of the token bucket, as time at the current rate
+	maxQueueTime       = policy.Tenths(150000) // well below the time for which a gateway retransmits its report
+	overloadRateShare  = 0.5                   // of the stated rate, while calls are delayed
+	lightDelayShare    = 0.05                  // of the GoS target: below this delay of calls the rate grows
+	rateDoublingTime   = 1000.0                // in tenths of a millisecond, while the rate grows
+	maxRateMultiple    = 64                    // maximum rate as a multiple of the stated rate
+	overloadDelayShare = 0.2                   // of the GoS target: above this delay of calls the rate is reduced
 )
 
-// Limits of the door.
+// Limits holds the settings of a RestartLimiter.
 type Limits struct {
-	Rate      float64       // gateways a second that are taken into service whatever calls wait, half of it while they wait long
-	MaxQueued int           // reports that may wait
-	GoSTarget policy.Tenths // the tightest GoSTarget target of calls
+	Rate      float64       // gateways per second; half of it while calls are delayed
+	MaxQueued int           // gateways that may wait for admission
+	GoSTarget policy.Tenths // the tightest of all bearer types
 }
 
+// queuedRestart is a gateway that waits for admission.
 type queuedRestart struct {
 	gateway  uint32
 	queuedAt policy.Tenths
 }
 
-// RestartLimiter paces gateways back into service after a district's power returns: each costs an answer, a request for
-// notifications and an audit, and ten thousand in a second would hold up every call. Calls come first: while they wait,
-// restarts go at a part of their pace.
+// RestartLimiter limits the rate at which gateways are brought into service, with a token bucket and a queue. After a power failure
+// a whole district restarts at once. Each gateway costs a response, a notification request and an audit, and ten thousand in a
+// second would delay every call. Calls have priority: while they are delayed, the rate is reduced.
 type RestartLimiter struct {
 	limits     Limits
 	tokens     float64
 	refilledAt policy.Tenths
 	queue      []queuedRestart
-	queuedAt   map[uint32]policy.Tenths // endpoint: since when it waits
-	rate       float64
-	delaySetAt policy.Tenths // when the calls' wait was last told
+	queuedAt   map[uint32]policy.Tenths // by gateway
+	rate       float64                  // current rate, gateways per second
+	delaySetAt policy.Tenths
 }
 
-// NewRestartLimiter makes a door that nobody waits at.
+// NewRestartLimiter returns a limiter with a full token bucket and an empty queue.
 func NewRestartLimiter(limits Limits, now policy.Tenths) *RestartLimiter {
 	r := &RestartLimiter{limits: limits, refilledAt: now, delaySetAt: now, queuedAt: map[uint32]policy.Tenths{}, rate: limits.Rate}
 	r.tokens = r.maxTokens()
@@ -61,6 +62,7 @@
 
 func (r *RestartLimiter) maxTokens() float64 { return max(1, r.rate*float64(burstTime)/10000) }
 
+// refill adds the tokens since the last refill.
 func (r *RestartLimiter) refill(now policy.Tenths) {
 	if now > r.refilledAt {
 		r.tokens = min(r.maxTokens(), r.tokens+r.rate*float64(now-r.refilledAt)/10000)
@@ -68,8 +70,8 @@
 	}
 }
 
-// SetCallDelay tells how long calls wait for the program now; the pace follows it: it grows while they do not wait, as a fixed one
-// either holds gateways off from a program that has time, or is no limit when it has none.
+// SetCallDelay sets how long calls wait in the queue now, and adapts the rate. The rate grows while calls don't wait: a fixed rate
+// would either delay gateways at an idle program or be no limit for a busy one.
 func (r *RestartLimiter) SetCallDelay(now, delay policy.Tenths) {
 	r.refill(now)
 	delayShare := float64(delay) / float64(max(1, r.limits.GoSTarget))
@@ -84,7 +86,7 @@
 	r.delaySetAt = now
 }
 
-// Admit takes a gateway's report. One that is repeated while it waits keeps its place.
+// Admit decides on a gateway that reports a restart. A gateway that reports again while it is queued keeps its place.
 func (r *RestartLimiter) Admit(now policy.Tenths, gateway uint32) Admission {
 	r.refill(now)
 	if _, queued := r.queuedAt[gateway]; queued {
@@ -102,15 +104,15 @@
 	return Queued
 }
 
-// queueTime is how long one that comes now would wait.
+// queueTime returns how long a gateway that is queued now would wait.
 func (r *RestartLimiter) queueTime() policy.Tenths {
 	return policy.Tenths(float64(len(r.queue)) / max(1e-9, r.rate) * 10000)
 }
 
-// Remove forgets a gateway that no longer waits for an answer.
+// Remove removes a gateway from the queue.
 func (r *RestartLimiter) Remove(gateway uint32) { delete(r.queuedAt, gateway) }
 
-// Tick names the gateways whose turn has come, in the order in which they first reported.
+// Tick returns the queued gateways that are admitted now, in the order of their first reports.
 func (r *RestartLimiter) Tick(now policy.Tenths) (admitted []uint32) {
 	r.refill(now)
 	for len(r.queue) > 0 {
@@ -128,7 +130,7 @@
 	return admitted
 }
 
-// Next is when Tick must be called next; false when nobody waits.
+// Next returns the time at which Tick must be called next; false if the queue is empty.
 func (r *RestartLimiter) Next(now policy.Tenths) (policy.Tenths, bool) {
 	if len(r.queue) == 0 {
 		return 0, false
@@ -136,5 +138,5 @@
 	return now + max(1, policy.Tenths((1-min(1, r.tokens))/r.rate*10000)), true
 }
 
-// Waiting counts the gateways that wait.
+// Waiting returns the number of queued gateways.
 func (r *RestartLimiter) Waiting() int { return len(r.queuedAt) }
--- a/internal/gateways/restarts_test.go
+++ b/internal/gateways/restarts_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Ten thousand gateways report within a second; those refused come again after a random delay, as RFC 3435 has it. All are
-// back within the time that the pace promises, none is taken twice, and the first of calls' time is kept.
+// Ten thousand gateways report a restart within a second; rejected ones report again after a random delay, as RFC 3435 requires. All
+// are admitted exactly once within the time that the rate allows, and no second has more than the rate and the burst.
 func TestMassRestartIsAdmittedAtLimitedRate(t *testing.T) {
 	const gateways, rate = 10000, 500
 	limiter := NewRestartLimiter(Limits{Rate: rate, MaxQueued: 4000, GoSTarget: 12000}, 0)
@@ -45,15 +45,16 @@
 		}
 	}
 	if len(admissions) < gateways || now > 300000 || busiest > rate+rate/2+1 {
-		t.Fatalf("%d of %d back after %d, %d in the busiest second", len(admissions), gateways, now, busiest)
+		t.Fatalf("%d of %d admitted after %d, %d in the busiest second", len(admissions), gateways, now, busiest)
 	}
 	for gateway, n := range admissions {
 		if n != 1 {
-			t.Fatalf("gateway %d was taken %d times", gateway, n)
+			t.Fatalf("gateway %d was admitted %d times", gateway, n)
 		}
 	}
 }
 
+// The rate grows while calls don't wait and is reduced while they wait long.
 func TestRestartRateFallsWhenCallsWait(t *testing.T) {
 	count := func(callDelay policy.Tenths) (n int) {
 		limiter := NewRestartLimiter(Limits{Rate: 100, MaxQueued: 5000, GoSTarget: 12000}, 0)
@@ -67,11 +68,11 @@
 		return n
 	}
 	if fast, moderate, slow := count(0), count(1500), count(6000); fast < 1450 || moderate < 900 || moderate > 1200 || slow > moderate*6/10 || slow < 400 {
-		t.Fatalf("%d gateways in ten seconds, %d while calls wait a little, %d while they wait long", fast, moderate, slow)
+		t.Fatalf("%d gateways in ten seconds without call delay, %d with a short one, %d with a long one", fast, moderate, slow)
 	}
 }
 
-// Against a plain queue: order of first report kept, nobody twice without a new report, bounds kept.
+// Compares the limiter with a plain queue: gateways are admitted once per report, in order, and the bound of the queue is kept.
 func TestRestartLimiterAgainstPlainQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := NewRestartLimiter(Limits{Rate: 50, MaxQueued: 10, GoSTarget: 12000}, 0)
@@ -90,7 +91,7 @@
 				}
 				admission := limiter.Admit(now, gateway)
 				if position >= 0 && admission != Queued || admission == Admitted && len(plain) > 0 {
-					t.Fatalf("endpoint %d at place %d of %v: %d", gateway, position, plain, admission)
+					t.Fatalf("gateway %d at position %d of %v: admission %d", gateway, position, plain, admission)
 				}
 				if admission == Queued && position < 0 {
 					plain = append(plain, gateway)
@@ -106,13 +107,13 @@
 			case 3:
 				for _, got := range limiter.Tick(now) {
 					if len(plain) == 0 || plain[0] != got {
-						t.Fatalf("turn of %d, %v wait", got, plain)
+						t.Fatalf("gateway %d is admitted, %v are queued", got, plain)
 					}
 					plain = plain[1:]
 				}
 			}
 			if limiter.Waiting() != len(plain) || len(limiter.queue) > 10 {
-				t.Fatalf("%d wait, %v should; queue %d", limiter.Waiting(), plain, len(limiter.queue))
+				t.Fatalf("%d are waiting, want %v; queue length %d", limiter.Waiting(), plain, len(limiter.queue))
 			}
 		}
 	})
--- a/internal/mgcp/digitmap.go
+++ b/internal/mgcp/digitmap.go
@@ -4,43 +4,44 @@
 	"strings"
 )
 
-// DigitMap tells when the digits dialled so far are enough (RFC 3435, 2.1.5): strings of digits, ranges, x for any digit, a
-// dot for any number of what stands before it, and T for the timer.
+// DigitMap decides when the dialled digits are complete (RFC 3435, 2.1.5). Its alternatives consist of digits, ranges, x for any
+// digit, a dot for any number of repetitions of the element before it, and T for the timer.
 type DigitMap struct {
 	text         string
 	alternatives [][]element
 }
 
+// element is one element of an alternative.
 type element struct {
-	digits   uint16 // digits 0 to 9, then *, #, A, B, C, D
+	digits   uint16 // bit set, in the order of symbols
 	timer    bool
 	repeated bool
 }
 
 const (
-	symbols         = "0123456789*#ABCD"
+	symbols         = "0123456789*#ABCD" // of DTMF
 	timerSymbol     = 'T'
 	maxAlternatives = 64
 	maxElements     = 64
 )
 
-// MatchResult is what digits dialled so far amount to.
+// MatchResult is the result of matching dialled digits.
 type MatchResult uint8
 
 const (
-	PartialMatch   MatchResult = iota // more may come
-	FullMatch                         // one option is met, and none longer can be
-	AmbiguousMatch                    // one is met, and a longer one may be: the short timer tells
-	NoMatch                           // nothing can be met any more
+	PartialMatch   MatchResult = iota // more digits are needed
+	FullMatch                         // an alternative matches, and no more digits can follow
+	AmbiguousMatch                    // an alternative matches, and a longer one may: the short timer decides
+	NoMatch                           // no alternative can match
 )
 
-// ParseDigitMap reads a digit map, with or without its brackets.
+// ParseDigitMap parses a digit map, with or without parentheses.
 func ParseDigitMap(text string) (DigitMap, error) {
 	digitMap := DigitMap{text: text}
 	inner := strings.TrimSpace(text)
 	if strings.HasPrefix(inner, "(") {
 		if !strings.HasSuffix(inner, ")") {
-			return digitMap, malformed("digit map %q has no end", text)
+			return digitMap, malformed("digit map %q lacks its closing parenthesis", text)
 		}
 		inner = inner[1 : len(inner)-1]
 	}
@@ -50,12 +51,13 @@
 			return digitMap, malformed("digit map %q: %v", text, err)
 		}
 		if digitMap.alternatives = append(digitMap.alternatives, parsed); len(digitMap.alternatives) > maxAlternatives {
-			return digitMap, malformed("digit map of over %d options", maxAlternatives)
+			return digitMap, malformed("digit map has more than %d alternatives", maxAlternatives)
 		}
 	}
 	return digitMap, nil
 }
 
+// parseAlternative parses one alternative of a digit map.
 func parseAlternative(text string) ([]element, error) {
 	var elements []element
 	for i := 0; i < len(text); i++ {
@@ -66,13 +68,13 @@
 			elements = append(elements, element{digits: 1<<10 - 1})
 		case c == '.':
 			if len(elements) == 0 || elements[len(elements)-1].repeated || elements[len(elements)-1].timer {
-				return nil, malformed("a dot with nothing before it")
+				return nil, malformed("dot without an element to repeat")
 			}
 			elements[len(elements)-1].repeated = true
 		case c == '[':
 			end := strings.IndexByte(text[i:], ']')
 			if end < 0 {
-				return nil, malformed("a range without its end")
+				return nil, malformed("range lacks its closing bracket")
 			}
 			digits, err := parseRange(text[i+1 : i+end])
 			if err != nil {
@@ -83,17 +85,18 @@
 		default:
 			symbol := strings.IndexByte(symbols, c)
 			if symbol < 0 {
-				return nil, malformed("%q", text[i])
+				return nil, malformed("invalid symbol %q", text[i])
 			}
 			elements = append(elements, element{digits: 1 << symbol})
 		}
 	}
 	if len(elements) == 0 || len(elements) > maxElements {
-		return nil, malformed("an option of %d signs", len(elements))
+		return nil, malformed("alternative has %d elements", len(elements))
 	}
 	return elements, nil
 }
 
+// parseRange parses the inside of a range in brackets.
 func parseRange(text string) (digits uint16, err error) {
 	for i := 0; i < len(text); i++ {
 		from := strings.IndexByte(symbols, toUpper(text[i]))
@@ -103,14 +106,14 @@
 			i += 2
 		}
 		if from < 0 || to < from {
-			return 0, malformed("range %q", text)
+			return 0, malformed("invalid range %q", text)
 		}
 		for d := from; d <= to; d++ {
 			digits |= 1 << d
 		}
 	}
 	if digits == 0 {
-		return 0, malformed("an empty range")
+		return 0, malformed("empty range")
 	}
 	return digits, nil
 }
@@ -122,7 +125,7 @@
 	return c
 }
 
-// Match tells what digits amount to; they may end with T, where the timer ran out.
+// Match matches dialled digits, which end with T if the timer has expired.
 func (d DigitMap) Match(dialled string) MatchResult {
 	complete, partial := false, false
 	for _, alternative := range d.alternatives {
@@ -140,8 +143,8 @@
 	return NoMatch
 }
 
-// matchAlternative follows one option: all places in it that the digits may have come to, at once. met: it may end here; more: it may
-// go on.
+// matchAlternative matches dialled digits against one alternative. It tracks all positions in the alternative that the digits may
+// have reached. complete: the alternative matches; partial: it may match with more digits.
 func matchAlternative(alternative []element, dialled string) (complete, partial bool) {
 	positions := make([]bool, len(alternative)+1)
 	positions[0] = true
@@ -169,7 +172,7 @@
 	return positions[len(alternative)], partial
 }
 
-// skipRepeated lets a repeated sign stand for none.
+// skipRepeated adds the positions reached by repeating elements zero times.
 func skipRepeated(alternative []element, positions []bool) {
 	for p, e := range alternative {
 		if positions[p] && e.repeated {
@@ -178,5 +181,5 @@
 	}
 }
 
-// String is the map as it was written.
+// String returns the digit map as it was parsed.
 func (d DigitMap) String() string { return d.text }
--- a/internal/mgcp/events.go
+++ b/internal/mgcp/events.go
@@ -2,18 +2,18 @@
 
 import "strings"
 
-// Event is one event or signal of a package, as it stands in the parameters R, S, O and their kind (RFC 3435, 3.2.2.17):
+// Event is an event or signal of a package, as in the parameters R, S and O (RFC 3435, 3.2.2.17):
 // package/name@connection(actions or arguments).
 type Event struct {
-	Package    string // "" where none was written
+	Package    string // "" if not given
 	Name       string
-	Connection string // "$" the one being made, "" none
-	Args       string // what stands between the brackets
+	Connection string // "$" for the one being created, "" for none
+	Args       string // text in the parentheses
 }
 
 const maxEvents = 64
 
-// ParseEvents reads a list of events. Commas within brackets part nothing.
+// ParseEvents parses a list of events. Commas within parentheses and brackets don't separate events.
 func ParseEvents(list string) ([]Event, error) {
 	var events []Event
 	depth, start := 0, 0
@@ -23,7 +23,7 @@
 			depth++
 		case i < len(list) && (list[i] == ')' || list[i] == ']'):
 			if depth--; depth < 0 {
-				return nil, malformed("event list %q: a bracket that was not opened", list)
+				return nil, malformed("event list %q: unmatched closing bracket", list)
 			}
 		case i == len(list) || list[i] == ',' && depth == 0:
 			item := strings.TrimSpace(list[start:i])
@@ -36,16 +36,17 @@
 				return nil, err
 			}
 			if events = append(events, event); len(events) > maxEvents {
-				return nil, malformed("over %d events", maxEvents)
+				return nil, malformed("more than %d events", maxEvents)
 			}
 		}
 	}
 	if depth != 0 {
-		return nil, malformed("event list %q: a bracket that is not closed", list)
+		return nil, malformed("event list %q: unmatched opening bracket", list)
 	}
 	return events, nil
 }
 
+// parseEvent parses one event.
 func parseEvent(text string) (Event, error) {
 	var event Event
 	name := text
@@ -66,7 +67,7 @@
 	return event, nil
 }
 
-// isPlain tells whether a part of an event holds nothing but signs that stand for themselves.
+// isPlain reports whether a part of an event has only printable characters without a special meaning.
 func isPlain(part string) bool {
 	for i := range len(part) {
 		if c := part[i]; c <= ' ' || c >= 127 || strings.IndexByte("()@/,", c) >= 0 {
@@ -76,7 +77,7 @@
 	return true
 }
 
-// String is the event as it is written.
+// String returns the event in the format of a parameter.
 func (e Event) String() string {
 	s := e.Name
 	if e.Package != "" {
@@ -91,12 +92,12 @@
 	return s
 }
 
-// Is tells whether it is an event of a package, whatever it is about.
+// Is reports whether e is an event of a package, with any connection and arguments.
 func (e Event) Is(pkg, name string) bool {
 	return e.Package == pkg && strings.EqualFold(e.Name, name)
 }
 
-// Packages of events that calls need (RFC 3660): generic media, DTMF, line, trunk.
+// Event packages used for calls (RFC 3660): generic media, DTMF, line and trunk.
 const (
 	PackageGeneric = "G"
 	PackageDTMF    = "D"
@@ -104,7 +105,7 @@
 	PackageTrunk   = "T"
 )
 
-// Digits reads what was dialled from observed events: the D events in their order, T where the timer ran out.
+// Digits returns the dialled digits from observed events of the DTMF package, with T for an expired timer.
 func Digits(observed []Event) string {
 	var digits []byte
 	for _, event := range observed {
@@ -115,7 +116,7 @@
 	return string(digits)
 }
 
-// DigitEvents writes digits as observed events.
+// DigitEvents returns dialled digits as observed events.
 func DigitEvents(digits string) []Event {
 	events := make([]Event, 0, len(digits))
 	for i := range len(digits) {
@@ -124,7 +125,7 @@
 	return events
 }
 
-// FormatEvents writes events as a parameter has them.
+// FormatEvents returns a list of events in the format of a parameter.
 func FormatEvents(events []Event) string {
 	var b strings.Builder
 	for i, e := range events {
--- a/internal/mgcp/events_test.go
+++ b/internal/mgcp/events_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-// Every message of the corpus, written after the grammar, is read, written again and read alike; cut short within a line it is
-// no message, and the events in it are read and written alike.
+// Every message of the corpus, written after the grammar, decodes and encodes to an equal message, and so do its events. Truncated
+// within a line it is malformed.
 func TestCorpusOfMessages(t *testing.T) {
 	files, _ := filepath.Glob("testdata/corpus/*.txt")
 	if len(files) < 20 {
@@ -49,16 +49,16 @@
 				}
 				back, err := ParseEvents(FormatEvents(events))
 				if err != nil || !reflect.DeepEqual(back, events) {
-					t.Errorf("%s: %v reads back as %v, %v", f, events, back, err)
+					t.Errorf("%s: %v parses again as %v, %v", f, events, back, err)
 				}
 			}
 		}
 		if read, err := Decode(encoded); err != nil || !reflect.DeepEqual(read, messages) {
-			t.Errorf("%s: reads back as %+v, %v", f, read, err)
+			t.Errorf("%s: decodes again as %+v, %v", f, read, err)
 		}
 		for n := range text {
 			if truncated, err := Decode(text[:n]); err == nil && (n == 0 || text[n-1] != '\n') {
-				t.Errorf("%s cut after %d octets reads as %+v", f, n, truncated)
+				t.Errorf("%s truncated after %d octets decodes as %+v", f, n, truncated)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 	})
 	for _, text := range []string{"L/hd(", "L/hd)", ",", "L/", "L/hd,", "a b", strings.Repeat("a,", 70) + "a"} {
 		if e, err := ParseEvents(text); err == nil {
-			t.Errorf("%.20q reads as %v", text, e)
+			t.Errorf("%.20q parses as %v", text, e)
 		}
 	}
 }
@@ -92,8 +92,8 @@
 	}
 }
 
-// A district's gateways spread their reports over the greatest wait; a disconnected one reports at growing waits, never sooner
-// than the least, and for ever.
+// Restart delays are spread evenly over the maximum. A disconnected gateway reports forever, after waits that grow and stay within
+// their bounds.
 func TestRestartAndDisconnectedDelays(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var counts [10]int
@@ -102,7 +102,7 @@
 	}
 	for i, n := range counts {
 		if n < 800 || n > 1200 {
-			t.Errorf("%d of 10000 in part %d", n, i)
+			t.Errorf("%d of 10000 in tenth %d", n, i)
 		}
 	}
 	procedure := DisconnectedProcedure{MinWait: DisconnectedMinWait, MaxWait: DisconnectedMaxWait}
@@ -115,7 +115,7 @@
 	for range 12 {
 		now = at
 		if at = procedure.NextReport(now); at-now < DisconnectedMinWait || at-now > DisconnectedMaxWait || at-now < lastWait {
-			t.Fatalf("waits %d after %d", at-now, lastWait)
+			t.Fatalf("wait of %d after one of %d", at-now, lastWait)
 		}
 		lastWait = at - now
 	}
--- a/internal/mgcp/message.go
+++ b/internal/mgcp/message.go
@@ -1,6 +1,6 @@
-// Package mgcp speaks MGCP 1.0 (RFC 3435): messages to text and back, digit maps, and the rules by which a command is
-// carried out at most once however often it is sent. It holds no socket and no clock; what a gateway's endpoint or a call
-// does with a message is not decided here. docs/mgcp.md lists what of the RFC is spoken.
+// Package mgcp implements MGCP 1.0 (RFC 3435): encoding and decoding of messages, digit maps, and transactions that execute each
+// command at most once. It does no I/O and reads no clock, and has no part in the handling of calls. docs/mgcp.md lists the
+// supported parts of the RFC.
 package mgcp
 
 import (
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Verb of a command (RFC 3435, 2.3).
+// Verb is the verb of a command (RFC 3435, 2.3).
 type Verb string
 
 const (
@@ -28,37 +28,38 @@
 var verbs = []Verb{EndpointConfiguration, CreateConnection, ModifyConnection, DeleteConnection, NotificationRequest, Notify,
 	AuditEndpoint, AuditConnection, RestartInProgress}
 
-// Bounds of what is taken.
+// Limits of messages.
 const (
-	MaxDatagramSize  = 4096 // octets of a datagram, all messages in it together
+	MaxDatagramSize  = 4096 // octets of all messages in a datagram
 	MaxTransactionID = 999_999_999
 	maxParams        = 64
 	maxNameLength    = 255
 )
 
-// Param is one parameter line; names are kept as they are written in the RFC's tables, in upper case.
+// Param is a parameter line. Names are in upper case.
 type Param struct{ Name, Value string }
 
-// Message is a command, if it has a verb, or a response.
+// Message is a command if it has a verb, otherwise a response.
 type Message struct {
 	Verb          Verb
 	Transaction   uint32 // 1 to MaxTransactionID
-	Endpoint      string // commands: local name and @ domain
-	Code          int    // responses: RFC 3435, 2.4, and RFC 3661
-	Comment       string // responses: words for people
+	Endpoint      string // of a command: local name @ domain
+	Code          int    // of a response: RFC 3435, 2.4, and RFC 3661
+	Comment       string // of a response: text for people
 	Params        []Param
-	Session       []byte // session descriptions as they stand, "" none; pion/sdp reads them
-	SecondSession []byte // a second one after an empty line (responses to CRCX for two connections)
+	Session       []byte // session description as text, empty for none
+	SecondSession []byte // second session description (response to a CRCX for two connections)
 }
 
-// ErrMessage is wrapped by every error about text that is no message.
+// ErrMessage is wrapped by every error about a malformed message.
 var ErrMessage = errors.New("malformed MGCP message")
 
+// malformed returns an error that wraps ErrMessage.
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMessage}, args...)...)
 }
 
-// Param is the value of the first parameter of a name.
+// Param returns the value of the first parameter with a name.
 func (m *Message) Param(name string) (string, bool) {
 	for _, p := range m.Params {
 		if p.Name == name {
@@ -68,7 +69,7 @@
 	return "", false
 }
 
-// Set adds a parameter, or changes it.
+// Set sets the value of a parameter.
 func (m *Message) Set(name, value string) {
 	for i := range m.Params {
 		if m.Params[i].Name == name {
@@ -79,14 +80,14 @@
 	m.Params = append(m.Params, Param{name, value})
 }
 
-// IsProvisional tells whether a response says only that the command is being carried out.
+// IsProvisional reports whether m is a provisional response.
 func (m *Message) IsProvisional() bool { return m.Verb == "" && m.Code >= 100 && m.Code < 200 }
 
-// IsAcknowledgement tells whether it is the response acknowledgement that ends a three-way handshake (3.5.6).
+// IsAcknowledgement reports whether m is the response acknowledgement of a three-way handshake (3.5.6).
 func (m *Message) IsAcknowledgement() bool { return m.Verb == "" && m.Code == 0 }
 
-// HasRequiredParams tells whether a command has the parameters without which it says nothing (RFC 3435, 3.2.2): one cut short at the end
-// of a line reads well, and is better repeated than taken.
+// HasRequiredParams reports whether a command has its mandatory parameters (RFC 3435, 3.2.2). A command that was truncated at the end
+// of a line parses without an error; it is better to wait for its retransmission.
 func (m *Message) HasRequiredParams() bool {
 	required := []string{}
 	switch m.Verb {
@@ -103,7 +104,7 @@
 	return true
 }
 
-// Append adds the text of a message to buf.
+// Append appends the encoded message to buf.
 func Append(buf []byte, msg Message) ([]byte, error) {
 	start := len(buf)
 	if msg.Transaction == 0 || msg.Transaction > MaxTransactionID {
@@ -111,7 +112,7 @@
 	}
 	if msg.Verb != "" {
 		if !isKnownVerb(msg.Verb) {
-			return buf, malformed("verb %q", msg.Verb)
+			return buf, malformed("unknown verb %q", msg.Verb)
 		}
 		if err := checkEndpoint(msg.Endpoint); err != nil {
 			return buf, err
@@ -138,7 +139,7 @@
 	}
 	for _, session := range [][]byte{msg.Session, msg.SecondSession} {
 		for _, line := range splitLines(string(session)) {
-			if (line == "" || line == ".") && len(session) > 0 { // it would end there for the reader
+			if (line == "" || line == ".") && len(session) > 0 { // the decoder would end the session description there
 				return buf[:start], malformed("session description with a line %q", line)
 			}
 		}
@@ -152,6 +153,7 @@
 	return buf, nil
 }
 
+// isKnownVerb reports whether v is a verb of RFC 3435.
 func isKnownVerb(v Verb) bool {
 	for _, k := range verbs {
 		if v == k {
@@ -161,7 +163,7 @@
 	return false
 }
 
-// checkEndpoint checks a name: a local name of terms between slashes, each perhaps a wildcard, and a domain.
+// checkEndpoint checks an endpoint name: a local name of terms separated by slashes, which may be wildcards, and a domain.
 func checkEndpoint(name string) error {
 	local, domain, ok := strings.Cut(name, "@")
 	if !ok || local == "" || domain == "" || len(local) > maxNameLength || len(domain) > maxNameLength || strings.ContainsAny(name, " \t\r\n") {
@@ -175,16 +177,16 @@
 	return nil
 }
 
-// Decode reads a datagram: one message, or several piggy-backed, parted by a line with a dot (3.5.5). The messages before
-// one at fault are returned with the error.
+// Decode decodes a datagram: one message, or several piggybacked messages separated by a line with a dot (3.5.5). The messages before
+// a malformed one are returned with the error.
 func Decode(datagram []byte) ([]Message, error) {
 	if len(datagram) > MaxDatagramSize {
 		return nil, malformed("%d octets, %d at most", len(datagram), MaxDatagramSize)
 	}
-	// Every line has its end (appendix A). A datagram that was cut short reads, at most places, as another message: fewer digits,
-	// or an endpoint that holds no connection.
+	// Every line has an end (appendix A). Without this check a truncated datagram mostly decodes as another message: with fewer
+	// digits, or from an endpoint without a connection.
 	if n := len(datagram); n > 0 && datagram[n-1] != '\n' {
-		return nil, malformed("no end of line after %d octets", n)
+		return nil, malformed("truncated line after %d octets", n)
 	}
 	var messages []Message
 	var lines []string
@@ -206,7 +208,7 @@
 	return append(messages, msg), nil
 }
 
-// splitLines parts text at LF or CRLF.
+// splitLines splits text at LF or CRLF.
 func splitLines(text string) []string {
 	split := strings.Split(text, "\n")
 	for i := range split {
@@ -218,10 +220,11 @@
 	return split
 }
 
+// decodeMessage decodes the lines of one message.
 func decodeMessage(text []string) (Message, error) {
 	var msg Message
 	if len(text) == 0 {
-		return msg, malformed("no line")
+		return msg, malformed("empty message")
 	}
 	if err := msg.parseFirstLine(text[0]); err != nil {
 		return msg, err
@@ -234,7 +237,7 @@
 			return msg, malformed("parameter line %q", rest[0])
 		}
 		if msg.Params = append(msg.Params, Param{name, strings.TrimSpace(value)}); len(msg.Params) > maxParams {
-			return msg, malformed("over %d parameters", maxParams)
+			return msg, malformed("more than %d parameters", maxParams)
 		}
 		rest = rest[1:]
 	}
@@ -248,7 +251,7 @@
 			rest = rest[1:]
 		}
 	}
-	if len(msg.Session) == 0 && len(msg.SecondSession) > 0 { // it read as the first when sent on
+	if len(msg.Session) == 0 && len(msg.SecondSession) > 0 { // it would become the first when encoded again
 		return msg, malformed("a second session description without a first")
 	}
 	if len(rest) > 1 {
@@ -257,6 +260,7 @@
 	return msg, nil
 }
 
+// parseFirstLine parses the command line or the response line.
 func (m *Message) parseFirstLine(line string) error {
 	fields := strings.Fields(line)
 	if len(fields) < 2 {
@@ -277,7 +281,7 @@
 	m.Verb = Verb(strings.ToUpper(fields[0]))
 	switch {
 	case !isKnownVerb(m.Verb):
-		return malformed("verb %q", fields[0])
+		return malformed("unknown verb %q", fields[0])
 	case len(fields) < 5 || !strings.EqualFold(fields[3], "MGCP") || fields[4] != "1.0":
 		return malformed("first line %q", line)
 	}
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -53,14 +53,14 @@
 		if err != nil || !reflect.DeepEqual(got, want) {
 			t.Fatalf("%v\nread %+v\nwant %+v\n%s", err, got, want, text)
 		}
-		bare, err := Decode([]byte(strings.ReplaceAll(string(text), "\r\n", "\n"))) // lines may end with LF alone
+		bare, err := Decode([]byte(strings.ReplaceAll(string(text), "\r\n", "\n"))) // lines may end with LF only
 		if err != nil || !reflect.DeepEqual(bare, want) {
-			t.Fatalf("with LF alone: %v %+v", err, bare)
+			t.Fatalf("with LF only: %v %+v", err, bare)
 		}
 	})
 }
 
-// Messages written after the grammar of RFC 3435, appendix A, and what is no message.
+// Messages written after the grammar of RFC 3435, appendix A, and malformed messages.
 func TestDecodeFollowsGrammar(t *testing.T) {
 	for _, c := range []struct {
 		text string
@@ -88,7 +88,7 @@
 	}
 }
 
-// Digit maps against the library's regular expressions, on all digits up to some length.
+// Compares digit maps with equivalent regular expressions on many digit strings.
 func TestDigitMapsAgainstRegexp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var options, expressions []string
@@ -122,14 +122,14 @@
 		for _, s := range inputs {
 			m := digitMap.Match(s)
 			if complete := m == FullMatch || m == AmbiguousMatch; complete != pattern.MatchString(s) {
-				t.Fatalf("%s on %q: %d, the expression %v", text, s, m, pattern.MatchString(s))
+				t.Fatalf("%s on %q: result %d, the expression matches: %v", text, s, m, pattern.MatchString(s))
 			}
 			longer := false
 			for _, l := range inputs {
 				longer = longer || len(l) > len(s) && strings.HasPrefix(l, s) && pattern.MatchString(l)
 			}
 			if longer && (m == NoMatch || m == FullMatch) {
-				t.Fatalf("%s on %q: %d, but something longer fits", text, s, m)
+				t.Fatalf("%s on %q: result %d, but a longer input matches", text, s, m)
 			}
 		}
 	})
@@ -153,16 +153,16 @@
 func checkMessageRoundTrip(t *testing.T, b []byte) {
 	all, err := Decode(b)
 	if err != nil && !errors.Is(err, ErrMessage) {
-		t.Fatalf("error of another kind: %v", err)
+		t.Fatalf("error does not wrap ErrMessage: %v", err)
 	}
 	for _, m := range all {
 		text, err := Append(nil, m)
 		if err != nil {
-			continue // parameters may hold what is taken but not sent
+			continue // parameter values may be accepted but not encoded
 		}
 		again, err := Decode(text)
 		if err != nil || len(again) != 1 || !reflect.DeepEqual(again[0], m) {
-			t.Fatalf("%+v reads back as %+v, %v", m, again, err)
+			t.Fatalf("%+v decodes again as %+v, %v", m, again, err)
 		}
 	}
 }
--- a/internal/mgcp/transaction.go
+++ b/internal/mgcp/transaction.go
@@ -13,96 +13,99 @@
 
 // Times of RFC 3435, 3.5, in tenths of a millisecond.
 const (
-	TMax  = policy.Tenths(200000) // a command is repeated for so long at most, and is then given up
-	THist = policy.Tenths(300000) // a response is kept so long after it was sent, and an id is not used again before
-
-	longTransactionTimer   = policy.Tenths(50000) // after a provisional response a command is repeated this seldom
-	initialRTO             = policy.Tenths(2000)  // before any answer of a peer has told how long it takes
-	minRTO                 = policy.Tenths(500)   // the least wait before a repeat
-	maxRTO                 = policy.Tenths(40000) // 3.5.3: not over four seconds
-	suspectRetransmissions = 5                    // Max1: repeats after which a peer's other addresses are tried
-	maxRetransmissions     = 7                    // Max2: repeats after which it is held to be disconnected
-	rtoDeviations          = 2                    // deviations above the mean answer time that a wait allows for
+	TMax  = policy.Tenths(200000) // T-MAX: a command is retransmitted for so long at most
+	THist = policy.Tenths(300000) // T-HIST: responses are stored and transaction IDs not reused for so long
+
+	longTransactionTimer   = policy.Tenths(50000) // between retransmissions after a provisional response
+	initialRTO             = policy.Tenths(2000)  // until a response time has been measured
+	minRTO                 = policy.Tenths(500)
+	maxRTO                 = policy.Tenths(40000) // 3.5.3: four seconds
+	suspectRetransmissions = 5                    // Max1: then the peer's other addresses are tried
+	maxRetransmissions     = 7                    // Max2: then the peer counts as disconnected
+	rtoDeviations          = 2                    // deviations added to the mean response time
 	maxID                  = uint32(MaxTransactionID)
-	meanGain               = 0.125
+	meanGain               = 0.125 // weight of a new sample in the moving averages
 	deviationGain          = 0.25
 	lossGain               = 0.05
-	minTransmissions       = 8
-	jitter                 = 0.1
-	maxStoredResponses     = 1 << 16 // responses kept for one peer
+	minTransmissions       = 8       // of a command until its deadline
+	jitter                 = 0.1     // share of a wait that is added at random
+	maxStoredResponses     = 1 << 16 // of one peer
 )
 
-// Outcome of a command that was sent.
+// Outcome is the outcome of a command.
 type Outcome uint8
 
 const (
-	Answered         Outcome = iota
-	PeerSuspect              // not answered so often that another address of the peer should be tried; it goes on
-	PeerDisconnected         // given up: the peer is held to be disconnected
+	Answered         Outcome = iota // by a final response
+	PeerSuspect                     // not answered so far: another address of the peer should be tried; retransmission continues
+	PeerDisconnected                // not answered: the peer counts as disconnected
 )
 
-// SenderOutput is what a Sender asks for. Ended may send, Transmit must not call back.
+// SenderOutput transmits the messages of a Sender and handles the outcomes of its commands. HandleOutcome may send commands;
+// Transmit must not call the Sender.
 type SenderOutput interface {
-	Transmit(m Message, repeat int)                   // put it on the wire; repeat counts from 0
-	HandleOutcome(id uint32, fate Outcome, r Message) // r is the response when it was answered
-	// HandleConflict tells that a command which is over was answered again, otherwise: the first answer counts, but the peer may
-	// hold what it said the second time.
-	HandleConflict(id uint32, first int, r Message)
+	Transmit(msg Message, retransmission int)                   // retransmission counts from 0
+	HandleOutcome(id uint32, outcome Outcome, response Message) // response is empty unless the command was answered
+	// HandleConflict handles a second, different response to a finished command. The first one counts, with the code firstCode,
+	// but the peer may be in the state that the second one reports.
+	HandleConflict(id uint32, firstCode int, response Message)
 }
 
+// pendingCommand is a command without a final response so far.
 type pendingCommand struct {
 	message         Message
 	sentAt          policy.Tenths
 	retransmitAt    policy.Tenths
 	retransmissions int
-	deadline        policy.Tenths // it is of use until then, 0: no matter when
-	provisional     bool          // a provisional response came
-	suspect         bool
+	deadline        policy.Tenths // the command is of use until then, 0 for no deadline
+	provisional     bool          // a provisional response was received
+	suspect         bool          // PeerSuspect was reported
 }
 
-// finishedCommand is a command that was answered or given up: its id must not be used again until then.
+// finishedCommand is a command that was answered or abandoned. Its transaction ID must not be reused before reusableAt.
 type finishedCommand struct {
 	reusableAt policy.Tenths
-	code       int // of the answer, 0 none
-	digest     uint64
+	code       int    // of the response, 0 for none
+	digest     uint64 // of the response
 }
 
-// Sender sees commands to one peer through: repeats them with a wait that follows how long answers take and doubles, gives
-// them up after TMax, and acknowledges final responses that ask for it.
+// Sender sends commands to one peer. It retransmits them at doubling intervals that adapt to the measured response time, abandons
+// them after TMax, and acknowledges responses.
 type Sender struct {
 	output           SenderOutput
 	random           *rand.Rand
 	pending          map[uint32]*pendingCommand
-	order            []uint32 // as sent
+	order            []uint32 // pending transaction IDs in the order sent
 	ids              *TransactionIDs
-	meanResponseTime float64 // answer time, tenths
+	meanResponseTime float64 // in tenths of a millisecond
 	deviation        float64
-	measured         bool
-	lossRate         float64                    // share of commands that had to be repeated, of late
-	heldRTO          policy.Tenths              // the wait that a repeated command had come to, until one is answered without a repeat
-	finished         map[uint32]finishedCommand // given up or answered
+	measured         bool                       // a response time has been measured
+	lossRate         float64                    // moving average of the share of retransmitted commands
+	heldRTO          policy.Tenths              // response time of the last command if it was retransmitted, otherwise 0
+	finished         map[uint32]finishedCommand // answered or abandoned, by transaction ID
 	purgeAt          policy.Tenths
-	pendingAcks      []uint32 // answered, to be acknowledged with the next command (K parameter)
+	pendingAcks      []uint32 // acknowledged with the next command (K parameter)
 }
 
-// TransactionIDs counts transaction ids for all the senders of one party, so that a response tells by its id alone whose it is.
+// TransactionIDs allocates the transaction IDs of all senders of a call agent or gateway, so that an ID identifies the sender.
 type TransactionIDs struct{ next uint32 }
 
-// NewTransactionIDs starts with an id; the one after the last must be kept over a restart of the program, or drawn at random.
+// NewTransactionIDs returns IDs that start after first. A restarted process must continue after its last ID or start at random.
 func NewTransactionIDs(first uint32) *TransactionIDs { return &TransactionIDs{first%maxID + 1} }
 
+// allocate returns the next transaction ID.
 func (t *TransactionIDs) allocate() uint32 {
 	id := t.next
 	t.next = id%maxID + 1
 	return id
 }
 
-// NewSender makes a sender that has nothing out.
+// NewSender returns a sender without pending commands.
 func NewSender(ids *TransactionIDs, seed uint64, output SenderOutput) *Sender {
 	return &Sender{output: output, random: rand.New(rand.NewPCG(seed, 0x17)), pending: map[uint32]*pendingCommand{}, ids: ids, finished: map[uint32]finishedCommand{}}
 }
 
-// rto is the wait before the first repeat: the mean answer time and some deviations.
+// rto returns the time until the first retransmission: the mean response time plus some deviations.
 func (s *Sender) rto() policy.Tenths {
 	switch {
 	case s.heldRTO > 0:
@@ -113,12 +116,12 @@
 	return min(maxRTO, max(minRTO, policy.Tenths(s.meanResponseTime+rtoDeviations*s.deviation)))
 }
 
-// Send sends a command under a new transaction id and returns it.
+// Send sends a command with a new transaction ID, which it returns.
 func (s *Sender) Send(now policy.Tenths, m Message) uint32 { return s.SendWithDeadline(now, m, 0) }
 
-// SendWithDeadline sends a command that is of use until an instant only: however long this peer's answers take, it is repeated often
-// enough to be sent minTransmissions until then. A call's last answer went out but once or twice on a network that lost one datagram in
-// three, with the waits that such a network leads to.
+// SendWithDeadline sends a command that is of use only until a deadline. It is transmitted at least minTransmissions times until then,
+// whatever the response time of the peer. With a third of all datagrams lost, the timeouts had grown so much that the last answer of
+// a call was transmitted only once or twice.
 func (s *Sender) SendWithDeadline(now policy.Tenths, msg Message, deadline policy.Tenths) uint32 {
 	for msg.Transaction = s.ids.allocate(); ; msg.Transaction = s.ids.allocate() {
 		finished, used := s.finished[msg.Transaction]
@@ -139,7 +142,7 @@
 	return msg.Transaction
 }
 
-// boundWait shortens a wait for a command that is of use for a while only.
+// boundWait shortens a wait so that the command is transmitted minTransmissions times until its deadline.
 func (c *pendingCommand) boundWait(now, wait policy.Tenths) policy.Tenths {
 	if now >= c.deadline {
 		return wait
@@ -147,19 +150,19 @@
 	return min(wait, max(minRTO, (c.deadline-c.sentAt)/minTransmissions))
 }
 
-// addJitter keeps many senders that began together from repeating together.
+// addJitter lengthens a wait at random, so that senders that started together don't retransmit together.
 func (s *Sender) addJitter(wait policy.Tenths) policy.Tenths {
 	return wait + policy.Tenths(float64(wait)*jitter*s.random.Float64())
 }
 
-// HandleResponse takes a response. One to a command that is over, or never was, is passed over; a final one that follows a
-// provisional one is acknowledged at once (the three-way handshake of 3.5.6).
+// HandleResponse handles a response. A repeated response to a finished command is ignored, a different one is a conflict. A final
+// response after a provisional one is acknowledged at once (the three-way handshake of 3.5.6).
 func (s *Sender) HandleResponse(now policy.Tenths, response Message) {
 	command := s.pending[response.Transaction]
 	if command == nil {
-		// What a peer has seen acknowledged it repeats without its parameters: no contradiction, though on a network that held
-		// commands up it was taken for one, and every such repeat had a whole gateway audited. An answer to what was never sent, or is
-		// forgotten, tells that something old was carried out just now.
+		// A peer repeats an acknowledged response without its parameters. That is no conflict; taken for one on a network with
+		// delays, it caused an audit of the whole gateway each time. A response to an unknown transaction means that an old command
+		// was executed just now.
 		finished, known := s.finished[response.Transaction]
 		stripped := response.Code == finished.code && len(response.Params)+len(response.Session) == 0
 		if !response.IsProvisional() && (!known || finished.code != 0 && finished.digest != digest(response) && !stripped) {
@@ -169,12 +172,13 @@
 	}
 	if response.IsProvisional() {
 		command.provisional = true
-		command.retransmitAt = min(now+longTransactionTimer, command.sentAt+TMax) // unbounded, a late provisional response kept a dead command past TMax
+		// Without the bound a late provisional response kept a command beyond TMax.
+		command.retransmitAt = min(now+longTransactionTimer, command.sentAt+TMax)
 		return
 	}
-	// An answer to a repeat may be the answer to the first and tells no time; the next command waits as long as this one took in
-	// all, so that a peer slower than the first wait is learned of (Karn's rule, without its doubling: on a network that loses one
-	// datagram in three the wait doubled from command to command, and the last answers of a call were sent but once).
+	// The response to a retransmitted command gives no response time, as it may answer any transmission (Karn's rule). The next
+	// command waits as long as this one took in all, so that a peer slower than the timeout is measured. The timeout isn't doubled:
+	// with a third of all datagrams lost it doubled with each command, and the last answers of a call were transmitted only once.
 	s.lossRate += lossGain * (min(1, float64(command.retransmissions)) - s.lossRate)
 	if command.retransmissions > 0 {
 		s.heldRTO = min(maxRTO, now-command.sentAt)
@@ -197,6 +201,7 @@
 	s.output.HandleOutcome(response.Transaction, Answered, response)
 }
 
+// finish moves a command from the pending to the finished ones.
 func (s *Sender) finish(now policy.Tenths, id uint32, finished finishedCommand) {
 	delete(s.pending, id)
 	finished.reusableAt = now + THist
@@ -206,7 +211,7 @@
 	}
 }
 
-// Tick repeats what is due and gives up what has been repeated too long.
+// Tick retransmits the commands that are due and abandons those that have been retransmitted too often or too long.
 func (s *Sender) Tick(now policy.Tenths) {
 	for _, id := range append([]uint32(nil), s.order...) {
 		command := s.pending[id]
@@ -234,21 +239,21 @@
 		return
 	}
 	s.purgeAt = now + THist/8
-	for id, finished := range s.finished { // bounded by what was sent within THist and the time between two sweeps
+	for id, finished := range s.finished { // bounded by the commands sent within THist and one purge interval
 		if now >= finished.reusableAt {
 			delete(s.finished, id)
 		}
 	}
 }
 
-// Cancel gives a command up without a word: nobody waits for its answer any more.
+// Cancel abandons a command without reporting an outcome.
 func (s *Sender) Cancel(now policy.Tenths, id uint32) {
 	if s.pending[id] != nil {
 		s.finish(now, id, finishedCommand{})
 	}
 }
 
-// CancelAll gives up all that is out, as when the peer has restarted and knows of none of it. It returns the ids.
+// CancelAll abandons all pending commands, as after a restart of the peer, and returns their transaction IDs.
 func (s *Sender) CancelAll(now policy.Tenths) []uint32 {
 	var cancelled []uint32
 	for _, id := range append([]uint32(nil), s.order...) {
@@ -260,13 +265,13 @@
 	return cancelled
 }
 
-// LossRate is the share of commands that had to be repeated, of late.
+// LossRate returns the recent share of commands that were retransmitted.
 func (s *Sender) LossRate() float64 { return s.lossRate }
 
-// RetransmissionTimeout is how long the first repeat of a command is waited for now.
+// RetransmissionTimeout returns the current time until the first retransmission of a command.
 func (s *Sender) RetransmissionTimeout() policy.Tenths { return s.rto() }
 
-// Next is when Tick must be called next; false when nothing is out.
+// Next returns the time at which Tick must be called next; false if no command is pending.
 func (s *Sender) Next() (at policy.Tenths, ok bool) {
 	for _, id := range s.order {
 		if command := s.pending[id]; command != nil && (!ok || command.retransmitAt < at) {
@@ -276,36 +281,38 @@
 	return at, ok
 }
 
-// Receiver carries each command of one peer out at most once (3.5.1): a command that comes again while it is being carried
-// out gets a provisional response, and afterwards the response that was sent before, for THist.
+// Receiver ensures that each command of a peer is executed at most once (3.5.1). A command that is repeated during its execution gets a
+// provisional response; for THist after it, the stored response.
 type Receiver struct {
 	responses map[uint32]*storedResponse
 	order     []uint32
 }
 
+// storedResponse is a command and the response to it, once there is one.
 type storedResponse struct {
-	digest    uint64 // digest of the command
+	digest    uint64 // of the command
 	response  Message
 	done      bool
 	expiresAt policy.Tenths
 }
 
-// NewReceiver makes a receiver that has seen nothing.
+// NewReceiver returns a receiver without stored responses.
 func NewReceiver() *Receiver { return &Receiver{responses: map[uint32]*storedResponse{}} }
 
-// HandleCommand takes a command. carryOut: it is new, and Done must follow; else reply, if any, goes back.
+// HandleCommand handles a received command. If execute is true the command is new, and StoreResponse must follow its execution.
+// Otherwise reply is the response to send.
 func (r *Receiver) HandleCommand(now policy.Tenths, msg Message) (execute bool, reply *Message) {
 	r.purge(now)
 	commandDigest := digest(msg)
-	// Another command under an id that is still kept is no repeat: a gateway that restarts may count from where it counted
-	// before, and its off-hook was answered with the answer to an old one and lost.
+	// A different command with a stored transaction ID is not a repetition. A restarted gateway may reuse its IDs: its off-hook
+	// notification got the response to an old command and was lost.
 	if stored := r.responses[msg.Transaction]; stored != nil && stored.digest == commandDigest {
 		if stored.done {
 			return false, &stored.response
 		}
 		return false, &Message{Transaction: msg.Transaction, Code: 100, Comment: "being carried out"}
 	}
-	if len(r.responses) >= maxStoredResponses { // memory stays bounded: an overloaded peer is told so (403: no resources now)
+	if len(r.responses) >= maxStoredResponses { // bounds the memory; 403: insufficient resources at this time
 		return false, &Message{Transaction: msg.Transaction, Code: 403, Comment: "too many transactions"}
 	}
 	r.responses[msg.Transaction] = &storedResponse{digest: commandDigest, expiresAt: now + THist}
@@ -313,7 +320,7 @@
 	return true, nil
 }
 
-// StoreResponse keeps the response to a command and returns what to send.
+// StoreResponse stores the response to a command and returns it.
 func (r *Receiver) StoreResponse(now policy.Tenths, response Message) Message {
 	if stored := r.responses[response.Transaction]; stored != nil {
 		stored.response, stored.done, stored.expiresAt = response, true, now+THist
@@ -321,15 +328,15 @@
 	return response
 }
 
-// HandleAck forgets a response that the peer has; its id stays used until THist has passed.
+// HandleAck drops the parameters of a response that the peer has acknowledged. Its transaction ID stays in use for THist.
 func (r *Receiver) HandleAck(id uint32) {
 	if stored := r.responses[id]; stored != nil && stored.done {
 		stored.response = Message{Transaction: id, Code: stored.response.Code}
 	}
 }
 
-// purge drops what was kept for long enough. Responses are kept from when they were sent, so that the order of commands
-// is not quite that of their ends; one in the way of others waits for its own time.
+// purge removes expired responses. They expire THist after they were sent, so not always in the order of the commands; a response
+// that expires late delays the removal of those after it.
 func (r *Receiver) purge(now policy.Tenths) {
 	for len(r.order) > 0 {
 		stored := r.responses[r.order[0]]
@@ -341,7 +348,7 @@
 	}
 }
 
-// ParseIDRanges reads ids as the K parameter has them. What is no range is passed over, and a range that is too wide.
+// ParseIDRanges parses the transaction IDs of a K parameter. Malformed and too wide ranges are ignored.
 func ParseIDRanges(text string) (ids []uint32) {
 	for _, part := range strings.Split(text, ",") {
 		first, last, isRange := strings.Cut(strings.TrimSpace(part), "-")
@@ -360,8 +367,7 @@
 	return ids
 }
 
-// digest tells messages apart that share an id. Repeats are the same octets; only acknowledgements that ride along (K) may
-// differ between them.
+// digest distinguishes messages with the same transaction ID. Repeated messages differ only in their acknowledgements (K).
 func digest(msg Message) uint64 {
 	h := xxhash.New()
 	fmt.Fprint(h, msg.Verb, msg.Endpoint, msg.Code)
@@ -375,10 +381,10 @@
 	return h.Sum64()
 }
 
-// StoredResponses counts the responses kept.
+// StoredResponses returns the number of stored responses.
 func (r *Receiver) StoredResponses() int { return len(r.responses) }
 
-// formatIDRanges writes ids as the K parameter has them: 6234-6255, 6257.
+// formatIDRanges formats transaction IDs as a K parameter: 6234-6255, 6257.
 func formatIDRanges(ids []uint32) string {
 	var b []byte
 	for i := 0; i < len(ids); {
--- a/internal/mgcp/transaction_test.go
+++ b/internal/mgcp/transaction_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// lossyNetwork is a sender and a receiver with a bad network between them.
+// lossyNetwork connects a sender and a receiver over a simulated network.
 type lossyNetwork struct {
 	sender         *Sender
 	receiver       *Receiver
@@ -20,14 +20,14 @@
 	random         *rand.Rand
 	loss           float64
 	duplication    float64
-	maxDelay       policy.Tenths // a packet is up to so much late, so that they overtake each other
-	processingTime policy.Tenths // the receiver needs so long
+	maxDelay       policy.Tenths // random delay of packets, which may overtake each other
+	processingTime policy.Tenths // of a command at the receiver
 	executing      []packet
 	executions     map[uint32]int
 	outcomes       map[uint32]Outcome
 	transmissions  int
 	violations     []string
-	conflicts      []int // codes of second answers
+	conflicts      []int // codes of conflicting responses
 }
 
 type packet struct {
@@ -61,10 +61,10 @@
 		return
 	}
 	if _, twice := n.outcomes[id]; twice {
-		n.violations = append(n.violations, fmt.Sprintf("transaction %d ends twice", id))
+		n.violations = append(n.violations, fmt.Sprintf("transaction %d has two outcomes", id))
 	}
 	if outcome == Answered && response.Code != 200 {
-		n.violations = append(n.violations, fmt.Sprintf("transaction %d ends with %d", id, response.Code))
+		n.violations = append(n.violations, fmt.Sprintf("transaction %d ends with code %d", id, response.Code))
 	}
 	n.outcomes[id] = outcome
 }
@@ -109,7 +109,7 @@
 	}
 }
 
-// Whatever the network loses, doubles and delays: a command is carried out at most once, and ends exactly once, by TMax.
+// Whatever the network loses, duplicates and delays, a command is executed at most once and has exactly one outcome within TMax.
 func TestCommandsExecuteAtMostOnceAndFinishOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		network := newLossyNetwork(rapid.Uint64().Draw(t, "seed"))
@@ -125,7 +125,7 @@
 		network.advance(TMax + 1000)
 		for _, id := range ids {
 			if _, ok := network.outcomes[id]; !ok || network.executions[id] > 1 || network.outcomes[id] == Answered && network.executions[id] == 0 {
-				t.Fatalf("transaction %d carried out %d times, ended %v", id, network.executions[id], ok)
+				t.Fatalf("transaction %d executed %d times, has outcome: %v", id, network.executions[id], ok)
 			}
 		}
 		if len(network.violations) > 0 {
@@ -134,28 +134,29 @@
 		network.advance(THist + TMax)
 		network.receiver.purge(network.now)
 		if network.receiver.StoredResponses() > 0 {
-			t.Fatalf("%d responses are kept for ever", network.receiver.StoredResponses())
+			t.Fatalf("%d responses are never removed", network.receiver.StoredResponses())
 		}
 	})
 }
 
+// A fast peer gets no retransmissions, a lost one a bounded number, and a slow one few once its response time is measured.
 func TestRetransmissionTimeoutAdaptsAndStops(t *testing.T) {
 	network := newLossyNetwork(1)
-	for range 50 { // a quick peer
+	for range 50 { // a fast peer
 		network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
 		network.advance(1000)
 	}
 	if network.transmissions != 50 || network.sender.rto() > 1000 {
-		t.Fatalf("%d sends for 50 commands, the wait is %d", network.transmissions, network.sender.rto())
+		t.Fatalf("%d transmissions for 50 commands, the timeout is %d", network.transmissions, network.sender.rto())
 	}
 	network.loss = 1
 	network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
 	network.advance(TMax)
 	if extra := network.transmissions - 51; extra != maxRetransmissions {
-		t.Fatalf("%d repeats to a peer that is gone", extra)
+		t.Fatalf("%d retransmissions to a lost peer", extra)
 	}
 	network = newLossyNetwork(1)
-	network.processingTime = 6000 // a peer that takes 600 ms: repeats stop once that is learned
+	network.processingTime = 6000 // a peer that takes 600 ms: retransmissions stop once that is measured
 	for range 30 {
 		network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
 		network.advance(10000)
@@ -166,7 +167,7 @@
 		network.advance(10000)
 	}
 	if extra := network.transmissions - before - 30; extra > 30 {
-		t.Fatalf("%d repeats and acknowledgements for 30 commands to a slow peer", extra)
+		t.Fatalf("%d retransmissions and acknowledgements for 30 commands to a slow peer", extra)
 	}
 }
 
@@ -177,11 +178,11 @@
 	for range 30 {
 		id := network.sender.Send(network.now, Message{Verb: AuditEndpoint, Endpoint: "a@b"})
 		if at, used := seen[id]; used && network.now < at+THist {
-			t.Fatalf("id %d is used again after %d", id, network.now-at)
+			t.Fatalf("transaction ID %d is reused after %d", id, network.now-at)
 		}
 		seen[id] = network.now
 		network.advance(500)
-		network.sender.ids.next = maxID - 1 // as if a thousand million commands had passed
+		network.sender.ids.next = maxID - 1 // as if all other IDs had been used
 	}
 }
 
@@ -195,7 +196,7 @@
 	n.conflicts = append(n.conflicts, response.Code)
 }
 
-// The first of two different answers counts, and the second is told of; a repeat of the first is not.
+// The first of two different responses counts, and the second is reported as a conflict. A repetition of the first is not.
 func TestConflictingResponseIsReported(t *testing.T) {
 	network := newLossyNetwork(3)
 	id := network.sender.Send(network.now, Message{Verb: CreateConnection, Endpoint: "a@b"})
@@ -208,7 +209,7 @@
 	}
 }
 
-// A gateway that counts anew uses an id again while the answer to the old command is kept: the new command is carried out.
+// A restarted gateway may reuse a transaction ID while the response to the old command is stored: the new command must be executed.
 func TestReusedIDWithNewCommandIsExecuted(t *testing.T) {
 	receiver := NewReceiver()
 	off := Message{Verb: Notify, Transaction: 7, Endpoint: "a@b", Params: []Param{{"X", "1"}, {"O", "L/hd"}}}
@@ -219,7 +220,7 @@
 	}{{off, true}, {off, false}, {on, true}, {on, false}} {
 		execute, reply := receiver.HandleCommand(policy.Tenths(1000+i), c.m)
 		if execute != c.want || execute == (reply != nil) {
-			t.Fatalf("command %d: carried out %v, reply %v", i, execute, reply)
+			t.Fatalf("command %d: execute %v, reply %v", i, execute, reply)
 		}
 		if execute {
 			receiver.StoreResponse(policy.Tenths(1000+i), Message{Transaction: 7, Code: 200})
