--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -165,7 +165,7 @@
 	admissionTimer
 )
 
-// timer is valid only while the time it is for is still at.
+// timer is an entry of the timer heap. It is ignored if its owner has been rescheduled to another time since.
 type timer struct {
 	at    policy.Tenths
 	kind  timerKind
@@ -210,14 +210,14 @@
 	Joined, Lost, OrphanedConnections, ConflictingResponses, StaleNotifications int
 	InvalidTransitions                                                          int // of connection states, a fault in the program
 	IncompleteMessages                                                          int // truncated messages
-	DatagramsSent                                                               int // datagrams sent
+	DatagramsSent                                                               int
 }
 
 const (
 	maxToneTime          = policy.Tenths(300000) // then the off-hook warning replaces the tone
-	lateAnswerMargin     = 500                   // after the call's deadline a call without an answer from the exchange is released
+	lateAnswerMargin     = 500                   // tenths of a millisecond from a call's deadline to its release if unanswered
 	auditInterval        = policy.Tenths(300000) // one endpoint of each gateway is audited at this interval
-	auditDelay           = policy.Tenths(100000) // from deleting a connection to auditing the endpoint
+	auditDelay           = policy.Tenths(100000) // from deleting a connection, or the reset of a busy endpoint, to an audit of the endpoint
 	firstGatewayIdentity = 1 << 23               // references of gateway calls lie above those that the switch assigns
 	identityMask         = firstGatewayIdentity - 1
 	maxRefusals          = 6 // transient errors in a row before a command counts as failed
--- a/internal/callagent/callagent_test.go
+++ b/internal/callagent/callagent_test.go
@@ -258,8 +258,10 @@
 		if (line.state == CreatingConnection || line.state == Calling || line.state == Talking || line.state == Incoming || line.state == Ringing) != (line.call != nil) {
 			h.t.Fatalf("line %d in state %v has call %v", i, line.state, line.call)
 		}
-		if (line.connection.mayExist() && line.uncertainCall == nil) != (line.applied.mode != NoMode) || (line.connection == ConnectionUncertain) && line.uncertainCall == nil || h.agent.Counts.InvalidTransitions > 0 {
-			h.t.Fatalf("line %d: connection %v, applied state %v, uncertain call %v, %d invalid transitions", i, line.connection, line.applied, line.uncertainCall, h.agent.Counts.InvalidTransitions)
+		if (line.connection.mayExist() && line.uncertainCall == nil) != (line.applied.mode != NoMode) ||
+			(line.connection == ConnectionUncertain) && line.uncertainCall == nil || h.agent.Counts.InvalidTransitions > 0 {
+			h.t.Fatalf("line %d: connection %v, applied state %v, uncertain call %v, %d invalid transitions",
+				i, line.connection, line.applied, line.uncertainCall, h.agent.Counts.InvalidTransitions)
 		}
 		if line.transactionID != 0 {
 			if command, ok := h.agent.outstanding[line.transactionID]; !ok || command.kind != lineCommand || command.index != i {
@@ -270,12 +272,15 @@
 }
 
 func newHarness(t *rapid.T, seed uint64) *harness {
-	h := &harness{t: t, now: 1 << 30, random: rand.New(rand.NewPCG(seed, 3)), delayed: map[policy.Tenths][]func(){}, calls: map[circuitKey]string{}}
+	h := &harness{t: t, now: 1 << 30, random: rand.New(rand.NewPCG(seed, 3)), delayed: map[policy.Tenths][]func(){},
+		calls: map[circuitKey]string{}}
 	digitMap, _ := mgcp.ParseDigitMap("(xxx)")
-	config := Config{OwnExchange: 4, PointCode: 5, Seed: seed, Incarnation: 7, DigitMap: digitMap, AbandonTimes: []policy.Tenths{90000}, GoSTarget: 12000, MaxDialTime: 100000, MaxRingTime: 200000, MediaAddress: "127.0.0.1", RestartRate: 100, MaxQueuedRestarts: 10}
+	config := Config{OwnExchange: 4, PointCode: 5, Seed: seed, Incarnation: 7, DigitMap: digitMap, AbandonTimes: []policy.Tenths{90000},
+		GoSTarget: 12000, MaxDialTime: 100000, MaxRingTime: 200000, MediaAddress: "127.0.0.1", RestartRate: 100, MaxQueuedRestarts: 10}
 	ids := mgcp.NewTransactionIDs(1)
 	for gw := range 2 {
-		config.Gateways = append(config.Gateways, Gateway{Name: fmt.Sprintf("gw%d", gw), Addresses: []netip.AddrPort{gatewayAddress}, Endpoints: 3, FirstLine: 10 * gw, Width: 1})
+		config.Gateways = append(config.Gateways, Gateway{Name: fmt.Sprintf("gw%d", gw), Addresses: []netip.AddrPort{gatewayAddress},
+			Endpoints: 3, FirstLine: 10 * gw, Width: 1})
 		h.phones = append(h.phones, make([]simulatedPhone, 3))
 		for n := range h.phones[gw] {
 			h.phones[gw][n].connections = map[string]bool{}
@@ -359,7 +364,8 @@
 				for i := range h.phones[gw] {
 					h.phones[gw][i] = simulatedPhone{connections: map[string]bool{}, offHook: h.phones[gw][i].offHook}
 				}
-				h.senders[gw].Send(h.now, mgcp.Message{Verb: mgcp.RestartInProgress, Endpoint: fmt.Sprintf("*@gw%d", gw), Params: []mgcp.Param{{Name: "RM", Value: "restart"}}})
+				h.senders[gw].Send(h.now, mgcp.Message{Verb: mgcp.RestartInProgress, Endpoint: fmt.Sprintf("*@gw%d", gw),
+					Params: []mgcp.Param{{Name: "RM", Value: "restart"}}})
 			}
 			h.advance(policy.Tenths(rapid.SampledFrom([]int{0, 50, 1000, 20000, 200000}).Draw(t, "gap")))
 		}
@@ -395,12 +401,14 @@
 	newAddress := netip.MustParseAddrPort("127.0.0.1:3000")
 	var sent []netip.AddrPort
 	output := fakeOutput{send: func(to netip.AddrPort, _ mgcp.Message) { sent = append(sent, to) }}
-	agent := New(Config{OwnExchange: 4, PointCode: 5, Incarnation: 7, DigitMap: digitMap, AbandonTimes: []policy.Tenths{90000}, GoSTarget: 12000, RestartRate: 100, MaxQueuedRestarts: 10,
+	agent := New(Config{OwnExchange: 4, PointCode: 5, Incarnation: 7, DigitMap: digitMap, AbandonTimes: []policy.Tenths{90000},
+		GoSTarget: 12000, RestartRate: 100, MaxQueuedRestarts: 10,
 		Gateways: []Gateway{{Name: "gw", Addresses: []netip.AddrPort{gatewayAddress}, Endpoints: 1, Width: 1}}}, output, 1000)
 	if len(sent) != 1 || sent[0] != gatewayAddress {
 		t.Fatal(sent)
 	}
-	agent.HandleMessage(2000, newAddress, mgcp.Message{Verb: mgcp.Notify, Transaction: 5, Endpoint: "aaln/1@gw", Params: []mgcp.Param{{Name: "X", Value: "1"}, {Name: "O", Value: "L/hd"}}}, 0)
+	agent.HandleMessage(2000, newAddress, mgcp.Message{Verb: mgcp.Notify, Transaction: 5, Endpoint: "aaln/1@gw",
+		Params: []mgcp.Param{{Name: "X", Value: "1"}, {Name: "O", Value: "L/hd"}}}, 0)
 	if last := sent[len(sent)-1]; last != newAddress || len(sent) != 3 { // the response and the first command again
 		t.Fatal(sent)
 	}
@@ -431,7 +439,9 @@
 }
 
 func TestToneForCause(t *testing.T) {
-	for cause, want := range map[isup.Cause]gateways.Tone{isup.UserBusy: gateways.Busy, isup.NoCircuit: gateways.Congestion, isup.TemporaryFailure: gateways.Reorder, 1: gateways.Reorder} {
+	for cause, want := range map[isup.Cause]gateways.Tone{
+		isup.UserBusy: gateways.Busy, isup.NoCircuit: gateways.Congestion, isup.TemporaryFailure: gateways.Reorder, 1: gateways.Reorder,
+	} {
 		if got, text := gateways.ToneFor(cause); got != want || text == "" {
 			t.Errorf("cause %d: %v %q", cause, got, text)
 		}
--- a/internal/callagent/door.go
+++ b/internal/callagent/door.go
@@ -289,14 +289,16 @@
 func (a *Agent) startJoin(gatewayIndex int) {
 	gateway := &a.gateways[gatewayIndex]
 	for _, report := range gateway.queuedReports {
-		a.output.Send(report.from, gateway.receiver.StoreResponse(a.now, mgcp.Message{Transaction: report.message.Transaction, Code: mgcp.CodeOK, Comment: "OK"}))
+		a.output.Send(report.from, gateway.receiver.StoreResponse(a.now,
+			mgcp.Message{Transaction: report.message.Transaction, Code: mgcp.CodeOK, Comment: "OK"}))
 	}
 	gateway.queuedReports = nil
 	a.resetGateway(gatewayIndex)
 	gateway.presence.Join(a.now)
 	// Connections are deleted even after a restart: the gateway may have executed a delayed CRCX since.
 	gateway.joinStep = joinDeletingConnections
-	gateway.transactionID = a.sendCommand(gatewayIndex, mgcp.Message{Verb: mgcp.DeleteConnection, Endpoint: allEndpoints + "@" + gateway.Name},
+	gateway.transactionID = a.sendCommand(gatewayIndex,
+		mgcp.Message{Verb: mgcp.DeleteConnection, Endpoint: allEndpoints + "@" + gateway.Name},
 		outstandingCommand{gatewayCommand, gatewayIndex, mgcp.DeleteConnection, a.now})
 }
 
@@ -333,7 +335,8 @@
 	gateway.transactionID, gateway.joinStep = 0, joinNone
 	gateway.presence.Joined()
 	a.Counts.Joined++
-	accepted := mgcp.ClassOf(response.Code) == mgcp.Success // otherwise requested one by one: a single endpoint off hook refuses the request for all
+	// If refused, the events are requested from each endpoint: a single endpoint off hook refuses the request for all.
+	accepted := mgcp.ClassOf(response.Code) == mgcp.Success
 	for n := range gateway.Endpoints {
 		line := &a.lines[gateway.lineOffset+n]
 		if accepted {
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -51,8 +51,8 @@
 
 // String returns the name of the event for logs and tests.
 func (e event) String() string {
-	return [...]string{"lifted", "off hook under overload", "hung up", "flashed", "dialled", "misdialled", "opened", "unopened", "answered", "released", "called",
-		"vanished", "lost", "back", "expired"}[e]
+	return [...]string{"lifted", "off hook under overload", "hung up", "flashed", "dialled", "misdialled", "opened", "unopened", "answered",
+		"released", "called", "vanished", "lost", "back", "expired"}[e]
 }
 
 // eventData holds the parameters of an event.
@@ -198,7 +198,8 @@
 // startDialling starts dial tone and collects digits.
 func (a *Agent) startDialling(i int, _ eventData) {
 	a.setDesired(i, DetectDigits, gateways.DialTone, NoMode, a.now+a.config.MaxDialTime)
-	a.lines[i].applied.events, a.lines[i].applied.tone = DetectNothing, gateways.Silence // request both again after a hook flash: the digits start over
+	// After a hook flash both are requested again: the digits start over.
+	a.lines[i].applied.events, a.lines[i].applied.tone = DetectNothing, gateways.Silence
 }
 
 // playTone plays a tone that refuses or ends a call. It doesn't wait for the response to an outstanding command: that command is
@@ -226,7 +227,8 @@
 	line := &a.lines[i]
 	line.answerDeadline = a.now - data.age + a.config.AbandonTimes[a.gateways[line.gateway].BearerIndex]
 	remaining := line.answerDeadline - a.now
-	remaining -= gateways.AnswerMargin(a.gateways[line.gateway].sender.RetransmissionTimeout(), remaining, a.gateways[line.gateway].sender.LossRate())
+	remaining -= gateways.AnswerMargin(a.gateways[line.gateway].sender.RetransmissionTimeout(), remaining,
+		a.gateways[line.gateway].sender.LossRate())
 	a.lastCallID++
 	line.call = &lineCall{id: a.lastCallID, digits: data.digits, deadline: a.now + remaining, circuit: circuitKey{a.pointOf(i), a.cicOf(i)}}
 	a.Counts.Dialled++
--- a/internal/callagent/session.go
+++ b/internal/callagent/session.go
@@ -38,5 +38,6 @@
 
 // pcmuSession returns a session description of PCMU audio at an address and a port.
 func pcmuSession(address string, port int) string {
-	return "v=0\r\no=- 0 0 IN IP4 " + address + "\r\ns=-\r\nc=IN IP4 " + address + "\r\nt=0 0\r\nm=audio " + strconv.Itoa(port) + " RTP/AVP 0\r\n"
+	return "v=0\r\no=- 0 0 IN IP4 " + address + "\r\ns=-\r\nc=IN IP4 " + address +
+		"\r\nt=0 0\r\nm=audio " + strconv.Itoa(port) + " RTP/AVP 0\r\n"
 }
--- a/internal/callagent/wish.go
+++ b/internal/callagent/wish.go
@@ -131,7 +131,8 @@
 	}
 	id := gateway.sender.SendWithDeadline(a.now, msg, deadline)
 	a.outstanding[id] = command
-	a.scheduleRetransmission(gatewayIndex) // superviseGateway could start an audit of the same line here: two commands would be outstanding
+	// Not superviseGateway: it could audit the same line, which then had two commands outstanding.
+	a.scheduleRetransmission(gatewayIndex)
 	return id
 }
 
@@ -295,7 +296,8 @@
 		a.endpointOutOfService(i)
 		return
 	case gateways.Failed:
-		a.output.Note("gateway: " + a.endpointName(i) + " answers " + string(command.verb) + " with " + strconv.Itoa(response.Code) + " " + response.Comment)
+		a.output.Note("gateway: " + a.endpointName(i) + " answers " + string(command.verb) + " with " +
+			strconv.Itoa(response.Code) + " " + response.Comment)
 		switch {
 		case deletesOrphan:
 			line.orphaned = line.orphaned[1:]
@@ -422,7 +424,8 @@
 	observed, _ := response.Param("ES")
 	events, err := mgcp.ParseEvents(observed)
 	for _, event := range events {
-		expectOffHook := line.state == Dialing || line.state == CreatingConnection || line.state == Calling || line.state == Talking || line.state == HearingTone
+		expectOffHook := line.state == Dialing || line.state == CreatingConnection || line.state == Calling ||
+			line.state == Talking || line.state == HearingTone
 		switch {
 		case err != nil:
 		case event.Is(mgcp.PackageLine, "hd") && !expectOffHook:
--- a/internal/mgcp/transaction.go
+++ b/internal/mgcp/transaction.go
@@ -102,7 +102,8 @@
 
 // NewSender returns a sender without pending commands.
 func NewSender(ids *TransactionIDs, seed uint64, output SenderOutput) *Sender {
-	return &Sender{output: output, random: rand.New(rand.NewPCG(seed, 0x17)), pending: map[uint32]*pendingCommand{}, ids: ids, finished: map[uint32]finishedCommand{}}
+	return &Sender{output: output, random: rand.New(rand.NewPCG(seed, 0x17)), pending: map[uint32]*pendingCommand{}, ids: ids,
+		finished: map[uint32]finishedCommand{}}
 }
 
 // rto returns the time until the first retransmission: the mean response time plus some deviations.
