--- a/internal/soak/bad_client.go
+++ b/internal/soak/bad_client.go
@@ -24,7 +24,7 @@
 	{"nothing", func(string) []byte { return nil }},
 	{"noise", func(string) []byte { return bytes.Repeat([]byte{0, 255, '\r', 'x'}, 100) }},
 	{"half a message", func(id string) []byte {
-		m := badSetUp(id)
+		m := setUpTemplate(id)
 		b := sip.Append(nil, &m)
 		return b[:len(b)/2]
 	}},
@@ -36,38 +36,38 @@
 		return []byte("INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: 60000000\r\n\r\n")
 	}},
 	{"no such class", func(id string) []byte {
-		m := badSetUp(id)
+		m := setUpTemplate(id)
 		m.Fields[0].Value = "no such class"
 		return sip.Append(nil, &m)
 	}},
 	{"a time that is no number", func(id string) []byte {
-		m := badSetUp(id)
+		m := setUpTemplate(id)
 		m.Fields[1].Value = "NaN"
 		return sip.Append(nil, &m)
 	}},
 	{"no id", func(string) []byte {
-		m := badSetUp("")
+		m := setUpTemplate("")
 		return sip.Append(nil, &m)
 	}},
 	{"a figure out of range", func(id string) []byte {
-		m := badSetUp(id)
+		m := setUpTemplate(id)
 		m.Fields[2].Value = "dest:70000;width:-3;via:99999999999"
 		return sip.Append(nil, &m)
 	}},
 	{"two set-ups under one id", func(id string) []byte {
-		m := badSetUp(id)
+		m := setUpTemplate(id)
 		m.Fields[0].Value = "no such class"
 		return sip.Append(sip.Append(nil, &m), &m)
 	}},
 	{"a release of a call that nobody knows", func(id string) []byte {
-		m := badSetUp(id)
+		m := setUpTemplate(id)
 		m.Method, m.CSeqMethod = sip.Bye, sip.Bye
 		return sip.Append(nil, &m)
 	}},
 	{"set-ups with no class taken back at once", func(id string) []byte {
 		var all []byte
 		for i := range numCancelledSetUps {
-			m := badSetUp(fmt.Sprintf("%s%04x", id[:12], i))
+			m := setUpTemplate(fmt.Sprintf("%s%04x", id[:12], i))
 			m.Fields[0].Value = "no such class"
 			all = sip.Append(all, &m)
 			m.Method, m.CSeqMethod = sip.Cancel, sip.Cancel
@@ -77,8 +77,8 @@
 	}},
 }
 
-// badSetUp returns a valid set-up for the inputs to modify.
-func badSetUp(id string) sip.Message {
+// setUpTemplate returns a valid set-up for the inputs to modify.
+func setUpTemplate(id string) sip.Message {
 	return sip.Message{Method: sip.Invite, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1, CSeqMethod: sip.Invite, Body: []byte("offer"),
 		Fields: []sip.Field{{Name: "Priority-Class", Value: bearerName}, {Name: "Expires-Ms", Value: "500"}, {Name: "P-Trunk-Info", Value: "dest:1;width:1;via:-1"}}}
 }
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -392,9 +392,9 @@
 	case conn.closing:
 		reason = "closed by its caller"
 	case conn.reset:
-		reason = resetByHarness
+		reason = detailResetByHarness
 	case conn.silenced:
-		reason = silencedByHarness
+		reason = detailSilencedByHarness
 	}
 	for i, other := range g.openConns {
 		if other == conn {
@@ -433,8 +433,8 @@
 }
 
 const (
-	resetByHarness    = "reset by the test harness"
-	silencedByHarness = "silenced by the test harness"
+	detailResetByHarness    = "reset by the test harness"
+	detailSilencedByHarness = "silenced by the test harness"
 )
 
 // closeIdleConns closes connections that have been without calls for the idle timeout.
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -104,7 +104,7 @@
 		c.checkAnswer(call)
 		c.checkTries(call)
 		c.checkReleaseDelivery(call)
-		c.checkBothSides(call)
+		c.checkEndedAtSwitch(call)
 	}
 	c.checkDraining()
 	c.checkColdSwitches()
--- a/internal/soak/check_both_sides.go
+++ b/internal/soak/check_both_sides.go
@@ -9,8 +9,8 @@
 	"indigodrift/internal/sip"
 )
 
-// checkBothSides checks that a call that is over for its caller ends at its switch as well.
-func (c *checker) checkBothSides(call *callHistory) {
+// checkEndedAtSwitch checks that a call that is over for its caller ends at its switch as well.
+func (c *checker) checkEndedAtSwitch(call *callHistory) {
 	answer, ok := call.firstEvent(AnswerRead)
 	if !ok || answer.Status != sip.OK {
 		return
--- a/internal/soak/check_list.go
+++ b/internal/soak/check_list.go
@@ -9,8 +9,8 @@
 	"indigodrift/internal/board"
 )
 
-// listKnownBy returns the time from which a controller must know an update of the switch list, never if the board did not recover.
-func (c *checker) listKnownBy(controller int, update uint64, changedAt time.Duration) time.Duration {
+// updateKnownBy returns the time from which a controller must know an update of the switch list, never if the board did not recover.
+func (c *checker) updateKnownBy(controller int, update uint64, changedAt time.Duration) time.Duration {
 	bound, outageStart, recoveryTime := changedAt, time.Duration(0), time.Duration(0)
 	outages := 0
 	for _, e := range c.events {
@@ -48,16 +48,16 @@
 func (c *checker) checkDraining() {
 	type period struct{ from, to time.Duration }
 	for controller := range c.plan.Controllers {
-		closed := map[uint32][]period{}
+		notReady := map[uint32][]period{}
 		for _, e := range c.events {
 			if e.Kind != ListChanged {
 				continue
 			}
-			knownBy := c.listKnownBy(controller, e.Number, e.At)
-			periods := closed[e.SwitchID]
+			knownBy := c.updateKnownBy(controller, e.Number, e.At)
+			periods := notReady[e.SwitchID]
 			switch {
 			case board.State(e.Status) != board.Ready && (len(periods) == 0 || periods[len(periods)-1].to != never):
-				closed[e.SwitchID] = append(periods, period{knownBy, never})
+				notReady[e.SwitchID] = append(periods, period{knownBy, never})
 			case board.State(e.Status) == board.Ready && len(periods) > 0 && periods[len(periods)-1].to == never:
 				periods[len(periods)-1].to = e.At
 			}
@@ -66,15 +66,15 @@
 			if e.Kind != TryReceived || e.Controller != controller {
 				continue
 			}
-			for _, closedPeriod := range closed[e.SwitchID] {
-				from := closedPeriod.from
+			for _, notReadyPeriod := range notReady[e.SwitchID] {
+				from := notReadyPeriod.from
 				if from == never {
 					continue
 				}
 				from += drainGrace + slack + maxProxyDelay + e.Duration
-				from += c.stallTime(closedPeriod.from, from)
-				if e.At > from && e.At < closedPeriod.to {
-					c.addViolation(RuleDrain, c.calls[e.CallID], controller, "set-up at %s at %.3f, known at %.3f to be draining or gone", board.FormatID(e.SwitchID), e.At.Seconds(), closedPeriod.from.Seconds())
+				from += c.stallTime(notReadyPeriod.from, from)
+				if e.At > from && e.At < notReadyPeriod.to {
+					c.addViolation(RuleDrain, c.calls[e.CallID], controller, "set-up at %s at %.3f, known at %.3f to be draining or gone", board.FormatID(e.SwitchID), e.At.Seconds(), notReadyPeriod.from.Seconds())
 				}
 			}
 		}
--- a/internal/soak/check_release.go
+++ b/internal/soak/check_release.go
@@ -58,21 +58,21 @@
 	for _, e := range call.events {
 		if e.SwitchID != established.SwitchID || e.Number != established.Number {
 			if e.Kind == ReleaseSent && (e.Status == causeNormalClearing || e.Status == causeTemporaryFailure) && e.At < notifiedAt {
-				c.checkRelease(call, e, notifiedAt) // a release names only the call, so it ends the call even if another leg is established
+				c.checkSentRelease(call, e, notifiedAt) // a release names only the call, so it ends the call even if another leg is established
 			}
 			continue
 		}
-		if e.Kind == CallEnded && e.Detail == releasedByController { // the controller released it, so it must release its caller too
-			c.checkRelease(call, e, notifiedAt)
+		if e.Kind == CallEnded && e.Detail == detailReleasedByController { // the controller released it, so it must release its caller too
+			c.checkSentRelease(call, e, notifiedAt)
 		}
 		if e.Kind == ReleaseSent {
 			releaseLost = releaseLost || c.killedWithin(call.controller, e.At, releaseDeliveryTime+slack, func(Event) bool { return true }) || c.exitedWithoutCallers(call.controller, e.At)
-			c.checkRelease(call, e, notifiedAt)
+			c.checkSentRelease(call, e, notifiedAt)
 		}
 	}
 	for _, e := range call.events {
-		if e.SwitchID == established.SwitchID && e.Number == established.Number && e.Kind == CallEnded && e.Detail != releasedByController && !releaseLost {
-			c.checkEnd(call, e.At, knownAt, notifiedAt)
+		if e.SwitchID == established.SwitchID && e.Number == established.Number && e.Kind == CallEnded && e.Detail != detailReleasedByController && !releaseLost {
+			c.checkEndNotified(call, e.At, knownAt, notifiedAt)
 		}
 	}
 }
@@ -97,8 +97,8 @@
 	})
 }
 
-// checkRelease checks the delivery of one release by a switch to the caller.
-func (c *checker) checkRelease(call *callHistory, sent Event, notifiedAt time.Duration) {
+// checkSentRelease checks the delivery of one release by a switch to the caller.
+func (c *checker) checkSentRelease(call *callHistory, sent Event, notifiedAt time.Duration) {
 	if lost, ok := c.lostAt[sent.ConnID]; ok && lost <= sent.At+lossWindow {
 		return
 	}
@@ -120,8 +120,8 @@
 	c.addViolation(RuleReleaseDelivery, call, call.controller, "release written at %.3f, caller told %s", sent.At.Seconds(), formatTime(notifiedAt))
 }
 
-// checkEnd checks that the caller learns of the end of a call even if the release by the switch is lost.
-func (c *checker) checkEnd(call *callHistory, ended, knownAt, notifiedAt time.Duration) {
+// checkEndNotified checks that the caller learns of the end of a call even if the release by the switch is lost.
+func (c *checker) checkEndNotified(call *callHistory, ended, knownAt, notifiedAt time.Duration) {
 	start := max(ended, knownAt)
 	deadline := start + lostReleaseDeliveryTime + slack + maxProxyDelay
 	deadline += c.stallTime(start, deadline)
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -107,7 +107,7 @@
 		{"immediate retry after a connection reset", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 112 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: "reset"}, at(retry, 110*ms+maxProxyDelay)), RuleReleaseTime},
 		{"retry after a connection was silenced", withEvents(withoutKind(callWithStatus(0), TryEnded), Event{At: 106 * ms, Kind: SwitchConnLost, ConnID: 2, Detail: lossSilent}, at(retry, 400*ms)), ""},
 		{"released by the controller at the switch only", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), ReleaseRead), ReleaseSent), CallEnded),
-			Event{At: 2000 * ms, Kind: CallEnded, CallID: callID, SwitchID: switchID, Detail: releasedByController}), RuleReleaseDelivery},
+			Event{At: 2000 * ms, Kind: CallEnded, CallID: callID, SwitchID: switchID, Detail: detailReleasedByController}), RuleReleaseDelivery},
 		{"released to the caller only", withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), RuleEndedAtSwitch},
 		{"released by its caller and never at its switch", withEvents(withoutKind(withoutKind(withoutKind(normalCall(), CallEnded), ReleaseSent), ReleaseRead),
 			Event{At: 1500 * ms, Kind: CallReleased, CallID: callID, ConnID: 1}), RuleEndedAtSwitch},
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -41,7 +41,7 @@
 	board        *Board
 
 	mu              sync.Mutex
-	cmd             *exec.Cmd
+	command         *exec.Cmd
 	starts          int
 	exitRequested   bool // SIGTERM or SIGKILL was sent
 	exited          chan struct{}
@@ -159,22 +159,22 @@
 	if c.plantedFault != "" {
 		args = append(args, "--plant", c.plantedFault)
 	}
-	cmd := exec.Command(c.program, args...)
-	cmd.Env = append(os.Environ(), "GW_CONFIG="+c.configPath(), "GW_NAME=", "GW_LISTEN=")
-	cmd.Stdout, cmd.Stderr = logFile, logFile
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the run, even if that crashes
+	command := exec.Command(c.program, args...)
+	command.Env = append(os.Environ(), "GW_CONFIG="+c.configPath(), "GW_NAME=", "GW_LISTEN=")
+	command.Stdout, command.Stderr = logFile, logFile
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the run, even if that crashes
 	startTime := c.log.Add(Event{Kind: ControllerStarted, Controller: c.number})
 	c.log.Add(Event{Kind: BoardLost, Controller: c.number, Duration: truncationRecoveryTime, Detail: "not connected yet"})
-	if err := cmd.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		return fmt.Errorf("start controller %d: %w", c.number, err)
 	}
 	exited := make(chan struct{})
 	c.mu.Lock()
 	c.starts++
-	c.cmd, c.exitRequested, c.exited = cmd, false, exited
+	c.command, c.exitRequested, c.exited = command, false, exited
 	c.mu.Unlock()
-	go c.recordExit(cmd, exited)
-	go c.sampleUsage(cmd.Process.Pid, exited)
+	go c.recordExit(command, exited)
+	go c.sampleUsage(command.Process.Pid, exited)
 	for c.log.Now()-startTime < readyTimeout {
 		if c.isReady() {
 			c.log.Add(Event{Kind: ControllerReady, Controller: c.number, Duration: c.log.Now() - startTime})
@@ -191,8 +191,8 @@
 }
 
 // recordExit waits for the end of a process and records it. The status is 1 if the exit was not requested or failed.
-func (c *Controller) recordExit(cmd *exec.Cmd, exited chan struct{}) {
-	err := cmd.Wait()
+func (c *Controller) recordExit(command *exec.Cmd, exited chan struct{}) {
+	err := command.Wait()
 	c.mu.Lock()
 	exitRequested := c.exitRequested
 	c.mu.Unlock()
@@ -264,7 +264,7 @@
 		c.exitRequested = true
 	}
 	c.log.Add(Event{Kind: SignalSent, Controller: c.number, Status: int(sig), Detail: sig.String()})
-	_ = c.cmd.Process.Signal(sig) // the process may have exited
+	_ = c.command.Process.Signal(sig) // the process may have exited
 }
 
 // signalIfExiting sends one more signal to a controller whose exit was requested already. The signal is not recorded.
@@ -272,7 +272,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.exitRequested {
-		_ = c.cmd.Process.Signal(sig) // the process may have exited
+		_ = c.command.Process.Signal(sig) // the process may have exited
 	}
 }
 
@@ -281,8 +281,8 @@
 	return min(c.plan.MaxAbandonTime, maxDrainTime) + killMargin
 }
 
-// exit returns a channel that is closed when the process has exited.
-func (c *Controller) exit() <-chan struct{} {
+// done returns a channel that is closed when the process has exited.
+func (c *Controller) done() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.exited
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,8 +14,8 @@
 	maxListDelay   = 700 * time.Millisecond // between the end or start of a switch and its publication on the board
 
 	// Callers go on opening connections for a time in this range after SIGTERM.
-	minNewConnTime = 200 * time.Millisecond
-	maxNewConnTime = 400 * time.Millisecond
+	minConnectTime = 200 * time.Millisecond
+	maxConnectTime = 400 * time.Millisecond
 )
 
 // inject injects one fault.
@@ -27,19 +27,19 @@
 	proxy, sw, noticeBoard := h.switchProxies[f.Cell][f.Controller], h.currentSwitch(f.Cell), h.boards[f.Controller]
 	switch f.Kind {
 	case SilenceLinks:
-		sw.noteConnsLost(f.Controller, "", lossSilent)
+		sw.recordConnsLost(f.Controller, "", lossSilent)
 		proxy.Silence()
 	case SilenceLink:
-		sw.noteConnLost(f.Controller, proxy.SilenceOne(), lossSilent)
+		sw.recordConnLost(f.Controller, proxy.SilenceOne(), lossSilent)
 	case ResetLinks:
-		sw.noteConnsLost(f.Controller, "", lossReset)
+		sw.recordConnsLost(f.Controller, "", lossReset)
 		proxy.Reset()
 	case ResetLink:
-		sw.noteConnLost(f.Controller, proxy.ResetOne(), lossReset)
+		sw.recordConnLost(f.Controller, proxy.ResetOne(), lossReset)
 	case RefuseLinks:
 		proxy.CloseListener()
 		h.sleepUnlessDone(f.Duration)
-		h.noteFailure(proxy.ReopenListener())
+		h.recordFailure(proxy.ReopenListener())
 	case HangLinks:
 		proxy.SetHanging(true)
 		h.sleepUnlessDone(f.Duration)
@@ -68,7 +68,7 @@
 	case StopBoard:
 		restart := noticeBoard.stop()
 		h.sleepUnlessDone(f.Duration)
-		h.noteFailure(restart())
+		h.recordFailure(restart())
 	case Reload:
 		h.reload(f)
 	case Restart:
@@ -103,8 +103,8 @@
 	}
 }
 
-// noteFailure records a failure of the test harness itself.
-func (h *harness) noteFailure(err error) {
+// recordFailure records a failure of the test harness itself.
+func (h *harness) recordFailure(err error) {
 	if err != nil {
 		h.log.Add(Event{Kind: FaultInjected, Controller: -1, Detail: "test harness failed: " + err.Error()})
 	}
@@ -122,7 +122,7 @@
 	sw := h.currentSwitch(cell)
 	for i, p := range h.switchProxies[cell] {
 		p.SetHanging(true)
-		sw.noteConnsLost(i, "", lossPartition)
+		sw.recordConnsLost(i, "", lossPartition)
 		p.Silence()
 	}
 	h.sleepUnlessDone(duration)
@@ -166,12 +166,12 @@
 		h.switches[cell] = replacement
 	}
 	h.mu.Unlock()
-	h.noteFailure(err)
+	h.recordFailure(err)
 	if err != nil {
 		return
 	}
 	for _, p := range h.switchProxies[cell] {
-		h.noteFailure(p.ReopenListener())
+		h.recordFailure(p.ReopenListener())
 	}
 	h.sleepUnlessDone(h.randomDuration(0, maxListDelay))
 	h.publishChange(board.Switch{ID: replacement.id, Cell: cell, State: board.Ready, StartedMS: replacement.startedMS})
@@ -185,8 +185,8 @@
 		h.boardMoves++
 		address := h.address(subnetBoard+h.boardMoves, f.Controller+1, boardPort)
 		h.mu.Unlock()
-		h.noteFailure(h.boards[f.Controller].move(address))
-		h.noteFailure(controller.writeConfig())
+		h.recordFailure(h.boards[f.Controller].move(address))
+		h.recordFailure(controller.writeConfig())
 		controller.signal(syscall.SIGHUP)
 		if !h.sleepUnlessDone(h.randomDuration(50*time.Millisecond, 700*time.Millisecond)) {
 			return
@@ -221,7 +221,7 @@
 		h.awaitExitOrKill(controller)
 		close(exited)
 	}()
-	time.AfterFunc(h.randomDuration(minNewConnTime, maxNewConnTime), func() {
+	time.AfterFunc(h.randomDuration(minConnectTime, maxConnectTime), func() {
 		select {
 		case <-exited:
 		default:
@@ -241,7 +241,7 @@
 	defer h.restartMutexes[index].Unlock()
 	h.callerGroups[index].setAccess(accessNone)
 	h.controllers[index].signal(syscall.SIGKILL)
-	<-h.controllers[index].exit()
+	<-h.controllers[index].done()
 	h.startAgain(index)
 }
 
@@ -249,7 +249,7 @@
 func (h *harness) startAgain(index int) {
 	h.sleepUnlessDone(h.randomDuration(0, 700*time.Millisecond))
 	if err := h.controllers[index].start(); err != nil {
-		h.noteFailure(err)
+		h.recordFailure(err)
 		return
 	}
 	h.callerGroups[index].setAccess(accessFull)
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -79,7 +79,7 @@
 			if err != nil {
 				return err
 			}
-			proxy.OnClientClosed = func(remoteAddr string) { h.currentSwitch(cell).noteConnClosed(i, remoteAddr) }
+			proxy.OnClientClosed = func(remoteAddr string) { h.currentSwitch(cell).recordConnClosed(i, remoteAddr) }
 			h.switchProxies[cell] = append(h.switchProxies[cell], proxy)
 		}
 		entries = append(entries, board.Switch{ID: sw.id, Cell: cell})
@@ -223,10 +223,10 @@
 
 func (h *harness) awaitExitOrKill(c *Controller) {
 	select {
-	case <-c.exit():
+	case <-c.done():
 	case <-time.After(c.killDelay()):
 		c.signal(syscall.SIGKILL)
-		<-c.exit()
+		<-c.done()
 	}
 }
 
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -96,12 +96,12 @@
 	if result.Err = os.MkdirAll(result.Dir, 0o755); result.Err != nil {
 		return result
 	}
-	network, lock, err := claimNetwork(seed)
+	network, hold, err := claimNetwork(seed)
 	if err != nil {
 		result.Err = err
 		return result
 	}
-	defer lock.Close()
+	defer hold.Close()
 	h := &harness{plan: result.Plan, log: NewLog(), dir: result.Dir, program: options.Program, plantedFault: options.PlantedFault, network: network,
 		random: rand.New(rand.NewPCG(seed, 0xfa017)), done: make(chan struct{})}
 	if result.Err = h.run(ctx); result.Err != nil {
--- a/internal/soak/switch.go
+++ b/internal/soak/switch.go
@@ -281,15 +281,15 @@
 	}
 }
 
-// noteConnLost records that the connection of a controller from a remote address is lost. It does nothing if the address is "".
-func (s *Switch) noteConnLost(controller int, remoteAddr, loss string) {
+// recordConnLost records that the connection of a controller from a remote address is lost. It does nothing if the address is "".
+func (s *Switch) recordConnLost(controller int, remoteAddr, loss string) {
 	if remoteAddr != "" {
-		s.noteConnsLost(controller, remoteAddr, loss)
+		s.recordConnsLost(controller, remoteAddr, loss)
 	}
 }
 
-// noteConnsLost records that the connection of a controller from a remote address is lost, or all of its connections if the address is "".
-func (s *Switch) noteConnsLost(controller int, remoteAddr, loss string) {
+// recordConnsLost records that the connection of a controller from a remote address is lost, or all of its connections if the address is "".
+func (s *Switch) recordConnsLost(controller int, remoteAddr, loss string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for addr, conn := range s.connsByAddr {
@@ -300,8 +300,8 @@
 	}
 }
 
-// noteConnClosed records that a controller has closed its end of a connection. The switch itself may read the close later.
-func (s *Switch) noteConnClosed(controller int, remoteAddr string) {
+// recordConnClosed records that a controller has closed its end of a connection. The switch itself may read the close later.
+func (s *Switch) recordConnClosed(controller int, remoteAddr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if conn := s.connsByAddr[remoteAddr]; conn != nil && !conn.closed {
--- a/internal/soak/switch_leg.go
+++ b/internal/soak/switch_leg.go
@@ -151,14 +151,14 @@
 	return true
 }
 
-const releasedByController = "released by the controller"
+const detailReleasedByController = "released by the controller"
 
 // handleRelease handles a controller's release. It names only the call, so it ends all established legs of the call.
 func (s *Switch) handleRelease(callID string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, leg := range s.legs[callID] {
-		s.endLeg(leg, releasedByController)
+		s.endLeg(leg, detailReleasedByController)
 	}
 }
 
