--- a/internal/soak/bad_client.go
+++ b/internal/soak/bad_client.go
@@ -28,43 +28,43 @@
 		b := sip.Append(nil, &m)
 		return b[:len(b)/2]
 	}},
-	{"a line without end", func(string) []byte { return bytes.Repeat([]byte("INVITE "), 4000) }},
+	{"an endless line", func(string) []byte { return bytes.Repeat([]byte("INVITE "), 4000) }},
 	{"a negative length", func(string) []byte {
 		return []byte("INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: -5\r\n\r\n")
 	}},
 	{"a huge length", func(string) []byte {
 		return []byte("INVITE sip:1@net SIP/2.0\r\nCall-ID: 1\r\nCSeq: 1 INVITE\r\nContent-Length: 60000000\r\n\r\n")
 	}},
-	{"no such class", func(id string) []byte {
+	{"an unknown bearer type", func(id string) []byte {
 		m := setUpTemplate(id)
 		m.Fields[0].Value = "no such class"
 		return sip.Append(nil, &m)
 	}},
-	{"a time that is no number", func(id string) []byte {
+	{"an abandon time that is not a number", func(id string) []byte {
 		m := setUpTemplate(id)
 		m.Fields[1].Value = "NaN"
 		return sip.Append(nil, &m)
 	}},
-	{"no id", func(string) []byte {
+	{"no call id", func(string) []byte {
 		m := setUpTemplate("")
 		return sip.Append(nil, &m)
 	}},
-	{"a figure out of range", func(id string) []byte {
+	{"values out of range", func(id string) []byte {
 		m := setUpTemplate(id)
 		m.Fields[2].Value = "dest:70000;width:-3;via:99999999999"
 		return sip.Append(nil, &m)
 	}},
-	{"two set-ups under one id", func(id string) []byte {
+	{"two set-ups with the same call id", func(id string) []byte {
 		m := setUpTemplate(id)
 		m.Fields[0].Value = "no such class"
 		return sip.Append(sip.Append(nil, &m), &m)
 	}},
-	{"a release of a call that nobody knows", func(id string) []byte {
+	{"a release of an unknown call", func(id string) []byte {
 		m := setUpTemplate(id)
 		m.Method, m.CSeqMethod = sip.Bye, sip.Bye
 		return sip.Append(nil, &m)
 	}},
-	{"set-ups with no class taken back at once", func(id string) []byte {
+	{"set-ups with an unknown bearer type, cancelled at once", func(id string) []byte {
 		var all []byte
 		for i := range numCancelledSetUps {
 			m := setUpTemplate(fmt.Sprintf("%s%04x", id[:12], i))
@@ -107,6 +107,7 @@
 	log.Add(Event{Kind: BadClientServed, Controller: controller, Status: status, Duration: log.Now() - startTime, Detail: input.name})
 }
 
+// isTimeout reports whether a read or write timed out.
 func isTimeout(err error) bool {
 	netErr, ok := err.(net.Error) //nolint:errorlint // the connection returns it unwrapped
 	return ok && netErr.Timeout()
--- a/internal/soak/board.go
+++ b/internal/soak/board.go
@@ -35,11 +35,12 @@
 	outages  int // stops that are not restarted yet
 }
 
+// boardConn is a connection of the controller to its board.
 type boardConn struct {
 	netConn  net.Conn
 	mu       sync.Mutex
 	silenced bool
-	lastSent uint64
+	lastSent uint64 // number of the last event sent
 	closed   chan struct{}
 }
 
@@ -99,6 +100,7 @@
 	}
 }
 
+// write writes a frame. It returns false if the connection is silenced or lost.
 func (c *boardConn) write(frame []byte) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -135,7 +135,8 @@
 	call.conn = conn
 	g.mu.Unlock()
 	message := call.setUp
-	message.Fields = []sip.Field{{Name: "Priority-Class", Value: bearerName}, {Name: "Expires-Ms", Value: "1000"}, {Name: "P-Trunk-Info", Value: "at:" + board.FormatID(call.switchID)}}
+	message.Fields = []sip.Field{{Name: "Priority-Class", Value: bearerName}, {Name: "Expires-Ms", Value: "1000"},
+		{Name: "P-Trunk-Info", Value: "at:" + board.FormatID(call.switchID)}}
 	if g.send(conn, &message) {
 		g.log.Add(Event{Kind: EstablishedCallAnnounced, Controller: g.controller, CallID: call.id, ConnID: conn.id, SwitchID: call.switchID})
 	}
@@ -168,6 +169,7 @@
 	return conn
 }
 
+// send writes a message on a connection. It returns false if the write fails.
 func (g *CallerGroup) send(conn *callerConn, message *sip.Message) bool {
 	conn.writeMu.Lock()
 	defer conn.writeMu.Unlock()
@@ -254,7 +256,8 @@
 	if call.resent {
 		detail = "again"
 	}
-	g.log.Add(Event{Kind: SetUpSent, Controller: g.controller, CallID: call.id, ConnID: conn.id, Cell: call.transitDest, Duration: expires, Detail: detail}) // before handleClose can record its end
+	// Recorded under the lock, before handleClose can record the end of the connection.
+	g.log.Add(Event{Kind: SetUpSent, Controller: g.controller, CallID: call.id, ConnID: conn.id, Cell: call.transitDest, Duration: expires, Detail: detail})
 	g.mu.Unlock()
 	g.send(conn, &call.setUp)
 }
@@ -351,7 +354,8 @@
 		return
 	}
 	g.log.Add(Event{Kind: CallReleased, Controller: g.controller, CallID: call.id, ConnID: conn.id})
-	g.send(conn, &sip.Message{Method: sip.Bye, URI: call.setUp.URI, CallID: call.id, CSeq: 2, Fields: []sip.Field{{Name: "Reason", Value: "Q.850;cause=16"}}})
+	g.send(conn, &sip.Message{Method: sip.Bye, URI: call.setUp.URI, CallID: call.id, CSeq: 2,
+		Fields: []sip.Field{{Name: "Reason", Value: "Q.850;cause=16"}}})
 }
 
 // handleRelease handles a release by the controller. It may place a disconnected call again.
@@ -432,6 +436,7 @@
 	}
 }
 
+// Details of the end of connections that faults hit.
 const (
 	detailResetByHarness    = "reset by the test harness"
 	detailSilencedByHarness = "silenced by the test harness"
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -40,7 +40,6 @@
 	releaseDeliveryTime     = time.Second            // from a release by a switch to the release to the caller
 	lostReleaseDeliveryTime = 8 * time.Second        // from the end of a call to the release to the caller, if the release by the switch may be lost
 	lossWindow              = 300 * time.Millisecond // data written within it before a connection is lost may be lost too
-	termTaken               = 700 * time.Millisecond
 	maxTimelineLines        = 40
 )
 
@@ -73,7 +72,7 @@
 	plan                 Plan
 	events               []Event
 	calls                map[string]*callHistory
-	order                []string
+	order                []string              // of calls, by their first event
 	lostAt               map[int]time.Duration // lost connections to switches, and callers' connections disrupted by faults
 	lostSilently         map[int]bool          // those of lostAt whose loss neither side sees
 	cellOf               map[uint32]int        // exchange by switch
@@ -87,14 +86,17 @@
 	endTime              time.Duration
 }
 
+// interval is a time interval of a run.
 type interval struct{ from, to time.Duration }
 
+// never is later than any time of a run.
 const never = time.Duration(math.MaxInt64)
 
 // Check checks the events of a run against the rules and returns the violations.
 func Check(plan Plan, events []Event) []Violation {
-	c := &checker{plan: plan, events: events, calls: map[string]*callHistory{}, lostAt: map[int]time.Duration{}, lostSilently: map[int]bool{}, cellOf: map[uint32]int{}, closedByController: map[int]time.Duration{}, callerOpenedAt: map[int]time.Duration{},
-		callerClosedAt: map[int]time.Duration{}, callerConnController: map[int]int{}, lifetimes: make([][]interval, plan.Controllers)}
+	c := &checker{plan: plan, events: events, calls: map[string]*callHistory{}, lostAt: map[int]time.Duration{}, lostSilently: map[int]bool{},
+		cellOf: map[uint32]int{}, closedByController: map[int]time.Duration{}, callerOpenedAt: map[int]time.Duration{}, callerClosedAt: map[int]time.Duration{},
+		callerConnController: map[int]int{}, lifetimes: make([][]interval, plan.Controllers)}
 	if len(events) > 0 {
 		c.endTime = events[len(events)-1].At
 	}
@@ -112,6 +114,7 @@
 	return c.violations
 }
 
+// index groups the events by call and collects the times of connections, processes and stalls.
 func (c *checker) index() {
 	ready := make([]time.Duration, c.plan.Controllers)
 	for _, e := range c.events {
@@ -170,6 +173,7 @@
 	return slices.ContainsFunc(c.lifetimes[controller], func(lifetime interval) bool { return lifetime.from <= from && lifetime.to >= to })
 }
 
+// addViolation adds a violation, with the timeline of its call unless call is nil.
 func (c *checker) addViolation(rule Rule, call *callHistory, controller int, format string, args ...any) {
 	violation := Violation{Rule: rule, Controller: controller, Detail: fmt.Sprintf(format, args...)}
 	if call != nil {
@@ -262,10 +266,12 @@
 	deadline += c.stallTime(firstSent.At, deadline)
 	switch {
 	case answers > 0 && answer.At > deadline:
-		c.addViolation(RuleFinalAnswer, call, call.controller, "answered %v after the set-up, abandon time %v", (answer.At - firstSent.At).Round(time.Millisecond), firstSent.Duration)
+		c.addViolation(RuleFinalAnswer, call, call.controller, "answered %v after the set-up, abandon time %v",
+			(answer.At - firstSent.At).Round(time.Millisecond), firstSent.Duration)
 	case answers > 0 || c.unansweredAllowed(lastSent, unanswered, deadline):
 	case unanswered.CallID != "":
-		c.addViolation(RuleFinalAnswer, call, call.controller, "connection ended %v after the set-up without an answer: %s", (unanswered.At - lastSent.At).Round(time.Millisecond), unanswered.Detail)
+		c.addViolation(RuleFinalAnswer, call, call.controller, "connection ended %v after the set-up without an answer: %s",
+			(unanswered.At - lastSent.At).Round(time.Millisecond), unanswered.Detail)
 	case c.endTime > deadline:
 		c.addViolation(RuleFinalAnswer, call, call.controller, "no answer within %v", firstSent.Duration)
 	}
--- a/internal/soak/check_ended.go
+++ b/internal/soak/check_ended.go
@@ -32,10 +32,12 @@
 	}
 	deadline := ended + releaseDeliveryTime + slack + maxProxyDelay
 	deadline += c.stallTime(ended, deadline)
-	if endedAtSwitch <= deadline || !c.aliveThroughout(call.controller, established.At, deadline) || c.endTime < deadline || c.releaseMayBeLost(call.controller, established.SwitchID, ended, deadline) {
+	if endedAtSwitch <= deadline || !c.aliveThroughout(call.controller, established.At, deadline) || c.endTime < deadline ||
+		c.releaseMayBeLost(call.controller, established.SwitchID, ended, deadline) {
 		return
 	}
-	c.addViolation(RuleEndedAtSwitch, call, call.controller, "over for its caller at %.3f, leg %d at %s %s", ended.Seconds(), established.Number, board.FormatID(established.SwitchID), formatLegEnd(endedAtSwitch))
+	c.addViolation(RuleEndedAtSwitch, call, call.controller, "over for its caller at %.3f, leg %d at %s %s",
+		ended.Seconds(), established.Number, board.FormatID(established.SwitchID), formatLegEnd(endedAtSwitch))
 }
 
 // formatLegEnd formats the end of a leg for a violation.
@@ -58,7 +60,8 @@
 		case SwitchConnLost, SwitchConnClosed:
 			return e.Controller == controller && e.SwitchID == sw && e.At >= from-lossWindow && e.At <= to
 		case FaultInjected:
-			return e.At >= from-maxFaultDuration-releaseDeliveryTime && e.At <= to && slices.ContainsFunc(kinds, func(kind FaultKind) bool { return strings.HasPrefix(e.Detail, kind.String()+" (") })
+			return e.At >= from-maxFaultDuration-releaseDeliveryTime && e.At <= to &&
+				slices.ContainsFunc(kinds, func(kind FaultKind) bool { return strings.HasPrefix(e.Detail, kind.String()+" (") })
 		}
 		return false
 	})
--- a/internal/soak/check_list.go
+++ b/internal/soak/check_list.go
@@ -74,7 +74,8 @@
 				from += drainGrace + slack + maxProxyDelay + e.Duration
 				from += c.stallTime(notReadyPeriod.from, from)
 				if e.At > from && e.At < notReadyPeriod.to {
-					c.addViolation(RuleDrain, c.calls[e.CallID], controller, "set-up at %s at %.3f, known at %.3f to be draining or gone", board.FormatID(e.SwitchID), e.At.Seconds(), notReadyPeriod.from.Seconds())
+					c.addViolation(RuleDrain, c.calls[e.CallID], controller, "set-up at %s at %.3f, known at %.3f to be draining or gone",
+						board.FormatID(e.SwitchID), e.At.Seconds(), notReadyPeriod.from.Seconds())
 				}
 			}
 		}
--- a/internal/soak/check_release.go
+++ b/internal/soak/check_release.go
@@ -58,7 +58,8 @@
 	for _, e := range call.events {
 		if e.SwitchID != established.SwitchID || e.Number != established.Number {
 			if e.Kind == ReleaseSent && (e.Status == causeNormalClearing || e.Status == causeTemporaryFailure) && e.At < notifiedAt {
-				c.checkSentRelease(call, e, notifiedAt) // a release names only the call, so it ends the call even if another leg is established
+				// A release names only the call, so it ends the call even if another leg is established.
+				c.checkSentRelease(call, e, notifiedAt)
 			}
 			continue
 		}
@@ -66,7 +67,8 @@
 			c.checkSentRelease(call, e, notifiedAt)
 		}
 		if e.Kind == ReleaseSent {
-			releaseLost = releaseLost || c.killedWithin(call.controller, e.At, releaseDeliveryTime+slack, func(Event) bool { return true }) || c.exitedWithoutCallers(call.controller, e.At)
+			releaseLost = releaseLost || c.killedWithin(call.controller, e.At, releaseDeliveryTime+slack, func(Event) bool { return true }) ||
+				c.exitedWithoutCallers(call.controller, e.At)
 			c.checkSentRelease(call, e, notifiedAt)
 		}
 	}
--- a/internal/soak/check_tries.go
+++ b/internal/soak/check_tries.go
@@ -42,12 +42,14 @@
 		if lost, ok := c.lostAt[current.received.ConnID]; ok && lost <= current.endedAt {
 			current.endUnseen, current.endedAt, current.endKind = c.lostSilently[current.received.ConnID], lost, TryAbandoned
 		}
-		if closed, ok := c.closedByController[current.received.ConnID]; ok && closed < current.endedAt { // a close abandons pending set-ups, though the switch may see it late
+		// A close abandons pending set-ups, though the switch may see it late.
+		if closed, ok := c.closedByController[current.received.ConnID]; ok && closed < current.endedAt {
 			current.endedAt, current.endKind = closed, TryAbandoned
 		}
 		own := int(current.received.SwitchID&0xffff) <= c.plan.Controllers && int(current.received.SwitchID&0xffff)-1 == call.controller
 		if !placed || sent.At > current.received.At || current.received.Detail != "offer of "+call.id || own {
-			c.addViolation(RuleValidSetUp, call, call.controller, "set-up at %s that no caller sent, with body %q", board.FormatID(current.received.SwitchID), current.received.Detail)
+			c.addViolation(RuleValidSetUp, call, call.controller, "set-up at %s that no caller sent, with body %q",
+				board.FormatID(current.received.SwitchID), current.received.Detail)
 		}
 		if sent.Cell > 0 && c.cellOf[current.received.SwitchID] != sent.Cell-1 {
 			c.addViolation(RuleValidSetUp, call, call.controller, "transit call to cell %d at %s", sent.Cell-1, board.FormatID(current.received.SwitchID))
@@ -62,17 +64,19 @@
 func (c *checker) checkRetry(call *callHistory, previous, next *try) {
 	tolerance := slack + maxProxyDelay + c.stallTime(previous.received.At, next.received.At)
 	if previous.endedAt > next.received.At+tolerance {
-		c.addViolation(RuleSingleTry, call, call.controller, "set-up at %s at %.3f while one is pending at %s since %.3f", board.FormatID(next.received.SwitchID), next.received.At.Seconds(),
-			board.FormatID(previous.received.SwitchID), previous.received.At.Seconds())
+		c.addViolation(RuleSingleTry, call, call.controller, "set-up at %s at %.3f while one is pending at %s since %.3f",
+			board.FormatID(next.received.SwitchID), next.received.At.Seconds(), board.FormatID(previous.received.SwitchID), previous.received.At.Seconds())
 		return
 	}
 	if tolerance := c.releaseTimeTolerance(previous, next); previous.requiresReleaseTime() && next.received.At-previous.endedAt < releaseTime-tolerance {
-		c.addViolation(RuleReleaseTime, call, call.controller, "retried %v after the end of the previous try (%s, status %d)", (next.received.At - previous.endedAt).Round(time.Millisecond), previous.endKind, previous.status)
+		c.addViolation(RuleReleaseTime, call, call.controller, "retried %v after the end of the previous try (%s, status %d)",
+			(next.received.At - previous.endedAt).Round(time.Millisecond), previous.endKind, previous.status)
 	}
 }
 
-// requiresReleaseTime reports whether the next try must wait for the release time. Only a complete rejection doesn't require it; time-outs, resets
-// and cancels do. So does a positive answer, since a controller that retries after it has not received it.
+// requiresReleaseTime reports whether the next try must wait for the release time. Time-outs, resets and cancels require it, and so does a positive
+// answer, since a controller that retries after one has not received it. A complete rejection doesn't, and the wait after a try on a silent
+// connection can't be checked, as the switch doesn't see its end.
 func (t *try) requiresReleaseTime() bool {
 	switch t.status {
 	case sip.ServiceUnavailable, sip.TemporarilyUnavailable, sip.BusyHere, sip.ServerInternalError:
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -49,6 +49,7 @@
 	peakDescriptors int // open file descriptors
 }
 
+// configPath returns the path of the configuration.
 func (c *Controller) configPath() string {
 	return filepath.Join(c.dir, fmt.Sprintf("n%d.json", c.number))
 }
@@ -58,6 +59,7 @@
 	return filepath.Join(c.dir, fmt.Sprintf("n%d.log", c.number))
 }
 
+// instanceJSON is a switch in the configuration.
 type instanceJSON struct {
 	ID        string `json:"instanceId"`
 	Address   string `json:"hostPort"`
@@ -66,6 +68,7 @@
 	StartedMS int64  `json:"startedAtMs"`
 }
 
+// noticeJSON is a board event in the configuration.
 type noticeJSON struct {
 	Rev  uint64 `json:"rev"`
 	Pool struct {
@@ -74,6 +77,7 @@
 	} `json:"pool"`
 }
 
+// configJSON is the configuration of a controller.
 type configJSON struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -107,14 +111,16 @@
 func (c *Controller) settingsJSON() json.RawMessage {
 	var grades, holdingTimes []string
 	for _, bearer := range c.plan.Bearers {
-		grades = append(grades, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"worth":%g,"late_worth":0.3}`, bearer.Name, bearer.GoSTarget.Milliseconds(), c.plan.MaxAbandonTime.Milliseconds(), bearer.Revenue))
+		grades = append(grades, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"worth":%g,"late_worth":0.3}`,
+			bearer.Name, bearer.GoSTarget.Milliseconds(), c.plan.MaxAbandonTime.Milliseconds(), bearer.Revenue))
 		holdingTimes = append(holdingTimes, strconv.Itoa(int((c.plan.Switches.MaxHoldingTime / 2).Milliseconds())))
 	}
 	return json.RawMessage(fmt.Sprintf(`{"replicas_of_me":%d,"family_info":{"self_no":%d,"shape":"mesh","release_guard":%d,"holding":[%s]},
 "grades":[%s],
 "policy_limits":{"cancel":true,"dial_timeout":500,"max_attempts":4,"retry_after":true,"max_retry_after":2000},
 "rules":{"cold_from":%g,"ramp_time":%d,"stop_sending_within":%d,"tip_after":%d,"tip_multiple":%g}}`,
-		c.plan.Controllers, c.number, releaseTime.Milliseconds(), strings.Join(holdingTimes, ","), strings.Join(grades, ","), initialCapacity, rampTime.Milliseconds(), drainGrace.Milliseconds(), overloadWindow.Milliseconds(), overloadMultiple))
+		c.plan.Controllers, c.number, releaseTime.Milliseconds(), strings.Join(holdingTimes, ","), strings.Join(grades, ","),
+		initialCapacity, rampTime.Milliseconds(), drainGrace.Milliseconds(), overloadWindow.Milliseconds(), overloadMultiple))
 }
 
 // writeConfig writes the configuration with the board's current address and events. It replaces the file atomically.
@@ -128,7 +134,8 @@
 		notice := noticeJSON{Rev: event.Number}
 		notice.Pool.Reset = event.Complete
 		for _, sw := range event.Switches {
-			notice.Pool.Instances = append(notice.Pool.Instances, instanceJSON{board.FormatID(sw.ID), sw.Address, sw.Cell, lifecycles[sw.State], sw.StartedMS})
+			notice.Pool.Instances = append(notice.Pool.Instances,
+				instanceJSON{board.FormatID(sw.ID), sw.Address, sw.Cell, lifecycles[sw.State], sw.StartedMS})
 		}
 		config.Known.Rev = event.Number
 		config.Known.Notices = append(config.Known.Notices, notice)
--- a/internal/soak/event.go
+++ b/internal/soak/event.go
@@ -45,8 +45,8 @@
 var eventKindNames = [...]string{"set-up sent", "final answer read", "given up by its caller", "connection ended without an answer", "release read by a caller",
 	"released by its caller", "announced as standing", "caller connected", "caller's connection closed", "callers silenced", "set-up read by the switch",
 	"answer written by the switch", "set-up given up at the switch", "stands at the switch", "over at the switch", "release written by the switch",
-	"connection to the switch lost", "connection to the switch closed by the controller", "list changed", "list told", "board lost", "board back", "controller started", "controller ready", "signal",
-	"controller ended", "bad client served", "rig stalled", "fault"}
+	"connection to the switch lost", "connection to the switch closed by the controller", "list changed", "list told", "board lost", "board back",
+	"controller started", "controller ready", "signal", "controller ended", "bad client served", "rig stalled", "fault"}
 
 func (k EventKind) String() string { return eventKindNames[k] }
 
@@ -66,7 +66,7 @@
 	Cell       int // exchange of a listed switch; destination of a transit call, counted from 1
 	CallID     string
 	ConnID     int
-	Status     int
+	Status     int           // SIP status, release cause, signal or list state; 1 for a failed exit, 0 or 1 for a bad client without an answer
 	Number     uint64        // of a board event, or of a call leg at a switch
 	Duration   time.Duration // how long a message may have been unread, a stall lasted, a caller waits or the board's recovery may take
 	Detail     string
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -208,7 +208,8 @@
 	h.restart(f.Controller)
 }
 
-// restart is a planned restart: SIGTERM, SIGKILL after killDelay, and a new process. Callers use open connections until the process ends.
+// restart restarts a controller as planned: SIGTERM, SIGKILL after killDelay, and a new process. Callers use open connections until the process
+// exits.
 func (h *harness) restart(index int) {
 	if !h.restartMutexes[index].TryLock() {
 		return
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -46,6 +46,7 @@
 	replaceMutexes  []sync.Mutex // by cell
 }
 
+// address returns an address in the network of the run.
 func (h *harness) address(subnet, host, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", h.network, subnet, host, port)
 }
@@ -62,7 +63,8 @@
 // startPeersAndControllers starts switches, boards, proxies and controllers.
 func (h *harness) startPeersAndControllers() error {
 	count := h.plan.Controllers
-	shape := faultproxy.Shape{MaxChunk: h.plan.MaxChunk, MaxChunkDelay: maxChunkDelay, MaxTotalChunkDelay: maxTotalChunkDelay, MaxConnectDelay: h.plan.MaxConnectDelay}
+	shape := faultproxy.Shape{MaxChunk: h.plan.MaxChunk, MaxChunkDelay: maxChunkDelay, MaxTotalChunkDelay: maxTotalChunkDelay,
+		MaxConnectDelay: h.plan.MaxConnectDelay}
 	h.switchProxies = make([][]*faultproxy.Proxy, count)
 	h.restartMutexes, h.replaceMutexes = make([]sync.Mutex, count), make([]sync.Mutex, count)
 	var entries []board.Switch
@@ -75,7 +77,8 @@
 		for i := range count {
 			linkShape := shape
 			linkShape.Latency, linkShape.Jitter = h.plan.Latencies[cell*count+i], h.plan.Jitter
-			proxy, err := faultproxy.Listen(h.address(subnetSwitchProxy+i, cell+1, sipPort), h.switchAddress(sw, i), linkShape, h.plan.Seed+uint64(cell*count+i))
+			proxy, err := faultproxy.Listen(h.address(subnetSwitchProxy+i, cell+1, sipPort), h.switchAddress(sw, i), linkShape,
+				h.plan.Seed+uint64(cell*count+i))
 			if err != nil {
 				return err
 			}
@@ -93,9 +96,11 @@
 	}
 	h.publishUpdate(true, entries...)
 	for i := range count {
-		controller := &Controller{log: h.log, number: i, plan: h.plan, program: h.program, plantedFault: h.plantedFault, dir: h.dir, listen: h.address(subnetController, i+1, sipPort), board: h.boards[i]}
+		controller := &Controller{log: h.log, number: i, plan: h.plan, program: h.program, plantedFault: h.plantedFault,
+			dir: h.dir, listen: h.address(subnetController, i+1, sipPort), board: h.boards[i]}
 		h.controllers = append(h.controllers, controller)
-		callerProxy, err := faultproxy.Listen(h.address(subnetCallerProxy, i+1, sipPort), controller.listen, faultproxy.Shape{MaxChunk: h.plan.MaxChunk, MaxChunkDelay: maxChunkDelay, MaxTotalChunkDelay: maxTotalChunkDelay}, h.plan.Seed+uint64(i))
+		callerProxy, err := faultproxy.Listen(h.address(subnetCallerProxy, i+1, sipPort), controller.listen,
+			faultproxy.Shape{MaxChunk: h.plan.MaxChunk, MaxChunkDelay: maxChunkDelay, MaxTotalChunkDelay: maxTotalChunkDelay}, h.plan.Seed+uint64(i))
 		if err != nil {
 			return err
 		}
@@ -115,6 +120,7 @@
 	maxTotalChunkDelay = 20 * time.Millisecond // for all chunks of one read
 )
 
+// switchAddress returns the address at which a switch listens for a controller.
 func (h *harness) switchAddress(sw *Switch, controller int) string {
 	return h.address(subnetSwitch+controller, int(sw.id&0xff), sipPort)
 }
@@ -137,8 +143,8 @@
 func (h *harness) publishUpdate(complete bool, entries ...board.Switch) {
 	h.lastUpdate++
 	for _, sw := range entries {
-		h.log.Add(Event{Kind: ListChanged, Controller: -1, SwitchID: sw.ID, Cell: sw.Cell, Status: int(sw.State), Number: h.lastUpdate, Detail: fmt.Sprintf("cell %d state %d", sw.Cell, sw.State),
-			Duration: time.Duration(sw.StartedMS) * time.Millisecond})
+		h.log.Add(Event{Kind: ListChanged, Controller: -1, SwitchID: sw.ID, Cell: sw.Cell, Status: int(sw.State), Number: h.lastUpdate,
+			Detail: fmt.Sprintf("cell %d state %d", sw.Cell, sw.State), Duration: time.Duration(sw.StartedMS) * time.Millisecond})
 	}
 	for i, b := range h.boards {
 		event := board.Event{Number: h.lastUpdate, Complete: complete}
@@ -179,6 +185,7 @@
 	return ctx.Err()
 }
 
+// sleep waits for a duration. It returns false if the context ends first.
 func (h *harness) sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -221,6 +228,7 @@
 	h.wg.Wait()
 }
 
+// awaitExitOrKill waits until a controller has exited and sends SIGKILL after killDelay.
 func (h *harness) awaitExitOrKill(c *Controller) {
 	select {
 	case <-c.done():
@@ -230,7 +238,7 @@
 	}
 }
 
-// randomDuration draws a duration between low and high.
+// randomDuration draws a duration from low to high.
 func (h *harness) randomDuration(low, high time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -247,6 +255,7 @@
 	}
 }
 
+// currentSwitch returns the switch of a cell.
 func (h *harness) currentSwitch(cell int) *Switch {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -27,7 +27,7 @@
 	ResetLinks                       // all connections of a controller to a switch are reset
 	ResetLink                        // one of these connections is reset
 	RefuseLinks                      // new connections of a controller to a switch are refused for a while
-	HangLinks                        // new connections are accepted for a while, and their data is dropped
+	HangLinks                        // new connections are accepted but not forwarded for a while
 	PartitionSwitch                  // a switch is unreachable from all controllers for a while
 	HangSwitch                       // a switch neither reads nor writes for a while
 	KillSwitch                       // a switch is killed and replaced; it is listed as gone before or after
@@ -59,12 +59,12 @@
 
 // Injection is the injection of one fault.
 type Injection struct {
-	At         time.Duration
+	At         time.Duration // since the first calls
 	Kind       FaultKind
 	Controller int
-	Cell       int // exchange whose switch is affected
-	Duration   time.Duration
-	Count      int
+	Cell       int           // exchange whose switch is affected
+	Duration   time.Duration // of faults that end by themselves
+	Count      int           // repetitions or a variant, as the kind has them
 }
 
 func (i Injection) String() string {
@@ -162,9 +162,11 @@
 // maxOutcomeShare limits the share of each unusual set-up outcome.
 const maxOutcomeShare = 0.08
 
+// newSwitchPlan draws the plan of the switches.
 func newSwitchPlan(random *rand.Rand) SwitchPlan {
-	plan := SwitchPlan{Circuits: 10 + random.IntN(60), MinAnswerDelay: 2 * time.Millisecond, MaxAnswerDelay: randomDuration(random, 20*time.Millisecond, 120*time.Millisecond),
-		MinHoldingTime: 100 * time.Millisecond, MaxHoldingTime: randomDuration(random, time.Second, 6*time.Second), EchoesCSeq: random.IntN(2) == 0, RespondsToReleases: random.IntN(4) > 0}
+	plan := SwitchPlan{Circuits: 10 + random.IntN(60), MinAnswerDelay: 2 * time.Millisecond,
+		MaxAnswerDelay: randomDuration(random, 20*time.Millisecond, 120*time.Millisecond), MinHoldingTime: 100 * time.Millisecond,
+		MaxHoldingTime: randomDuration(random, time.Second, 6*time.Second), EchoesCSeq: random.IntN(2) == 0, RespondsToReleases: random.IntN(4) > 0}
 	for outcome := OutcomeFull; outcome < numSetUpOutcomes; outcome++ {
 		if random.IntN(2) == 0 {
 			plan.OutcomeShares[outcome] = maxOutcomeShare * random.Float64()
@@ -193,15 +195,18 @@
 	p.Faults = nil
 }
 
+// newCallerPlan draws the plan of the callers of one controller.
 func newCallerPlan(random *rand.Rand) CallerPlan {
-	plan := CallerPlan{Connections: 1 + random.IntN(3), CallsPerSecond: 5 + 15*random.Float64(), AbandonShare: 0.1 * random.Float64(), RepeatShare: random.Float64(), ReleaseShare: 0.3 * random.Float64(),
-		TransitShare: 0.2 * random.Float64(), RedialShare: random.Float64(), ShortAbandonTimeShare: 0.1 * random.Float64()}
+	plan := CallerPlan{Connections: 1 + random.IntN(3), CallsPerSecond: 5 + 15*random.Float64(), AbandonShare: 0.1 * random.Float64(),
+		RepeatShare: random.Float64(), ReleaseShare: 0.3 * random.Float64(), TransitShare: 0.2 * random.Float64(), RedialShare: random.Float64(),
+		ShortAbandonTimeShare: 0.1 * random.Float64()}
 	for range plan.Connections {
 		plan.ReleaseResponses = append(plan.ReleaseResponses, ReleaseResponse(random.IntN(3)))
 	}
 	return plan
 }
 
+// randomDuration draws a duration from low to high, both included.
 func randomDuration(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Int64N(int64(high-low)+1))
 }
@@ -214,8 +219,9 @@
 	kinds := random.Perm(int(numFaultKinds))[:3+random.IntN(4)]
 	for _, kind := range kinds {
 		for range 1 + random.IntN(3) {
-			p.Faults = append(p.Faults, Injection{At: randomDuration(random, initialQuietTime, p.Duration-time.Second), Kind: FaultKind(kind), Controller: random.IntN(p.Controllers),
-				Cell: random.IntN(p.Controllers), Duration: randomDuration(random, 300*time.Millisecond, 6*time.Second), Count: 1 + random.IntN(5)})
+			p.Faults = append(p.Faults, Injection{At: randomDuration(random, initialQuietTime, p.Duration-time.Second), Kind: FaultKind(kind),
+				Controller: random.IntN(p.Controllers), Cell: random.IntN(p.Controllers),
+				Duration: randomDuration(random, 300*time.Millisecond, 6*time.Second), Count: 1 + random.IntN(5)})
 		}
 	}
 	if random.IntN(3) == 0 { // a rolling restart of all controllers
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -36,9 +36,9 @@
 	SetUps       int
 	Established  int
 	ReleasesRead int
-	Retries      int // set-ups that switches received after the first of a call
-	MemoryKB     int
-	Descriptors  int
+	Retries      int           // set-ups that switches received after the first of a call
+	MemoryKB     int           // greatest peak of a controller
+	Descriptors  int           // greatest peak of a controller
 	Stalled      time.Duration // total time for which the test harness stalled
 	Err          error         // failure of the test harness
 	Dir          string
@@ -72,6 +72,7 @@
 	return results, ctx.Err()
 }
 
+// runSeed runs one seed and checks the run.
 func runSeed(ctx context.Context, options Options, seed uint64) (result Result) {
 	result.Plan = NewPlan(seed, options.Duration)
 	if options.OnlyOutcome != "" {
@@ -114,7 +115,8 @@
 		memory, descriptors := c.peakUsage()
 		result.MemoryKB, result.Descriptors = max(result.MemoryKB, memory), max(result.Descriptors, descriptors)
 		if memory > memoryLimitMB<<10 || descriptors > descriptorLimit {
-			result.Violations = append(result.Violations, Violation{Rule: RuleLimits, Controller: c.number, Detail: fmt.Sprintf("%d KiB, %d descriptors", memory, descriptors)})
+			result.Violations = append(result.Violations, Violation{Rule: RuleLimits, Controller: c.number,
+				Detail: fmt.Sprintf("%d KiB, %d descriptors", memory, descriptors)})
 		}
 	}
 	if options.Dir != "" {
@@ -123,6 +125,7 @@
 	return result
 }
 
+// writeEvents writes one line for each event.
 func writeEvents(path string, events []Event) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -137,6 +140,7 @@
 	return nil
 }
 
+// countEvents fills the counts of the result.
 func (r *Result) countEvents(events []Event) {
 	tried := map[string]bool{}
 	for _, e := range events {
@@ -160,6 +164,7 @@
 
 const maxViolationsShown = 3
 
+// print prints the line of the seed and its first violations.
 func (r *Result) print(options Options) {
 	verdict := "kept"
 	switch {
@@ -172,8 +177,8 @@
 	for _, f := range r.Plan.Faults {
 		faults[f.Kind.String()]++
 	}
-	fmt.Fprintf(options.Out, "seed %d: %s; %d controllers, %d set-ups, %d established, %d retries, %d releases read, faults %v, %d KiB, %d descriptors, harness stalled %v\n", r.Plan.Seed, verdict,
-		r.Plan.Controllers, r.SetUps, r.Established, r.Retries, r.ReleasesRead, faults, r.MemoryKB, r.Descriptors, r.Stalled.Round(time.Millisecond))
+	fmt.Fprintf(options.Out, "seed %d: %s; %d controllers, %d set-ups, %d established, %d retries, %d releases read, faults %v, %d KiB, %d descriptors, harness stalled %v\n",
+		r.Plan.Seed, verdict, r.Plan.Controllers, r.SetUps, r.Established, r.Retries, r.ReleasesRead, faults, r.MemoryKB, r.Descriptors, r.Stalled.Round(time.Millisecond))
 	for _, violation := range r.Violations[:min(maxViolationsShown, len(r.Violations))] {
 		fmt.Fprintf(options.Out, "  %s\n", violation)
 		for _, line := range violation.Timeline {
--- a/internal/soak/switch.go
+++ b/internal/soak/switch.go
@@ -72,7 +72,8 @@
 			if err != nil {
 				return
 			}
-			conn := &switchConn{id: s.log.NewConnID(), netConn: netConn, controller: controller, openedAt: s.log.Now(), lastReadAt: s.log.Now(), legs: map[*callLeg]struct{}{}}
+			conn := &switchConn{id: s.log.NewConnID(), netConn: netConn, controller: controller, openedAt: s.log.Now(), lastReadAt: s.log.Now(),
+				legs: map[*callLeg]struct{}{}}
 			s.mu.Lock()
 			s.connsByAddr[netConn.RemoteAddr().String()] = conn
 			s.mu.Unlock()
@@ -222,10 +223,12 @@
 	return sip.Field{Name: "P-Load", Value: fmt.Sprintf("x0:%d;x1:%d", max(0, s.plan.Switches.Circuits-s.usedCircuits), s.plan.Switches.Circuits)}
 }
 
+// send writes a message on a connection.
 func (s *Switch) send(conn *switchConn, message *sip.Message) {
 	s.sendOctets(conn, sip.Append(nil, message))
 }
 
+// sendOctets writes octets on a connection.
 func (s *Switch) sendOctets(conn *switchConn, octets []byte) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/soak/switch_leg.go
+++ b/internal/soak/switch_leg.go
@@ -24,6 +24,7 @@
 	maxTimeLeftToDrop = 150 * time.Millisecond
 )
 
+// legState is the state of a call leg.
 type legState uint8
 
 const (
@@ -75,8 +76,8 @@
 	numSetUpOutcomes
 )
 
-var setUpOutcomeNames = [numSetUpOutcomes]string{"stands", "full", "error", "moot", "broke", "released", "dropped", "reset-unread", "spoilt", "cut", "short", "never", "late",
-	"reset-read", "twice", "ahead"}
+var setUpOutcomeNames = [numSetUpOutcomes]string{"stands", "full", "error", "moot", "broke", "released", "dropped", "reset-unread",
+	"spoilt", "cut", "short", "never", "late", "reset-read", "twice", "ahead"}
 
 func (o SetUpOutcome) String() string { return setUpOutcomeNames[o] }
 
@@ -151,6 +152,7 @@
 	return true
 }
 
+// detailReleasedByController is the detail of CallEnded that the checker looks for.
 const detailReleasedByController = "released by the controller"
 
 // handleRelease handles a controller's release. It names only the call, so it ends all established legs of the call.
@@ -186,7 +188,8 @@
 	s.legs[leg.callID] = append(s.legs[leg.callID], leg)
 	conn.legs[leg] = struct{}{}
 	s.mu.Unlock()
-	s.log.Add(Event{Kind: TryReceived, Controller: conn.controller, SwitchID: s.id, CallID: message.CallID, ConnID: conn.id, Number: uint64(leg.number), Duration: unread, Detail: string(message.Body)})
+	s.log.Add(Event{Kind: TryReceived, Controller: conn.controller, SwitchID: s.id, CallID: message.CallID, ConnID: conn.id,
+		Number: uint64(leg.number), Duration: unread, Detail: string(message.Body)})
 	if rings {
 		s.send(conn, &sip.Message{Status: 180, CallID: leg.callID, CSeq: leg.cseq, CSeqMethod: sip.Invite})
 	}
@@ -219,7 +222,8 @@
 	}
 	if outcome >= OutcomeMalformedAnswer || outcome == OutcomeEstablished {
 		leg.state = legEstablished
-		s.log.Add(Event{Kind: CallEstablished, Controller: leg.controller, SwitchID: s.id, CallID: leg.callID, ConnID: leg.conn.id, Number: uint64(leg.number), Detail: outcome.String()})
+		s.log.Add(Event{Kind: CallEstablished, Controller: leg.controller, SwitchID: s.id, CallID: leg.callID, ConnID: leg.conn.id,
+			Number: uint64(leg.number), Detail: outcome.String()})
 		holdingTime := randomDuration(s.random, s.plan.Switches.MinHoldingTime, s.plan.Switches.MaxHoldingTime)
 		if outcome != OutcomeEstablished && s.random.IntN(2) == 0 { // soon enough to overlap the next try
 			holdingTime = randomDuration(s.random, releaseTime/2, 2*releaseTime)
@@ -250,6 +254,7 @@
 	}
 }
 
+// randomFloat draws a number from 0 to 1.
 func (s *Switch) randomFloat() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -261,7 +266,8 @@
 	delete(leg.conn.legs, leg)
 	if leg.setUpPending {
 		leg.setUpPending = false
-		s.log.Add(Event{Kind: TryEnded, Controller: leg.controller, SwitchID: s.id, CallID: leg.callID, ConnID: leg.conn.id, Number: uint64(leg.number), Status: status, Detail: detail})
+		s.log.Add(Event{Kind: TryEnded, Controller: leg.controller, SwitchID: s.id, CallID: leg.callID, ConnID: leg.conn.id,
+			Number: uint64(leg.number), Status: status, Detail: detail})
 	}
 }
 
@@ -395,6 +401,7 @@
 		Fields: []sip.Field{{Name: "Reason", Value: fmt.Sprintf("Q.850;cause=%d", r.cause)}, s.loadField()}}
 }
 
+// sendRelease sends a release on a connection and records it.
 func (s *Switch) sendRelease(conn *switchConn, r release) {
 	s.send(conn, s.releaseMessage(r))
 	s.log.Add(Event{Kind: ReleaseSent, Controller: r.leg.controller, SwitchID: s.id, CallID: r.leg.callID, ConnID: conn.id, Number: uint64(r.leg.number), Status: r.cause})
