--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	callerIdleTimeout   = 4 * time.Second // of a connection without calls
-	closeCrossingTime   = 50 * time.Millisecond
+	callerIdleTimeout   = 4 * time.Second       // of a connection without calls
+	closeCrossingTime   = 50 * time.Millisecond // a set-up sent within it before its connection closes may have crossed the close
 	dialTimeout         = 500 * time.Millisecond
 	maxResponseDelay    = 900 * time.Millisecond // of RespondLate
 	shutdownDialTime    = 200 * time.Millisecond // after accessOpenConns is set, during which a connection may still be opened if none is open
--- a/internal/soak/check_release.go
+++ b/internal/soak/check_release.go
@@ -30,7 +30,7 @@
 	return earliest, found
 }
 
-// checkReleaseDelivery checks that the caller of an established call is told in time when the call is over.
+// checkReleaseDelivery checks that the caller of an established call is notified in time when the call is over.
 func (c *checker) checkReleaseDelivery(call *callHistory) {
 	answer, ok := call.firstEvent(AnswerRead)
 	if !ok || answer.Status != sip.OK {
@@ -119,7 +119,7 @@
 	if notifiedAt <= deadline || !c.aliveThroughout(call.controller, sent.At, deadline) || c.endTime < deadline {
 		return
 	}
-	c.addViolation(RuleReleaseDelivery, call, call.controller, "release written at %.3f, caller told %s", sent.At.Seconds(), formatTime(notifiedAt))
+	c.addViolation(RuleReleaseDelivery, call, call.controller, "release written at %.3f, caller notified %s", sent.At.Seconds(), formatTime(notifiedAt))
 }
 
 // checkEndNotified checks that the caller learns of the end of a call even if the release by the switch is lost.
@@ -133,7 +133,7 @@
 	if from, ok := c.callerConnUsableFrom(call.controller, start, releaseDeliveryTime+slack+maxProxyDelay); !ok || from+releaseDeliveryTime+slack+maxProxyDelay > deadline {
 		return
 	}
-	c.addViolation(RuleLostReleaseDelivery, call, call.controller, "over at %.3f, caller told %s", start.Seconds(), formatTime(notifiedAt))
+	c.addViolation(RuleLostReleaseDelivery, call, call.controller, "over at %.3f, caller notified %s", start.Seconds(), formatTime(notifiedAt))
 }
 
 // formatTime formats a time for a violation.
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -179,7 +179,7 @@
 	for _, group := range h.callerGroups {
 		group.stopPlacing()
 	}
-	// By then each call is answered and over, and its caller has been told.
+	// By then each call is answered and over, and its caller has been notified.
 	h.sleep(ctx, h.plan.MaxAbandonTime+h.plan.Switches.MaxHoldingTime+settleTime)
 	h.shutDown()
 	return ctx.Err()
