--- a/cmd/indigodrift/day.go
+++ b/cmd/indigodrift/day.go
@@ -45,7 +45,7 @@
 			if err := report.Print(os.Stdout, onlyJSON); err != nil {
 				return err
 			}
-			if len(report.Breaches)+report.Mixed > 0 {
+			if len(report.Violations)+report.MixedCalls > 0 {
 				return exitCode(1)
 			}
 			return nil
@@ -53,8 +53,8 @@
 	run.Flags().Int64Var(&seed, "seed", -1, "seed that replaces the one in the file")
 	run.Flags().BoolVar(&onlyJSON, "json", false, "print only the last line")
 	run.Flags().StringVar(&options.Routing, "routing", "module", "routing: module, or a baseline, direct or random")
-	run.Flags().StringVar(&options.Plant, "plant", "", "break a rule once on purpose: answer, copy, drain, cold, release")
-	run.Flags().StringVar(&options.Keep, "keep", "", "folder for the audit log and the logs of the controllers")
+	run.Flags().StringVar(&options.PlantedFault, "plant", "", "break a rule once on purpose: answer, copy, drain, cold, release")
+	run.Flags().StringVar(&options.Dir, "keep", "", "folder for the audit log and the logs of the controllers")
 	list := &cobra.Command{Use: "list [FOLDER]", Short: "List the days in a folder, by default examples/days", Args: cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			folder := filepath.Join("examples", "days")
@@ -70,7 +70,7 @@
 				if err != nil {
 					return err
 				}
-				fmt.Printf("%s\t%d exchanges, %.0f calls/s, %v, %d troubles: %s\n", file, script.Exchanges, script.Rate, script.Length, len(script.Troubles), script.About)
+				fmt.Printf("%s\t%d exchanges, %.0f calls/s, %v, %d troubles: %s\n", file, script.ExchangeCount, script.CallRate, script.Duration, len(script.Troubles), script.Description)
 			}
 			return nil
 		}}
@@ -92,7 +92,7 @@
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
-				breaches := audit.Judge(events)
+				breaches := audit.Check(events)
 				breachCount += len(breaches)
 				for _, breach := range breaches {
 					fmt.Printf("%s: rule %d broken at %.3f s: %s\n", name, breach.Rule, float64(breach.At)/1e6, breach.Text)
--- a/cmd/indigodrift/serve.go
+++ b/cmd/indigodrift/serve.go
@@ -66,20 +66,20 @@
 	switch routing {
 	case "module":
 	case "direct", "random":
-		build = baseline.Build(routing == "random")
+		build = baseline.NewBuilder(routing == "random")
 	default:
 		return fmt.Errorf("--routing is %q, not module, direct or random", routing)
 	}
-	var injector *day.Wrong
+	var injector *day.FaultyController
 	if fault != "" {
 		var neighbours []exchange.Neighbour
 		for _, n := range config.Neighbours {
 			neighbours = append(neighbours, n.Neighbour)
 		}
-		if injector, err = day.NewWrong(fault, neighbours); err != nil {
+		if injector, err = day.NewFaultyController(fault, neighbours); err != nil {
 			return err
 		}
-		build = injector.Deciding(build)
+		build = injector.WrapDecider(build)
 	}
 	server, err := control.New(config, build, dialTCP, log)
 	if err != nil {
@@ -87,7 +87,7 @@
 	}
 	server.OnReady = func() { fmt.Println("ready") }
 	if injector != nil {
-		server.InterceptSend = injector.Sent
+		server.InterceptSend = injector.InterceptSend
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
--- a/cmd/indigodrift/standin.go
+++ b/cmd/indigodrift/standin.go
@@ -25,7 +25,7 @@
 				}
 				ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 				defer cancel()
-				return day.Alone(ctx, script, kind, exchange, addresses, func(address string) { fmt.Println("listening on", address) })
+				return day.RunStandin(ctx, script, kind, exchange, addresses, func(address string) { fmt.Println("listening on", address) })
 			}}
 		subcommand.Flags().StringVarP(&file, "file", "f", "", "script of the day")
 		subcommand.Flags().IntVar(&exchange, "exchange", 0, "exchange whose switch to run")
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -19,46 +19,46 @@
 type Kind byte
 
 const (
-	Rule    Kind = 'r' // Site: which rule's figure (RuleGrace ...), Value: it
-	Life    Kind = 'l' // a switch starts: Value is what it does warm, in thousandths of a set-up a second; CIC 1: cold
-	Offer   Kind = 'o' // a call written to the controller of Site: Value is the time left, in microseconds
-	Leave   Kind = 'x' // its caller's release written to that controller
-	Answer  Kind = 'a' // the controller's answer read from its socket: CIC is the message type
-	Try     Kind = 't' // a set-up from the controller of Peer read at the switch of Site; CIC, Slots
-	In      Kind = 'n' // that set-up written to the controller of Site: it may make void what both ends seized
-	Off     Kind = 'c' // that controller's release of it read
-	Back    Kind = 'b' // an answer or release written back: Value is the message type
-	Reset   Kind = 's' // a reset of CIC to CIC+Value read from the controller of Peer at switch Site
-	ResetIn Kind = 'i' // the same, written to the controller of Site, for what it sent to Peer
-	Broke   Kind = 'd' // the link of controller Peer to switch Site broke
-	Told    Kind = 'w' // list Value written to controller Site: switch Peer may be sent to (CIC 1) or not (CIC 0)
-	Ack     Kind = 'k' // controller Site says that list Value is in force
-	Stopped Kind = 'p' // controller Site is stopped, Went: goes on, Killed: is gone, or its own link is
-	Went    Kind = 'g'
-	Killed  Kind = 'q'
-	End     Kind = 'E' // the day is over: what is torn down after it is not judged
+	Parameter         Kind = 'r' // Site: which rule's figure (ParameterDrainGrace ...), Value: it
+	SwitchStarted     Kind = 'l' // a switch starts: Value is what it does warm, in thousandths of a set-up a second; CIC 1: cold
+	CallOffered       Kind = 'o' // a call written to the controller of Site: Value is the time left, in microseconds
+	CallerReleased    Kind = 'x' // its caller's release written to that controller
+	CallResponse      Kind = 'a' // the controller's answer read from its socket: CIC is the message type
+	TryReceived       Kind = 't' // a set-up from the controller of Peer read at the switch of Site; CIC, Slots
+	SetUpDelivered    Kind = 'n' // that set-up written to the controller of Site: it may make void what both ends seized
+	TryReleased       Kind = 'c' // that controller's release of it read
+	TryResponse       Kind = 'b' // an answer or release written back: Value is the message type
+	ResetReceived     Kind = 's' // a reset of CIC to CIC+Value read from the controller of Peer at switch Site
+	ResetDelivered    Kind = 'i' // the same, written to the controller of Site, for what it sent to Peer
+	LinkLost          Kind = 'd' // the link of controller Peer to switch Site broke
+	ListEntrySent     Kind = 'w' // list Value written to controller Site: switch Peer may be sent to (CIC 1) or not (CIC 0)
+	ListAcknowledged  Kind = 'k' // controller Site says that list Value is in force
+	ControllerPaused  Kind = 'p' // controller Site is stopped, Went: goes on, Killed: is gone, or its own link is
+	ControllerResumed Kind = 'g'
+	ControllerKilled  Kind = 'q'
+	DayEnded          Kind = 'E' // the day is over: what is torn down after it is not judged
 
 	// Phones at gateways: Site is the exchange, Peer the gateway, CIC the endpoint, Ref the call that its user makes.
-	Dialled     Kind = 'D' // the last digit: Value is how long the caller waits, in microseconds
-	Taken       Kind = 'T' // the call agent has answered the notification of the number
-	Final       Kind = 'F' // Slots 1: speech both ways, 2: a tone that says no
-	HungUp      Kind = 'U' // the call agent has answered the notification
-	Connection  Kind = 'C' // Slots: which; Value 1 made, 0 gone
-	Tone        Kind = 'S' // Value: which; Slots bit 0: the phone is off hook, bit 1: that is not answered yet
-	Hook        Kind = 'H' // Value 1: off
-	Swallowed   Kind = 'N' // the network of the rig lost or held up a command that told the phone its answer
-	GatewayDown Kind = 'G' // Value 1: it starts anew or cannot reach its call agent, 0: it has reported
+	NumberDialled      Kind = 'D' // the last digit: Value is how long the caller waits, in microseconds
+	NumberAcknowledged Kind = 'T' // the call agent has answered the notification of the number
+	PhoneOutcome       Kind = 'F' // Slots 1: speech both ways, 2: a tone that says no
+	HangUpAcknowledged Kind = 'U' // the call agent has answered the notification
+	ConnectionChanged  Kind = 'C' // Slots: which; Value 1 made, 0 gone
+	ToneRequested      Kind = 'S' // Value: which; Slots bit 0: the phone is off hook, bit 1: that is not answered yet
+	HookChanged        Kind = 'H' // Value 1: off
+	PhoneOutcomeLost   Kind = 'N' // the network of the rig lost or held up a command that told the phone its answer
+	GatewayDown        Kind = 'G' // Value 1: it starts anew or cannot reach its call agent, 0: it has reported
 )
 
 // Figures of the rules, in microseconds where they are spans.
 const (
-	RuleGrace = iota
-	RuleRelease
-	RuleRamp
-	RuleWindow
-	RuleMultiple // thousandths
-	RuleColdFrom // thousandths
-	rules
+	ParameterDrainGrace = iota
+	ParameterReleaseTime
+	ParameterRampTime
+	ParameterOverloadWindow
+	ParameterOverloadMultiple // thousandths
+	ParameterInitialCapacity  // thousandths
+	parameterCount
 )
 
 // Event is one line of the log.
@@ -75,21 +75,21 @@
 
 // Log takes events from any goroutine and writes them in the order taken.
 type Log struct {
-	mu    sync.Mutex
-	w     *bufio.Writer
-	began time.Time
-	err   error
-	line  []byte
+	mu        sync.Mutex
+	w         *bufio.Writer
+	startTime time.Time
+	err       error
+	line      []byte
 }
 
 // NewLog begins a log now.
-func NewLog(w io.Writer) *Log { return &Log{w: bufio.NewWriterSize(w, 1<<16), began: time.Now()} }
+func NewLog(w io.Writer) *Log { return &Log{w: bufio.NewWriterSize(w, 1<<16), startTime: time.Now()} }
 
 // Add dates an event and writes it.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := strconv.AppendInt(l.line[:0], time.Since(l.began).Microseconds(), 10)
+	b := strconv.AppendInt(l.line[:0], time.Since(l.startTime).Microseconds(), 10)
 	b = append(b, ' ', byte(e.Kind))
 	for _, v := range []int64{int64(e.Site), int64(e.Peer), int64(e.Ref.Point), int64(e.Ref.Identity), int64(e.CIC),
 		int64(e.Slots), e.Value} {
--- a/internal/audit/phones.go
+++ b/internal/audit/phones.go
@@ -9,91 +9,91 @@
 
 // What is judged of phones at gateways beside the first rule.
 const (
-	ruleOutlives  = 6 // a connection outlives its call
-	ruleWrongTone = 7
+	ruleStaleConnection = 6 // a connection outlives its call
+	ruleWrongTone       = 7
 )
 
-// Outlives is how long a connection may be there at a phone that is on hook, in microseconds: the way of a notification with
+// MaxOnHookConnectionTime is how long a connection may be there at a phone that is on hook, in microseconds: the way of a notification with
 // its repeats, a gateway's round of audits, and the deletion with its repeats.
-const Outlives = 60_000_000
+const MaxOnHookConnectionTime = 60_000_000
 
-// swallowedMost is the number of copies of an answer that the network must have taken before a call may stay without one.
-const swallowedMost = 3
+// minLostOutcomes is the number of copies of an answer that the network must have taken before a call may stay without one.
+const minLostOutcomes = 3
 
 type phoneKey struct{ site, gateway, phone int }
 
 type phoneCall struct {
-	key                 phoneKey
-	at, deadline        int64
-	taken, hungUp, left int64
-	swallowed           int // copies of its answer
-	finals, outcome     int
+	key                                            phoneKey
+	dialledAt, deadline                            int64
+	acknowledgedAt, hangUpAcknowledgedAt, hungUpAt int64
+	lostOutcomes                                   int // copies of its answer
+	outcomeCount, outcome                          int
 }
 
 type phoneState struct {
-	off   bool
-	onAt  int64            // on hook since
-	conns map[uint32]int64 // made at
+	offHook     bool
+	onHookSince int64            // on hook since
+	connections map[uint32]int64 // made at
 }
 
-// phones judges calls from phones at gateways.
-type phones struct {
-	j     *judge
-	calls map[isup.Reference]*phoneCall
-	order []isup.Reference
-	state map[phoneKey]*phoneState
-	down  map[[2]int][]interval
+// phoneChecker judges calls from phones at gateways.
+type phoneChecker struct {
+	checker   *checker
+	calls     map[isup.Reference]*phoneCall
+	callOrder []isup.Reference
+	phones    map[phoneKey]*phoneState
+	outages   map[[2]int][]interval
 }
 
-func (p *phones) at(e Event) (phoneKey, *phoneState) {
+func (p *phoneChecker) phoneOf(e Event) (phoneKey, *phoneState) {
 	k := phoneKey{e.Site, e.Peer, int(e.CIC)}
-	s := p.state[k]
+	s := p.phones[k]
 	if s == nil {
-		s = &phoneState{conns: map[uint32]int64{}}
-		p.state[k] = s
+		s = &phoneState{connections: map[uint32]int64{}}
+		p.phones[k] = s
 	}
 	return k, s
 }
 
-// take handles what concerns phones and tells whether it did.
-func (p *phones) take(e Event) bool {
+// handle handles what concerns phones and tells whether it did.
+func (p *phoneChecker) handle(e Event) bool {
 	switch e.Kind {
-	case Dialled:
-		k, _ := p.at(e)
-		p.calls[e.Ref] = &phoneCall{key: k, at: e.At, deadline: e.At + e.Value}
-		p.order = append(p.order, e.Ref)
-	case Taken, HungUp, Final, Swallowed:
+	case NumberDialled:
+		k, _ := p.phoneOf(e)
+		p.calls[e.Ref] = &phoneCall{key: k, dialledAt: e.At, deadline: e.At + e.Value}
+		p.callOrder = append(p.callOrder, e.Ref)
+	case NumberAcknowledged, HangUpAcknowledged, PhoneOutcome, PhoneOutcomeLost:
 		if c := p.calls[e.Ref]; c != nil {
-			p.told(c, e)
+			p.checkCallEvent(c, e)
 		}
-	case Hook:
-		_, s := p.at(e)
-		s.off = e.Value == 1
-		if !s.off {
-			s.onAt = e.At
-			if c := p.calls[e.Ref]; c != nil && c.left == 0 {
-				c.left = e.At
+	case HookChanged:
+		_, s := p.phoneOf(e)
+		s.offHook = e.Value == 1
+		if !s.offHook {
+			s.onHookSince = e.At
+			if c := p.calls[e.Ref]; c != nil && c.hungUpAt == 0 {
+				c.hungUpAt = e.At
 			}
 		}
-	case Connection:
-		k, s := p.at(e)
+	case ConnectionChanged:
+		k, s := p.phoneOf(e)
 		if e.Value == 1 {
-			s.conns[e.Slots] = e.At
+			s.connections[e.Slots] = e.At
 		} else {
-			p.outlived(k, s, e.Slots, e.At)
-			delete(s.conns, e.Slots)
+			p.checkConnectionAge(k, s, e.Slots, e.At)
+			delete(s.connections, e.Slots)
 		}
-	case Tone:
+	case ToneRequested:
 		offTone := e.Value >= 1 && e.Value <= 4 || e.Value == 6
 		if off := e.Slots&1 != 0; e.Slots&2 == 0 && (offTone && !off || e.Value == 5 && off) {
-			p.j.breach(ruleWrongTone, e.At, "phone %d at gateway %d of exchange %d gets tone %d with its receiver off: %v", e.CIC, e.Peer, e.Site, e.Value, off)
+			p.checker.report(ruleWrongTone, e.At, "phone %d at gateway %d of exchange %d gets tone %d with its receiver off: %v", e.CIC, e.Peer, e.Site, e.Value, off)
 		}
 	case GatewayDown:
 		at := [2]int{e.Site, e.Peer}
-		if n := len(p.down[at]); e.Value == 1 {
-			p.down[at] = append(p.down[at], interval{e.At, math.MaxInt64})
-		} else if n > 0 && p.down[at][n-1].to == math.MaxInt64 {
-			p.down[at][n-1].to = e.At
+		if n := len(p.outages[at]); e.Value == 1 {
+			p.outages[at] = append(p.outages[at], interval{e.At, math.MaxInt64})
+		} else if n > 0 && p.outages[at][n-1].end == math.MaxInt64 {
+			p.outages[at][n-1].end = e.At
 		}
 	default:
 		return false
@@ -101,47 +101,47 @@
 	return true
 }
 
-func (p *phones) told(c *phoneCall, e Event) {
+func (p *phoneChecker) checkCallEvent(c *phoneCall, e Event) {
 	switch e.Kind {
-	case Taken:
-		c.taken = e.At
-	case Swallowed:
-		c.swallowed++
-	case HungUp:
-		c.hungUp = e.At
-	case Final:
-		first := c.finals == 0
+	case NumberAcknowledged:
+		c.acknowledgedAt = e.At
+	case PhoneOutcomeLost:
+		c.lostOutcomes++
+	case HangUpAcknowledged:
+		c.hangUpAcknowledgedAt = e.At
+	case PhoneOutcome:
+		first := c.outcomeCount == 0
 		switch {
-		case c.hungUp != 0 && e.At > c.hungUp+Margin:
-			p.j.breach(1, e.At, "a caller at phone %v hears an answer %d ms after the call agent was told that he hung up", c.key, (e.At-c.hungUp)/1000)
+		case c.hangUpAcknowledgedAt != 0 && e.At > c.hangUpAcknowledgedAt+Margin:
+			p.checker.report(1, e.At, "a caller at phone %v hears an answer %d ms after the call agent was told that he hung up", c.key, (e.At-c.hangUpAcknowledgedAt)/1000)
 		case !first && (c.outcome == 2 || e.Slots == 1): // after it stood, a tone tells that it is over
-			p.j.breach(1, e.At, "the call of phone %v is answered twice", c.key)
+			p.checker.report(1, e.At, "the call of phone %v is answered twice", c.key)
 		}
-		c.finals++
+		c.outcomeCount++
 		c.outcome = int(e.Slots)
 		if first && e.At > c.deadline+Margin {
-			p.j.breach(1, e.At, "the call of phone %v is answered %d ms after its caller's time", c.key, (e.At-c.deadline)/1000)
+			p.checker.report(1, e.At, "the call of phone %v is answered %d ms after its caller's time", c.key, (e.At-c.deadline)/1000)
 		}
 	}
 }
 
-// outlived judges a connection that ends, or is there at the end.
-func (p *phones) outlived(k phoneKey, s *phoneState, number uint32, at int64) {
-	since := max(s.onAt, s.conns[number], p.goneUntil(k, at))
-	if s.off || at-since < Outlives {
+// checkConnectionAge judges a connection that ends, or is there at the end.
+func (p *phoneChecker) checkConnectionAge(k phoneKey, s *phoneState, number uint32, at int64) {
+	since := max(s.onHookSince, s.connections[number], p.lastOutageEnd(k, at))
+	if s.offHook || at-since < MaxOnHookConnectionTime {
 		return
 	}
-	p.j.breach(ruleOutlives, at, "connection %d at phone %v is there %d s after its call was over", number, k, (at-since)/1_000_000)
+	p.checker.report(ruleStaleConnection, at, "connection %d at phone %v is there %d s after its call was over", number, k, (at-since)/1_000_000)
 }
 
-// goneUntil is when a gateway or its controller was gone last, up to an instant: from then on it has its time anew.
-func (p *phones) goneUntil(k phoneKey, at int64) (until int64) {
-	for _, s := range slices.Concat(p.down[[2]int{k.site, k.gateway}], p.j.stopped[k.site]) {
-		if s.from <= at {
-			until = max(until, min(s.to, at))
+// lastOutageEnd is when a gateway or its controller was gone last, up to an instant: from then on it has its time anew.
+func (p *phoneChecker) lastOutageEnd(k phoneKey, at int64) (until int64) {
+	for _, s := range slices.Concat(p.outages[[2]int{k.site, k.gateway}], p.checker.pauses[k.site]) {
+		if s.start <= at {
+			until = max(until, min(s.end, at))
 		}
 	}
-	for _, t := range p.j.killed[k.site] {
+	for _, t := range p.checker.kills[k.site] {
 		if t <= at {
 			until = max(until, t)
 		}
@@ -149,19 +149,19 @@
 	return until
 }
 
-// excused tells whether the gateway or its controller was gone in some part of a span.
-func (p *phones) excused(k phoneKey, from, to int64) bool {
-	for _, s := range p.down[[2]int{k.site, k.gateway}] {
-		if s.from <= to && s.to >= from {
+// hadOutage tells whether the gateway or its controller was gone in some part of a span.
+func (p *phoneChecker) hadOutage(k phoneKey, from, to int64) bool {
+	for _, s := range p.outages[[2]int{k.site, k.gateway}] {
+		if s.start <= to && s.end >= from {
 			return true
 		}
 	}
-	for _, s := range p.j.stopped[k.site] {
-		if s.from <= to && s.to >= from {
+	for _, s := range p.checker.pauses[k.site] {
+		if s.start <= to && s.end >= from {
 			return true
 		}
 	}
-	for _, at := range p.j.killed[k.site] {
+	for _, at := range p.checker.kills[k.site] {
 		if at >= from && at <= to {
 			return true
 		}
@@ -169,18 +169,18 @@
 	return false
 }
 
-// finish judges what is left at the end of the log.
-func (p *phones) finish(last int64) {
-	for _, ref := range p.order {
+// checkRemaining judges what is left at the end of the log.
+func (p *phoneChecker) checkRemaining(last int64) {
+	for _, ref := range p.callOrder {
 		c := p.calls[ref]
-		if c.taken == 0 || c.finals > 0 || c.swallowed >= swallowedMost || c.deadline+Margin > last || c.left != 0 && c.left < c.deadline-Margin || p.excused(c.key, c.at-Margin, c.deadline+Margin) {
+		if c.acknowledgedAt == 0 || c.outcomeCount > 0 || c.lostOutcomes >= minLostOutcomes || c.deadline+Margin > last || c.hungUpAt != 0 && c.hungUpAt < c.deadline-Margin || p.hadOutage(c.key, c.dialledAt-Margin, c.deadline+Margin) {
 			continue
 		}
-		p.j.breach(1, c.deadline, "the call of phone %v got no answer before its caller's time was up", c.key)
+		p.checker.report(1, c.deadline, "the call of phone %v got no answer before its caller's time was up", c.key)
 	}
-	for k, s := range p.state {
-		for number := range s.conns {
-			p.outlived(k, s, number, last)
+	for k, s := range p.phones {
+		for number := range s.connections {
+			p.checkConnectionAge(k, s, number, last)
 		}
 	}
 }
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestDamagedFrames(t *testing.T) { seeded.Damaged(t, corpus(t), 100000, checkReadFrame) }
+func TestDamagedFrames(t *testing.T) { seeded.ForEachMutation(t, corpus(t), 100000, checkReadFrame) }
 
 func FuzzReadFrame(f *testing.F) {
 	for _, b := range corpus(f) {
--- a/internal/control/answer_bench_test.go
+++ b/internal/control/answer_bench_test.go
@@ -126,8 +126,8 @@
 // startNetwork starts exchanges on loopback whose switches process messages in no time. It returns the address of the first
 // exchange's switch and the servers.
 func startNetwork(b *testing.B, n int, change func(i int, s *Config)) (string, []*Server) {
-	work := standin.Work{SetUp: time.Nanosecond, Finish: time.Nanosecond, RefuseAfter: time.Hour, ReportEvery: time.Second, Reuse: true,
-		ColdFrom: 1, Ramp: 1, FallMultiple: 1e9, FallWindow: time.Second}
+	work := standin.Processor{SetUpTime: time.Nanosecond, MessageTime: time.Nanosecond, MaxWait: time.Hour, ReportInterval: time.Second, WarmStart: true,
+		InitialCapacity: 1, RampTime: 1, OverloadMultiple: 1e9, OverloadWindow: time.Second}
 	log := audit.NewLog(discard{})
 	var switches []*standin.Switch
 	var addresses []string
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -520,19 +520,19 @@
 							if path == 1 {
 								to = exchange.LineNumber(0, line+phones)
 							}
-							scheduled = append(scheduled, &standin.PhoneCall{At: 2*time.Second + time.Duration(n)*40*time.Millisecond, Phone: n % phones, Digits: to,
-								Patience: 9 * time.Second, Holding: 50 * time.Millisecond})
+							scheduled = append(scheduled, &standin.PhoneCall{StartTime: 2*time.Second + time.Duration(n)*40*time.Millisecond, Phone: n % phones, Digits: to,
+								AbandonTime: 9 * time.Second, HoldingTime: 50 * time.Millisecond})
 						}
 						callsByPath[path] = scheduled
 					}
 					at, _ := netip.ParseAddrPort(agent)
-					g := standin.NewGateway(standin.Plant{Exchange: e, Number: path, Name: name, Phones: phones, Agents: []netip.AddrPort{at}, Digit: time.Millisecond,
-						PickUp: 20 * time.Millisecond, RestartWait: 100 * time.Millisecond, Disconnected: time.Second}, scheduled, uint64(path+1),
+					g := standin.NewGateway(standin.GatewayConfig{Exchange: e, Number: path, Name: name, PhoneCount: phones, CallAgents: []netip.AddrPort{at}, DigitInterval: time.Millisecond,
+						MeanAnswerDelay: 20 * time.Millisecond, MaxRestartDelay: 100 * time.Millisecond, DisconnectedDelay: time.Second}, scheduled, uint64(path+1),
 						func() (net.PacketConn, error) { return net.ListenPacket("udp", "127.0.0.1:0") }, log)
 					if err := g.Start(); err != nil {
 						b.Fatal(err)
 					}
-					g.Do(func(q *standin.Quirk) { q.Net.Lose = loss })
+					g.UpdateFaults(func(q *standin.GatewayFaults) { q.Network.LossRatio = loss })
 					fleet = append(fleet, g)
 				}
 			}
@@ -544,8 +544,8 @@
 			var at [2][]time.Duration
 			for path := range 2 {
 				for _, c := range callsByPath[path] {
-					if c.Stood > 0 {
-						at[path] = append(at[path], c.Stood)
+					if c.SetUpTime > 0 {
+						at[path] = append(at[path], c.SetUpTime)
 					}
 				}
 				if slices.Sort(at[path]); len(at[path]) < calls/4 {
--- a/internal/day/alone.go
+++ b/internal/day/alone.go
@@ -12,13 +12,13 @@
 	"indigodrift/internal/standin"
 )
 
-// Alone runs one stand-in of a day by itself until ctx ends: a switch, a register whose switches all look ready, or the
+// RunStandin runs one stand-in of a day by itself until ctx ends: a switch, a register whose switches all look ready, or the
 // subscribers of switches that run elsewhere.
-func Alone(ctx context.Context, s Script, part string, number int, switches string, listening func(address string)) error {
-	p := draw(s)
+func RunStandin(ctx context.Context, s Script, part string, number int, switches string, listening func(address string)) error {
+	p := newPlan(s)
 	log := audit.NewLog(io.Discard)
-	if number < 0 || number >= s.Exchanges {
-		return fmt.Errorf("exchange %d, but the day's are numbered below %d", number, s.Exchanges)
+	if number < 0 || number >= s.ExchangeCount {
+		return fmt.Errorf("exchange %d, but the day's are numbered below %d", number, s.ExchangeCount)
 	}
 	open := func() (net.Listener, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,7 +29,7 @@
 	}
 	switch part {
 	case "switch":
-		sw := standin.NewSwitch(number, p.work, s.Seed, log)
+		sw := standin.NewSwitch(number, p.processor, s.Seed, log)
 		if err := sw.Start(open); err != nil {
 			return err
 		}
@@ -37,8 +37,8 @@
 		<-ctx.Done()
 	case "register":
 		var all []*standin.Switch
-		for i := range s.Exchanges {
-			sw := standin.NewSwitch(i, p.work, s.Seed, log)
+		for i := range s.ExchangeCount {
+			sw := standin.NewSwitch(i, p.processor, s.Seed, log)
 			if err := sw.Start(func() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }); err != nil {
 				return err
 			}
@@ -49,21 +49,21 @@
 		if err != nil {
 			return fmt.Errorf("register: %w", err)
 		}
-		r := standin.NewRegister(all, p.sizes, s.ListLate, s.ListEvery, log)
+		r := standin.NewRegister(all, p.circuits, s.ListDelay, s.ListInterval, log)
 		r.Start(ln)
 		defer r.Stop()
 		<-ctx.Done()
 	case "subscribers":
 		at := strings.Split(switches, ",")
-		if len(at) != s.Exchanges {
-			return fmt.Errorf("%d addresses of switches, the day has %d exchanges", len(at), s.Exchanges)
+		if len(at) != s.ExchangeCount {
+			return fmt.Errorf("%d addresses of switches, the day has %d exchanges", len(at), s.ExchangeCount)
 		}
-		subs := standin.NewSubscribers(s.Exchanges, p.callers, s.Habits, s.Seed, func(e int) (net.Conn, error) {
+		subs := standin.NewSubscribers(s.ExchangeCount, p.callers, s.Subscribers, s.Seed, func(e int) (net.Conn, error) {
 			return net.DialTimeout("tcp", at[e], time.Second)
 		})
 		subs.Run(ctx.Done())
-		rep := count(s, p.callers)
-		fmt.Printf("offered %d, stood %d, refused %d, failed %d\n", rep.All.Offered, rep.All.Stood, rep.All.Refused, rep.All.Failed)
+		rep := countCallers(s, p.callers)
+		fmt.Printf("offered %d, stood %d, refused %d, failed %d\n", rep.Total.Offered, rep.Total.Established, rep.Total.Refused, rep.Total.Failed)
 	}
 	return nil
 }
--- a/internal/day/draw.go
+++ b/internal/day/draw.go
@@ -12,55 +12,55 @@
 
 // plan is what the seed makes of a script: who calls whom and when, and the circuits between any two.
 type plan struct {
-	share   [][]float64 // of all traffic, from one exchange to another
-	sizes   [][]int
-	callers []*standin.Caller
-	work    standin.Work
+	trafficShares [][]float64 // of all traffic, from one exchange to another
+	circuits      [][]int
+	callers       []*standin.Caller
+	processor     standin.Processor
 }
 
-// draw makes the plan. All calls are drawn ahead, whatever the exchanges will do.
-func draw(s Script) plan {
+// newPlan makes the plan. All calls are drawn ahead, whatever the exchanges will do.
+func newPlan(s Script) plan {
 	chance := rand.New(rand.NewPCG(s.Seed, 0xd1))
-	n := s.Exchanges
-	p := plan{share: square[float64](n), sizes: square[int](n), work: s.Work}
+	n := s.ExchangeCount
+	p := plan{trafficShares: newMatrix[float64](n), circuits: newMatrix[int](n), processor: s.Processor}
 	sum := 0.0
 	for a := range n {
 		for b := range n {
 			if a != b {
-				p.share[a][b] = math.Exp(s.Uneven * chance.NormFloat64())
-				sum += p.share[a][b]
+				p.trafficShares[a][b] = math.Exp(s.TrafficDeviation * chance.NormFloat64())
+				sum += p.trafficShares[a][b]
 			}
 		}
 	}
 	holding, weight := 0.0, 0.0
 	for _, t := range s.Bearers {
-		holding += t.Share * float64(t.Width) * t.Holding.Seconds()
+		holding += t.Share * float64(t.Width) * t.HoldingTime.Seconds()
 		weight += t.Share
 	}
 	holding /= weight
 	for a := range n {
 		for b := range n {
-			p.share[a][b] /= sum
+			p.trafficShares[a][b] /= sum
 		}
 	}
 	g := s.Gateways // phones call each other evenly, and some of them are calls within an exchange
-	phones := g.Rate * (1 - g.Near) * (g.Holding + g.PickUp).Seconds() / float64(n*n)
+	phones := g.CallRate * (1 - g.LocalShare) * (g.HoldingTime + g.MeanAnswerDelay).Seconds() / float64(n*n)
 	for a := range n {
 		for b := range a {
-			erlangs := 2*phones + (p.share[a][b]+p.share[b][a])*s.Rate*holding
-			size := min(circuit.MaxCircuits, max(1, int(math.Round(erlangs*(1+s.Spare)))))
-			p.sizes[a][b], p.sizes[b][a] = size, size
+			erlangs := 2*phones + (p.trafficShares[a][b]+p.trafficShares[b][a])*s.CallRate*holding
+			size := min(circuit.MaxCircuits, max(1, int(math.Round(erlangs*(1+s.SpareCircuits)))))
+			p.circuits[a][b], p.circuits[b][a] = size, size
 		}
 	}
 	// A call takes two set-ups and about eight answers and releases of an eighth of that work, three of its units in all.
-	perExchange := (s.Rate + g.Rate) / float64(n)
-	p.work.SetUp = time.Duration(s.ProcessorAt / (3 * perExchange) * float64(time.Second))
-	p.work.Finish = p.work.SetUp / 8
-	p.callers = drawCallers(s, p.share, weight, chance)
+	perExchange := (s.CallRate + g.CallRate) / float64(n)
+	p.processor.SetUpTime = time.Duration(s.ProcessorLoad / (3 * perExchange) * float64(time.Second))
+	p.processor.MessageTime = p.processor.SetUpTime / 8
+	p.callers = drawCallers(s, p.trafficShares, weight, chance)
 	return p
 }
 
-func square[T any](n int) [][]T {
+func newMatrix[T any](n int) [][]T {
 	all := make([][]T, n)
 	for i := range all {
 		all[i] = make([]T, n)
@@ -70,9 +70,9 @@
 
 // surge is a time in which more calls are offered than usual.
 type surge struct {
-	from, to time.Duration
-	times    float64
-	hot      map[int]bool // exchanges whose callers they are, nil all
+	start, end time.Duration
+	factor     float64
+	exchanges  map[int]bool // exchanges whose callers they are, nil all
 }
 
 func drawCallers(s Script, share [][]float64, weight float64, chance *rand.Rand) []*standin.Caller {
@@ -80,18 +80,18 @@
 	for _, t := range s.Troubles {
 		switch t.Kind {
 		case "load_jump":
-			surges = append(surges, surge{t.Start, t.Start + t.Length, t.Size, nil})
+			surges = append(surges, surge{t.Start, t.Start + t.Duration, t.Size, nil})
 		case "hot_caller":
 			hot := map[int]bool{}
-			for _, e := range pick(s.Exchanges, t.Part, chance) {
+			for _, e := range pickIndices(s.ExchangeCount, t.Fraction, chance) {
 				hot[e] = true
 			}
-			surges = append(surges, surge{t.Start, t.Start + t.Length, t.Size, hot})
+			surges = append(surges, surge{t.Start, t.Start + t.Duration, t.Size, hot})
 		}
 	}
 	most := 1.0 // arrivals are drawn at the greatest rate and thinned to the present one
 	for _, g := range surges {
-		most *= max(1, g.times)
+		most *= max(1, g.factor)
 	}
 	var all []*standin.Caller
 	cumulated := make([]float64, 0, len(share)*len(share))
@@ -103,16 +103,16 @@
 		}
 	}
 	for at := time.Duration(0); ; {
-		at += time.Duration(chance.ExpFloat64() / (s.Rate * s.Load * most) * float64(time.Second))
-		if at > s.Length {
+		at += time.Duration(chance.ExpFloat64() / (s.CallRate * s.LoadFactor * most) * float64(time.Second))
+		if at > s.Duration {
 			return all
 		}
 		pair := min(sort.SearchFloat64s(cumulated, chance.Float64()*total), len(cumulated)-1)
 		from := pair / len(share)
 		now := 1.0
 		for _, g := range surges {
-			if at >= g.from && at < g.to && (g.hot == nil || g.hot[from]) {
-				now *= g.times
+			if at >= g.start && at < g.end && (g.exchanges == nil || g.exchanges[from]) {
+				now *= g.factor
 			}
 		}
 		if chance.Float64()*most > now {
@@ -124,13 +124,13 @@
 			kind++
 		}
 		t := s.Bearers[kind]
-		all = append(all, &standin.Caller{At: at, From: from, Dest: pair % len(share), Bearer: kind, Width: t.Width,
-			Holding: time.Duration(chance.ExpFloat64() * float64(t.Holding)), Abandon: span(s.Deployment.Bearers[kind].AbandonTime)})
+		all = append(all, &standin.Caller{StartTime: at, From: from, Dest: pair % len(share), Bearer: kind, Width: t.Width,
+			HoldingTime: time.Duration(chance.ExpFloat64() * float64(t.HoldingTime)), AbandonTime: duration(s.Deployment.Bearers[kind].AbandonTime)})
 	}
 }
 
-// pick draws a part of the exchanges, at least one.
-func pick(n int, part float64, chance *rand.Rand) []int {
+// pickIndices draws a part of the exchanges, at least one.
+func pickIndices(n int, part float64, chance *rand.Rand) []int {
 	all := chance.Perm(n)[:max(1, min(n, int(math.Round(part*float64(n)))))]
 	sort.Ints(all)
 	return all
--- a/internal/day/hunt_test.go
+++ b/internal/day/hunt_test.go
@@ -8,50 +8,50 @@
 	"time"
 )
 
-var hunted = flag.Int("hunt", 12, "days drawn at random")
+var randomDays = flag.Int("hunt", 12, "days drawn at random")
 
-var keep = flag.String("keep", "", "folder for the audit's log")
+var keepDir = flag.String("keep", "", "folder for the audit's log")
 
 // Days drawn at random, several troubles at once in ways on no list: the rules hold on each.
 func TestRulesHoldOnDaysDrawnAtRandom(t *testing.T) {
 	usable := []string{}
-	for _, k := range Kinds() {
+	for _, k := range TroubleKinds() {
 		if k != "portability" && k != "tables_change" && k != "gateways" {
 			usable = append(usable, k)
 		}
 	}
-	for seed := range *hunted {
+	for seed := range *randomDays {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			chance := rand.New(rand.NewPCG(uint64(seed), 0xda))
 			var told []string
-			rep := virtual(t, "quiet.hcl", func(s *Script) {
-				s.Seed, s.Length, s.Exchanges = uint64(seed), 16*time.Second, 3+chance.IntN(4)
-				s.Load = 0.6 + 0.6*chance.Float64()
+			rep := runVirtual(t, "quiet.hcl", func(s *Script) {
+				s.Seed, s.Duration, s.ExchangeCount = uint64(seed), 16*time.Second, 3+chance.IntN(4)
+				s.LoadFactor = 0.6 + 0.6*chance.Float64()
 				for range 3 + chance.IntN(5) {
 					tr := drawTrouble(chance, usable[chance.IntN(len(usable))])
 					s.Troubles = append(s.Troubles, tr)
 					told = append(told, fmt.Sprintf("%v at %v", tr, tr.Start))
 				}
 			})
-			if len(rep.Breaches) > 0 {
-				t.Errorf("%d breaches; %q", len(rep.Breaches), told)
+			if len(rep.Violations) > 0 {
+				t.Errorf("%d breaches; %q", len(rep.Violations), told)
 			}
-			rulesHold(t, rep, 0)
+			requireRulesHold(t, rep, 0)
 		})
 	}
 }
 
 // drawTrouble draws one trouble of a kind within the first seconds of a day.
 func drawTrouble(chance *rand.Rand, k string) Trouble {
-	of := kinds[k]
-	size := of.least + (min(of.most, of.least+3)-of.least)*chance.Float64()
-	tr := Trouble{Kind: k, Start: time.Duration(chance.Int64N(int64(12 * time.Second))), Part: chance.Float64(), Size: size,
-		Length: time.Duration(chance.Int64N(int64(8 * time.Second))), Every: time.Second + time.Duration(chance.Int64N(int64(3*time.Second)))}
+	of := troubleKinds[k]
+	size := of.minSize + (min(of.maxSize, of.minSize+3)-of.minSize)*chance.Float64()
+	tr := Trouble{Kind: k, Start: time.Duration(chance.Int64N(int64(12 * time.Second))), Fraction: chance.Float64(), Size: size,
+		Duration: time.Duration(chance.Int64N(int64(8 * time.Second))), Interval: time.Second + time.Duration(chance.Int64N(int64(3*time.Second)))}
 	if len(of.how) > 0 {
 		tr.How = of.how[chance.IntN(len(of.how))]
 	}
 	if k == "controllers_stall" {
-		tr.Size = min(tr.Size, 0.9*tr.Every.Seconds())
+		tr.Size = min(tr.Size, 0.9*tr.Interval.Seconds())
 	}
 	return tr
 }
@@ -59,13 +59,13 @@
 // The same with phones at gateways: mixtures of what goes wrong with them, their users, their network, and all else.
 func TestRulesHoldForPhonesOnDaysDrawnAtRandom(t *testing.T) {
 	others := []string{"controllers_kill", "controllers_stall", "controllers_roll", "hung", "links_reset", "mass_restart", "slow", "drain", "answers_lost", "half_open"}
-	for seed := range *hunted / 2 {
+	for seed := range *randomDays / 2 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			chance := rand.New(rand.NewPCG(uint64(seed), 0x9a))
 			var told []string
-			rep := virtual(t, "mgcp.hcl", func(s *Script) {
-				s.Seed, s.Length, s.Exchanges, s.Troubles = uint64(seed), 25*time.Second, 2+chance.IntN(3), nil
-				s.Gateways.Rate, s.Gateways.Each = 30, 2
+			rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
+				s.Seed, s.Duration, s.ExchangeCount, s.Troubles = uint64(seed), 25*time.Second, 2+chance.IntN(3), nil
+				s.Gateways.CallRate, s.Gateways.PerExchange = 30, 2
 				for range 2 + chance.IntN(5) {
 					tr := drawTrouble(chance, "gateways")
 					if tr.Size = chance.Float64(); tr.How == "loss" || tr.How == "truncated" {
@@ -80,10 +80,10 @@
 					told = append(told, fmt.Sprintf("%v at %v", tr, tr.Start))
 				}
 			})
-			if len(rep.Breaches) > 0 {
-				t.Errorf("%d breaches; %q", len(rep.Breaches), told)
+			if len(rep.Violations) > 0 {
+				t.Errorf("%d breaches; %q", len(rep.Violations), told)
 			}
-			rulesHold(t, rep, 0)
+			requireRulesHold(t, rep, 0)
 		})
 	}
 }
--- a/internal/day/plant.go
+++ b/internal/day/plant.go
@@ -8,54 +8,54 @@
 	"indigodrift/policy"
 )
 
-// Plants are the breaks that a day can plant, one for each rule.
-var Plants = []string{"answer", "copy", "drain", "cold", "release"}
+// PlantedFaults are the breaks that a day can plant, one for each rule.
+var PlantedFaults = []string{"answer", "copy", "drain", "cold", "release"}
 
-// Wrong is a controller that breaks a rule on its sockets: the audit must find it.
-type Wrong struct {
-	kind  string
-	done  bool
-	burst int // neighbour to be flooded, -1 none
-	near  []exchange.Neighbour
+// FaultyController is a controller that breaks a rule on its sockets: the audit must find it.
+type FaultyController struct {
+	kind        string
+	planted     bool
+	floodTarget int // neighbour to be flooded, -1 none
+	neighbours  []exchange.Neighbour
 }
 
-// NewWrong makes what breaks one rule.
-func NewWrong(kind string, near []exchange.Neighbour) (*Wrong, error) {
-	for _, k := range Plants {
+// NewFaultyController makes what breaks one rule.
+func NewFaultyController(kind string, near []exchange.Neighbour) (*FaultyController, error) {
+	for _, k := range PlantedFaults {
 		if k == kind {
-			return &Wrong{kind: kind, burst: -1, near: near}, nil
+			return &FaultyController{kind: kind, floodTarget: -1, neighbours: near}, nil
 		}
 	}
-	return nil, fmt.Errorf("no break %q can be planted; there are %v", kind, Plants)
+	return nil, fmt.Errorf("no break %q can be planted; there are %v", kind, PlantedFaults)
 }
 
-// Deciding wraps the way a decider is built, so that it forgets a rule.
-func (w *Wrong) Deciding(build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
+// WrapDecider wraps the way a decider is built, so that it forgets a rule.
+func (w *FaultyController) WrapDecider(build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
 	return func(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
 		if w.kind == "release" {
 			d.ReleaseTime = 0
 		}
-		return &deaf{Decider: build(d, out, now), w: w}
+		return &faultyDecider{Decider: build(d, out, now), controller: w}
 	}
 }
 
-// deaf is a decider that does not hear what the list says of drains, or notes which switch is cold.
-type deaf struct {
+// faultyDecider is a decider that does not hear what the list says of drains, or notes which switch is cold.
+type faultyDecider struct {
 	exchange.Decider
-	w *Wrong
+	controller *FaultyController
 }
 
 // ListReceived passes the list on as the planted break wants it.
-func (d *deaf) ListReceived(now policy.Tenths, whole bool, list []policy.Switch) {
+func (d *faultyDecider) ListReceived(now policy.Tenths, whole bool, list []policy.Switch) {
 	told := append([]policy.Switch{}, list...)
 	for i := range told {
-		if d.w.kind == "drain" {
+		if d.controller.kind == "drain" {
 			told[i].Ready = true
 		}
-		if d.w.kind == "cold" && told[i].Ready && now-told[i].BootAt < 20000 && now > 20000 {
-			for j, n := range d.w.near {
-				if n.Number == told[i].Number && !d.w.done {
-					d.w.burst = j
+		if d.controller.kind == "cold" && told[i].Ready && now-told[i].BootAt < 20000 && now > 20000 {
+			for j, n := range d.controller.neighbours {
+				if n.Number == told[i].Number && !d.controller.planted {
+					d.controller.floodTarget = j
 				}
 			}
 		}
@@ -63,22 +63,22 @@
 	d.Decider.ListReceived(now, whole, told)
 }
 
-// Sent is what becomes of a message that the controller sends.
-func (w *Wrong) Sent(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message)) {
+// InterceptSend is what becomes of a message that the controller sends.
+func (w *FaultyController) InterceptSend(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message)) {
 	send(to, m)
 	switch {
-	case w.kind == "answer" && !w.done && to.Side == exchange.Line && to.Point < exchange.FirstCalledPoint && m.Type == isup.REL:
-		w.done = true
+	case w.kind == "answer" && !w.planted && to.Side == exchange.Line && to.Point < exchange.FirstCalledPoint && m.Type == isup.REL:
+		w.planted = true
 		send(to, m)
-	case w.kind == "copy" && !w.done && to.Side == exchange.Succeeding && m.Type == isup.IAM && len(w.near) > 1:
-		w.done = true
-		to.Peer = (to.Peer + 1) % len(w.near)
+	case w.kind == "copy" && !w.planted && to.Side == exchange.Succeeding && m.Type == isup.IAM && len(w.neighbours) > 1:
+		w.planted = true
+		to.Peer = (to.Peer + 1) % len(w.neighbours)
 		send(to, m)
-	case w.kind == "cold" && w.burst >= 0:
-		to := exchange.Hop{Side: exchange.Succeeding, Peer: w.burst}
-		w.burst, w.done = -1, true
+	case w.kind == "cold" && w.floodTarget >= 0:
+		to := exchange.Hop{Side: exchange.Succeeding, Peer: w.floodTarget}
+		w.floodTarget, w.planted = -1, true
 		for i := range uint32(600) {
-			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(w.near[to.Peer].Number, i), HopCounter: 1,
+			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(w.neighbours[to.Peer].Number, i), HopCounter: 1,
 				Ref: isup.Reference{Point: 999, Identity: i + 1}, UserInfo: isup.UserInfo{Present: isup.PartCall}})
 		}
 	}
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -19,8 +19,8 @@
 
 // OnLoopback has a day's controllers run as processes of a program, and everybody talk over loopback TCP.
 func OnLoopback(program string, o Options) Options {
-	o.Launch = func(e int, siteFile, routing, plant string) (Program, error) {
-		return start(program, e, siteFile, routing, plant)
+	o.Launch = func(e int, siteFile, routing, plant string) (Process, error) {
+		return startProcess(program, e, siteFile, routing, plant)
 	}
 	o.Listen = func(address string) (net.Listener, error) {
 		if address == "" {
@@ -28,19 +28,19 @@
 		}
 		return net.Listen("tcp", address)
 	}
-	o.Packets = func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }
+	o.ListenPacket = func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }
 	o.Dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }
 	return o
 }
 
-// process is a controller as a process of its own.
-type process struct {
-	cmd         *exec.Cmd
-	control     string
-	ready, done chan struct{}
+// controllerProcess is a controller as a process of its own.
+type controllerProcess struct {
+	cmd            *exec.Cmd
+	controlAddress string
+	ready, done    chan struct{}
 }
 
-func start(program string, e int, siteFile, routing, plant string) (Program, error) {
+func startProcess(program string, e int, siteFile, routing, plant string) (Process, error) {
 	out, err := os.OpenFile(filepath.Join(filepath.Dir(siteFile), fmt.Sprintf("controller-%d.log", e)),
 		os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{control: s.ControlAddress, cmd: exec.Command(program, args...), ready: make(chan struct{}), done: make(chan struct{})}
+	p := &controllerProcess{controlAddress: s.ControlAddress, cmd: exec.Command(program, args...), ready: make(chan struct{}), done: make(chan struct{})}
 	p.cmd.Stderr = out
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing outlives the day, however it ends
 	pipe, err := p.cmd.StdoutPipe()
@@ -80,26 +80,26 @@
 }
 
 // Ready closes when the exchange is in service, Done when the process has ended.
-func (p *process) Ready() <-chan struct{} { return p.ready }
-func (p *process) Done() <-chan struct{}  { return p.done }
+func (p *controllerProcess) Ready() <-chan struct{} { return p.ready }
+func (p *controllerProcess) Done() <-chan struct{}  { return p.done }
 
-// Kill, Drain, Stop and GoOn send the signal that does so.
-func (p *process) Kill()  { p.cmd.Process.Signal(syscall.SIGKILL) }
-func (p *process) Drain() { p.cmd.Process.Signal(syscall.SIGTERM) }
-func (p *process) Stop()  { p.cmd.Process.Signal(syscall.SIGSTOP) }
-func (p *process) GoOn()  { p.cmd.Process.Signal(syscall.SIGCONT) }
+// Kill, Drain, Stop and Resume send the signal that does so.
+func (p *controllerProcess) Kill()   { p.cmd.Process.Signal(syscall.SIGKILL) }
+func (p *controllerProcess) Drain()  { p.cmd.Process.Signal(syscall.SIGTERM) }
+func (p *controllerProcess) Pause()  { p.cmd.Process.Signal(syscall.SIGSTOP) }
+func (p *controllerProcess) Resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
 
 // Load has the process take a table.
-func (p *process) Load(table string) error {
-	r, err := control.SendCommand(p.control, control.Command{Name: "load", File: table})
+func (p *controllerProcess) Load(table string) error {
+	r, err := control.SendCommand(p.controlAddress, control.Command{Name: "load", File: table})
 	if err == nil && r.Error != "" {
 		err = errors.New(r.Error)
 	}
 	return err
 }
 
-// Used is what the process took.
-func (p *process) Used() (time.Duration, int64) {
+// ResourceUse is what the process took.
+func (p *controllerProcess) ResourceUse() (time.Duration, int64) {
 	kilobytes := int64(0)
 	if u, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
 		kilobytes = u.Maxrss
--- a/internal/day/sitefile.go
+++ b/internal/day/sitefile.go
@@ -11,39 +11,39 @@
 )
 
 // siteFile writes the settings of one exchange of the day.
-func (r *run) siteFile(e int) []byte {
+func (r *runner) siteFile(e int) []byte {
 	f := hclwrite.NewEmptyFile()
 	b := f.Body()
 	text := func(b *hclwrite.Body, name, v string) { b.SetAttributeValue(name, cty.StringVal(v)) }
 	whole := func(b *hclwrite.Body, name string, v int) { b.SetAttributeValue(name, cty.NumberIntVal(int64(v))) }
 	number := func(b *hclwrite.Body, name string, v float64) { b.SetAttributeValue(name, cty.NumberFloatVal(v)) }
-	during := func(b *hclwrite.Body, name string, v policy.Tenths) { text(b, name, span(v).String()) }
+	during := func(b *hclwrite.Body, name string, v policy.Tenths) { text(b, name, duration(v).String()) }
 	d := r.script.Deployment
 	whole(b, "exchange", e)
-	whole(b, "exchanges", r.script.Exchanges)
+	whole(b, "exchanges", r.script.ExchangeCount)
 	whole(b, "seed", int(r.script.Seed)*1000+e)
-	text(b, "own_switch", r.addresses[e])
-	text(b, "register", r.registerAt)
+	text(b, "own_switch", r.switchAddresses[e])
+	text(b, "register", r.registerAddress)
 	whole(b, "tries", d.MaxTries)
 	during(b, "release_time", d.ReleaseTime)
 	during(b, "come_back_most", d.MaxRetryAfter)
 	during(b, "drain_grace", d.DrainGrace)
 	b.SetAttributeValue("cancels", cty.BoolVal(d.CancelsAllowed))
-	if r.script.Ledger {
+	if r.script.UseLedger {
 		text(b, "ledger", filepath.Join(r.dir, fmt.Sprintf("ledger-%d", e)))
 	}
-	if r.script.Tables {
-		text(b, "control", r.controls[e])
+	if r.script.UseTables {
+		text(b, "control", r.controlAddresses[e])
 		n := b.AppendNewBlock("numbers", nil).Body()
 		text(n, "store", filepath.Join(r.dir, fmt.Sprintf("tables-%d", e)))
 		text(n, "table", r.tableFile(1))
-		if r.ported != nil {
+		if r.portability != nil {
 			p := n.AppendNewBlock("portability", nil).Body()
-			p.SetAttributeValue("servers", cty.ListVal([]cty.Value{cty.StringVal(r.ported.At), cty.StringVal(r.ported.At)}))
+			p.SetAttributeValue("servers", cty.ListVal([]cty.Value{cty.StringVal(r.portability.Address), cty.StringVal(r.portability.Address)}))
 			text(p, "zone", enumZone)
 		}
 	}
-	r.gatewaysOf(e, b)
+	r.writeGateways(e, b)
 	cold := b.AppendNewBlock("cold", nil).Body()
 	number(cold, "from", d.InitialCapacity)
 	during(cold, "ramp", d.RampTime)
@@ -56,11 +56,11 @@
 		during(n, "gos_target", t.GoSTarget)
 		during(n, "abandon", t.AbandonTime)
 	}
-	for j, address := range r.addresses {
+	for j, address := range r.switchAddresses {
 		if j != e {
 			n := b.AppendNewBlock("neighbour", []string{fmt.Sprintf("exchange-%d", j)}).Body()
 			whole(n, "exchange", j)
-			whole(n, "circuits", r.plan.sizes[e][j])
+			whole(n, "circuits", r.plan.circuits[e][j])
 			text(n, "address", address)
 		}
 	}
--- a/internal/enum/enum_test.go
+++ b/internal/enum/enum_test.go
@@ -13,12 +13,12 @@
 )
 
 func TestQuery(t *testing.T) {
-	server, err := standin.NewPorted(map[string]string{DomainName("37129000001", "e164.test."): "37167000000"})
+	server, err := standin.NewPortabilityServer(map[string]string{DomainName("37129000001", "e164.test."): "37167000000"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer server.Stop()
-	client := &Client{Servers: [2]string{server.At, server.At}, Zone: "e164.test.", Timeout: 300 * time.Millisecond}
+	client := &Client{Servers: [2]string{server.Address, server.Address}, Zone: "e164.test.", Timeout: 300 * time.Millisecond}
 	for _, c := range []struct {
 		fault, number string
 		port          numbers.Porting
@@ -29,7 +29,7 @@
 		{"wrong", "37129000001", numbers.Porting{}, false, false}, {"contradictory", "37129000001", numbers.Porting{}, false, false},
 		{"other", "37129000001", numbers.Porting{}, false, false},
 	} {
-		server.Set(c.fault, 0)
+		server.SetFault(c.fault, 0)
 		answer, err := client.Query(context.Background(), 0, c.number)
 		if (err == nil) != c.valid || answer.Porting != c.port || answer.Known != c.known {
 			t.Errorf("%s %s: %+v, %v", c.fault, c.number, answer, err)
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestDamagedMessages(t *testing.T) { seeded.Damaged(t, corpus(), 200000, checkRoundTrip) }
+func TestDamagedMessages(t *testing.T) { seeded.ForEachMutation(t, corpus(), 200000, checkRoundTrip) }
 
 func FuzzDecode(f *testing.F) {
 	for _, b := range corpus() {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -121,9 +121,9 @@
 			l.Put(recovery.StoredCall{ID: 1})
 			time.Sleep(time.Second)
 			if fault == "full" {
-				disk.Fail(errors.New("no space left on device"))
+				disk.SetFailure(errors.New("no space left on device"))
 			} else {
-				disk.Slow(func() { time.Sleep(2 * time.Second) })
+				disk.OnSync(func() { time.Sleep(2 * time.Second) })
 			}
 			start := time.Now()
 			for id := range uint32(1000) {
@@ -142,8 +142,8 @@
 			if c := ledger.Read(disk.Get("l")); c.UnreadReason != "" || len(c.Calls) == 0 {
 				t.Errorf("%s: the file reads as %+v while the disk fails", fault, c)
 			}
-			disk.Fail(nil)
-			disk.Slow(nil)
+			disk.SetFailure(nil)
+			disk.OnSync(nil)
 			time.Sleep(20 * time.Second)
 			l.Close()
 			c := ledger.Read(disk.Get("l"))
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestDamagedFiles(t *testing.T) { seeded.Damaged(t, corpus, 100000, checkOctetCount) }
+func TestDamagedFiles(t *testing.T) { seeded.ForEachMutation(t, corpus, 100000, checkOctetCount) }
 
 func FuzzRead(f *testing.F) {
 	for _, b := range corpus {
--- a/internal/m3ua/m3ua_test.go
+++ b/internal/m3ua/m3ua_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestDamagedFrames(t *testing.T) { seeded.Damaged(t, corpus(), 200000, checkSize) }
+func TestDamagedFrames(t *testing.T) { seeded.ForEachMutation(t, corpus(), 200000, checkSize) }
 
 func FuzzRead(f *testing.F) {
 	for _, b := range corpus() {
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -14,22 +14,22 @@
 )
 
 // New makes a network without doors.
-func New() *Net { return &Net{doors: map[string]*door{}} }
+func New() *Net { return &Net{listeners: map[string]*listener{}} }
 
 // Net is one network.
 type Net struct {
-	mu      sync.Mutex
-	doors   map[string]*door
-	sockets map[netip.AddrPort]*Packet
-	number  int
+	mu        sync.Mutex
+	listeners map[string]*listener
+	sockets   map[netip.AddrPort]*PacketConn
+	lastPort  int
 }
 
-type door struct {
-	m    *Net
-	name string
-	in   chan net.Conn
-	shut chan struct{}
-	once sync.Once
+type listener struct {
+	network  *Net
+	name     string
+	incoming chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
 type address string
@@ -37,21 +37,21 @@
 func (a address) Network() string { return "memory" }
 func (a address) String() string  { return string(a) }
 
-func (d *door) Accept() (net.Conn, error) {
+func (d *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-d.in:
+	case c := <-d.incoming:
 		return c, nil
-	case <-d.shut:
+	case <-d.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (d *door) Addr() net.Addr { return address(d.name) }
-func (d *door) Close() error {
+func (d *listener) Addr() net.Addr { return address(d.name) }
+func (d *listener) Close() error {
 	d.once.Do(func() {
-		d.m.mu.Lock()
-		delete(d.m.doors, d.name)
-		d.m.mu.Unlock()
-		close(d.shut)
+		d.network.mu.Lock()
+		delete(d.network.listeners, d.name)
+		d.network.mu.Unlock()
+		close(d.closed)
 	})
 	return nil
 }
@@ -61,53 +61,53 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if name == "" {
-		m.number++
-		name = fmt.Sprintf("127.0.0.1:%d", m.number)
+		m.lastPort++
+		name = fmt.Sprintf("127.0.0.1:%d", m.lastPort)
 	}
-	if m.doors[name] != nil {
+	if m.listeners[name] != nil {
 		return nil, errors.New("address in use")
 	}
-	m.doors[name] = &door{m: m, name: name, in: make(chan net.Conn), shut: make(chan struct{})}
-	return m.doors[name], nil
+	m.listeners[name] = &listener{network: m, name: name, incoming: make(chan net.Conn), closed: make(chan struct{})}
+	return m.listeners[name], nil
 }
 
 // Dial connects to a door; it fails at once where there is none.
 func (m *Net) Dial(name string) (net.Conn, error) {
 	m.mu.Lock()
-	d := m.doors[name]
+	d := m.listeners[name]
 	m.mu.Unlock()
 	if d == nil {
 		return nil, errors.New("connection refused")
 	}
-	here, there := buffered()
+	here, there := connectedPair()
 	select {
-	case d.in <- there:
+	case d.incoming <- there:
 		return here, nil
-	case <-d.shut:
+	case <-d.closed:
 		return nil, errors.New("connection refused")
 	}
 }
 
-// buffered is a connection in memory whose writes do not wait for a reader, as a socket's do not.
-func buffered() (net.Conn, net.Conn) {
+// connectedPair is a connection in memory whose writes do not wait for a reader, as a socket's do not.
+func connectedPair() (net.Conn, net.Conn) {
 	a, b := newPipe(), newPipe()
 	return &Conn{in: a, out: b}, &Conn{in: b, out: a}
 }
 
 type pipe struct {
-	mu     sync.Mutex
-	buf    []byte
-	closed bool
-	late   bool // the deadline of its reader has passed
-	timer  *time.Timer
-	news   chan struct{}
+	mu             sync.Mutex
+	buf            []byte
+	closed         bool
+	deadlinePassed bool // the deadline of its reader has passed
+	timer          *time.Timer
+	changed        chan struct{}
 }
 
-func newPipe() *pipe { return &pipe{news: make(chan struct{}, 1)} }
+func newPipe() *pipe { return &pipe{changed: make(chan struct{}, 1)} }
 
-func (p *pipe) tell() {
+func (p *pipe) signal() {
 	select {
-	case p.news <- struct{}{}:
+	case p.changed <- struct{}{}:
 	default:
 	}
 }
@@ -121,14 +121,14 @@
 func (e *Conn) Read(b []byte) (int, error) {
 	for {
 		if e.Gate != nil {
-			e.Gate.Pass()
+			e.Gate.Wait()
 		}
 		e.in.mu.Lock()
 		n := copy(b, e.in.buf)
 		e.in.buf = e.in.buf[n:]
-		closed, late := e.in.closed, e.in.late
+		closed, late := e.in.closed, e.in.deadlinePassed
 		if closed || late {
-			e.in.tell()
+			e.in.signal()
 		}
 		e.in.mu.Unlock()
 		if late {
@@ -140,13 +140,13 @@
 		if closed {
 			return 0, io.EOF
 		}
-		<-e.in.news
+		<-e.in.changed
 	}
 }
 
 func (e *Conn) Write(b []byte) (int, error) {
 	if e.Gate != nil {
-		e.Gate.Pass()
+		e.Gate.Wait()
 	}
 	e.out.mu.Lock()
 	defer e.out.mu.Unlock()
@@ -154,7 +154,7 @@
 		return 0, io.ErrClosedPipe
 	}
 	e.out.buf = append(e.out.buf, b...)
-	e.out.tell()
+	e.out.signal()
 	return len(b), nil
 }
 
@@ -162,7 +162,7 @@
 	for _, p := range []*pipe{e.in, e.out} {
 		p.mu.Lock()
 		p.closed = true
-		p.tell()
+		p.signal()
 		p.mu.Unlock()
 	}
 	return nil
@@ -176,7 +176,7 @@
 	e.out.mu.Lock()
 	defer e.out.mu.Unlock()
 	e.out.closed = true
-	e.out.tell()
+	e.out.signal()
 	return nil
 }
 
@@ -184,15 +184,15 @@
 func (e *Conn) SetReadDeadline(at time.Time) error {
 	e.in.mu.Lock()
 	defer e.in.mu.Unlock()
-	if e.in.late = false; e.in.timer != nil {
+	if e.in.deadlinePassed = false; e.in.timer != nil {
 		e.in.timer.Stop()
 	}
 	if !at.IsZero() {
 		e.in.timer = time.AfterFunc(time.Until(at), func() {
 			e.in.mu.Lock()
 			defer e.in.mu.Unlock()
-			e.in.late = true
-			e.in.tell()
+			e.in.deadlinePassed = true
+			e.in.signal()
 		})
 	}
 	return nil
@@ -201,28 +201,28 @@
 
 // Gate holds up everything that passes it while it is shut, as SIGSTOP does a process.
 type Gate struct {
-	mu   sync.Mutex
-	shut chan struct{} // nil while open
+	mu     sync.Mutex
+	closed chan struct{} // nil while open
 }
 
-// Pass waits while the gate is shut.
-func (g *Gate) Pass() {
+// Wait waits while the gate is shut.
+func (g *Gate) Wait() {
 	g.mu.Lock()
-	shut := g.shut
+	shut := g.closed
 	g.mu.Unlock()
 	if shut != nil {
 		<-shut
 	}
 }
 
-// Shut closes the gate; false when it was shut already.
-func (g *Gate) Shut() bool {
+// Close closes the gate; false when it was shut already.
+func (g *Gate) Close() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut != nil {
+	if g.closed != nil {
 		return false
 	}
-	g.shut = make(chan struct{})
+	g.closed = make(chan struct{})
 	return true
 }
 
@@ -230,8 +230,8 @@
 func (g *Gate) Open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut != nil {
-		close(g.shut)
-		g.shut = nil
+	if g.closed != nil {
+		close(g.closed)
+		g.closed = nil
 	}
 }
--- a/internal/memnet/packet.go
+++ b/internal/memnet/packet.go
@@ -9,21 +9,21 @@
 )
 
 // packets that may lie unread at a socket; what comes beyond is lost, as at a real one.
-const unreadMost = 4096
+const maxUnreadDatagrams = 4096
 
 type datagram struct {
-	b    []byte
+	data []byte
 	from net.Addr
 }
 
-// Packet is a datagram socket of a network in memory.
-type Packet struct {
-	m    *Net
-	at   *net.UDPAddr
-	in   chan datagram
-	shut chan struct{}
-	once sync.Once
-	Gate *Gate // if set, nothing passes while it is shut
+// PacketConn is a datagram socket of a network in memory.
+type PacketConn struct {
+	network  *Net
+	address  *net.UDPAddr
+	incoming chan datagram
+	closed   chan struct{}
+	once     sync.Once
+	Gate     *Gate // if set, nothing passes while it is shut
 }
 
 // ListenPacket opens a datagram socket; port 0 has one chosen.
@@ -35,43 +35,43 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.sockets == nil {
-		m.sockets = map[netip.AddrPort]*Packet{}
+		m.sockets = map[netip.AddrPort]*PacketConn{}
 	}
 	for at.Port() == 0 || m.sockets[at] != nil {
 		if at.Port() != 0 {
 			return nil, fmt.Errorf("listen %s: address in use", name)
 		}
-		m.number++
-		if next := netip.AddrPortFrom(at.Addr(), uint16(10000+m.number)); m.sockets[next] == nil {
+		m.lastPort++
+		if next := netip.AddrPortFrom(at.Addr(), uint16(10000+m.lastPort)); m.sockets[next] == nil {
 			at = next
 		}
 	}
-	p := &Packet{m: m, at: net.UDPAddrFromAddrPort(at), in: make(chan datagram, unreadMost), shut: make(chan struct{})}
+	p := &PacketConn{network: m, address: net.UDPAddrFromAddrPort(at), incoming: make(chan datagram, maxUnreadDatagrams), closed: make(chan struct{})}
 	m.sockets[at] = p
 	return p, nil
 }
 
-func (p *Packet) ReadFrom(b []byte) (int, net.Addr, error) {
+func (p *PacketConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	if p.Gate != nil {
-		p.Gate.Pass()
+		p.Gate.Wait()
 	}
 	select {
-	case d := <-p.in:
+	case d := <-p.incoming:
 		if p.Gate != nil {
-			p.Gate.Pass()
+			p.Gate.Wait()
 		}
-		return copy(b, d.b), d.from, nil
-	case <-p.shut:
+		return copy(b, d.data), d.from, nil
+	case <-p.closed:
 		return 0, nil, net.ErrClosed
 	}
 }
 
-func (p *Packet) WriteTo(b []byte, to net.Addr) (int, error) {
+func (p *PacketConn) WriteTo(b []byte, to net.Addr) (int, error) {
 	if p.Gate != nil {
-		p.Gate.Pass()
+		p.Gate.Wait()
 	}
 	select {
-	case <-p.shut:
+	case <-p.closed:
 		return 0, net.ErrClosed
 	default:
 	}
@@ -79,28 +79,28 @@
 	if err != nil {
 		return 0, fmt.Errorf("write: %w", err)
 	}
-	p.m.mu.Lock()
-	far := p.m.sockets[at]
-	p.m.mu.Unlock()
+	p.network.mu.Lock()
+	far := p.network.sockets[at]
+	p.network.mu.Unlock()
 	if far != nil {
 		select {
-		case far.in <- datagram{append([]byte(nil), b...), p.at}:
+		case far.incoming <- datagram{append([]byte(nil), b...), p.address}:
 		default:
 		}
 	}
 	return len(b), nil
 }
 
-func (p *Packet) Close() error {
+func (p *PacketConn) Close() error {
 	p.once.Do(func() {
-		p.m.mu.Lock()
-		delete(p.m.sockets, p.at.AddrPort())
-		p.m.mu.Unlock()
-		close(p.shut)
+		p.network.mu.Lock()
+		delete(p.network.sockets, p.address.AddrPort())
+		p.network.mu.Unlock()
+		close(p.closed)
 	})
 	return nil
 }
-func (p *Packet) LocalAddr() net.Addr              { return p.at }
-func (p *Packet) SetDeadline(time.Time) error      { return nil }
-func (p *Packet) SetReadDeadline(time.Time) error  { return nil }
-func (p *Packet) SetWriteDeadline(time.Time) error { return nil }
+func (p *PacketConn) LocalAddr() net.Addr              { return p.address }
+func (p *PacketConn) SetDeadline(time.Time) error      { return nil }
+func (p *PacketConn) SetReadDeadline(time.Time) error  { return nil }
+func (p *PacketConn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/mgcp/events_test.go
+++ b/internal/mgcp/events_test.go
@@ -137,7 +137,7 @@
 }
 
 func TestDamagedEvents(t *testing.T) {
-	seeded.Damaged(t, [][]byte{[]byte(sampleEvents)}, 100000, checkEventsRoundTrip)
+	seeded.ForEachMutation(t, [][]byte{[]byte(sampleEvents)}, 100000, checkEventsRoundTrip)
 }
 
 func FuzzEvents(f *testing.F) {
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -168,7 +168,7 @@
 }
 
 func TestDamagedMessages(t *testing.T) {
-	seeded.Damaged(t, sampleMessages, 100000, checkMessageRoundTrip)
+	seeded.ForEachMutation(t, sampleMessages, 100000, checkMessageRoundTrip)
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/numberfile/source.go
+++ b/internal/numberfile/source.go
@@ -53,17 +53,17 @@
 // file, line and column.
 func (s Source) Table(exchangeCount int) (*numbers.Table, error) {
 	file, root := hclread.Parse(s.RulesFile, s.Rules)
-	t := &numbers.Table{Name: root.Text("name", false, ""), Version: uint64(root.Whole("version", 1, math.MaxInt32, 0))}
+	t := &numbers.Table{Name: root.Text("name", false, ""), Version: uint64(root.Int("version", 1, math.MaxInt32, 0))}
 	root.Text("prefixes", false, "")
-	dialling := root.Only("dialling", false)
+	dialling := root.SingleBlock("dialling", false)
 	t.DialPlan = numbers.DialPlan{InternationalPrefix: dialling.Text("international", false, "00"), NationalPrefix: dialling.Text("national", false, ""),
-		CountryCode: dialling.Text("country", false, ""), MaxShortDigits: dialling.Whole("short_most", 0, numbers.MaxDigits, 0)}
-	dialling.Done()
+		CountryCode: dialling.Text("country", false, ""), MaxShortDigits: dialling.Int("short_most", 0, numbers.MaxDigits, 0)}
+	dialling.CheckUnknown()
 	var err error
 	if t.Zone, err = numbers.NewZone(root.Text("zone", false, "UTC")); err != nil {
-		root.FaultAt("zone", "%v", err)
+		root.AddErrorAt("zone", "%v", err)
 	}
-	for _, date := range root.Texts("holidays") {
+	for _, date := range root.TextList("holidays") {
 		t.Holidays = append(t.Holidays, parseDay(root, "holidays", date))
 	}
 	slices.Sort(t.Holidays)
@@ -71,20 +71,20 @@
 	routes := map[string]uint32{}
 	for _, block := range root.Blocks("route", true) {
 		if _, duplicate := routes[block.Label]; duplicate {
-			block.Fault("route %q is defined twice", block.Label)
+			block.AddError("route %q is defined twice", block.Label)
 		}
 		index := uint32(len(t.Routes))
 		routes[block.Label] = index
-		for _, prefix := range block.Texts("prefixes") {
+		for _, prefix := range block.TextList("prefixes") {
 			prefixes = append(prefixes, numbers.Prefix{Digits: prefix, Value: index})
 		}
 		t.Routes = append(t.Routes, parseRoute(block, exchangeCount))
 	}
 	for _, block := range root.Blocks("screen", true) {
 		t.Screens = append(t.Screens, numbers.Screen{Name: block.Label, CallerPrefix: block.Text("callers", false, ""), NumberPrefix: block.Text("numbers", true, "")})
-		block.Done()
+		block.CheckUnknown()
 	}
-	root.Done()
+	root.CheckUnknown()
 	if err := file.Err(); err != nil {
 		return nil, err
 	}
@@ -100,26 +100,26 @@
 func parseDay(block *hclread.Block, name, text string) int {
 	t, err := time.Parse(time.DateOnly, text)
 	if err != nil {
-		block.FaultAt(name, "%q is not a date such as 2026-11-18", text)
+		block.AddErrorAt(name, "%q is not a date such as 2026-11-18", text)
 		return 0
 	}
 	return numbers.DayNumber(t.Date())
 }
 
 func parseRoute(block *hclread.Block, exchangeCount int) numbers.Route {
-	route := numbers.Route{Name: block.Label, MinDigits: block.Whole("least", 1, numbers.MaxDigits, 1), MaxDigits: block.Whole("most", 1, numbers.MaxDigits, numbers.MaxDigits),
-		DeleteDigits: block.Whole("delete", 0, numbers.MaxDigits, 0), InsertDigits: block.Text("insert", false, ""), Priority: block.Flag("priority", false),
-		Emergency: block.Flag("emergency", false), MayBePorted: block.Flag("ported", false)}
+	route := numbers.Route{Name: block.Label, MinDigits: block.Int("least", 1, numbers.MaxDigits, 1), MaxDigits: block.Int("most", 1, numbers.MaxDigits, numbers.MaxDigits),
+		DeleteDigits: block.Int("delete", 0, numbers.MaxDigits, 0), InsertDigits: block.Text("insert", false, ""), Priority: block.Bool("priority", false),
+		Emergency: block.Bool("emergency", false), MayBePorted: block.Bool("ported", false)}
 	if route.MinDigits > route.MaxDigits {
-		block.FaultAt("least", "least is %d, more than most, which is %d", route.MinDigits, route.MaxDigits)
+		block.AddErrorAt("least", "least is %d, more than most, which is %d", route.MinDigits, route.MaxDigits)
 	}
 	for _, choice := range block.Blocks("choice", false) {
 		route.Choices = append(route.Choices, parseChoice(choice, exchangeCount))
 	}
 	if len(route.Choices) == 0 {
-		block.Fault("route %q has no choice", block.Label)
+		block.AddError("route %q has no choice", block.Label)
 	}
-	block.Done()
+	block.CheckUnknown()
 	return route
 }
 
@@ -128,7 +128,7 @@
 func parseChoice(block *hclread.Block, exchangeCount int) numbers.Choice {
 	var choice numbers.Choice
 	schedule := numbers.Schedule{}
-	for _, text := range block.Texts("days") {
+	for _, text := range block.TextList("days") {
 		found := false
 		for i, name := range weekdays {
 			if text == name {
@@ -137,17 +137,17 @@
 			}
 		}
 		if !found {
-			block.FaultAt("days", "day %q is not one of %s", text, strings.Join(weekdays, ", "))
+			block.AddErrorAt("days", "day %q is not one of %s", text, strings.Join(weekdays, ", "))
 		}
 	}
-	for _, text := range block.Texts("dates") {
+	for _, text := range block.TextList("dates") {
 		from, to, isRange := strings.Cut(text, "..")
 		if !isRange {
 			to = from
 		}
 		dates := numbers.DayRange{From: parseDay(block, "dates", from), To: parseDay(block, "dates", to)}
 		if dates.To < dates.From {
-			block.FaultAt("dates", "%q ends before it begins", text)
+			block.AddErrorAt("dates", "%q ends before it begins", text)
 		}
 		schedule.Dates = append(schedule.Dates, dates)
 	}
@@ -155,7 +155,7 @@
 	if schedule.ToMinute <= schedule.FromMinute && block.Has("to") {
 		schedule.ToMinute += 24 * 60 // past midnight
 	}
-	switch block.One("holidays", "", "", "only", "never") {
+	switch block.OneOf("holidays", "", "", "only", "never") {
 	case "only":
 		schedule.OnlyHolidays = true
 	case "never":
@@ -164,19 +164,19 @@
 	for _, to := range block.Blocks("to", true) {
 		exchange, err := strconv.Atoi(to.Label)
 		if err != nil || exchange < 0 || exchange >= exchangeCount {
-			to.Fault("exchange %q is not a number below %d", to.Label, exchangeCount)
+			to.AddError("exchange %q is not a number below %d", to.Label, exchangeCount)
 		}
-		choice.Shares = append(choice.Shares, numbers.Share{Weight: to.Whole("weight", 0, 1e6, 1), Exchange: exchange})
-		to.Done()
+		choice.Shares = append(choice.Shares, numbers.Share{Weight: to.Int("weight", 0, 1e6, 1), Exchange: exchange})
+		to.CheckUnknown()
 	}
 	for _, announcement := range block.Blocks("announce", false) {
-		choice.Shares = append(choice.Shares, numbers.Share{Weight: announcement.Whole("weight", 0, 1e6, 1), Exchange: -1, Cause: uint8(announcement.Whole("cause", 1, 127, 0))})
-		announcement.Done()
+		choice.Shares = append(choice.Shares, numbers.Share{Weight: announcement.Int("weight", 0, 1e6, 1), Exchange: -1, Cause: uint8(announcement.Int("cause", 1, 127, 0))})
+		announcement.CheckUnknown()
 	}
 	if len(choice.Shares) == 0 {
-		block.Fault("choice has no destination: it needs a \"to\" or \"announce\" block")
+		block.AddError("choice has no destination: it needs a \"to\" or \"announce\" block")
 	}
-	block.Done()
+	block.CheckUnknown()
 	if schedule.Weekdays != 0 || len(schedule.Dates) > 0 || schedule.FromMinute != schedule.ToMinute || schedule.OnlyHolidays || schedule.ExceptHolidays {
 		choice.Schedule = &schedule
 	}
@@ -187,7 +187,7 @@
 	text := block.Text(name, false, "00:00")
 	t, err := time.Parse("15:04", text)
 	if err != nil && text != "24:00" {
-		block.FaultAt(name, "%q is not a time of day such as 08:30", text)
+		block.AddErrorAt(name, "%q is not a time of day such as 08:30", text)
 		return 0
 	}
 	if text == "24:00" {
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -31,7 +31,7 @@
 
 func (g *gatedLog) Write(p []byte) (int, error) {
 	passed := make(chan struct{})
-	go func() { g.Pass(); close(passed) }()
+	go func() { g.Wait(); close(passed) }()
 	select {
 	case <-passed:
 	case g.blocked <- struct{}{}:
@@ -67,7 +67,7 @@
 }
 
 func (l *gatedListener) Accept() (net.Conn, error) {
-	l.gate.Pass()
+	l.gate.Wait()
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 }
 
 func (c *gatedConn) Read(b []byte) (int, error) {
-	c.readGate.Pass()
+	c.readGate.Wait()
 	n, err := c.TCPConn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +107,7 @@
 	return n, err
 }
 
-func (c *gatedConn) Write(b []byte) (int, error) { c.writeGate.Pass(); return c.TCPConn.Write(b) }
+func (c *gatedConn) Write(b []byte) (int, error) { c.writeGate.Wait(); return c.TCPConn.Write(b) }
 func (c *gatedConn) CloseWrite() error           { defer c.readGate.Open(); return c.TCPConn.CloseWrite() }
 func (c *gatedConn) Close() error                { defer c.readGate.Open(); return c.TCPConn.Close() }
 
@@ -163,7 +163,7 @@
 		}
 		gated := &gatedConn{TCPConn: c.(*net.TCPConn)}
 		switchConns <- gated
-		h.dialGate.Pass()
+		h.dialGate.Wait()
 		return gated, nil
 	}
 	s := newOnLoopback(t, h.switchListener.Addr().String(), h.boardListener.Addr().String(), abandonTime, dial, &h.log)
@@ -211,7 +211,7 @@
 
 // stopEventLoop makes the event loop block when it logs a malformed message.
 func (h *gatedHarness) stopEventLoop() {
-	h.log.Shut()
+	h.log.Close()
 	h.sendMalformed()
 	h.log.waitBlocked(h.t)
 }
@@ -345,7 +345,7 @@
 
 func TestNoTryOnConnectionEstablishedAfterCallerLeft(t *testing.T) {
 	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
-		h.dialGate.Shut()
+		h.dialGate.Close()
 		h.sw.Close()
 		h.switchConn.waitEnded(h.t)
 		c.Write(encode(setUp(callID1, 3000))) // the try waits for the connection being dialled
@@ -362,7 +362,7 @@
 	defer h.shutDown()
 	c, _ := h.connectCaller()
 	defer c.Close()
-	h.switchConn.writeGate.Shut()
+	h.switchConn.writeGate.Close()
 	first := setUp(callID2, 3000)
 	c.Write(encode(first)) // blocks the writer
 	time.Sleep(20 * time.Millisecond)
@@ -380,7 +380,7 @@
 // Guards against a lost set-up at shutdown: the kernel has queued a connection with a set-up when the listener is about to close.
 func TestSetUpOnQueuedConnectionIsAnsweredAtShutdown(t *testing.T) {
 	h := newGatedHarness(t, "300.0")
-	h.listener.gate.Shut()
+	h.listener.gate.Close()
 	first, serverConn := h.connectCaller() // for the Accept call that is already blocked
 	defer first.Close()
 	_ = serverConn
@@ -421,7 +421,7 @@
 	defer c.Close()
 	c.Write(encode(setUp(callID1, 3000)))
 	h.sw.Expect(sip.Invite) // not answered before the shutdown
-	serverConn.readGate.Shut()
+	serverConn.readGate.Close()
 	c.Write(encode(cancelRequest("00000000000000ff"))) // completes the blocked read; the next one blocks at the gate
 	serverConn.waitRead(t, encode(cancelRequest("00000000000000ff")))
 	c.Write(bytes.Repeat([]byte("x"), 5000))
--- a/internal/seeded/damage.go
+++ b/internal/seeded/damage.go
@@ -10,9 +10,9 @@
 // it would have passed. So the tests that everybody runs draw damaged inputs from a fixed seed, and `go test -fuzz`, which
 // takes the same check and corpus, is left to whoever looks for more.
 
-// Damaged has check see every input of the corpus, then so many made from them by one to eight damages: octets turned, put
+// ForEachMutation has check see every input of the corpus, then so many made from them by one to eight damages: octets turned, put
 // in, taken out or doubled, lengths and ends of the range put in place, the tail of another input spliced on.
-func Damaged(t *testing.T, corpus [][]byte, many int, check func(t *testing.T, in []byte)) {
+func ForEachMutation(t *testing.T, corpus [][]byte, many int, check func(t *testing.T, in []byte)) {
 	t.Helper()
 	if len(corpus) == 0 {
 		t.Fatal("no inputs to damage")
@@ -30,15 +30,15 @@
 	for range many {
 		in := slices.Clone(corpus[rng.IntN(len(corpus))])
 		for range 1 + rng.IntN(8) {
-			in = damage(rng, in, corpus)
+			in = mutate(rng, in, corpus)
 		}
 		tell(in)
 	}
 }
 
-var telling = []byte{0, 1, 2, 0x7f, 0x80, 0xff, ' ', '\r', '\n', '0', '9', ':', '-'}
+var boundaryBytes = []byte{0, 1, 2, 0x7f, 0x80, 0xff, ' ', '\r', '\n', '0', '9', ':', '-'}
 
-func damage(rng *rand.Rand, in []byte, corpus [][]byte) []byte {
+func mutate(rng *rand.Rand, in []byte, corpus [][]byte) []byte {
 	if len(in) == 0 {
 		return []byte{byte(rng.Uint32())}
 	}
@@ -50,7 +50,7 @@
 	case 1:
 		in[at] = byte(rng.Uint32())
 	case 2:
-		in[at] = telling[rng.IntN(len(telling))]
+		in[at] = boundaryBytes[rng.IntN(len(boundaryBytes))]
 	case 3:
 		in = slices.Insert(in, at, byte(rng.Uint32()))
 	case 4:
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestDamagedMessages(t *testing.T) { seeded.Damaged(t, corpus, 100000, checkRead) }
+func TestDamagedMessages(t *testing.T) { seeded.ForEachMutation(t, corpus, 100000, checkRead) }
 
 func FuzzRead(f *testing.F) {
 	for _, b := range corpus {
--- a/internal/standin/enum.go
+++ b/internal/standin/enum.go
@@ -9,26 +9,26 @@
 	"github.com/miekg/dns"
 )
 
-// Ported answers for portability, honestly or as a trouble has it.
-type Ported struct {
-	mu      sync.Mutex
-	numbers map[string]string // domain name: routing number
-	how     string
-	late    time.Duration
-	asked   int
-	all     []*dns.Server
-	At      string
+// PortabilityServer answers for portability, honestly or as a trouble has it.
+type PortabilityServer struct {
+	mu             sync.Mutex
+	routingNumbers map[string]string // domain name: routing number
+	fault          string
+	delay          time.Duration
+	queryCount     int
+	servers        []*dns.Server
+	Address        string
 }
 
-// NewPorted serves numbers (by domain name) on one loopback port, UDP and TCP.
-func NewPorted(numbers map[string]string) (*Ported, error) {
-	pc, ln, err := listenBoth()
+// NewPortabilityServer serves numbers (by domain name) on one loopback port, UDP and TCP.
+func NewPortabilityServer(numbers map[string]string) (*PortabilityServer, error) {
+	pc, ln, err := listenUDPAndTCP()
 	if err != nil {
 		return nil, err
 	}
-	p := &Ported{numbers: numbers, At: pc.LocalAddr().String()}
-	p.all = []*dns.Server{{PacketConn: pc, Handler: p}, {Listener: ln, Handler: p}}
-	for _, s := range p.all {
+	p := &PortabilityServer{routingNumbers: numbers, Address: pc.LocalAddr().String()}
+	p.servers = []*dns.Server{{PacketConn: pc, Handler: p}, {Listener: ln, Handler: p}}
+	for _, s := range p.servers {
 		up := make(chan struct{})
 		s.NotifyStartedFunc = func() { close(up) }
 		go s.ActivateAndServe()
@@ -37,12 +37,12 @@
 	return p, nil
 }
 
-// portTries is how many ports are tried: one that is free for UDP may be another program's for TCP.
-const portTries = 20
+// maxPortAttempts is how many ports are tried: one that is free for UDP may be another program's for TCP.
+const maxPortAttempts = 20
 
-// listenBoth listens on one loopback port, UDP and TCP.
-func listenBoth() (pc net.PacketConn, ln net.Listener, err error) {
-	for range portTries {
+// listenUDPAndTCP listens on one loopback port, UDP and TCP.
+func listenUDPAndTCP() (pc net.PacketConn, ln net.Listener, err error) {
+	for range maxPortAttempts {
 		if pc, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
 			return nil, nil, err
 		}
@@ -54,28 +54,28 @@
 	return nil, nil, err
 }
 
-// Set changes how it answers: "" well, late, silent, truncated, wrong, contradictory, other (another question's answer).
-func (p *Ported) Set(how string, late time.Duration) {
+// SetFault changes how it answers: "" well, late, silent, truncated, wrong, contradictory, other (another question's answer).
+func (p *PortabilityServer) SetFault(how string, late time.Duration) {
 	p.mu.Lock()
-	p.how, p.late = how, late
+	p.fault, p.delay = how, late
 	p.mu.Unlock()
 }
 
-// Asked counts the queries.
-func (p *Ported) Asked() int { p.mu.Lock(); defer p.mu.Unlock(); return p.asked }
+// QueryCount counts the queries.
+func (p *PortabilityServer) QueryCount() int { p.mu.Lock(); defer p.mu.Unlock(); return p.queryCount }
 
 // Stop ends it.
-func (p *Ported) Stop() {
-	for _, s := range p.all {
+func (p *PortabilityServer) Stop() {
+	for _, s := range p.servers {
 		s.Shutdown()
 	}
 }
 
 // ServeDNS answers one query.
-func (p *Ported) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
+func (p *PortabilityServer) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	p.mu.Lock()
-	p.asked++
-	how, late, rn := p.how, p.late, p.numbers[strings.ToLower(q.Question[0].Name)]
+	p.queryCount++
+	how, late, rn := p.fault, p.delay, p.routingNumbers[strings.ToLower(q.Question[0].Name)]
 	p.mu.Unlock()
 	time.Sleep(late)
 	m := new(dns.Msg)
--- a/internal/standin/enum_test.go
+++ b/internal/standin/enum_test.go
@@ -19,7 +19,7 @@
 		}
 	}
 	for range 200 {
-		p, err := NewPorted(nil)
+		p, err := NewPortabilityServer(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -19,179 +19,179 @@
 
 // PhoneCall is one call that the user of a phone wants to make; what came of it stands in the second half.
 type PhoneCall struct {
-	At       time.Duration
-	Phone    int
-	Digits   string
-	Patience time.Duration // from the last digit
-	Holding  time.Duration
-
-	Dialled bool
-	Stood   time.Duration // from the last digit until it stood
-	Refused bool
-	Failed  bool
-	Left    bool
-	Skipped bool // the phone was in use, or gave no dial tone
+	StartTime   time.Duration
+	Phone       int
+	Digits      string
+	AbandonTime time.Duration // from the last digit
+	HoldingTime time.Duration
+
+	Dialled   bool
+	SetUpTime time.Duration // from the last digit until it stood
+	Refused   bool
+	Failed    bool
+	Abandoned bool
+	Skipped   bool // the phone was in use, or gave no dial tone
 }
 
-// Network is what happens to a gateway's datagrams, either way.
-type Network struct {
-	Lose, Double, Truncate float64 // shares
-	LateShare              float64
-	Late                   time.Duration // so much later: behind others, or past the keeping time
+// NetworkFaults is what happens to a gateway's datagrams, either way.
+type NetworkFaults struct {
+	LossRatio, DuplicationRatio, TruncationRatio float64 // shares
+	DelayRatio                                   float64
+	MaxDelay                                     time.Duration // so much later: behind others, or past the keeping time
 }
 
-// Quirk is what a trouble makes a gateway or its users do.
-type Quirk struct {
-	Net        Network
-	TwoAnswers float64 // share of connections made that are answered twice, differently
-	ReuseIDs   bool    // transaction ids are counted from one again and again
-	Cut        bool    // nothing passes
-	Flash      float64 // share of callers who flash the hook while they wait
-	HangUp     float64 // share of callers who hang up while they wait
-	Trickle    float64 // share of numbers that come a digit at a time as the time-out falls
-	Glare      float64 // share of rings at which the user lifts to dial at that moment
+// GatewayFaults is what a trouble makes a gateway or its users do.
+type GatewayFaults struct {
+	Network             NetworkFaults
+	TwoResponsesRatio   float64 // share of connections made that are answered twice, differently
+	ReuseTransactionIDs bool    // transaction ids are counted from one again and again
+	Isolated            bool    // nothing passes
+	FlashRatio          float64 // share of callers who flash the hook while they wait
+	HangUpRatio         float64 // share of callers who hang up while they wait
+	SlowDigitsRatio     float64 // share of numbers that come a digit at a time as the time-out falls
+	GlareRatio          float64 // share of rings at which the user lifts to dial at that moment
 }
 
 type connection struct {
-	id, call string
-	number   uint32
-	both     bool
+	id, callID string
+	serial     uint32
+	twoWay     bool
 }
 
 type phone struct {
-	off      bool
-	request  string
-	lift     bool
-	hang     bool
-	flash    bool
-	digits   bool
-	armed    bool
-	dmap     mgcp.DigitMap
-	dialled  string
-	tone     string
-	told     string // the tone that told its user that the call is over
-	ring     bool
-	pending  []mgcp.Event // quarantined
-	conns    []connection
-	call     *PhoneCall // that its user makes
-	ref      isup.Reference
-	dialledT time.Time
-	waiting  bool // dialled and not answered
-	stands   bool
-	unacked  int // hook changes that the call agent has not answered
-	turn     int // counts what its user does, so that a timer of before does nothing
+	offHook           bool
+	requestID         string
+	notifyOffHook     bool
+	notifyOnHook      bool
+	notifyFlash       bool
+	notifyDigits      bool
+	requestPending    bool
+	digitMap          mgcp.DigitMap
+	dialString        string
+	tone              string
+	endTone           string // the tone that told its user that the call is over
+	ringing           bool
+	quarantined       []mgcp.Event // quarantined
+	connections       []connection
+	call              *PhoneCall // that its user makes
+	callRef           isup.Reference
+	dialledAt         time.Time
+	waiting           bool // dialled and not answered
+	established       bool
+	unackedHookEvents int // hook changes that the call agent has not answered
+	userActions       int // counts what its user does, so that a timer of before does nothing
 }
 
-type timed struct {
-	at    time.Time
-	order int
-	do    func()
+type timerEntry struct {
+	at     time.Time
+	serial int
+	run    func()
 }
-type timers []timed
+type timerHeap []timerEntry
 
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, j int) bool {
-	return t[i].at.Before(t[j].at) || t[i].at.Equal(t[j].at) && t[i].order < t[j].order
+func (t timerHeap) Len() int { return len(t) }
+func (t timerHeap) Less(i, j int) bool {
+	return t[i].at.Before(t[j].at) || t[i].at.Equal(t[j].at) && t[i].serial < t[j].serial
 }
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)   { *t = append(*t, x.(timed)) }
-func (t *timers) Pop() any     { n := len(*t) - 1; x := (*t)[n]; *t = (*t)[:n]; return x }
-
-// Plant is what a gateway is and where.
-type Plant struct {
-	Exchange, Number int
-	Name             string
-	Phones           int
-	Agents           []netip.AddrPort // the addresses of its notified entity
-	Digit            time.Duration    // between two digits
-	PickUp           time.Duration    // mean time until somebody picks up
-	RestartWait      time.Duration    // it reports at random within, after a start
-	Disconnected     time.Duration    // first wait of the disconnected procedure
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)   { *t = append(*t, x.(timerEntry)) }
+func (t *timerHeap) Pop() any     { n := len(*t) - 1; x := (*t)[n]; *t = (*t)[:n]; return x }
+
+// GatewayConfig is what a gateway is and where.
+type GatewayConfig struct {
+	Exchange, Number  int
+	Name              string
+	PhoneCount        int
+	CallAgents        []netip.AddrPort // the addresses of its notified entity
+	DigitInterval     time.Duration    // between two digits
+	MeanAnswerDelay   time.Duration    // mean time until somebody picks up
+	MaxRestartDelay   time.Duration    // it reports at random within, after a start
+	DisconnectedDelay time.Duration    // first wait of the disconnected procedure
 }
 
 // Gateway is a stand-in MGCP gateway with phones and their users. One goroutine does all.
 type Gateway struct {
-	p       Plant
-	log     *audit.Log
-	chance  *rand.Rand
-	base    time.Time
-	conn    net.PacketConn
-	listen  func() (net.PacketConn, error)
-	in      chan received
-	orders  chan func()
-	stop    chan struct{}
-	all     sync.WaitGroup
-	timers  timers
-	order   int
-	phones  []phone
-	calls   []*PhoneCall
-	quirk   Quirk
-	ids     *mgcp.TransactionIDs
-	sender  *mgcp.Sender
-	rcv     *mgcp.Receiver
-	out     map[uint32]func(ok bool)
-	agent   int
-	discon  mgcp.DisconnectedProcedure
-	lost    bool
-	down    bool // as noted
-	stale   bool // what is being carried out is older than transactions are kept
-	serial  uint32
-	lives   int
-	nextTry time.Time
+	config                GatewayConfig
+	log                   *audit.Log
+	random                *rand.Rand
+	startTime             time.Time
+	conn                  net.PacketConn
+	listen                func() (net.PacketConn, error)
+	datagrams             chan datagram
+	commands              chan func()
+	stop                  chan struct{}
+	wg                    sync.WaitGroup
+	timers                timerHeap
+	timerSerial           int
+	phones                []phone
+	calls                 []*PhoneCall
+	faults                GatewayFaults
+	transactionIDs        *mgcp.TransactionIDs
+	sender                *mgcp.Sender
+	receiver              *mgcp.Receiver
+	outstanding           map[uint32]func(ok bool)
+	agentIndex            int
+	disconnectedProcedure mgcp.DisconnectedProcedure
+	unregistered          bool
+	loggedDown            bool // as noted
+	staleCommand          bool // what is being carried out is older than transactions are kept
+	serial                uint32
+	incarnation           int
+	nextTry               time.Time
 }
 
-type received struct {
+type datagram struct {
 	from netip.AddrPort
-	b    []byte
+	data []byte
 }
 
 // NewGateway makes a gateway that is off.
-func NewGateway(p Plant, calls []*PhoneCall, seed uint64, listen func() (net.PacketConn, error), log *audit.Log) *Gateway {
-	return &Gateway{p: p, calls: calls, log: log, chance: rand.New(rand.NewPCG(seed, uint64(p.Exchange<<16+p.Number))), listen: listen,
-		in: make(chan received, 1024), orders: make(chan func(), 64), stop: make(chan struct{}), phones: make([]phone, p.Phones)}
+func NewGateway(p GatewayConfig, calls []*PhoneCall, seed uint64, listen func() (net.PacketConn, error), log *audit.Log) *Gateway {
+	return &Gateway{config: p, calls: calls, log: log, random: rand.New(rand.NewPCG(seed, uint64(p.Exchange<<16+p.Number))), listen: listen,
+		datagrams: make(chan datagram, 1024), commands: make(chan func(), 64), stop: make(chan struct{}), phones: make([]phone, p.PhoneCount)}
 }
 
 // Start turns it on; its users begin to call at their times from then.
 func (g *Gateway) Start() error {
-	g.base = time.Now()
+	g.startTime = time.Now()
 	conn, err := g.listen()
 	if err != nil {
-		return fmt.Errorf("gateway %s: %w", g.p.Name, err)
+		return fmt.Errorf("gateway %s: %w", g.config.Name, err)
 	}
-	g.power(conn)
+	g.boot(conn)
 	for _, c := range g.calls {
-		g.after(c.At, func() { g.begin(c) })
+		g.schedule(c.StartTime, func() { g.startCall(c) })
 	}
-	g.all.Go(g.run)
+	g.wg.Go(g.run)
 	return nil
 }
 
 // Stop ends it.
 func (g *Gateway) Stop() {
 	close(g.stop)
-	g.all.Wait()
+	g.wg.Wait()
 }
 
-// Do has the gateway's goroutine do something: troubles come through it.
-func (g *Gateway) Do(do func(q *Quirk)) {
+// UpdateFaults has the gateway's goroutine do something: troubles come through it.
+func (g *Gateway) UpdateFaults(do func(q *GatewayFaults)) {
 	select {
-	case g.orders <- func() { do(&g.quirk); g.mark() }:
+	case g.commands <- func() { do(&g.faults); g.logReachability() }:
 	case <-g.stop:
 	}
 }
 
 // Restart turns it off and on: its connections are gone; elsewhere: it comes back at another address.
 func (g *Gateway) Restart(elsewhere bool) {
-	g.Do(func(*Quirk) {
+	g.UpdateFaults(func(*GatewayFaults) {
 		for i := range g.phones {
 			p := &g.phones[i]
-			for _, c := range p.conns {
-				g.note(audit.Connection, i, p.ref, c.number, 0)
+			for _, c := range p.connections {
+				g.logEvent(audit.ConnectionChanged, i, p.callRef, c.serial, 0)
 			}
 			if p.call != nil {
 				p.call.Failed = p.call.Failed || p.waiting
 			}
-			g.phones[i] = phone{turn: p.turn + 1}
+			g.phones[i] = phone{userActions: p.userActions + 1}
 		}
 		conn := g.conn
 		if elsewhere {
@@ -200,50 +200,50 @@
 				g.conn.Close()
 			}
 		}
-		g.power(conn)
+		g.boot(conn)
 	})
 }
 
-func (g *Gateway) power(conn net.PacketConn) {
+func (g *Gateway) boot(conn net.PacketConn) {
 	if conn != g.conn {
 		g.conn = conn
-		g.all.Go(func() { g.read(conn) })
+		g.wg.Go(func() { g.readDatagrams(conn) })
 	}
-	g.lives++
-	g.ids, g.rcv, g.out = mgcp.NewTransactionIDs(uint32(g.lives)*1000), mgcp.NewReceiver(), map[uint32]func(bool){}
-	g.sender = mgcp.NewSender(g.ids, g.chance.Uint64(), (*gatewayOut)(g))
-	g.discon = mgcp.DisconnectedProcedure{MinWait: tenths(g.p.Disconnected), MaxWait: tenths(8 * g.p.Disconnected)}
-	g.lost = true
-	life := g.lives
-	g.after(time.Duration(mgcp.RestartDelay(tenths(g.p.RestartWait), g.chance))*100*time.Microsecond, func() { g.report("restart", life) })
+	g.incarnation++
+	g.transactionIDs, g.receiver, g.outstanding = mgcp.NewTransactionIDs(uint32(g.incarnation)*1000), mgcp.NewReceiver(), map[uint32]func(bool){}
+	g.sender = mgcp.NewSender(g.transactionIDs, g.random.Uint64(), (*mgcpOutput)(g))
+	g.disconnectedProcedure = mgcp.DisconnectedProcedure{MinWait: tenths(g.config.DisconnectedDelay), MaxWait: tenths(8 * g.config.DisconnectedDelay)}
+	g.unregistered = true
+	life := g.incarnation
+	g.schedule(time.Duration(mgcp.RestartDelay(tenths(g.config.MaxRestartDelay), g.random))*100*time.Microsecond, func() { g.reportRestart("restart", life) })
 }
 
-// mark notes when the gateway cannot reach its call agent, or has not yet, and when it can again.
-func (g *Gateway) mark() {
-	if down := g.quirk.Cut || g.lost; down != g.down {
-		g.down = down
+// logReachability notes when the gateway cannot reach its call agent, or has not yet, and when it can again.
+func (g *Gateway) logReachability() {
+	if down := g.faults.Isolated || g.unregistered; down != g.loggedDown {
+		g.loggedDown = down
 		v := int64(0)
 		if down {
 			v = 1
 		}
-		g.note(audit.GatewayDown, 0, isup.Reference{}, 0, v)
+		g.logEvent(audit.GatewayDown, 0, isup.Reference{}, 0, v)
 	}
 }
 
 func tenths(d time.Duration) policy.Tenths { return policy.Tenths(d / (100 * time.Microsecond)) }
 
-func (g *Gateway) now() policy.Tenths { return 1<<32 + tenths(time.Since(g.base)) }
+func (g *Gateway) now() policy.Tenths { return 1<<32 + tenths(time.Since(g.startTime)) }
 
-func (g *Gateway) note(k audit.Kind, i int, ref isup.Reference, slots uint32, v int64) {
-	g.log.Add(audit.Event{Kind: k, Site: g.p.Exchange, Peer: g.p.Number, Ref: ref, CIC: uint16(i), Slots: slots, Value: v})
+func (g *Gateway) logEvent(k audit.Kind, i int, ref isup.Reference, slots uint32, v int64) {
+	g.log.Add(audit.Event{Kind: k, Site: g.config.Exchange, Peer: g.config.Number, Ref: ref, CIC: uint16(i), Slots: slots, Value: v})
 }
 
-func (g *Gateway) after(d time.Duration, do func()) {
-	g.order++
-	heap.Push(&g.timers, timed{time.Now().Add(d), g.order, do})
+func (g *Gateway) schedule(d time.Duration, do func()) {
+	g.timerSerial++
+	heap.Push(&g.timers, timerEntry{time.Now().Add(d), g.timerSerial, do})
 }
 
-func (g *Gateway) read(conn net.PacketConn) {
+func (g *Gateway) readDatagrams(conn net.PacketConn) {
 	buf := make([]byte, mgcp.MaxDatagramSize)
 	for {
 		n, from, err := conn.ReadFrom(buf)
@@ -252,7 +252,7 @@
 		}
 		if at, err := netip.ParseAddrPort(from.String()); err == nil {
 			select {
-			case g.in <- received{at, append([]byte(nil), buf[:n]...)}:
+			case g.datagrams <- datagram{at, append([]byte(nil), buf[:n]...)}:
 			case <-g.stop:
 				return
 			}
@@ -266,7 +266,7 @@
 	defer func() { g.conn.Close() }()
 	for {
 		for len(g.timers) > 0 && !g.timers[0].at.After(time.Now()) {
-			heap.Pop(&g.timers).(timed).do()
+			heap.Pop(&g.timers).(timerEntry).run()
 		}
 		wait := time.Hour
 		if len(g.timers) > 0 {
@@ -285,48 +285,48 @@
 		case <-g.stop:
 			return
 		case <-timer.C:
-		case do := <-g.orders:
+		case do := <-g.commands:
 			do()
-		case r := <-g.in:
+		case r := <-g.datagrams:
 			heard := false
 			came := time.Now()
-			g.through(func() {
+			g.applyNetworkFaults(func() {
 				heard = true
 				// Held up by the network past the time for which transactions are kept, a command is carried out twice, and no call
 				// agent can help it: what its user hears then is not the call agent's answer.
-				g.stale = time.Since(came) > 29*time.Second
-				g.receive(r)
-				g.stale = false
+				g.staleCommand = time.Since(came) > 29*time.Second
+				g.handleDatagram(r)
+				g.staleCommand = false
 			}, nil)
 			if !heard {
-				g.swallowed(r.b)
+				g.logLostOutcomes(r.data)
 			}
 		}
 	}
 }
 
-// through lets the network do to a datagram what it does.
-func (g *Gateway) through(pass func(), cut func()) {
-	n := g.quirk.Net
+// applyNetworkFaults lets the network do to a datagram what it does.
+func (g *Gateway) applyNetworkFaults(pass func(), cut func()) {
+	n := g.faults.Network
 	switch {
-	case g.quirk.Cut || g.chance.Float64() < n.Lose:
+	case g.faults.Isolated || g.random.Float64() < n.LossRatio:
 		return
-	case cut != nil && g.chance.Float64() < n.Truncate:
+	case cut != nil && g.random.Float64() < n.TruncationRatio:
 		cut()
 		return
 	}
-	if g.chance.Float64() < n.Double {
-		g.after(time.Duration(g.chance.Int64N(int64(20*time.Millisecond))), pass)
+	if g.random.Float64() < n.DuplicationRatio {
+		g.schedule(time.Duration(g.random.Int64N(int64(20*time.Millisecond))), pass)
 	}
-	if g.chance.Float64() < n.LateShare {
-		g.after(time.Duration(g.chance.Float64()*float64(n.Late)), pass)
+	if g.random.Float64() < n.DelayRatio {
+		g.schedule(time.Duration(g.random.Float64()*float64(n.MaxDelay)), pass)
 		return
 	}
 	pass()
 }
 
-// swallowed notes the answers to calls in a datagram that the network lost or holds up.
-func (g *Gateway) swallowed(b []byte) {
+// logLostOutcomes notes the answers to calls in a datagram that the network lost or holds up.
+func (g *Gateway) logLostOutcomes(b []byte) {
 	all, _ := mgcp.Decode(b)
 	for _, m := range all {
 		local, _, _ := strings.Cut(m.Endpoint, "@")
@@ -337,42 +337,42 @@
 		mode, _ := m.Param("M")
 		tone, _ := m.Param("S")
 		if mode == "sendrecv" || tone == "L/bz" || tone == "L/ro" || tone == "G/cg" {
-			g.note(audit.Swallowed, i-1, g.phones[i-1].ref, 0, 0)
+			g.logEvent(audit.PhoneOutcomeLost, i-1, g.phones[i-1].callRef, 0, 0)
 		}
 	}
 }
 
-func (g *Gateway) transmit(to netip.AddrPort, m mgcp.Message) {
+func (g *Gateway) send(to netip.AddrPort, m mgcp.Message) {
 	b, err := mgcp.Append(nil, m)
 	if err != nil {
 		return
 	}
 	addr := net.UDPAddrFromAddrPort(to)
 	write := func(b []byte) func() { return func() { g.conn.WriteTo(b, addr) } }
-	g.through(write(b), write(b[:g.chance.IntN(len(b))]))
+	g.applyNetworkFaults(write(b), write(b[:g.random.IntN(len(b))]))
 }
 
-// gatewayOut is the gateway as its sender sees it.
-type gatewayOut Gateway
+// mgcpOutput is the gateway as its sender sees it.
+type mgcpOutput Gateway
 
-func (o *gatewayOut) Transmit(m mgcp.Message, _ int) {
+func (o *mgcpOutput) Transmit(m mgcp.Message, _ int) {
 	g := (*Gateway)(o)
-	g.transmit(g.p.Agents[g.agent%len(g.p.Agents)], m)
+	g.send(g.config.CallAgents[g.agentIndex%len(g.config.CallAgents)], m)
 }
-func (o *gatewayOut) HandleConflict(uint32, int, mgcp.Message) {}
-func (o *gatewayOut) HandleOutcome(id uint32, fate mgcp.Outcome, r mgcp.Message) {
+func (o *mgcpOutput) HandleConflict(uint32, int, mgcp.Message) {}
+func (o *mgcpOutput) HandleOutcome(id uint32, fate mgcp.Outcome, r mgcp.Message) {
 	g := (*Gateway)(o)
 	if fate == mgcp.PeerSuspect {
-		g.agent++ // another address of the notified entity
+		g.agentIndex++ // another address of the notified entity
 		return
 	}
-	done := g.out[id]
-	delete(g.out, id)
+	done := g.outstanding[id]
+	delete(g.outstanding, id)
 	if r.Code == mgcp.CodeRedirected {
 		if n, ok := r.Param("N"); ok {
 			if at, err := netip.ParseAddrPort(n[strings.LastIndexByte(n, '@')+1:]); err == nil {
-				g.p.Agents = append([]netip.AddrPort{at}, g.p.Agents...)
-				g.agent = 0
+				g.config.CallAgents = append([]netip.AddrPort{at}, g.config.CallAgents...)
+				g.agentIndex = 0
 			}
 		}
 	}
@@ -381,72 +381,72 @@
 	}
 }
 
-func (g *Gateway) command(m mgcp.Message, done func(ok bool)) {
-	if g.quirk.ReuseIDs { // RFC 3435 asks for THist between two uses
-		g.ids = mgcp.NewTransactionIDs(uint32(g.chance.IntN(3)))
-		g.sender = mgcp.NewSender(g.ids, g.chance.Uint64(), (*gatewayOut)(g))
+func (g *Gateway) sendCommand(m mgcp.Message, done func(ok bool)) {
+	if g.faults.ReuseTransactionIDs { // RFC 3435 asks for THist between two uses
+		g.transactionIDs = mgcp.NewTransactionIDs(uint32(g.random.IntN(3)))
+		g.sender = mgcp.NewSender(g.transactionIDs, g.random.Uint64(), (*mgcpOutput)(g))
 	}
 	id := g.sender.Send(g.now(), m)
-	g.out[id] = done
+	g.outstanding[id] = done
 }
 
-// report tells the call agent of a start, or that it could not be reached; until it is answered it reports again.
-func (g *Gateway) report(method string, life int) {
-	if life != g.lives || !g.lost {
+// reportRestart tells the call agent of a start, or that it could not be reached; until it is answered it reports again.
+func (g *Gateway) reportRestart(method string, life int) {
+	if life != g.incarnation || !g.unregistered {
 		return
 	}
-	g.command(mgcp.Message{Verb: mgcp.RestartInProgress, Endpoint: "aaln/*@" + g.p.Name, Params: []mgcp.Param{{Name: "RM", Value: method}}}, func(ok bool) {
-		if ok && life == g.lives {
-			g.lost = false
-			g.mark()
+	g.sendCommand(mgcp.Message{Verb: mgcp.RestartInProgress, Endpoint: "aaln/*@" + g.config.Name, Params: []mgcp.Param{{Name: "RM", Value: method}}}, func(ok bool) {
+		if ok && life == g.incarnation {
+			g.unregistered = false
+			g.logReachability()
 			return
 		}
-		at := g.discon.NextReport(g.now())
-		g.after(time.Duration(at-g.now())*100*time.Microsecond, func() { g.report(method, life) })
+		at := g.disconnectedProcedure.NextReport(g.now())
+		g.schedule(time.Duration(at-g.now())*100*time.Microsecond, func() { g.reportRestart(method, life) })
 	})
 }
 
-func (g *Gateway) disconnected() {
-	if g.lost {
+func (g *Gateway) startDisconnectedProcedure() {
+	if g.unregistered {
 		return
 	}
-	g.lost = true
-	g.mark()
-	at, life := g.discon.Start(g.now(), tenths(g.p.Disconnected), g.chance), g.lives
-	g.after(time.Duration(at-g.now())*100*time.Microsecond, func() { g.report("disconnected", life) })
+	g.unregistered = true
+	g.logReachability()
+	at, life := g.disconnectedProcedure.Start(g.now(), tenths(g.config.DisconnectedDelay), g.random), g.incarnation
+	g.schedule(time.Duration(at-g.now())*100*time.Microsecond, func() { g.reportRestart("disconnected", life) })
 }
 
-func (g *Gateway) receive(r received) {
-	all, _ := mgcp.Decode(r.b)
+func (g *Gateway) handleDatagram(r datagram) {
+	all, _ := mgcp.Decode(r.data)
 	for _, m := range all {
 		switch {
 		case m.IsAcknowledgement():
-			g.rcv.HandleAck(m.Transaction)
+			g.receiver.HandleAck(m.Transaction)
 		case m.Verb == "":
 			g.sender.HandleResponse(g.now(), m)
 		default:
-			carryOut, again := g.rcv.HandleCommand(g.now(), m)
+			carryOut, again := g.receiver.HandleCommand(g.now(), m)
 			if again != nil {
-				g.transmit(r.from, *again)
+				g.send(r.from, *again)
 			}
 			if carryOut {
-				reply := g.carryOut(m)
+				reply := g.executeCommand(m)
 				reply.Transaction = m.Transaction
-				g.transmit(r.from, g.rcv.StoreResponse(g.now(), reply))
-				if m.Verb == mgcp.CreateConnection && g.chance.Float64() < g.quirk.TwoAnswers {
-					g.secondAnswer(m, reply, r.from)
+				g.send(r.from, g.receiver.StoreResponse(g.now(), reply))
+				if m.Verb == mgcp.CreateConnection && g.random.Float64() < g.faults.TwoResponsesRatio {
+					g.sendSecondResponse(m, reply, r.from)
 				}
 			}
 		}
 	}
 }
 
-// secondAnswer contradicts the first: another connection, which it makes as well.
-func (g *Gateway) secondAnswer(m, reply mgcp.Message, to netip.AddrPort) {
+// sendSecondResponse contradicts the first: another connection, which it makes as well.
+func (g *Gateway) sendSecondResponse(m, reply mgcp.Message, to netip.AddrPort) {
 	local, _, _ := strings.Cut(m.Endpoint, "@")
 	if i, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/")); err == nil && reply.Code == mgcp.CodeOK {
-		id := g.connect(i-1, "", false)
+		id := g.createConnection(i-1, "", false)
 		reply.Params = []mgcp.Param{{Name: "I", Value: id}}
-		g.transmit(to, reply)
+		g.send(to, reply)
 	}
 }
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -15,26 +15,26 @@
 
 // Register watches the lamps of switches, late, and tells every controller that calls; the centre's advice rides along.
 type Register struct {
-	switches []*Switch
-	sizes    [][]int // circuits between two exchanges
-	log      *audit.Log
-	every    time.Duration
-	mu       sync.Mutex
-	late     time.Duration
-	mend     bool
-	wrong    string // trouble: how the next lists are wrong
-	version  uint64
-	held     []sighting
-	shown    []membership.Entry
-	clients  map[*client]bool
-	ln       net.Listener
-	stop     chan struct{}
-	all      sync.WaitGroup
+	switches     []*Switch
+	circuits     [][]int // circuits between two exchanges
+	log          *audit.Log
+	interval     time.Duration
+	mu           sync.Mutex
+	delay        time.Duration
+	faultCleared bool
+	fault        string // trouble: how the next lists are wrong
+	version      uint64
+	observations []observation
+	published    []membership.Entry
+	clients      map[*client]bool
+	listener     net.Listener
+	stop         chan struct{}
+	wg           sync.WaitGroup
 }
 
-type sighting struct {
-	at    time.Time
-	lines []membership.Entry
+type observation struct {
+	at      time.Time
+	entries []membership.Entry
 }
 
 type client struct {
@@ -45,89 +45,93 @@
 
 // NewRegister makes a register over switches, told of a change late.
 func NewRegister(switches []*Switch, sizes [][]int, late, every time.Duration, log *audit.Log) *Register {
-	return &Register{switches: switches, sizes: sizes, late: late, every: every, log: log, clients: map[*client]bool{},
+	return &Register{switches: switches, circuits: sizes, delay: late, interval: every, log: log, clients: map[*client]bool{},
 		stop: make(chan struct{})}
 }
 
 // Start serves on a listener.
 func (r *Register) Start(ln net.Listener) {
-	r.ln = ln
-	r.all.Go(func() {
+	r.listener = ln
+	r.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			r.all.Go(func() { r.serve(c) })
+			r.wg.Go(func() { r.serve(c) })
 		}
 	})
-	r.all.Go(r.watch)
+	r.wg.Go(r.publishChanges)
 }
 
 // Stop ends it.
 func (r *Register) Stop() {
 	close(r.stop)
-	r.ln.Close()
+	r.listener.Close()
 	r.mu.Lock()
 	for c := range r.clients {
 		c.conn.Close()
 	}
 	r.mu.Unlock()
-	r.all.Wait()
+	r.wg.Wait()
 }
 
-// Late changes how late changes are told; Wrong how lists are wrong: short, repeated, contradictory, stale or not at all.
-func (r *Register) Late(d time.Duration) { r.mu.Lock(); r.late = d; r.mu.Unlock() }
-func (r *Register) Wrong(how string)     { r.mu.Lock(); r.wrong, r.mend = how, how == ""; r.mu.Unlock() }
+// SetDelay changes how late changes are told; Wrong how lists are wrong: short, repeated, contradictory, stale or not at all.
+func (r *Register) SetDelay(d time.Duration) { r.mu.Lock(); r.delay = d; r.mu.Unlock() }
+func (r *Register) SetFault(how string) {
+	r.mu.Lock()
+	r.fault, r.faultCleared = how, how == ""
+	r.mu.Unlock()
+}
 
-func (r *Register) look() []membership.Entry {
+func (r *Register) observe() []membership.Entry {
 	var lines []membership.Entry
 	for _, s := range r.switches {
-		life, up, ready, draining := s.Lamp()
+		life, up, ready, draining := s.Status()
 		lines = append(lines, membership.Entry{ID: uint32(1000 + s.Number), Number: s.Number, Incarnation: uint64(life),
 			Uptime: policy.Tenths(up / (100 * time.Microsecond)), Ready: ready, Draining: draining})
 	}
 	return lines
 }
 
-func (r *Register) watch() {
+func (r *Register) publishChanges() {
 	for n := 0; ; n++ {
-		now, seen := time.Now(), r.look()
+		now, seen := time.Now(), r.observe()
 		r.mu.Lock()
-		r.held = append(r.held, sighting{now, seen})
-		changed := r.shown == nil
-		for len(r.held) > 0 && (now.Sub(r.held[0].at) >= r.late || r.shown == nil) {
-			for i, l := range r.held[0].lines {
-				changed = changed || r.shown == nil || l.Ready != r.shown[i].Ready || l.Draining != r.shown[i].Draining || l.Incarnation != r.shown[i].Incarnation
+		r.observations = append(r.observations, observation{now, seen})
+		changed := r.published == nil
+		for len(r.observations) > 0 && (now.Sub(r.observations[0].at) >= r.delay || r.published == nil) {
+			for i, l := range r.observations[0].entries {
+				changed = changed || r.published == nil || l.Ready != r.published[i].Ready || l.Draining != r.published[i].Draining || l.Incarnation != r.published[i].Incarnation
 			}
-			for i := range r.held[0].lines { // how long it has been up is reckoned when it is told
-				r.held[0].lines[i].Uptime += policy.Tenths(now.Sub(r.held[0].at) / (100 * time.Microsecond))
+			for i := range r.observations[0].entries { // how long it has been up is reckoned when it is told
+				r.observations[0].entries[i].Uptime += policy.Tenths(now.Sub(r.observations[0].at) / (100 * time.Microsecond))
 			}
-			r.shown, r.held = r.held[0].lines, r.held[1:]
+			r.published, r.observations = r.observations[0].entries, r.observations[1:]
 		}
-		if changed || r.wrong != "" || r.mend { // once it is well again all are told so
-			r.mend = false
+		if changed || r.fault != "" || r.faultCleared { // once it is well again all are told so
+			r.faultCleared = false
 			r.version++
 			for c := range r.clients {
-				r.list(c)
+				r.sendList(c)
 			}
 		}
 		if n%20 == 0 {
-			r.advise()
+			r.sendAdvice()
 		}
 		r.mu.Unlock()
 		select {
 		case <-r.stop:
 			return
-		case <-time.After(r.every):
+		case <-time.After(r.interval):
 		}
 	}
 }
 
-// list writes the whole list to one controller; the lock is held.
-func (r *Register) list(c *client) {
-	l := membership.List{Epoch: 1, Version: r.version, Full: true, Count: len(r.shown), Entries: r.shown}
-	switch r.wrong {
+// sendList writes the whole list to one controller; the lock is held.
+func (r *Register) sendList(c *client) {
+	l := membership.List{Epoch: 1, Version: r.version, Full: true, Count: len(r.published), Entries: r.published}
+	switch r.fault {
 	case "short":
 		l.Entries = l.Entries[:len(l.Entries)/2]
 	case "stale":
@@ -138,22 +142,22 @@
 		l.Count++
 	}
 	for _, s := range l.Entries {
-		e := audit.Event{Kind: audit.Told, Site: c.exchange, Peer: s.Number, Value: int64(l.Version)}
+		e := audit.Event{Kind: audit.ListEntrySent, Site: c.exchange, Peer: s.Number, Value: int64(l.Version)}
 		if s.Ready {
 			e.CIC = 1
 		}
 		// What a controller must not believe tells it nothing; a list that is sent twice, or wrong about one switch, does.
-		if r.wrong == "" || r.wrong == "repeated" || r.wrong == "contradictory" && s.ID != l.Entries[0].ID {
+		if r.fault == "" || r.fault == "repeated" || r.fault == "contradictory" && s.ID != l.Entries[0].ID {
 			r.log.Add(e)
 		}
 	}
-	r.write(c, register.Message{List: &l})
-	if r.wrong == "repeated" {
-		r.write(c, register.Message{List: &l})
+	r.send(c, register.Message{List: &l})
+	if r.fault == "repeated" {
+		r.send(c, register.Message{List: &l})
 	}
 }
 
-func (r *Register) write(c *client, w register.Message) {
+func (r *Register) send(c *client, w register.Message) {
 	b, err := json.Marshal(w)
 	if err != nil {
 		return
@@ -164,15 +168,15 @@
 	}
 }
 
-// advise tells each controller, for each destination, the tandem with most room on both legs at this look.
-func (r *Register) advise() {
+// sendAdvice tells each controller, for each destination, the tandem with most room on both legs at this look.
+func (r *Register) sendAdvice() {
 	n := len(r.switches)
 	room := make([][]int, n)
 	for a := range n {
 		room[a] = make([]int, n)
 		for b := range n {
 			if a != b {
-				room[a][b] = r.sizes[a][b] - r.switches[b].Busy(a) - r.switches[a].Busy(b)
+				room[a][b] = r.circuits[a][b] - r.switches[b].BusyCircuits(a) - r.switches[a].BusyCircuits(b)
 			}
 		}
 	}
@@ -189,7 +193,7 @@
 				advice[to] = best
 			}
 		}
-		r.write(c, register.Message{Advice: advice})
+		r.send(c, register.Message{Advice: advice})
 	}
 }
 
@@ -212,12 +216,12 @@
 			c.exchange = *w.Exchange
 			r.clients[c] = true
 		}
-		if (w.Exchange != nil || w.RequestList) && r.clients[c] && r.shown != nil {
+		if (w.Exchange != nil || w.RequestList) && r.clients[c] && r.published != nil {
 			r.version++
-			r.list(c)
+			r.sendList(c)
 		}
 		if w.AckVersion != 0 && r.clients[c] {
-			r.log.Add(audit.Event{Kind: audit.Ack, Site: c.exchange, Value: int64(w.AckVersion)})
+			r.log.Add(audit.Event{Kind: audit.ListAcknowledged, Site: c.exchange, Value: int64(w.AckVersion)})
 		}
 		r.mu.Unlock()
 	}
--- a/internal/standin/subscribers.go
+++ b/internal/standin/subscribers.go
@@ -14,128 +14,132 @@
 
 // Caller is one subscriber who wants one call; its times count from the day's begin. The second half is what came of it.
 type Caller struct {
-	At                        time.Duration
+	StartTime                 time.Duration
 	From, Dest, Bearer, Width int
-	Holding                   time.Duration
-	Abandon                   time.Duration
+	HoldingTime               time.Duration
+	AbandonTime               time.Duration
 
-	Dials   int
-	Stood   time.Duration // when it first stood, 0 never
-	Cuts    int           // times that it stood and the network ended it
-	Cut     bool          // it stood and was cut, and did not stand again in time
-	Refused int
-	Failed  int
-	Left    int
-	cutAt   time.Duration
-	within  time.Duration // GoS target
+	Attempts       int
+	EstablishedAt  time.Duration // when it first stood, 0 never
+	Disconnections int           // times that it stood and the network ended it
+	Disconnected   bool          // it stood and was cut, and did not stand again in time
+	Refused        int
+	Failed         int
+	Abandoned      int
+	disconnectedAt time.Duration
+	gosTarget      time.Duration // GoSTargets target
 }
 
 // Line is the number that the caller dials at its exchange.
-func (c *Caller) Line() uint32 { return uint32(c.At/time.Microsecond) % 1000000 }
+func (c *Caller) Line() uint32 { return uint32(c.StartTime/time.Microsecond) % 1000000 }
 
-// Habits of subscribers.
-type Habits struct {
-	Redials  int
-	Backoff  time.Duration // before the first redial; it doubles
-	Honour   float64       // share who heed a time to come back
-	TryShare float64       // part of the abandon time that one dial is given
-	CutBack  time.Duration // a call that was cut is dialled again within
-	GoS      []time.Duration
+// SubscriberBehaviour of subscribers.
+type SubscriberBehaviour struct {
+	MaxRedials           int
+	InitialBackoff       time.Duration // before the first redial; it doubles
+	RetryAfterCompliance float64       // share who heed a time to come back
+	AttemptTimeRatio     float64       // part of the abandon time that one dial is given
+	MaxReconnectDelay    time.Duration // a call that was cut is dialled again within
+	GoSTargets           []time.Duration
 }
 
-type dial struct {
-	caller *Caller
-	cic    uint16
-	stands bool
-	over   bool
+type attempt struct {
+	caller      *Caller
+	cic         uint16
+	established bool
+	ended       bool
 }
 
-type step struct {
-	at   time.Duration
-	what byte // d dial, l leave, h hang up
-	c    *Caller
-	d    *dial
-	cut  bool
+type action struct {
+	at        time.Duration
+	kind      byte // d dial, l leave, h hang up
+	caller    *Caller
+	attempt   *attempt
+	reconnect bool
 }
 
-type steps []step
+type actionHeap []action
 
-func (s steps) Len() int           { return len(s) }
-func (s steps) Less(i, j int) bool { return s[i].at < s[j].at }
-func (s steps) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *steps) Push(x any)        { *s = append(*s, x.(step)) }
-func (s *steps) Pop() any          { n := len(*s) - 1; x := (*s)[n]; *s = (*s)[:n]; return x }
+func (s actionHeap) Len() int           { return len(s) }
+func (s actionHeap) Less(i, j int) bool { return s[i].at < s[j].at }
+func (s actionHeap) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
+func (s *actionHeap) Push(x any)        { *s = append(*s, x.(action)) }
+func (s *actionHeap) Pop() any          { n := len(*s) - 1; x := (*s)[n]; *s = (*s)[:n]; return x }
 
-type heard struct {
+type linkEvent struct {
 	exchange int
-	m        isup.Message
-	gone     bool
+	message  isup.Message
+	linkDown bool
 	conn     net.Conn
 }
 
 // Subscribers dial at their set times whatever the exchanges do.
 type Subscribers struct {
-	habits Habits
-	dialer func(exchange int) (net.Conn, error)
-	chance *rand.Rand
-	began  time.Time
-	steps  steps
-	conns  []net.Conn
-	active []map[uint16]*dial
-	next   []uint16
-	ident  uint32
-	inbox  chan heard
-	early  float64 // trouble: share of callers who leave early
-	mu     sync.Mutex
-	late   time.Duration // the worst that a dial was behind its time
+	behaviour         SubscriberBehaviour
+	dialer            func(exchange int) (net.Conn, error)
+	random            *rand.Rand
+	startTime         time.Time
+	actions           actionHeap
+	conns             []net.Conn
+	attempts          []map[uint16]*attempt
+	nextCIC           []uint16
+	lastIdentity      uint32
+	linkEvents        chan linkEvent
+	earlyAbandonRatio float64 // trouble: share of callers who leave early
+	mu                sync.Mutex
+	maxDialDelay      time.Duration // the worst that a dial was behind its time
 }
 
 // NewSubscribers makes the subscribers of a number of exchanges.
-func NewSubscribers(exchanges int, callers []*Caller, h Habits, seed uint64, dialer func(int) (net.Conn, error)) *Subscribers {
-	s := &Subscribers{habits: h, dialer: dialer, chance: rand.New(rand.NewPCG(seed, 77)), conns: make([]net.Conn, exchanges),
-		next: make([]uint16, exchanges), inbox: make(chan heard, 4096)}
+func NewSubscribers(exchanges int, callers []*Caller, h SubscriberBehaviour, seed uint64, dialer func(int) (net.Conn, error)) *Subscribers {
+	s := &Subscribers{behaviour: h, dialer: dialer, random: rand.New(rand.NewPCG(seed, 77)), conns: make([]net.Conn, exchanges),
+		nextCIC: make([]uint16, exchanges), linkEvents: make(chan linkEvent, 4096)}
 	for range exchanges {
-		s.active = append(s.active, map[uint16]*dial{})
+		s.attempts = append(s.attempts, map[uint16]*attempt{})
 	}
 	for _, c := range callers {
-		c.within = h.GoS[c.Bearer]
-		s.steps = append(s.steps, step{at: c.At, what: 'd', c: c})
+		c.gosTarget = h.GoSTargets[c.Bearer]
+		s.actions = append(s.actions, action{at: c.StartTime, kind: 'd', caller: c})
 	}
-	heap.Init(&s.steps)
+	heap.Init(&s.actions)
 	return s
 }
 
-// LeaveEarly has a share of the callers give up long before their time.
-func (s *Subscribers) LeaveEarly(share float64) { s.mu.Lock(); s.early = share; s.mu.Unlock() }
+// SetEarlyAbandonRatio has a share of the callers give up long before their time.
+func (s *Subscribers) SetEarlyAbandonRatio(share float64) {
+	s.mu.Lock()
+	s.earlyAbandonRatio = share
+	s.mu.Unlock()
+}
 
-// Late is the worst that a dial went out behind its time.
-func (s *Subscribers) Late() time.Duration { return s.late }
+// MaxDialDelay is the worst that a dial went out behind its time.
+func (s *Subscribers) MaxDialDelay() time.Duration { return s.maxDialDelay }
 
 // Run dials until every caller is done or stop closes.
 func (s *Subscribers) Run(stop <-chan struct{}) {
-	s.began = time.Now()
+	s.startTime = time.Now()
 	var all sync.WaitGroup
 	closing := make(chan struct{})
 	for i := range s.conns {
-		all.Go(func() { s.listen(i, closing) })
+		all.Go(func() { s.maintainLink(i, closing) })
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for running := true; running; {
-		now := time.Since(s.began)
-		for len(s.steps) > 0 && s.steps[0].at <= now {
-			s.act(heap.Pop(&s.steps).(step), now)
+		now := time.Since(s.startTime)
+		for len(s.actions) > 0 && s.actions[0].at <= now {
+			s.perform(heap.Pop(&s.actions).(action), now)
 		}
-		if len(s.steps) == 0 {
+		if len(s.actions) == 0 {
 			break
 		}
-		timer.Reset(s.steps[0].at - now)
+		timer.Reset(s.actions[0].at - now)
 		select {
 		case <-stop:
 			running = false
 		case <-timer.C:
-		case h := <-s.inbox:
-			s.hear(h)
+		case h := <-s.linkEvents:
+			s.handleLinkEvent(h)
 		}
 	}
 	close(closing)
@@ -145,15 +149,15 @@
 		}
 	}
 	go func() { // readers may be handing over
-		for range s.inbox {
+		for range s.linkEvents {
 		}
 	}()
 	all.Wait()
-	close(s.inbox)
+	close(s.linkEvents)
 }
 
-// listen keeps the connection to one exchange's switch.
-func (s *Subscribers) listen(i int, closing chan struct{}) {
+// maintainLink keeps the connection to one exchange's switch.
+func (s *Subscribers) maintainLink(i int, closing chan struct{}) {
 	for {
 		conn, err := s.dialer(i)
 		if err == nil {
@@ -161,16 +165,16 @@
 			_, err = conn.Write(hello)
 			var f m3ua.Frame
 			var scratch []byte
-			s.inbox <- heard{exchange: i, conn: conn}
+			s.linkEvents <- linkEvent{exchange: i, conn: conn}
 			for err == nil {
 				if f, scratch, err = m3ua.Read(conn, scratch); err == nil && f.Kind == m3ua.Data {
 					if m, bad := isup.Decode(f.UserData); bad == nil {
-						s.inbox <- heard{exchange: i, m: m}
+						s.linkEvents <- linkEvent{exchange: i, message: m}
 					}
 				}
 			}
 			conn.Close()
-			s.inbox <- heard{exchange: i, gone: true}
+			s.linkEvents <- linkEvent{exchange: i, linkDown: true}
 		}
 		select {
 		case <-closing:
@@ -180,7 +184,7 @@
 	}
 }
 
-func (s *Subscribers) write(i int, m isup.Message) bool {
+func (s *Subscribers) send(i int, m isup.Message) bool {
 	b, err := isup.Append(nil, m)
 	if err != nil || s.conns[i] == nil {
 		return false
@@ -193,127 +197,127 @@
 	return err == nil
 }
 
-func (s *Subscribers) act(st step, now time.Duration) {
-	c := st.c
-	switch st.what {
+func (s *Subscribers) perform(st action, now time.Duration) {
+	c := st.caller
+	switch st.kind {
 	case 'd':
-		s.late = max(s.late, now-st.at)
-		s.dial(c, st.cut, now)
+		s.maxDialDelay = max(s.maxDialDelay, now-st.at)
+		s.startAttempt(c, st.reconnect, now)
 	case 'l', 'h':
-		if d := st.d; !d.over && d.stands == (st.what == 'h') {
-			s.write(c.From, isup.Message{CIC: d.cic, Type: isup.REL, Cause: isup.NormalClearing, Location: isup.User})
-			s.end(d)
-			if st.what == 'l' {
-				c.Left++
-				s.again(c, 0, now)
+		if d := st.attempt; !d.ended && d.established == (st.kind == 'h') {
+			s.send(c.From, isup.Message{CIC: d.cic, Type: isup.REL, Cause: isup.NormalClearing, Location: isup.User})
+			s.endAttempt(d)
+			if st.kind == 'l' {
+				c.Abandoned++
+				s.scheduleRedial(c, 0, now)
 			}
 		}
 	}
 }
 
-func (s *Subscribers) end(d *dial) {
-	d.over = true
-	delete(s.active[d.caller.From], d.cic)
+func (s *Subscribers) endAttempt(d *attempt) {
+	d.ended = true
+	delete(s.attempts[d.caller.From], d.cic)
 }
 
-func (s *Subscribers) dial(c *Caller, cut bool, now time.Duration) {
-	if c.Dials++; s.conns[c.From] == nil || len(s.active[c.From]) > isup.MaxCIC/2 {
+func (s *Subscribers) startAttempt(c *Caller, cut bool, now time.Duration) {
+	if c.Attempts++; s.conns[c.From] == nil || len(s.attempts[c.From]) > isup.MaxCIC/2 {
 		c.Failed++
-		s.again(c, 0, now)
+		s.scheduleRedial(c, 0, now)
 		return
 	}
-	for s.active[c.From][s.next[c.From]] != nil {
-		s.next[c.From] = (s.next[c.From] + 1) & isup.MaxCIC
+	for s.attempts[c.From][s.nextCIC[c.From]] != nil {
+		s.nextCIC[c.From] = (s.nextCIC[c.From] + 1) & isup.MaxCIC
 	}
-	d := &dial{caller: c, cic: s.next[c.From]}
-	s.next[c.From] = (s.next[c.From] + 1) & isup.MaxCIC
-	s.active[c.From][d.cic] = d
-	s.ident++
-	ttl := time.Duration(s.habits.TryShare * float64(c.Abandon))
+	d := &attempt{caller: c, cic: s.nextCIC[c.From]}
+	s.nextCIC[c.From] = (s.nextCIC[c.From] + 1) & isup.MaxCIC
+	s.attempts[c.From][d.cic] = d
+	s.lastIdentity++
+	ttl := time.Duration(s.behaviour.AttemptTimeRatio * float64(c.AbandonTime))
 	marks := uint8(0)
-	if c.Dials > 1 && !cut {
+	if c.Attempts > 1 && !cut {
 		marks = isup.FlagRedial
 	} else if cut {
 		marks = isup.FlagDisconnectedBefore
 	}
-	s.write(c.From, isup.Message{CIC: d.cic, Type: isup.IAM, Digits: exchange.LineNumber(c.Dest, c.Line()), Caller: exchange.LineNumber(c.From, c.Line()), Width: c.Width,
-		Ref: isup.Reference{Point: exchange.PointCode(c.From), Identity: s.ident & 0xffffff}, UserInfo: isup.UserInfo{
+	s.send(c.From, isup.Message{CIC: d.cic, Type: isup.IAM, Digits: exchange.LineNumber(c.Dest, c.Line()), Caller: exchange.LineNumber(c.From, c.Line()), Width: c.Width,
+		Ref: isup.Reference{Point: exchange.PointCode(c.From), Identity: s.lastIdentity & 0xffffff}, UserInfo: isup.UserInfo{
 			Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(ttl / (100 * time.Microsecond)),
 			SentAt: uint32(now / (100 * time.Microsecond)), Bearer: uint8(c.Bearer), Flags: marks}})
 	s.mu.Lock()
-	if s.chance.Float64() < s.early {
-		ttl = time.Duration(float64(ttl) * s.chance.Float64() * 0.3)
+	if s.random.Float64() < s.earlyAbandonRatio {
+		ttl = time.Duration(float64(ttl) * s.random.Float64() * 0.3)
 	}
 	s.mu.Unlock()
-	heap.Push(&s.steps, step{at: now + ttl, what: 'l', c: c, d: d})
+	heap.Push(&s.actions, action{at: now + ttl, kind: 'l', caller: c, attempt: d})
 }
 
-// again has a caller dial once more, if its patience and habits allow.
-func (s *Subscribers) again(c *Caller, comeBack, now time.Duration) {
-	if c.Dials > s.habits.Redials {
+// scheduleRedial has a caller dial once more, if its patience and habits allow.
+func (s *Subscribers) scheduleRedial(c *Caller, comeBack, now time.Duration) {
+	if c.Attempts > s.behaviour.MaxRedials {
 		return
 	}
-	wait := time.Duration(float64(s.habits.Backoff<<(c.Dials-1)) * (0.5 + s.chance.Float64()))
-	if comeBack > 0 && s.chance.Float64() < s.habits.Honour {
+	wait := time.Duration(float64(s.behaviour.InitialBackoff<<(c.Attempts-1)) * (0.5 + s.random.Float64()))
+	if comeBack > 0 && s.random.Float64() < s.behaviour.RetryAfterCompliance {
 		wait = max(comeBack, wait)
 	}
-	if now+wait < c.At+c.Abandon {
-		heap.Push(&s.steps, step{at: now + wait, what: 'd', c: c})
+	if now+wait < c.StartTime+c.AbandonTime {
+		heap.Push(&s.actions, action{at: now + wait, kind: 'd', caller: c})
 	}
 }
 
-func (s *Subscribers) hear(h heard) {
-	now := time.Since(s.began)
+func (s *Subscribers) handleLinkEvent(h linkEvent) {
+	now := time.Since(s.startTime)
 	switch {
 	case h.conn != nil:
 		s.conns[h.exchange] = h.conn
 		return
-	case h.gone:
+	case h.linkDown:
 		s.conns[h.exchange] = nil
-		for _, d := range s.active[h.exchange] {
-			s.fails(d, false, 0, now)
+		for _, d := range s.attempts[h.exchange] {
+			s.handleNetworkRelease(d, false, 0, now)
 		}
 		return
 	}
-	d := s.active[h.exchange][h.m.CIC]
+	d := s.attempts[h.exchange][h.message.CIC]
 	if d == nil {
 		return
 	}
-	switch h.m.Type {
+	switch h.message.Type {
 	case isup.ANM:
-		if d.stands {
+		if d.established {
 			return
 		}
-		d.stands = true
+		d.established = true
 		c := d.caller
-		if c.Stood == 0 {
-			c.Stood = max(now, 1)
+		if c.EstablishedAt == 0 {
+			c.EstablishedAt = max(now, 1)
 		}
-		if c.cutAt > 0 && now-c.cutAt <= c.within {
-			c.Cut = false
+		if c.disconnectedAt > 0 && now-c.disconnectedAt <= c.gosTarget {
+			c.Disconnected = false
 		}
-		heap.Push(&s.steps, step{at: now + c.Holding, what: 'h', c: c, d: d})
+		heap.Push(&s.actions, action{at: now + c.HoldingTime, kind: 'h', caller: c, attempt: d})
 	case isup.REL:
-		s.write(h.exchange, isup.Message{CIC: h.m.CIC, Type: isup.RLC})
-		refused := h.m.Cause == isup.NoCircuit || h.m.Cause == isup.Congestion || h.m.Cause == isup.UserBusy
-		s.fails(d, refused, time.Duration(h.m.UserInfo.RetryAfter)*100*time.Microsecond, now)
+		s.send(h.exchange, isup.Message{CIC: h.message.CIC, Type: isup.RLC})
+		refused := h.message.Cause == isup.NoCircuit || h.message.Cause == isup.Congestion || h.message.Cause == isup.UserBusy
+		s.handleNetworkRelease(d, refused, time.Duration(h.message.UserInfo.RetryAfter)*100*time.Microsecond, now)
 	}
 }
 
-// fails ends a dial that the network ended.
-func (s *Subscribers) fails(d *dial, refused bool, comeBack, now time.Duration) {
+// handleNetworkRelease ends a dial that the network ended.
+func (s *Subscribers) handleNetworkRelease(d *attempt, refused bool, comeBack, now time.Duration) {
 	c := d.caller
-	s.end(d)
+	s.endAttempt(d)
 	switch {
-	case d.stands:
-		c.Cuts++
-		c.Cut, c.cutAt = true, now
-		heap.Push(&s.steps, step{at: now + time.Duration(s.chance.Float64()*float64(s.habits.CutBack)), what: 'd', c: c, cut: true})
+	case d.established:
+		c.Disconnections++
+		c.Disconnected, c.disconnectedAt = true, now
+		heap.Push(&s.actions, action{at: now + time.Duration(s.random.Float64()*float64(s.behaviour.MaxReconnectDelay)), kind: 'd', caller: c, reconnect: true})
 		return
 	case refused:
 		c.Refused++
 	default:
 		c.Failed++
 	}
-	s.again(c, comeBack, now)
+	s.scheduleRedial(c, comeBack, now)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestDamagedBatches(t *testing.T) { seeded.Damaged(t, corpus(), 20000, checkReply) }
+func TestDamagedBatches(t *testing.T) { seeded.ForEachMutation(t, corpus(), 20000, checkReply) }
 
 func FuzzServe(f *testing.F) {
 	for _, b := range corpus() {
