--- a/internal/circuit/circuit.go
+++ b/internal/circuit/circuit.go
@@ -223,7 +223,7 @@
 // SetUpReceived handles a set-up of the neighbour. yielded lists the outgoing calls that lost their circuits to it; they
 // may be tried again on other circuits, and nothing is sent for the lost ones. gone lists earlier calls of the neighbour
 // on the same circuits: its messages arrive in order, so that their release must have been lost.
-func (g *Group) SetUpReceived(now policy.Tenths, call uint32, assigned Assignment, width int) (verdict SetUpVerdict, yielded, gone []uint32) {
+func (g *Group) SetUpReceived(now policy.Tenths, call uint32, assigned Assignment, width int) (verdict SetUpVerdict, yielded, stale []uint32) {
 	indices, ok := g.indices(assigned)
 	if !ok || len(indices) != width {
 		return UnknownCircuit, nil, nil
@@ -250,7 +250,7 @@
 	var yieldedIndices []int
 	for _, i := range indices {
 		if c := &g.circuits[i]; c.state == Incoming {
-			gone = append(gone, c.call)
+			stale = append(stale, c.call)
 			g.setStateOfCall(now, code(i), Idle, Incoming)
 		}
 		if g.circuits[i].state == Seized {
@@ -274,7 +274,7 @@
 	for _, i := range yieldedIndices {
 		g.circuits[i].yielded = true
 	}
-	return Accepted, yielded, gone
+	return Accepted, yielded, stale
 }
 
 // Yielded reports whether the neighbour's call on a circuit took it from an own call. The release of that call must carry
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -259,9 +259,9 @@
 func TestSetUpOnIncomingCircuitImpliesALostRelease(t *testing.T) {
 	g := New(1, 2, 6)
 	g.SetUpReceived(0, 8, Assignment{CIC: 1, Slots: 3}, 2)
-	v, _, gone := g.SetUpReceived(1, 9, Assignment{CIC: 2}, 1)
-	if v != Accepted || !slices.Equal(gone, []uint32{8}) || g.Free() != 5 {
-		t.Fatalf("verdict %d, gone %v, %d free", v, gone, g.Free())
+	v, _, stale := g.SetUpReceived(1, 9, Assignment{CIC: 2}, 1)
+	if v != Accepted || !slices.Equal(stale, []uint32{8}) || g.Free() != 5 {
+		t.Fatalf("verdict %d, gone %v, %d free", v, stale, g.Free())
 	}
 }
 
--- a/internal/exchange/actions.go
+++ b/internal/exchange/actions.go
@@ -5,13 +5,13 @@
 	"indigodrift/policy"
 )
 
-// actionHandler implements policy.Exchange. It carries out the decider's actions in the order they are made. The end of a
+// executor implements policy.Exchange. It carries out the decider's actions in the order they are made. The end of a
 // try that follows at once from an action is reported only after the decider has returned.
-type actionHandler Exchange
+type executor Exchange
 
 // Send starts a route try.
-func (h *actionHandler) Send(id, switchID uint32, limit policy.Tenths) {
-	x := (*Exchange)(h)
+func (e *executor) Send(id, switchID uint32, timeout policy.Tenths) {
+	x := (*Exchange)(e)
 	call := x.calls[id]
 	if call == nil || call.state != Offered {
 		x.output.Note("fault: route try requested for a call that has ended or already has a try in progress")
@@ -19,8 +19,8 @@
 	}
 	call.tries++
 	call.switchID = switchID
-	unsent := func(ending policy.Outcome, reason policy.Reason) {
-		x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: id, try: call.tries - 1, switchID: switchID, ending: ending, reason: reason})
+	unsent := func(outcome policy.Outcome, reason policy.Reason) {
+		x.pendingResults = append(x.pendingResults, tryResult{callID: id, try: call.tries - 1, switchID: switchID, outcome: outcome, reason: reason})
 	}
 	i, ok := x.groupBySwitch[switchID]
 	if !ok || !x.groups[i].linkUp {
@@ -35,8 +35,8 @@
 	}
 	group.changed = true
 	call.tryDeadline = call.abandonTime
-	if limit > 0 {
-		call.tryDeadline = min(call.tryDeadline, x.now+limit)
+	if timeout > 0 {
+		call.tryDeadline = min(call.tryDeadline, x.now+timeout)
 	}
 	call.out = callLeg{Hop{Side: Succeeding, Peer: i}, assigned}
 	x.setState(call, Trying)
@@ -45,8 +45,8 @@
 }
 
 // Block refuses a call.
-func (h *actionHandler) Block(id uint32, retryAfter policy.Tenths) {
-	x := (*Exchange)(h)
+func (e *executor) Block(id uint32, retryAfter policy.Tenths) {
+	x := (*Exchange)(e)
 	call := x.calls[id]
 	if call == nil {
 		return
@@ -62,8 +62,8 @@
 }
 
 // Abort fails a call.
-func (h *actionHandler) Abort(id uint32) {
-	x := (*Exchange)(h)
+func (e *executor) Abort(id uint32) {
+	x := (*Exchange)(e)
 	if call := x.calls[id]; call != nil {
 		cause := isup.TemporaryFailure
 		if call.request.Transit { // the preceding exchange may try another route
@@ -74,8 +74,8 @@
 }
 
 // Cancel abandons a route try.
-func (h *actionHandler) Cancel(id uint32, try int) {
-	x := (*Exchange)(h)
+func (e *executor) Cancel(id uint32, try int) {
+	x := (*Exchange)(e)
 	if call := x.calls[id]; call != nil && call.state == Trying && try == call.tries-1 {
 		x.releaseTry(call, isup.NormalUnspecified)
 		x.endTry(call, policy.Cancelled, policy.NoReason, 0, isup.UserInfo{})
@@ -83,12 +83,12 @@
 }
 
 // SetTimer schedules a call of the decider's wake-up method.
-func (h *actionHandler) SetTimer(at policy.Tenths, token uint64) {
-	(*Exchange)(h).schedule(at, dueWake, token)
+func (e *executor) SetTimer(at policy.Tenths, token uint64) {
+	(*Exchange)(e).schedule(at, dueWake, token)
 }
 
 // Subscribe subscribes to the list of switches.
-func (h *actionHandler) Subscribe() { h.output.Follow() }
+func (e *executor) Subscribe() { e.output.Follow() }
 
 // Log writes a line to the operator's log.
-func (h *actionHandler) Log(text string) { h.output.Note(text) }
+func (e *executor) Log(text string) { e.output.Note(text) }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -22,9 +22,9 @@
 // Decider makes every routing and admission decision. The implementation in service is policy.Controller, which
 // documents the methods.
 type Decider interface {
-	Offer(now policy.Tenths, ask policy.Call) bool
+	Offer(now policy.Tenths, call policy.Call) bool
 	Answered(now policy.Tenths, id uint32, try int)
-	TryEnded(now policy.Tenths, id uint32, try int, switchID uint32, ending policy.Outcome, final bool, reason policy.Reason,
+	TryEnded(now policy.Tenths, id uint32, try int, switchID uint32, outcome policy.Outcome, final bool, reason policy.Reason,
 		wait policy.Tenths, report policy.LoadReport)
 	LoadReported(now policy.Tenths, switchID uint32, report policy.LoadReport)
 	Abandoned(now policy.Tenths, id uint32)
@@ -170,7 +170,7 @@
 	bootAt        policy.Tenths
 	listed        bool // a list has named a switch
 	linkUp        bool
-	lifetime      string        // process lifetime of the switch
+	incarnation   string        // process lifetime of the switch
 	changed       bool          // the decider has not seen the current state of the circuits
 	restored      bool          // this process has restarted and knows only the circuits of stored calls
 	earliestAudit policy.Tenths // earliest time for the next circuit query after a restart
@@ -190,12 +190,12 @@
 	dueCircuitQuery                 // the circuit query to a neighbour may start
 )
 
-// pendingEnding is the end of a try that is reported to the decider once it has returned from its current decision.
-type pendingEnding struct {
+// tryResult is the end of a try that is reported to the decider once it has returned from its current decision.
+type tryResult struct {
 	callID   uint32
 	try      int
 	switchID uint32
-	ending   policy.Outcome
+	outcome  policy.Outcome
 	reason   policy.Reason
 	wait     policy.Tenths
 	final    bool
@@ -233,8 +233,8 @@
 	timers           due.Queue
 	lastCallID       uint32
 	lastCalledLine   uint32
-	pendingEndings   []pendingEnding
-	ownLifetime      string
+	pendingResults   []tryResult
+	ownIncarnation   string
 	draining         bool
 	unanswered       int // calls without a final answer
 	numbering        *Numbering
@@ -256,7 +256,7 @@
 		x.groups = append(x.groups, trunkGroup{number: n.Number, circuits: circuit.New(PointCode(deployment.OwnExchange), PointCode(n.Number), n.Circuits)})
 		x.groupByNumber[n.Number] = i
 	}
-	x.decider = build(deployment, (*actionHandler)(x), now)
+	x.decider = build(deployment, (*executor)(x), now)
 	x.schedule(now+auditInterval, dueAudit, 0)
 	return x
 }
@@ -337,10 +337,10 @@
 // reportPending reports pending endings, portability replies and changed trunk groups to the decider until none is left.
 func (x *Exchange) reportPending() {
 	for {
-		if len(x.pendingEndings) > 0 {
-			pending := x.pendingEndings[0]
-			x.pendingEndings = x.pendingEndings[1:]
-			x.reportEnding(pending)
+		if len(x.pendingResults) > 0 {
+			result := x.pendingResults[0]
+			x.pendingResults = x.pendingResults[1:]
+			x.reportTryResult(result)
 			continue
 		}
 		if len(x.portReplies) > 0 {
@@ -363,17 +363,17 @@
 	}
 }
 
-// reportEnding reports the end of a try to the decider, unless the call has moved on since.
-func (x *Exchange) reportEnding(pending pendingEnding) {
-	call := x.calls[pending.callID]
-	if !pending.final && (call == nil || call.state != Offered || call.tries-1 != pending.try) {
+// reportTryResult reports the end of a try to the decider, unless the call has moved on since.
+func (x *Exchange) reportTryResult(result tryResult) {
+	call := x.calls[result.callID]
+	if !result.final && (call == nil || call.state != Offered || call.tries-1 != result.try) {
 		return
 	}
 	report := policy.LoadReport{Free: -1, Size: -1, Wait: -1, HoldBack: -1}
-	if i, ok := x.groupBySwitch[pending.switchID]; ok {
-		report = x.groupReport(i, pending.userInfo)
+	if i, ok := x.groupBySwitch[result.switchID]; ok {
+		report = x.groupReport(i, result.userInfo)
 	}
-	x.decider.TryEnded(x.now, pending.callID, pending.try, pending.switchID, pending.ending, pending.final, pending.reason, pending.wait, report)
+	x.decider.TryEnded(x.now, result.callID, result.try, result.switchID, result.outcome, result.final, result.reason, result.wait, report)
 }
 
 // groupReport returns the report about a trunk group for the decider, with the load of its switch from userInfo.
@@ -479,9 +479,9 @@
 }
 
 // endTry returns a call to the decider after its try has ended.
-func (x *Exchange) endTry(call *activeCall, ending policy.Outcome, reason policy.Reason, wait policy.Tenths, userInfo isup.UserInfo) {
+func (x *Exchange) endTry(call *activeCall, outcome policy.Outcome, reason policy.Reason, wait policy.Tenths, userInfo isup.UserInfo) {
 	x.setState(call, Offered)
-	x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: call.id, try: call.tries - 1, switchID: call.switchID, ending: ending, reason: reason, wait: wait, userInfo: userInfo})
+	x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: outcome, reason: reason, wait: wait, userInfo: userInfo})
 }
 
 // audit repeats the messages that neighbours have not answered.
@@ -550,19 +550,19 @@
 
 // LinkUp reports that the link to a neighbour's switch is up. lifetime identifies the process of that switch. If it has
 // changed, the state of the circuits is unknown and all of them are reset.
-func (x *Exchange) LinkUp(now policy.Tenths, peer int, lifetime string) {
+func (x *Exchange) LinkUp(now policy.Tenths, peer int, incarnation string) {
 	x.now = now
 	group := &x.groups[peer]
 	group.linkUp, group.changed = true, true
 	switch {
-	case group.lifetime != lifetime:
-		group.lifetime = lifetime
+	case group.incarnation != incarnation:
+		group.incarnation = incarnation
 		x.endOnLostCircuits(peer, group.circuits.ResetAll(now))
-		x.store.Knows(group.number, lifetime)
+		x.store.Knows(group.number, incarnation)
 		x.audit()
 	case group.restored: // the switch still knows the restored calls; all other circuits are reset
 		group.circuits.ResetUnrestored(now)
-		x.store.Knows(group.number, lifetime)
+		x.store.Knows(group.number, incarnation)
 		x.audit()
 		x.schedule(group.earliestAudit, dueCircuitQuery, 0)
 	}
@@ -586,18 +586,18 @@
 
 // OwnSwitchUp reports that the link to the own switch is up. A changed lifetime shows that the switch has restarted and
 // has lost all lines and circuits.
-func (x *Exchange) OwnSwitchUp(now policy.Tenths, lifetime string) {
+func (x *Exchange) OwnSwitchUp(now policy.Tenths, incarnation string) {
 	x.now = now
-	if x.ownLifetime != "" && x.ownLifetime != lifetime {
+	if x.ownIncarnation != "" && x.ownIncarnation != incarnation {
 		for _, call := range x.callsByID() {
 			x.endOrphaned(call, isup.NetworkOutOfOrder)
 		}
 	}
-	if x.ownLifetime != "" && x.ownLifetime != lifetime {
+	if x.ownIncarnation != "" && x.ownIncarnation != incarnation {
 		x.failedCalls, x.lostLines = nil, nil
 	}
-	x.ownLifetime = lifetime
-	x.store.Knows(-1, lifetime)
+	x.ownIncarnation = incarnation
+	x.store.Knows(-1, incarnation)
 	x.releaseLostCallers()
 	x.reportPending()
 }
@@ -623,7 +623,7 @@
 		}
 		x.reportAnswer(call, Abandoned, 0)
 	} else if call.offered {
-		x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: call.id, try: call.tries - 1, switchID: call.switchID, ending: policy.Disconnected, final: true})
+		x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: policy.Disconnected, final: true})
 	}
 	x.releaseTry(call, cause)
 	if call.in.hop.Side == Preceding || call.in.hop.atGateway() { // a telephone at a gateway is reached without the switch
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -103,8 +103,8 @@
 		case from.Side == Succeeding && outgoing:
 			group.circuits.Cleared(x.now, msg.CIC, true)
 			if call != nil {
-				ending, reason := endingOf(msg)
-				x.releasedByCalled(call, ending, reason, msg)
+				outcome, reason := tryOutcome(msg)
+				x.releasedByCalled(call, outcome, reason, msg)
 			}
 		case from.Side == Preceding && state == circuit.Incoming:
 			group.circuits.Cleared(x.now, msg.CIC, true)
@@ -162,8 +162,8 @@
 	group := &x.groups[from.Peer]
 	assigned := circuit.Assignment{CIC: msg.CIC, Slots: msg.Slots}
 	x.lastCallID++ // id of the call if it is accepted
-	verdict, yielded, gone := group.circuits.SetUpReceived(x.now, x.lastCallID, assigned, msg.Width)
-	for _, id := range gone {
+	verdict, yielded, stale := group.circuits.SetUpReceived(x.now, x.lastCallID, assigned, msg.Width)
+	for _, id := range stale {
 		if call := x.calls[id]; call != nil {
 			x.releasedByCaller(call, isup.NetworkOutOfOrder)
 		}
@@ -359,7 +359,7 @@
 	x.releaseTry(call, cause)
 	switch {
 	case call.offered && call.state == Established:
-		x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: call.id, try: call.tries - 1, switchID: call.switchID, ending: policy.Released, final: true})
+		x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: policy.Released, final: true})
 	case call.offered:
 		x.decider.Abandoned(x.now, call.id)
 		x.reportAnswer(call, Abandoned, 0)
@@ -370,7 +370,7 @@
 }
 
 // releasedByCalled handles a release from the called side. The circuits of that side are already in their new state.
-func (x *Exchange) releasedByCalled(call *activeCall, ending policy.Outcome, reason policy.Reason, msg isup.Message) {
+func (x *Exchange) releasedByCalled(call *activeCall, outcome policy.Outcome, reason policy.Reason, msg isup.Message) {
 	switch {
 	case call.state == Trying:
 		call.lastCause = msg.Cause
@@ -378,13 +378,13 @@
 		if msg.UserInfo.Present&isup.PartRetryAfter != 0 {
 			wait = policy.Tenths(msg.UserInfo.RetryAfter)
 		}
-		x.endTry(call, ending, reason, wait, msg.UserInfo)
+		x.endTry(call, outcome, reason, wait, msg.UserInfo)
 	case call.state == Established:
 		if msg.Cause != isup.NormalClearing {
-			ending = policy.Disconnected
+			outcome = policy.Disconnected
 		}
 		if call.offered {
-			x.pendingEndings = append(x.pendingEndings, pendingEnding{callID: call.id, try: call.tries - 1, switchID: call.switchID, ending: ending, final: true, userInfo: msg.UserInfo})
+			x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: outcome, final: true, userInfo: msg.UserInfo})
 		}
 		x.release(call.in, isup.Message{Type: isup.REL, Cause: msg.Cause, Location: msg.Location})
 		x.setState(call, Ended)
@@ -394,8 +394,8 @@
 	}
 }
 
-// endingOf derives from a release how and why a try ended.
-func endingOf(msg isup.Message) (policy.Outcome, policy.Reason) {
+// tryOutcome derives from a release how and why a try ended.
+func tryOutcome(msg isup.Message) (policy.Outcome, policy.Reason) {
 	switch msg.Cause {
 	case isup.NormalClearing:
 		return policy.Released, policy.NoReason
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -45,46 +45,46 @@
 }
 
 // restoredLeg returns the leg for its stored form; false if the neighbour is not configured any more.
-func (x *Exchange) restoredLeg(place recovery.Leg, out bool) (callLeg, bool) {
-	if !place.Trunk {
-		return callLeg{Hop{Side: Line, Point: place.Point}, circuit.Assignment{CIC: place.CIC}}, true
+func (x *Exchange) restoredLeg(stored recovery.Leg, out bool) (callLeg, bool) {
+	if !stored.Trunk {
+		return callLeg{Hop{Side: Line, Point: stored.Point}, circuit.Assignment{CIC: stored.CIC}}, true
 	}
-	i, ok := x.groupByNumber[place.Number]
+	i, ok := x.groupByNumber[stored.Number]
 	side := Preceding
 	if out {
 		side = Succeeding
 	}
-	return callLeg{Hop{Side: side, Peer: i}, circuit.Assignment{CIC: place.CIC, Slots: place.Slots}}, ok
+	return callLeg{Hop{Side: side, Peer: i}, circuit.Assignment{CIC: stored.CIC, Slots: stored.Slots}}, ok
 }
 
 // Restore takes over the stored calls of the previous process. It must be called before any link is up, and returns the
 // number of established calls that continue. Their circuits are compared with the neighbours once the links are up, and
 // waiting callers are answered once the own switch is up. Calls in set-up fail: otherwise a new try could follow one of
 // the previous process within its release time.
-func (x *Exchange) Restore(now policy.Tenths, previous recovery.Process, verdicts []recovery.Decision) (restored int) {
+func (x *Exchange) Restore(now policy.Tenths, previous recovery.Process, decisions []recovery.Decision) (restored int) {
 	x.now = now
-	x.ownLifetime = previous.OwnIncarnation
+	x.ownIncarnation = previous.OwnIncarnation
 	x.coldHoldUntil = recovery.ColdSwitchHoldEnd(now, x.deployment)
 	for i := range x.groups {
 		group := &x.groups[i]
-		group.lifetime, group.restored = previous.Incarnations[group.number], true
+		group.incarnation, group.restored = previous.Incarnations[group.number], true
 		group.earliestAudit = recovery.FirstAuditTime(now, x.ownNumber, i, len(x.groups))
 	}
-	for _, verdict := range verdicts {
-		x.lastCallID = max(x.lastCallID, verdict.ID)
-		switch verdict.Outcome {
+	for _, decision := range decisions {
+		x.lastCallID = max(x.lastCallID, decision.ID)
+		switch decision.Outcome {
 		case recovery.Continue:
-			if x.restoreCall(verdict.StoredCall) {
+			if x.restoreCall(decision.StoredCall) {
 				restored++
 			}
 		case recovery.AnswerFailed:
-			if !verdict.In.Trunk { // a neighbour learns of it by the reset of the circuit
-				x.failedCalls = append(x.failedCalls, verdict.StoredCall)
+			if !decision.In.Trunk { // a neighbour learns of it by the reset of the circuit
+				x.failedCalls = append(x.failedCalls, decision.StoredCall)
 			}
 		case recovery.Release: // neighbours learn of it by a circuit reset, lines by a release
-			for _, place := range []recovery.Leg{verdict.In, verdict.Out} {
-				if !place.Trunk {
-					x.lostLines = append(x.lostLines, place)
+			for _, leg := range []recovery.Leg{decision.In, decision.Out} {
+				if !leg.Trunk {
+					x.lostLines = append(x.lostLines, leg)
 				}
 			}
 		}
@@ -173,12 +173,12 @@
 		case circuit.Releasing, circuit.Resetting:
 			held = recovery.Clearing
 		}
-		step := recovery.CompareStates(held, msg.States[i])
-		switch step {
+		action := recovery.CompareStates(held, msg.States[i])
+		switch action {
 		case recovery.NoAction:
 			group.circuits.Confirm(cic)
 		case recovery.DropCall, recovery.ResetCircuit:
-			group.circuits.Drop(x.now, cic, step == recovery.ResetCircuit)
+			group.circuits.Drop(x.now, cic, action == recovery.ResetCircuit)
 			group.changed = true
 			x.endOnLostCircuits(peer, []uint32{id})
 		}
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -11,13 +11,13 @@
 
 // memoryStore is a CallStore in memory.
 type memoryStore struct {
-	calls     map[uint32]recovery.StoredCall
-	lifetimes map[int]string
+	calls        map[uint32]recovery.StoredCall
+	incarnations map[int]string
 }
 
-func (s *memoryStore) Put(call recovery.StoredCall)      { s.calls[call.ID] = call }
-func (s *memoryStore) Drop(id uint32)                    { delete(s.calls, id) }
-func (s *memoryStore) Knows(number int, lifetime string) { s.lifetimes[number] = lifetime }
+func (s *memoryStore) Put(call recovery.StoredCall)         { s.calls[call.ID] = call }
+func (s *memoryStore) Drop(id uint32)                       { delete(s.calls, id) }
+func (s *memoryStore) Knows(number int, incarnation string) { s.incarnations[number] = incarnation }
 
 // sentMessages is an Output that keeps all messages sent.
 type sentMessages struct {
@@ -53,14 +53,14 @@
 	x := New(policy.Deployment{OwnExchange: 0, MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
 		Bearers: []policy.Bearer{{Revenue: 1, GoSTarget: 12000, AbandonTime: 90000}}}, []Neighbour{{1, 62}}, out, now,
 		func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider { return policy.New(d, e, now) })
-	next := &memoryStore{calls: map[uint32]recovery.StoredCall{}, lifetimes: map[int]string{}}
+	next := &memoryStore{calls: map[uint32]recovery.StoredCall{}, incarnations: map[int]string{}}
 	x.SetStore(next, wallClock)
 	var all []recovery.StoredCall
 	for _, call := range stored.calls {
 		all = append(all, call)
 	}
-	lifetime := recovery.Process{LastHeartbeat: wallClock(now) - 5000, OwnIncarnation: stored.lifetimes[-1], Incarnations: stored.lifetimes}
-	x.Restore(now, lifetime, recovery.Decide(wallClock(now), lifetime, all, recovery.Settings{Circuits: map[int]int{1: 62}, HasLines: func(uint16) bool { return true }}))
+	process := recovery.Process{LastHeartbeat: wallClock(now) - 5000, OwnIncarnation: stored.incarnations[-1], Incarnations: stored.incarnations}
+	x.Restore(now, process, recovery.Decide(wallClock(now), process, all, recovery.Settings{Circuits: map[int]int{1: 62}, HasLines: func(uint16) bool { return true }}))
 	x.OwnSwitchUp(now, own)
 	x.LinkUp(now, 0, remote)
 	for range 20 {
@@ -74,7 +74,7 @@
 func storedCalls(t *testing.T) (*memoryStore, policy.Tenths, []uint16) {
 	t.Helper()
 	x, out, now := newTestExchange(62)
-	stored := &memoryStore{calls: map[uint32]recovery.StoredCall{}, lifetimes: map[int]string{}}
+	stored := &memoryStore{calls: map[uint32]recovery.StoredCall{}, incarnations: map[int]string{}}
 	x.SetStore(stored, wallClock)
 	x.store.Knows(1, "1")
 	x.store.Knows(-1, "1")
