--- a/internal/circuit/circuit.go
+++ b/internal/circuit/circuit.go
@@ -221,9 +221,10 @@
 )
 
 // SetUpReceived handles a set-up of the neighbour. yielded lists the outgoing calls that lost their circuits to it; they
-// may be tried again on other circuits, and nothing is sent for the lost ones. gone lists earlier calls of the neighbour
+// may be tried again on other circuits, and nothing is sent for the lost ones. stale lists earlier calls of the neighbour
 // on the same circuits: its messages arrive in order, so that their release must have been lost.
-func (g *Group) SetUpReceived(now policy.Tenths, call uint32, assigned Assignment, width int) (verdict SetUpVerdict, yielded, stale []uint32) {
+func (g *Group) SetUpReceived(now policy.Tenths, call uint32, assigned Assignment, width int) (
+	verdict SetUpVerdict, yielded, stale []uint32) {
 	indices, ok := g.indices(assigned)
 	if !ok || len(indices) != width {
 		return UnknownCircuit, nil, nil
@@ -298,7 +299,8 @@
 	}
 	from, to := g.multiplex(i)
 	for j := from; j < to; j++ {
-		if c := &g.circuits[j]; j == i || c.call == g.circuits[i].call && c.lead == g.circuits[i].lead && c.state == g.circuits[i].state && c.state != Idle {
+		if c := &g.circuits[j]; j == i || c.call == g.circuits[i].call && c.lead == g.circuits[i].lead &&
+			c.state == g.circuits[i].state && c.state != Idle {
 			do(c)
 		}
 	}
@@ -580,7 +582,8 @@
 		}
 		if c.unconfirmed {
 			last := i
-			for last+1 < len(g.circuits) && (last+1)%isup.CircuitsPerMultiplex != 0 && g.circuits[last+1].unconfirmed && now >= g.circuits[last+1].repeatAt {
+			for last+1 < len(g.circuits) && (last+1)%isup.CircuitsPerMultiplex != 0 && g.circuits[last+1].unconfirmed &&
+				now >= g.circuits[last+1].repeatAt {
 				last++
 				g.scheduleRepeat(now, last)
 			}
--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -261,7 +261,7 @@
 	g.SetUpReceived(0, 8, Assignment{CIC: 1, Slots: 3}, 2)
 	v, _, stale := g.SetUpReceived(1, 9, Assignment{CIC: 2}, 1)
 	if v != Accepted || !slices.Equal(stale, []uint32{8}) || g.Free() != 5 {
-		t.Fatalf("verdict %d, gone %v, %d free", v, stale, g.Free())
+		t.Fatalf("verdict %d, stale %v, %d free", v, stale, g.Free())
 	}
 }
 
--- a/internal/exchange/actions.go
+++ b/internal/exchange/actions.go
@@ -5,7 +5,7 @@
 	"indigodrift/policy"
 )
 
-// executor implements policy.Exchange. It carries out the decider's actions in the order they are made. The end of a
+// executor implements policy.Executor. It carries out the decider's actions in the order they are made. The end of a
 // try that follows at once from an action is reported only after the decider has returned.
 type executor Exchange
 
@@ -20,7 +20,8 @@
 	call.tries++
 	call.switchID = switchID
 	unsent := func(outcome policy.Outcome, reason policy.Reason) {
-		x.pendingResults = append(x.pendingResults, tryResult{callID: id, try: call.tries - 1, switchID: switchID, outcome: outcome, reason: reason})
+		x.pendingResults = append(x.pendingResults,
+			tryResult{callID: id, try: call.tries - 1, switchID: switchID, outcome: outcome, reason: reason})
 	}
 	i, ok := x.groupBySwitch[switchID]
 	if !ok || !x.groups[i].linkUp {
@@ -52,7 +53,7 @@
 		return
 	}
 	cause := isup.NoCircuit
-	if call.request.Transit && call.lastCause == isup.Congestion { // tells the preceding exchange that the processor beyond is full
+	if call.request.Transit && call.lastCause == isup.Congestion { // the preceding exchange learns that the processor beyond is full
 		cause = isup.Congestion
 	}
 	if call.lastCause == isup.UserBusy {
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -32,7 +32,8 @@
 	x.OwnSwitchUp(now, "1")
 	x.LinkUp(now, 0, "1")
 	for first := 0; first < circuits; first += isup.CircuitsPerMultiplex {
-		x.Receive(now, Hop{Side: Succeeding}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1), Range: isup.CircuitsPerMultiplex - 1}, 0)
+		x.Receive(now, Hop{Side: Succeeding}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1),
+			Range: isup.CircuitsPerMultiplex - 1}, 0)
 	}
 	x.Listed(now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}})
 	return x, out, now
@@ -40,8 +41,14 @@
 
 // dial passes a set-up from a subscriber line to the exchange.
 func (x *Exchange) dial(now policy.Tenths, i uint32) {
-	x.Receive(now, Hop{Side: Line, Point: FirstSubscriberPoint + uint16(i>>12&0xff)}, isup.Message{CIC: uint16(i & isup.MaxCIC), Type: isup.IAM, Width: 1,
-		Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: i & 0xffffff}, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 30000}}, 0)
+	x.Receive(now, Hop{Side: Line, Point: FirstSubscriberPoint + uint16(i>>12&0xff)}, isup.Message{
+		CIC:      uint16(i & isup.MaxCIC),
+		Type:     isup.IAM,
+		Width:    1,
+		Digits:   "001000001",
+		Ref:      isup.Reference{Point: 1, Identity: i & 0xffffff},
+		UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 30000},
+	}, 0)
 }
 
 // BenchmarkDecide measures the work of the event loop for one call that is answered and released.
@@ -56,7 +63,8 @@
 		}
 		cic := out.msg.CIC
 		x.Receive(now+50, Hop{Side: Succeeding}, isup.Message{CIC: cic, Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartLoad}}, 0)
-		x.Receive(now+100, Hop{Side: Line, Point: FirstSubscriberPoint + uint16(i>>12&0xff)}, isup.Message{CIC: uint16(i & isup.MaxCIC), Type: isup.REL}, 0)
+		x.Receive(now+100, Hop{Side: Line, Point: FirstSubscriberPoint + uint16(i>>12&0xff)},
+			isup.Message{CIC: uint16(i & isup.MaxCIC), Type: isup.REL}, 0)
 		x.Receive(now+150, Hop{Side: Succeeding}, isup.Message{CIC: cic, Type: isup.RLC}, 0)
 		for x.Next() <= now+150 {
 			x.Tick(now + 150)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -126,8 +126,14 @@
 )
 
 // transitions lists the states that may follow each state of a call.
-var transitions = [...][]State{Analysing: {Offered, Ringing, Established, Ended}, Offered: {Trying, Ended}, Trying: {Offered, Established, Ended},
-	Ringing: {Established, Ended}, Established: {Ended}, Ended: nil}
+var transitions = [...][]State{
+	Analysing:   {Offered, Ringing, Established, Ended},
+	Offered:     {Trying, Ended},
+	Trying:      {Offered, Established, Ended},
+	Ringing:     {Established, Ended},
+	Established: {Ended},
+	Ended:       nil,
+}
 
 // callLeg is one side of a call: where it came from, or where its current try went.
 type callLeg struct {
@@ -170,7 +176,7 @@
 	bootAt        policy.Tenths
 	listed        bool // a list has named a switch
 	linkUp        bool
-	incarnation   string        // process lifetime of the switch
+	incarnation   string        // changes when the switch restarts
 	changed       bool          // the decider has not seen the current state of the circuits
 	restored      bool          // this process has restarted and knows only the circuits of stored calls
 	earliestAudit policy.Tenths // earliest time for the next circuit query after a restart
@@ -247,13 +253,27 @@
 	withheldSwitches []policy.Switch       // cold switches, as listed, that are not used yet
 }
 
-// New creates an exchange. build creates its decider, which acts through the policy.Exchange passed to it.
+// New creates an exchange. build creates its decider, which acts through the policy.Executor passed to it.
 func New(deployment policy.Deployment, neighbours []Neighbour, output Output, now policy.Tenths,
 	build func(policy.Deployment, policy.Executor, policy.Tenths) Decider) *Exchange {
-	x := &Exchange{ownNumber: deployment.OwnExchange, deployment: deployment, output: output, now: now, groupByNumber: map[int]int{}, groupBySwitch: map[uint32]int{},
-		calls: map[uint32]*activeCall{}, callByLine: map[lineKey]uint32{}, advice: map[int]int{}, store: nullStore{}, wallClock: func(policy.Tenths) int64 { return 0 }}
+	x := &Exchange{
+		ownNumber:     deployment.OwnExchange,
+		deployment:    deployment,
+		output:        output,
+		now:           now,
+		groupByNumber: map[int]int{},
+		groupBySwitch: map[uint32]int{},
+		calls:         map[uint32]*activeCall{},
+		callByLine:    map[lineKey]uint32{},
+		advice:        map[int]int{},
+		store:         nullStore{},
+		wallClock:     func(policy.Tenths) int64 { return 0 },
+	}
 	for i, n := range neighbours {
-		x.groups = append(x.groups, trunkGroup{number: n.Number, circuits: circuit.New(PointCode(deployment.OwnExchange), PointCode(n.Number), n.Circuits)})
+		x.groups = append(x.groups, trunkGroup{
+			number:   n.Number,
+			circuits: circuit.New(PointCode(deployment.OwnExchange), PointCode(n.Number), n.Circuits),
+		})
 		x.groupByNumber[n.Number] = i
 	}
 	x.decider = build(deployment, (*executor)(x), now)
@@ -373,7 +393,8 @@
 	if i, ok := x.groupBySwitch[result.switchID]; ok {
 		report = x.groupReport(i, result.userInfo)
 	}
-	x.decider.TryEnded(x.now, result.callID, result.try, result.switchID, result.outcome, result.final, result.reason, result.wait, report)
+	x.decider.TryEnded(x.now, result.callID, result.try, result.switchID, result.outcome, result.final, result.reason,
+		result.wait, report)
 }
 
 // groupReport returns the report about a trunk group for the decider, with the load of its switch from userInfo.
@@ -448,8 +469,15 @@
 	}
 	call.answerReported = true
 	x.unanswered--
-	x.output.Answered(Answer{Ref: call.ref, Outcome: outcome, Dest: call.request.Dest, Tries: call.tries, Duration: x.now - call.startTime,
-		Transit: call.request.Transit, RetryAfter: retryAfter})
+	x.output.Answered(Answer{
+		Ref:        call.ref,
+		Outcome:    outcome,
+		Dest:       call.request.Dest,
+		Tries:      call.tries,
+		Duration:   x.now - call.startTime,
+		Transit:    call.request.Transit,
+		RetryAfter: retryAfter,
+	})
 }
 
 // release sends a release on a leg and marks its circuits as being released.
@@ -481,7 +509,15 @@
 // endTry returns a call to the decider after its try has ended.
 func (x *Exchange) endTry(call *activeCall, outcome policy.Outcome, reason policy.Reason, wait policy.Tenths, userInfo isup.UserInfo) {
 	x.setState(call, Offered)
-	x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: outcome, reason: reason, wait: wait, userInfo: userInfo})
+	x.pendingResults = append(x.pendingResults, tryResult{
+		callID:   call.id,
+		try:      call.tries - 1,
+		switchID: call.switchID,
+		outcome:  outcome,
+		reason:   reason,
+		wait:     wait,
+		userInfo: userInfo,
+	})
 }
 
 // audit repeats the messages that neighbours have not answered.
@@ -496,7 +532,8 @@
 			if repeat.Type == isup.REL && repeat.Incoming {
 				to.Side = Preceding
 			}
-			msg := isup.Message{CIC: repeat.CIC, Type: repeat.Type, Range: repeat.Range, Cause: isup.NormalUnspecified, Location: isup.LocalNetwork}
+			msg := isup.Message{CIC: repeat.CIC, Type: repeat.Type, Range: repeat.Range, Cause: isup.NormalUnspecified,
+				Location: isup.LocalNetwork}
 			if repeat.Type == isup.REL {
 				x.markYielded(i, &msg)
 			}
@@ -548,8 +585,8 @@
 // SetAdvice sets the tandem that the centre recommends for each destination.
 func (x *Exchange) SetAdvice(advice map[int]int) { x.advice = advice }
 
-// LinkUp reports that the link to a neighbour's switch is up. lifetime identifies the process of that switch. If it has
-// changed, the state of the circuits is unknown and all of them are reset.
+// LinkUp reports that the link to a neighbour's switch is up. A changed incarnation shows that the switch has restarted:
+// the state of the circuits is unknown and all of them are reset.
 func (x *Exchange) LinkUp(now policy.Tenths, peer int, incarnation string) {
 	x.now = now
 	group := &x.groups[peer]
@@ -584,8 +621,8 @@
 	x.reportPending()
 }
 
-// OwnSwitchUp reports that the link to the own switch is up. A changed lifetime shows that the switch has restarted and
-// has lost all lines and circuits.
+// OwnSwitchUp reports that the link to the own switch is up. A changed incarnation shows that the switch has restarted
+// and has lost all lines and circuits.
 func (x *Exchange) OwnSwitchUp(now policy.Tenths, incarnation string) {
 	x.now = now
 	if x.ownIncarnation != "" && x.ownIncarnation != incarnation {
@@ -623,7 +660,8 @@
 		}
 		x.reportAnswer(call, Abandoned, 0)
 	} else if call.offered {
-		x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: policy.Disconnected, final: true})
+		x.pendingResults = append(x.pendingResults,
+			tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: policy.Disconnected, final: true})
 	}
 	x.releaseTry(call, cause)
 	if call.in.hop.Side == Preceding || call.in.hop.atGateway() { // a telephone at a gateway is reached without the switch
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -215,9 +215,18 @@
 	ref := isup.Reference{Point: PointCode(origin), Identity: net.nextCall}
 	c := &caller{origin: origin, cic: uint16(net.nextCall & isup.MaxCIC), abandonTime: net.now + ttl, openTries: map[string]isup.Message{}}
 	net.callers[ref] = c
-	net.nodes[origin].exchange.Receive(net.now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: c.cic, Type: isup.IAM, Width: width,
-		Digits: LineNumber(dest, net.nextCall), Ref: ref, UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(ttl),
-			Bearer: uint8(bearer)}}, 0)
+	net.nodes[origin].exchange.Receive(net.now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{
+		CIC:    c.cic,
+		Type:   isup.IAM,
+		Width:  width,
+		Digits: LineNumber(dest, net.nextCall),
+		Ref:    ref,
+		UserInfo: isup.UserInfo{
+			Present:  isup.PartTimeLeft | isup.PartCall,
+			TimeLeft: uint32(ttl),
+			Bearer:   uint8(bearer),
+		},
+	}, 0)
 	return ref
 }
 
@@ -225,7 +234,8 @@
 func (net *testNetwork) hangUp(ref isup.Reference) {
 	c := net.callers[ref]
 	c.abandoned, c.established = true, false
-	net.nodes[c.origin].exchange.Receive(net.now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: c.cic, Type: isup.REL, Cause: isup.NormalClearing}, 0)
+	net.nodes[c.origin].exchange.Receive(net.now, Hop{Side: Line, Point: FirstSubscriberPoint},
+		isup.Message{CIC: c.cic, Type: isup.REL, Cause: isup.NormalClearing}, 0)
 }
 
 // advance advances the simulated time, event by event.
@@ -306,7 +316,8 @@
 			}
 		}
 		if len(node.exchange.calls) > 0 || len(node.exchange.callByLine) > 0 || node.exchange.unanswered != 0 {
-			t.Fatalf("exchange %d still holds %d calls, %d lines, %d unanswered", node.number, len(node.exchange.calls), len(node.exchange.callByLine), node.exchange.unanswered)
+			t.Fatalf("exchange %d still holds %d calls, %d lines, %d unanswered", node.number,
+				len(node.exchange.calls), len(node.exchange.callByLine), node.exchange.unanswered)
 		}
 	}
 }
--- a/internal/exchange/numbering.go
+++ b/internal/exchange/numbering.go
@@ -26,14 +26,14 @@
 	known bool
 }
 
-// PortabilityNet implements numbers.Net for an exchange. It sends queries through a function, and queues the replies for
+// PortabilityNet implements numbers.PortabilityNet for an exchange. It sends queries through a function, and queues the replies for
 // the calls that wait for them.
 type PortabilityNet struct {
 	exchange *Exchange
 	query    func(id uint32, server int, number string)
 }
 
-// PortabilityNet returns the numbers.Net that the portability client of this exchange is to use.
+// PortabilityNet returns the interface that the portability client of this exchange is to use.
 func (x *Exchange) PortabilityNet(query func(id uint32, server int, number string)) *PortabilityNet {
 	return &PortabilityNet{x, query}
 }
@@ -64,7 +64,8 @@
 	call.table = numbering.Versions.Pin()
 	call.tableVersion = call.table.Version
 	x.expectAnswer(call)
-	result := call.table.Analyse(call.caller, call.digits, numbering.UnixSecond(x.now), numbering.Split.ForVersion(call.tableVersion), nil)
+	result := call.table.Analyse(call.caller, call.digits, numbering.UnixSecond(x.now),
+		numbering.Split.ForVersion(call.tableVersion), nil)
 	if result.NeedsLookup && numbering.Portability != nil {
 		deadline := numbers.LookupDeadline(x.now, x.now+x.deployment.Bearers[call.request.Bearer].GoSTarget, call.abandonTime)
 		port, verdict := numbering.Portability.Lookup(x.now, call.id, result.Number, deadline)
@@ -98,7 +99,8 @@
 // applyPort repeats the number analysis with the new number if the called number was ported.
 func (x *Exchange) applyPort(call *activeCall, result numbers.Result, port numbers.Porting) {
 	if port.Ported {
-		result = call.table.AnalysePorted(call.caller, port.RoutingNumber, x.numbering.UnixSecond(x.now), x.numbering.Split.ForVersion(call.tableVersion))
+		result = call.table.AnalysePorted(call.caller, port.RoutingNumber, x.numbering.UnixSecond(x.now),
+			x.numbering.Split.ForVersion(call.tableVersion))
 	}
 	x.handleAnalysis(call, result)
 }
--- a/internal/exchange/numbering_test.go
+++ b/internal/exchange/numbering_test.go
@@ -272,7 +272,8 @@
 			origin := rapid.IntRange(0, n-1).Draw(t, "site")
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0, 1, 2:
-				net.call(origin, rapid.IntRange(0, n-1).Draw(t, "dest"), rapid.IntRange(0, 1).Draw(t, "bearer"), 1, policy.Tenths(rapid.IntRange(500, 30000).Draw(t, "ttl")))
+				net.call(origin, rapid.IntRange(0, n-1).Draw(t, "dest"), rapid.IntRange(0, 1).Draw(t, "bearer"), 1,
+					policy.Tenths(rapid.IntRange(500, 30000).Draw(t, "ttl")))
 			case 3:
 				for _, c := range net.callers {
 					if c.origin == origin && !c.abandoned && (c.established || len(c.answers) == 0) {
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -59,7 +59,8 @@
 	}
 	group.changed = true
 	call := x.calls[id]
-	if call != nil && !namesCircuit(call, from.Peer, msg.CIC) && (msg.Type == isup.ANM || msg.Type == isup.REL || msg.Type == isup.ACM || msg.Type == isup.RLC) {
+	if call != nil && !namesCircuit(call, from.Peer, msg.CIC) &&
+		(msg.Type == isup.ANM || msg.Type == isup.REL || msg.Type == isup.ACM || msg.Type == isup.RLC) {
 		// Messages of a multirate call name only its lowest circuit. A release on another of its circuits concerns an
 		// earlier call; applied to this one, it caused a second try while the first was still in progress.
 		if msg.Type == isup.REL {
@@ -238,13 +239,33 @@
 		}
 		return
 	}
-	call := &activeCall{id: id, in: in, ref: msg.Ref, digits: msg.Digits, caller: msg.Caller, session: msg.UserInfo.Session,
-		donorRouted: msg.UserInfo.Flags&isup.FlagDonorRouted != 0, startTime: x.now, abandonTime: x.now + timeLeft, hopCounter: initialHops}
+	call := &activeCall{
+		id:          id,
+		in:          in,
+		ref:         msg.Ref,
+		digits:      msg.Digits,
+		caller:      msg.Caller,
+		session:     msg.UserInfo.Session,
+		donorRouted: msg.UserInfo.Flags&isup.FlagDonorRouted != 0,
+		startTime:   x.now,
+		abandonTime: x.now + timeLeft,
+		hopCounter:  initialHops,
+	}
 	if transit {
 		call.hopCounter = msg.HopCounter - 1
 	}
-	call.request = policy.Call{ID: call.id, Number: policyNumber(msg.Digits), Bearer: bearer, Dest: -1, Width: msg.Width, AdvisedTandem: -1, TTL: timeLeft,
-		Redial: msg.UserInfo.Flags&isup.FlagRedial != 0, Disconnected: msg.UserInfo.Flags&isup.FlagDisconnectedBefore != 0, Transit: transit}
+	call.request = policy.Call{
+		ID:            call.id,
+		Number:        policyNumber(msg.Digits),
+		Bearer:        bearer,
+		Dest:          -1,
+		Width:         msg.Width,
+		AdvisedTandem: -1,
+		TTL:           timeLeft,
+		Redial:        msg.UserInfo.Flags&isup.FlagRedial != 0,
+		Disconnected:  msg.UserInfo.Flags&isup.FlagDisconnectedBefore != 0,
+		Transit:       transit,
+	}
 	x.calls[call.id] = call
 	if in.hop.Side == Line {
 		x.callByLine[lineKey{in.hop.Point, in.circuits.CIC}] = call.id
@@ -328,8 +349,13 @@
 	if call.state == Trying {
 		deadline = min(deadline, call.tryDeadline)
 	}
-	userInfo := isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(max(0, deadline-x.now)), SentAt: uint32(x.now),
-		Bearer: uint8(call.request.Bearer), Flags: flags}
+	userInfo := isup.UserInfo{
+		Present:  isup.PartTimeLeft | isup.PartCall,
+		TimeLeft: uint32(max(0, deadline-x.now)),
+		SentAt:   uint32(x.now),
+		Bearer:   uint8(call.request.Bearer),
+		Flags:    flags,
+	}
 	if call.tableVersion != 0 {
 		userInfo.Present |= isup.PartRoute
 		userInfo.Dest, userInfo.TableVersion = uint16(call.request.Dest), call.tableVersion
@@ -338,8 +364,17 @@
 		userInfo.Present |= isup.PartSession
 		userInfo.Session = call.session
 	}
-	x.output.Transmit(call.out.hop, isup.Message{CIC: call.out.circuits.CIC, Type: isup.IAM, Digits: call.digits, Caller: call.caller, Width: call.request.Width,
-		Slots: call.out.circuits.Slots, HopCounter: call.hopCounter, Ref: call.ref, UserInfo: userInfo})
+	x.output.Transmit(call.out.hop, isup.Message{
+		CIC:        call.out.circuits.CIC,
+		Type:       isup.IAM,
+		Digits:     call.digits,
+		Caller:     call.caller,
+		Width:      call.request.Width,
+		Slots:      call.out.circuits.Slots,
+		HopCounter: call.hopCounter,
+		Ref:        call.ref,
+		UserInfo:   userInfo,
+	})
 }
 
 // establish marks a call as established and passes the answer to the caller's side.
@@ -359,7 +394,8 @@
 	x.releaseTry(call, cause)
 	switch {
 	case call.offered && call.state == Established:
-		x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: policy.Released, final: true})
+		x.pendingResults = append(x.pendingResults,
+			tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: policy.Released, final: true})
 	case call.offered:
 		x.decider.Abandoned(x.now, call.id)
 		x.reportAnswer(call, Abandoned, 0)
@@ -384,7 +420,14 @@
 			outcome = policy.Disconnected
 		}
 		if call.offered {
-			x.pendingResults = append(x.pendingResults, tryResult{callID: call.id, try: call.tries - 1, switchID: call.switchID, outcome: outcome, final: true, userInfo: msg.UserInfo})
+			x.pendingResults = append(x.pendingResults, tryResult{
+				callID:   call.id,
+				try:      call.tries - 1,
+				switchID: call.switchID,
+				outcome:  outcome,
+				final:    true,
+				userInfo: msg.UserInfo,
+			})
 		}
 		x.release(call.in, isup.Message{Type: isup.REL, Cause: msg.Cause, Location: msg.Location})
 		x.setState(call, Ended)
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -9,9 +9,9 @@
 
 // CallStore stores what must survive a restart of the process. Its methods must neither block nor call back.
 type CallStore interface {
-	Put(k recovery.StoredCall)     // add or replace a call
-	Drop(id uint32)                // remove a call
-	Knows(number int, life string) // record the process lifetime of a neighbour's switch, or of the own one for -1
+	Put(k recovery.StoredCall)            // add or replace a call
+	Drop(id uint32)                       // remove a call
+	Knows(number int, incarnation string) // record the incarnation of a neighbour's switch, or of the own one for -1
 }
 
 // nullStore stores nothing.
@@ -29,7 +29,15 @@
 
 // storedCall returns the form in which a call is stored.
 func (x *Exchange) storedCall(call *activeCall, phase recovery.Phase) recovery.StoredCall {
-	stored := recovery.StoredCall{ID: call.id, Phase: phase, In: x.storedLeg(call.in), Ref: call.ref, Transit: call.request.Transit, Since: x.wallClock(x.now), Until: x.wallClock(call.abandonTime + answerMargin)}
+	stored := recovery.StoredCall{
+		ID:      call.id,
+		Phase:   phase,
+		In:      x.storedLeg(call.in),
+		Ref:     call.ref,
+		Transit: call.request.Transit,
+		Since:   x.wallClock(x.now),
+		Until:   x.wallClock(call.abandonTime + answerMargin),
+	}
 	if phase == recovery.Established {
 		stored.Out = x.storedLeg(call.out)
 	}
@@ -127,12 +135,14 @@
 func (x *Exchange) releaseLostCallers() {
 	for _, stored := range x.failedCalls {
 		if x.wallClock(x.now) < stored.Until-int64(answerMargin) {
-			x.output.Transmit(Hop{Side: Line, Point: stored.In.Point}, isup.Message{CIC: stored.In.CIC, Type: isup.REL, Cause: isup.TemporaryFailure, Location: isup.LocalNetwork})
+			x.output.Transmit(Hop{Side: Line, Point: stored.In.Point},
+				isup.Message{CIC: stored.In.CIC, Type: isup.REL, Cause: isup.TemporaryFailure, Location: isup.LocalNetwork})
 		}
 		x.store.Drop(stored.ID)
 	}
 	for _, line := range x.lostLines {
-		x.output.Transmit(Hop{Side: Line, Point: line.Point}, isup.Message{CIC: line.CIC, Type: isup.REL, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork})
+		x.output.Transmit(Hop{Side: Line, Point: line.Point},
+			isup.Message{CIC: line.CIC, Type: isup.REL, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork})
 	}
 	x.failedCalls, x.lostLines = nil, nil
 }
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -45,7 +45,7 @@
 // wallClock converts an instant to wall-clock time, with the same origin.
 func wallClock(at policy.Tenths) int64 { return int64(at) }
 
-// restart restarts an exchange with its stored calls. own and remote are the lifetimes of the own switch and of the
+// restart restarts an exchange with its stored calls. own and remote are the incarnations of the own switch and of the
 // neighbour's switch after the restart.
 func restart(t *testing.T, now policy.Tenths, stored *memoryStore, own, remote string) (*Exchange, *sentMessages, *memoryStore) {
 	t.Helper()
@@ -129,7 +129,8 @@
 		t.Fatalf("%+v", last)
 	}
 	x.Receive(now+10, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: 1, Type: isup.REL, Cause: isup.NormalClearing}, 0)
-	if last = out.messages[len(out.messages)-1]; x.EstablishedCalls() != 0 || last.Type != isup.REL || last.CIC != cics[0] { // the first call is released as usual
+	// The first call is released as usual.
+	if last = out.messages[len(out.messages)-1]; x.EstablishedCalls() != 0 || last.Type != isup.REL || last.CIC != cics[0] {
 		t.Fatalf("%d established; %+v", x.EstablishedCalls(), last)
 	}
 }
@@ -175,7 +176,8 @@
 // A release that names a multirate call by a circuit other than its lowest must not end the call.
 func TestReleaseOnAnotherCircuitOfAMultirateCallIsIgnored(t *testing.T) {
 	x, out, now := newTestExchange(62)
-	x.Receive(now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: 1, Type: isup.IAM, Width: 3, Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: 1},
+	x.Receive(now, Hop{Side: Line, Point: FirstSubscriberPoint}, isup.Message{CIC: 1, Type: isup.IAM, Width: 3,
+		Digits: "001000001", Ref: isup.Reference{Point: 1, Identity: 1},
 		UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 30000}}, 0)
 	lead, other := out.msg.CIC, uint16(0)
 	for s := range uint16(31) {
--- a/internal/isup/isup.go
+++ b/internal/isup/isup.go
@@ -193,7 +193,8 @@
 		}
 		buf[pointer] = byte(len(buf) - pointer)
 		if msg.Caller != "" {
-			if buf, ok = appendNumber(append(buf, paramCaller), msg.Caller, 0x13); !ok || len(msg.Caller) > MaxDigits { // presented, network provided
+			// presented, network provided
+			if buf, ok = appendNumber(append(buf, paramCaller), msg.Caller, 0x13); !ok || len(msg.Caller) > MaxDigits {
 				return buf[:start], malformed("invalid calling number %q", msg.Caller)
 			}
 		}
--- a/internal/m3ua/m3ua.go
+++ b/internal/m3ua/m3ua.go
@@ -41,7 +41,7 @@
 type Frame struct {
 	Kind     Kind
 	ASPID    uint32 // ASP identifier: the point code of the sender (ASPUp, ASPUpAck)
-	Info     string // process lifetime of the switch (ASPUpAck)
+	Info     string // incarnation of the switch (ASPUpAck)
 	OPC      uint32 // originating point code (Data)
 	DPC      uint32 // destination point code (Data)
 	SLS      uint8
