--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -49,7 +49,7 @@
 // Hop addresses the party that a message goes to or comes from.
 type Hop struct {
 	Side  Side
-	Peer  int    // index of the neighbour (Ahead, Behind)
+	Peer  int    // index of the neighbour (Succeeding, Preceding)
 	Point uint16 // block of lines (Line)
 }
 
@@ -72,23 +72,23 @@
 // String returns the outcome as the log shows it.
 func (o Outcome) String() string { return [...]string{"stands", "refused", "failed", "caller left"}[o] }
 
-// Answer describes the final answer of a call; it is reported once for every call that was offered to the decider.
+// Answer describes the final answer of a call. It is reported at most once per call.
 type Answer struct {
 	Ref        isup.Reference
 	Outcome    Outcome
-	Dest       int
-	Tries      int
-	Duration   policy.Tenths
-	Transit    bool
-	RetryAfter policy.Tenths
+	Dest       int           // number of the destination exchange, -1 if unknown
+	Tries      int           // route tries made
+	Duration   policy.Tenths // from the set-up to the answer
+	Transit    bool          // the call came from another exchange
+	RetryAfter policy.Tenths // time for which the caller should not redial, 0 if none
 }
 
 // Output sends the messages and reports of the exchange. Its methods must not call back into the exchange.
 type Output interface {
-	Transmit(to Hop, msg isup.Message)
-	Follow()          // request the whole switch list from the register
-	Note(text string) // write a line to the operator's log
-	Answered(a Answer)
+	Transmit(to Hop, msg isup.Message) // send a message
+	Follow()                           // request the whole switch list from the register
+	Note(text string)                  // write a line to the operator's log
+	Answered(a Answer)                 // report the final answer of a call, once
 }
 
 // Neighbour is an adjacent exchange and the number of circuits of the trunk group to it.
@@ -191,7 +191,7 @@
 const (
 	dueTryTimeout   due.Kind = iota // a route try times out
 	dueAbandon                      // the caller abandons the call
-	dueWake                         // the decider asked to be woken
+	dueWake                         // a timer of the decider expires
 	dueAudit                        // unanswered circuit messages may have to be repeated
 	dueCircuitQuery                 // the circuit query to a neighbour may start
 )
@@ -585,8 +585,9 @@
 // SetAdvice sets the tandem that the centre recommends for each destination.
 func (x *Exchange) SetAdvice(advice map[int]int) { x.advice = advice }
 
-// LinkUp reports that the link to a neighbour's switch is up. A changed incarnation shows that the switch has restarted:
-// the state of the circuits is unknown and all of them are reset.
+// LinkUp reports that the link to a neighbour's switch is up. If the switch has restarted, which a changed incarnation
+// shows, or this exchange has just started, the state of the circuits is unknown. All circuits are then reset, except
+// those of restored calls if the switch is still the same.
 func (x *Exchange) LinkUp(now policy.Tenths, peer int, incarnation string) {
 	x.now = now
 	group := &x.groups[peer]
--- a/internal/exchange/executor.go
+++ b/internal/exchange/executor.go
@@ -83,12 +83,12 @@
 	}
 }
 
-// SetTimer schedules a call of the decider's wake-up method.
+// SetTimer schedules a call of Decider.TimerExpired.
 func (e *executor) SetTimer(at policy.Tenths, token uint64) {
 	(*Exchange)(e).schedule(at, dueWake, token)
 }
 
-// Subscribe subscribes to the list of switches.
+// Subscribe requests the list of switches.
 func (e *executor) Subscribe() { e.output.Follow() }
 
 // Log writes a line to the operator's log.
