--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -191,7 +191,7 @@
 const (
 	dueTryTimeout   due.Kind = iota // a route try times out
 	dueAbandon                      // the caller abandons the call
-	dueWake                         // a timer of the decider expires
+	dueDeciderTimer                 // a timer of the decider expires
 	dueAudit                        // unanswered circuit messages may have to be repeated
 	dueCircuitQuery                 // the circuit query to a neighbour may start
 )
@@ -313,7 +313,7 @@
 	x.now = now
 	for item, ok := x.timers.Pop(now); ok; item, ok = x.timers.Pop(now) {
 		switch item.Kind {
-		case dueWake:
+		case dueDeciderTimer:
 			x.decider.TimerExpired(now, item.Token)
 		case dueTryTimeout:
 			if call := x.calls[uint32(item.Token)]; call != nil && call.state == Trying && call.tryDeadline == item.At {
--- a/internal/exchange/executor.go
+++ b/internal/exchange/executor.go
@@ -85,7 +85,7 @@
 
 // SetTimer schedules a call of Decider.TimerExpired.
 func (e *executor) SetTimer(at policy.Tenths, token uint64) {
-	(*Exchange)(e).schedule(at, dueWake, token)
+	(*Exchange)(e).schedule(at, dueDeciderTimer, token)
 }
 
 // Subscribe requests the list of switches.
