--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -26,14 +26,14 @@
 	SnapshotEndFrame Kind = 'S' // the end of the snapshot that a file begins with
 )
 
-// Record is one frame.
+// Record is the decoded content of a frame; each kind of frame uses some of the fields.
 type Record struct {
 	Kind        Kind
-	SiteDigest  uint64 // Head
-	Exchange    int    // Far
-	Incarnation string // Far
-	Time        int64  // Beat
-	Call        recovery.StoredCall
+	SiteDigest  uint64              // HeaderFrame
+	Exchange    int                 // IncarnationFrame: exchange number, -1 for the own switch
+	Incarnation string              // IncarnationFrame
+	Time        int64               // HeartbeatFrame
+	Call        recovery.StoredCall // CallFrame; CallEndFrame: its ID only
 }
 
 const (
