--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -74,12 +74,12 @@
 func TestDamagedFilesAreReadUpToTheDamage(t *testing.T) {
 	checkInBubble(t, func(t *rapid.T) {
 		_, file := runLedger(t, memnet.NewDisk(), rapid.IntRange(1, 5).Draw(t, "steps"))
-		whole := ledger.Read(file)
+		complete := ledger.Read(file)
 		seen := map[recovery.StoredCall]bool{}
 		ends := map[int]bool{}
 		for n := 0; n <= len(file); n++ {
 			c := ledger.Read(file[:n])
-			if c.ReadOctets+c.UnreadOctets != n || c.Frames > whole.Frames {
+			if c.ReadOctets+c.UnreadOctets != n || c.Frames > complete.Frames {
 				t.Fatalf("truncated at %d: %+v", n, c)
 			}
 			if c.UnreadReason == "" {
@@ -89,8 +89,8 @@
 				seen[k] = true
 			}
 		}
-		if len(ends) != whole.Frames+1 {
-			t.Fatalf("%d lengths at which the file is complete, %d frames", len(ends), whole.Frames)
+		if len(ends) != complete.Frames+1 {
+			t.Fatalf("%d lengths at which the file is complete, %d frames", len(ends), complete.Frames)
 		}
 		bit := rapid.IntRange(0, 8*len(file)-1).Draw(t, "bit")
 		flipped := append([]byte(nil), file...)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -7,8 +7,8 @@
 	"indigodrift/policy"
 )
 
-func newEntry(id uint32, life uint64, up policy.Tenths) Entry {
-	return Entry{ID: id, Number: int(id), Incarnation: life, Uptime: up, Ready: true}
+func newEntry(id uint32, incarnation uint64, uptime policy.Tenths) Entry {
+	return Entry{ID: id, Number: int(id), Incarnation: incarnation, Uptime: uptime, Ready: true}
 }
 
 func fullList(version uint64, lines ...Entry) List {
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -58,21 +58,21 @@
 }
 
 func TestSilentLinkIsDeadButNotAfterAStall(t *testing.T) {
-	var l Liveness
-	l.Received(100)
+	var liveness Liveness
+	liveness.Received(100)
 	dead, diedAt := false, policy.Tenths(0)
-	beats := 0
+	heartbeats := 0
 	for now := policy.Tenths(100); !dead; now += 500 {
-		var beat bool
-		if beat, dead, _ = l.Check(now, 0); beat {
-			beats++
+		var heartbeatDue bool
+		if heartbeatDue, dead, _ = liveness.Check(now, 0); heartbeatDue {
+			heartbeats++
 		}
 		diedAt = now
 	}
-	if beats < 3 || diedAt < silenceTimeout || diedAt > silenceTimeout+1000 {
-		t.Fatalf("dead at %d after %d beats", diedAt, beats)
+	if heartbeats < 3 || diedAt < silenceTimeout || diedAt > silenceTimeout+1000 {
+		t.Fatalf("dead at %d after %d beats", diedAt, heartbeats)
 	}
-	if _, dead, _ := l.Check(diedAt, diedAt-10); dead {
+	if _, dead, _ := liveness.Check(diedAt, diedAt-10); dead {
 		t.Fatal("link is dead although this process was stalled until now")
 	}
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -142,8 +142,8 @@
 			if !agreed || !valid {
 				t.Errorf("from %v and %v: %v, agreed %v", a, b, ends, agreed)
 			}
-			if kept := ends != [2]LocalState{Idle, Idle}; kept != (a == Incoming && b == Outgoing || a == Outgoing && b == Incoming) {
-				t.Errorf("from %v and %v: a call continues: %v", a, b, kept)
+			if continues := ends != [2]LocalState{Idle, Idle}; continues != (a == Incoming && b == Outgoing || a == Outgoing && b == Incoming) {
+				t.Errorf("from %v and %v: a call continues: %v", a, b, continues)
 			}
 		}
 	}
