--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -35,9 +35,9 @@
 // Config holds the settings of a running exchange.
 type Config struct {
 	Deployment       policy.Deployment
-	ExchangeCount    int    // exchanges in the network, numbered from 0
-	OwnSwitchAddress string // address
-	RegisterAddress  string // address
+	ExchangeCount    int // exchanges in the network, numbered from 0
+	OwnSwitchAddress string
+	RegisterAddress  string
 	Neighbours       []Neighbour
 	InboxSize        int             // capacity of the event queue
 	MaxLinkOctets    int             // maximum octets queued on one link
