--- a/internal/control/ledger.go
+++ b/internal/control/ledger.go
@@ -7,7 +7,6 @@
 	"indigodrift/internal/exchange"
 	"indigodrift/internal/ledger"
 	"indigodrift/internal/recovery"
-	"indigodrift/policy"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -26,11 +25,6 @@
 	s.Ledger.Put(call)
 }
 
-// wallTime converts a clock reading to tenths of a millisecond since 1970.
-func (c *clock) wallTime(t policy.Tenths) int64 {
-	return c.startTime.UnixNano()/100_000 + int64(t-clockAtStart)
-}
-
 // openLedger reads the calls that the previous process stored, restores them in the exchange, and stores its calls from then
 // on.
 func (s *Server) openLedger(name string) error {
