--- a/internal/control/clock.go
+++ b/internal/control/clock.go
@@ -16,9 +16,12 @@
 // clockAtStart is the reading of the clock when the process starts.
 const clockAtStart = policy.Tenths(1 << 32)
 
+// Now returns the current reading of the clock.
 func (c *clock) Now() policy.Tenths {
 	return clockAtStart + policy.Tenths(time.Since(c.startTime)/(100*time.Microsecond))
 }
+
+// Stalled returns the end of the last stall of this process.
 func (c *clock) Stalled() policy.Tenths { return policy.Tenths(c.stallEnd.Load()) }
 
 // wallTime converts a clock reading to tenths of a millisecond since 1970.
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -19,10 +19,10 @@
 	"indigodrift/policy"
 )
 
-// Clock is the time of this process.
+// Clock is the clock of this process.
 type Clock interface {
 	Now() policy.Tenths
-	Stalled() policy.Tenths // end of the last stall of this process
+	Stalled() policy.Tenths // end of the last stall
 }
 
 // Dialer connects to an address.
