--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -262,7 +262,7 @@
 // recordStall records a stall of the process that ended just now.
 func (s *Server) recordStall(stalled bool) {
 	if stalled {
-		s.clock.stallEnd.Store(int64(s.stallDetector.LastEnd()))
+		s.clock.lastStallEnd.Store(int64(s.stallDetector.LastEnd()))
 		s.log.Info("process was stalled")
 	}
 }
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -30,8 +30,8 @@
 	readAt   policy.Tenths // when it was read
 }
 
-// packet is an encoded message to a gateway.
-type packet struct {
+// encodedMessage is an encoded message to a gateway.
+type encodedMessage struct {
 	to      netip.AddrPort
 	payload []byte
 }
@@ -46,12 +46,12 @@
 	server        *Server
 	agent         *callagent.Agent
 	listenAddress string
-	sendQueue     chan packet
+	sendQueue     chan encodedMessage
 }
 
 // newAgentAdapter creates the call agent.
 func newAgentAdapter(s *Server, settings *Gateways) *agentAdapter {
-	a := &agentAdapter{server: s, listenAddress: settings.ListenAddress, sendQueue: make(chan packet, maxQueuedDatagrams)}
+	a := &agentAdapter{server: s, listenAddress: settings.ListenAddress, sendQueue: make(chan encodedMessage, maxQueuedDatagrams)}
 	agentSettings := settings.Config
 	agentSettings.Incarnation = uint32(time.Now().Unix()) // two starts within a second would share call IDs, but the first had no time to use any
 	a.agent = callagent.New(agentSettings, a, s.clock.Now())
@@ -190,7 +190,7 @@
 		return
 	}
 	select {
-	case a.sendQueue <- packet{to, text}:
+	case a.sendQueue <- encodedMessage{to, text}:
 	default:
 	}
 }
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -175,9 +175,9 @@
 }
 
 // readVersions reads a number from the table versions on the event loop.
-func (s *Server) readVersions(get func(*numbers.Versions) (uint64, error)) (value uint64) {
+func (s *Server) readVersions(read func(*numbers.Versions) (uint64, error)) (value uint64) {
 	s.changeNumbering(func(n *exchange.Numbering, _ policy.Tenths) (err error) {
-		value, err = get(n.Versions)
+		value, err = read(n.Versions)
 		return err
 	})
 	return value
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -22,7 +22,7 @@
 // Clock is the clock of this process.
 type Clock interface {
 	Now() policy.Tenths
-	Stalled() policy.Tenths // end of the last stall
+	LastStallEnd() policy.Tenths // end of the last stall
 }
 
 // Dialer connects to an address.
@@ -278,7 +278,7 @@
 	for {
 		now := l.clock.Now()
 		liveness.mu.Lock()
-		heartbeatDue, dead, next := liveness.liveness.Check(now, l.clock.Stalled())
+		heartbeatDue, dead, next := liveness.liveness.Check(now, l.clock.LastStallEnd())
 		liveness.mu.Unlock()
 		if dead {
 			conn.Close()
