--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -30,7 +30,7 @@
 	readAt   policy.Tenths // when it was read
 }
 
-// encodedMessage is an encoded message to a gateway.
+// encodedMessage is a message to a gateway that waits to be sent.
 type encodedMessage struct {
 	to      netip.AddrPort
 	payload []byte
