--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -172,7 +172,7 @@
 // ErrUnanswered is returned by Run when a drain ends with unanswered calls.
 var ErrUnanswered = errors.New("drain ended with unanswered calls")
 
-// Run serves until the context ends, then drains: it accepts no new call and returns once every accepted call is
+// Run serves until the context ends, then drains: it accepts no new calls and returns once every accepted call is
 // answered.
 func (s *Server) Run(ctx context.Context) error {
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -259,7 +259,7 @@
 	}
 }
 
-// recordStall records a stall of the process that ended just now.
+// recordStall records and logs a stall of the process that ended just now, if there was one.
 func (s *Server) recordStall(stalled bool) {
 	if stalled {
 		s.clock.lastStallEnd.Store(int64(s.stallDetector.LastEnd()))
