--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -51,10 +51,10 @@
 	requestID string // ID of the last notification request
 }
 
-func (h *agentHarness) Follow()                  {}
-func (h *agentHarness) Note(string)              {}
-func (h *agentHarness) Told(int, string)         {}
-func (h *agentHarness) Answered(exchange.Answer) {}
+func (h *agentHarness) RequestSwitchList()           {}
+func (h *agentHarness) Note(string)                  {}
+func (h *agentHarness) Told(int, string)             {}
+func (h *agentHarness) ReportAnswer(exchange.Answer) {}
 func (h *agentHarness) Transmit(to exchange.Hop, m isup.Message) {
 	if to.Side == exchange.Line && h.agent != nil && h.agent.HandleISUP(to.Point, m.CIC, m) {
 		return
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -119,14 +119,14 @@
 	s.sendBuffer = s.transmit(s.sendBuffer, to, m)
 }
 
-// Follow requests the full list of switches from the register.
-func (h *outputHandler) Follow() { h.register.RequestList() }
+// RequestSwitchList requests the full list of switches from the register.
+func (h *outputHandler) RequestSwitchList() { h.register.RequestList() }
 
 // Note logs a notable event.
 func (h *outputHandler) Note(text string) { h.log.Info(text) }
 
-// Answered logs the final answer of a call.
-func (h *outputHandler) Answered(a exchange.Answer) {
+// ReportAnswer logs the final answer of a call.
+func (h *outputHandler) ReportAnswer(a exchange.Answer) {
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
 		h.log.Debug("answer", "call", a.Ref.Identity, "from", a.Ref.Point, "outcome", a.Outcome.String(), "dest", a.Dest,
 			"tries", a.Tries, "took", trunk.Duration(a.Duration), "transit", a.Transit, "come_back", trunk.Duration(a.RetryAfter))
--- a/internal/control/ledger.go
+++ b/internal/control/ledger.go
@@ -61,9 +61,9 @@
 		}
 	}
 	for n, incarnation := range contents.Process.Incarnations {
-		opened.Knows(n, incarnation)
+		opened.SetIncarnation(n, incarnation)
 	}
-	opened.Knows(-1, contents.Process.OwnIncarnation)
+	opened.SetIncarnation(-1, contents.Process.OwnIncarnation)
 	restored := s.exchange.Restore(now, contents.Process, decisions)
 	s.log.Info("restored calls of the previous process", "stand on", restored, "answered failed", counts[recovery.AnswerFailed], "cut", counts[recovery.Release],
 		"forgotten", counts[recovery.Discard], "dead for", time.Duration(s.clock.wallTime(now)-contents.Process.LastHeartbeat)*100*time.Microsecond)
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -19,9 +19,9 @@
 		s.to, s.msg = to, msg
 	}
 }
-func (s *lastSent) Follow()         {}
-func (s *lastSent) Note(string)     {}
-func (s *lastSent) Answered(Answer) {}
+func (s *lastSent) RequestSwitchList()  {}
+func (s *lastSent) Note(string)         {}
+func (s *lastSent) ReportAnswer(Answer) {}
 
 // newTestExchange returns an exchange with one neighbour, links up and all circuits idle.
 func newTestExchange(circuits int) (*Exchange, *lastSent, policy.Tenths) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -86,9 +86,9 @@
 // Output sends the messages and reports of the exchange. Its methods must not call back into the exchange.
 type Output interface {
 	Transmit(to Hop, msg isup.Message) // send a message
-	Follow()                           // request the whole switch list from the register
+	RequestSwitchList()                // request the whole switch list from the register
 	Note(text string)                  // write a line to the operator's log
-	Answered(a Answer)                 // report the final answer of a call, once
+	ReportAnswer(a Answer)             // report the final answer of a call, once
 }
 
 // Neighbour is an adjacent exchange and the number of circuits of the trunk group to it.
@@ -469,7 +469,7 @@
 	}
 	call.answerReported = true
 	x.unanswered--
-	x.output.Answered(Answer{
+	x.output.ReportAnswer(Answer{
 		Ref:        call.ref,
 		Outcome:    outcome,
 		Dest:       call.request.Dest,
@@ -596,11 +596,11 @@
 	case group.incarnation != incarnation:
 		group.incarnation = incarnation
 		x.endOnLostCircuits(peer, group.circuits.ResetAll(now))
-		x.store.Knows(group.number, incarnation)
+		x.store.SetIncarnation(group.number, incarnation)
 		x.audit()
 	case group.restored: // the switch still knows the restored calls; all other circuits are reset
 		group.circuits.ResetUnrestored(now)
-		x.store.Knows(group.number, incarnation)
+		x.store.SetIncarnation(group.number, incarnation)
 		x.audit()
 		x.schedule(group.earliestAudit, dueCircuitQuery, 0)
 	}
@@ -635,7 +635,7 @@
 		x.failedCalls, x.lostLines = nil, nil
 	}
 	x.ownIncarnation = incarnation
-	x.store.Knows(-1, incarnation)
+	x.store.SetIncarnation(-1, incarnation)
 	x.releaseLostCallers()
 	x.reportPending()
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -58,9 +58,9 @@
 	released               bool
 }
 
-func (node *testNode) Follow()           {}
-func (node *testNode) Note(text string)  { node.notes = append(node.notes, text) }
-func (node *testNode) Answered(a Answer) {}
+func (node *testNode) RequestSwitchList()    {}
+func (node *testNode) Note(text string)      { node.notes = append(node.notes, text) }
+func (node *testNode) ReportAnswer(a Answer) {}
 
 // Transmit sends a message through the simulated network. A called line answers at once.
 func (node *testNode) Transmit(to Hop, m isup.Message) {
--- a/internal/exchange/executor.go
+++ b/internal/exchange/executor.go
@@ -89,7 +89,7 @@
 }
 
 // Subscribe requests the list of switches.
-func (e *executor) Subscribe() { e.output.Follow() }
+func (e *executor) Subscribe() { e.output.RequestSwitchList() }
 
 // Log writes a line to the operator's log.
 func (e *executor) Log(text string) { e.output.Note(text) }
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -9,17 +9,17 @@
 
 // CallStore stores what must survive a restart of the process. Its methods must neither block nor call back.
 type CallStore interface {
-	Put(k recovery.StoredCall)            // add or replace a call
-	Drop(id uint32)                       // remove a call
-	Knows(number int, incarnation string) // record the incarnation of a neighbour's switch, or of the own one for -1
+	Put(k recovery.StoredCall)                     // add or replace a call
+	Drop(id uint32)                                // remove a call
+	SetIncarnation(number int, incarnation string) // record the incarnation of a neighbour's switch, or of the own one for -1
 }
 
 // nullStore stores nothing.
 type nullStore struct{}
 
-func (nullStore) Put(recovery.StoredCall) {}
-func (nullStore) Drop(uint32)             {}
-func (nullStore) Knows(int, string)       {}
+func (nullStore) Put(recovery.StoredCall)    {}
+func (nullStore) Drop(uint32)                {}
+func (nullStore) SetIncarnation(int, string) {}
 
 // SetStore makes the exchange store its calls from now on. wallClock converts an instant to tenths of a millisecond since
 // 1970.
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -15,9 +15,11 @@
 	incarnations map[int]string
 }
 
-func (s *memoryStore) Put(call recovery.StoredCall)         { s.calls[call.ID] = call }
-func (s *memoryStore) Drop(id uint32)                       { delete(s.calls, id) }
-func (s *memoryStore) Knows(number int, incarnation string) { s.incarnations[number] = incarnation }
+func (s *memoryStore) Put(call recovery.StoredCall) { s.calls[call.ID] = call }
+func (s *memoryStore) Drop(id uint32)               { delete(s.calls, id) }
+func (s *memoryStore) SetIncarnation(number int, incarnation string) {
+	s.incarnations[number] = incarnation
+}
 
 // sentMessages is an Output that keeps all messages sent.
 type sentMessages struct {
@@ -28,9 +30,9 @@
 func (s *sentMessages) Transmit(to Hop, m isup.Message) {
 	s.messages, s.hops = append(s.messages, m), append(s.hops, to)
 }
-func (s *sentMessages) Follow()         {}
-func (s *sentMessages) Note(string)     {}
-func (s *sentMessages) Answered(Answer) {}
+func (s *sentMessages) RequestSwitchList()  {}
+func (s *sentMessages) Note(string)         {}
+func (s *sentMessages) ReportAnswer(Answer) {}
 
 // count returns the number of messages of a type.
 func (s *sentMessages) count(t isup.Type) (n int) {
@@ -76,8 +78,8 @@
 	x, out, now := newTestExchange(62)
 	stored := &memoryStore{calls: map[uint32]recovery.StoredCall{}, incarnations: map[int]string{}}
 	x.SetStore(stored, wallClock)
-	x.store.Knows(1, "1")
-	x.store.Knows(-1, "1")
+	x.store.SetIncarnation(1, "1")
+	x.store.SetIncarnation(-1, "1")
 	var cics []uint16
 	for i := range uint32(3) {
 		now += 200
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -104,8 +104,8 @@
 	l.wakeWriter()
 }
 
-// Knows stores the incarnation of a neighbour's switch, or of the own switch for number -1. It does not block.
-func (l *Ledger) Knows(number int, incarnation string) {
+// SetIncarnation stores the incarnation of a neighbour's switch, or of the own switch for number -1. It does not block.
+func (l *Ledger) SetIncarnation(number int, incarnation string) {
 	l.mu.Lock()
 	if l.incarnations[number] != incarnation {
 		l.incarnations[number], l.changedIncarnations[number] = incarnation, true
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -46,8 +46,8 @@
 		}
 		time.Sleep(time.Duration(rapid.IntRange(0, 8).Draw(t, "ms")) * time.Millisecond)
 	}
-	opened.Knows(3, "4")
-	opened.Knows(-1, "2")
+	opened.SetIncarnation(3, "4")
+	opened.SetIncarnation(-1, "2")
 	opened.Close()
 	return live, disk.Get("l")
 }
