--- a/internal/enum/enum.go
+++ b/internal/enum/enum.go
@@ -94,6 +94,7 @@
 	}
 }
 
+// routingNumberPattern matches a routing number of up to numbers.MaxDigits digits.
 var routingNumberPattern = regexp.MustCompile(`^\+?[0-9]{1,24}$`)
 
 // ParseAnswer interprets an answer. If the name does not exist, the number is unknown for the negative TTL of the zone.
--- a/internal/numberfile/store.go
+++ b/internal/numberfile/store.go
@@ -60,8 +60,8 @@
 type header struct {
 	RulesFile    string `json:"Name"`
 	PrefixFile   string `json:"CSV"`
-	RulesOctets  int    `json:"Rules"`
-	PrefixOctets int    `json:"Prefix"`
+	RulesOctets  int    `json:"Rules"`  // size of the rules
+	PrefixOctets int    `json:"Prefix"` // size of the prefixes
 	Checksum     string `json:"Sum"`
 }
 
--- a/internal/numbers/numbers_test.go
+++ b/internal/numbers/numbers_test.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// After any number of calls each share is close to its proportion, and a caller who redials gets the same share.
+// No share gets more than one call over its proportion after any number of calls, and a caller who redials gets the same share.
 func TestSharesStayInProportion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var shares []Share
--- a/internal/numbers/resolver.go
+++ b/internal/numbers/resolver.go
@@ -16,11 +16,11 @@
 
 // PortabilityNet is the output of a PortabilityResolver. Its methods must not call the resolver.
 type PortabilityNet interface {
-	Query(id uint32, server int, number string)    // sends a query to a server
-	LookupDone(call uint32, p Porting, known bool) // reports the result to a call with a pending look-up; known is false if none came in time
+	Query(id uint32, server int, number string)          // sends a query to a server
+	LookupDone(call uint32, porting Porting, known bool) // reports the result to a call with a pending look-up; known is false if none came in time
 }
 
-// ResolverLimits of an Inquirer.
+// ResolverLimits are the limits of a PortabilityResolver.
 type ResolverLimits struct {
 	MaxKnown     int           // cached numbers that a server knows, ported or not
 	MaxUnknown   int           // cached numbers that no server knows
@@ -42,7 +42,7 @@
 const (
 	serverCount = 2
 
-	answerTimeHalfLife   = policy.Tenths(20000) // half-life of answer time samples
+	answerTimeHalfLife   = policy.Tenths(20000) // of answer time samples
 	maxUnanswered        = 5                    // a server is considered dead after this many unanswered queries in a row
 	initialProbeInterval = policy.Tenths(5000)  // of a dead server; doubles with each unanswered probe
 	maxProbeInterval     = policy.Tenths(80000)
@@ -50,7 +50,7 @@
 	lookupTimeDivisor    = 4  // a look-up may take a quarter of the time to the GoS target; the rest is for route tries
 	maxRetryTokens       = 10 // retries that may be sent in a burst
 	skippedSampling      = 8  // one in 8 queries that a slow server cannot answer in time is sent all the same
-	unknownAgeDivisor    = 10
+	unknownAgeDivisor    = 10 // unknown numbers are cached for a tenth of the time of known ones
 )
 
 // server is the state of one portability server.
@@ -58,7 +58,7 @@
 	answerTimeSum float64 // decaying sum of answer times
 	answerWeight  float64
 	updatedAt     policy.Tenths
-	unanswered    int // unanswered queries in a row
+	unanswered    int // queries in a row
 	nextProbe     policy.Tenths
 	probeInterval policy.Tenths
 	probing       bool
--- a/internal/numbers/schedule.go
+++ b/internal/numbers/schedule.go
@@ -16,7 +16,7 @@
 }
 
 type transition struct {
-	unixTime int64 // Unix seconds
+	unixTime int64
 	offset   int32 // seconds east of UTC
 }
 
@@ -86,9 +86,9 @@
 type Schedule struct {
 	Weekdays             uint8      // bit d for weekday d, Sunday is 0; 0 for any day
 	Dates                []DayRange // empty for any date
-	FromMinute, ToMinute int        // minutes of the day, ToMinute over 1440 runs into the next day; both 0 for all day
-	OnlyHolidays         bool       // on holidays only
-	ExceptHolidays       bool       // except on holidays
+	FromMinute, ToMinute int        // minutes of the day, a ToMinute over 1440 is on the next day; both 0 for all day
+	OnlyHolidays         bool       // holidays only
+	ExceptHolidays       bool       // any day but holidays
 }
 
 // DayRange is an inclusive range of day numbers.
--- a/internal/numbers/table.go
+++ b/internal/numbers/table.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Kind is the kind of a number as dialled.
+// Kind tells how a number was dialled.
 type Kind uint8
 
 const (
@@ -92,8 +92,8 @@
 	barredPrefixes  [][]string
 }
 
-// Build validates a table and builds its tries. exchanges is the number of exchanges in the network. An error names the route or
-// prefix at fault.
+// Build validates a table and builds its tries. exchangeCount is the number of exchanges in the network. An error names the route
+// or prefix at fault.
 func (t *Table) Build(prefixes []Prefix, exchangeCount int) error {
 	for i := range t.Routes {
 		if err := t.Routes[i].check(exchangeCount); err != nil {
@@ -173,7 +173,7 @@
 	return d.CountryCode + dialled, National
 }
 
-// Result is the result of an analysis.
+// Result is the outcome of an analysis with the route that it found.
 type Result struct {
 	Outcome        Outcome
 	Version        uint64
@@ -192,7 +192,7 @@
 }
 
 // ShareSelector returns the index of the share for a caller. It must return the same share when the caller redials.
-type ShareSelector func(entry, choice int, shares []Share, caller string) int
+type ShareSelector func(route, choice int, shares []Share, caller string) int
 
 // Q.850 causes that the analysis itself returns.
 const (
@@ -291,9 +291,11 @@
 	return "", false
 }
 
-// PrefixCount returns the number of prefixes of the table and MemoryBytes the memory of the trie that they take.
+// PrefixCount returns the number of prefixes of the table.
 func (t *Table) PrefixCount() int { return t.routesByPrefix.Len() }
+
+// MemoryBytes returns the size of the trie of these prefixes.
 func (t *Table) MemoryBytes() int { return t.routesByPrefix.MemoryBytes() }
 
-// Walk calls each for every prefix in ascending order until it returns false.
+// Walk calls visit for each prefix in ascending order until it returns false.
 func (t *Table) Walk(visit func(digits string, routeIndex uint32) bool) { t.routesByPrefix.Walk(visit) }
--- a/internal/numbers/trie.go
+++ b/internal/numbers/trie.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// MaxDigits is the greatest number of digits of a number that is analysed.
+// MaxDigits is the maximum length of a number.
 const MaxDigits = 24
 
 // digitSymbols are the digits of a number: 0 to 9, and codes 11 and 12, which only short codes internal to the networks use.
@@ -39,6 +39,7 @@
 	skippedCount uint8 // number of digits in skipped
 }
 
+// maxSkippedDigits is how many digits of four bits fit into node.skipped.
 const maxSkippedDigits = 8
 
 func digitValue(c byte) (uint, bool) {
@@ -57,6 +58,7 @@
 	index     uint32
 }
 
+// digitsPerWord is how many digits of five bits a word of a key holds.
 const digitsPerWord = 12
 
 func newKey(digits string, index int) (key, error) {
@@ -121,7 +123,7 @@
 		var nextLevel []span
 		for _, current := range level {
 			n, from, depth := &t.nodes[current.node], current.from, current.depth
-			for from < current.to && n.skippedCount < maxSkippedDigits && len(sorted[from].Digits) > depth && // sorted: digits common to the first and the last are common to all
+			for from < current.to && n.skippedCount < maxSkippedDigits && len(sorted[from].Digits) > depth && // sorted: what the first and last share, all share
 				len(sorted[current.to-1].Digits) > depth && sorted[from].Digits[depth] == sorted[current.to-1].Digits[depth] {
 				value, _ := digitValue(sorted[from].Digits[depth])
 				n.skipped |= uint32(value) << (4 * n.skippedCount)
@@ -182,11 +184,13 @@
 	}
 }
 
-// Len returns the number of prefixes and MemoryBytes the memory that the nodes take.
-func (t *Trie) Len() int         { return t.prefixCount }
+// Len returns the number of prefixes.
+func (t *Trie) Len() int { return t.prefixCount }
+
+// MemoryBytes returns the size of the nodes.
 func (t *Trie) MemoryBytes() int { return len(t.nodes) * 16 }
 
-// Walk calls each for every prefix in ascending order until it returns false.
+// Walk calls visit for each prefix in ascending order until it returns false.
 func (t *Trie) Walk(visit func(digits string, value uint32) bool) {
 	var path [MaxDigits + 1]byte
 	var walk func(n node, depth int) bool
