--- a/internal/numbers/table.go
+++ b/internal/numbers/table.go
@@ -112,19 +112,19 @@
 	return t.buildScreens()
 }
 
-func (e *Route) check(exchangeCount int) error {
-	if e.MinDigits < 1 || e.MaxDigits > MaxDigits || e.MinDigits > e.MaxDigits {
-		return fmt.Errorf("length range of %d to %d digits is not within 1 to %d", e.MinDigits, e.MaxDigits, MaxDigits)
+func (r *Route) check(exchangeCount int) error {
+	if r.MinDigits < 1 || r.MaxDigits > MaxDigits || r.MinDigits > r.MaxDigits {
+		return fmt.Errorf("length range of %d to %d digits is not within 1 to %d", r.MinDigits, r.MaxDigits, MaxDigits)
 	}
-	if e.DeleteDigits < 0 || e.DeleteDigits > e.MinDigits || e.MaxDigits-e.DeleteDigits+len(e.InsertDigits) > MaxDigits || e.MinDigits-e.DeleteDigits+len(e.InsertDigits) < 1 {
-		return fmt.Errorf("deleting %d digits and inserting %q gives an empty or too long number", e.DeleteDigits, e.InsertDigits)
+	if r.DeleteDigits < 0 || r.DeleteDigits > r.MinDigits || r.MaxDigits-r.DeleteDigits+len(r.InsertDigits) > MaxDigits || r.MinDigits-r.DeleteDigits+len(r.InsertDigits) < 1 {
+		return fmt.Errorf("deleting %d digits and inserting %q gives an empty or too long number", r.DeleteDigits, r.InsertDigits)
 	}
-	for _, c := range []byte(e.InsertDigits) {
+	for _, c := range []byte(r.InsertDigits) {
 		if _, ok := digitValue(c); !ok {
 			return fmt.Errorf("%q in the inserted digits is not a digit", c)
 		}
 	}
-	for _, c := range e.Choices {
+	for _, c := range r.Choices {
 		totalWeight := 0
 		for _, s := range c.Shares {
 			if s.Weight < 0 || s.Exchange >= exchangeCount {
