--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -17,11 +17,11 @@
 func newLedgerCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "ledger", Short: "Read the file that preserves calls over a restart"}
 	readLedger := func(name string) (ledger.Contents, error) {
-		b, err := os.ReadFile(name)
+		content, err := os.ReadFile(name)
 		if err != nil {
 			return ledger.Contents{}, fmt.Errorf("read ledger: %w", err)
 		}
-		return ledger.Read(b), nil
+		return ledger.Read(content), nil
 	}
 	inspect := &cobra.Command{Use: "inspect FILE", Short: "Print a summary of the contents", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		contents, err := readLedger(args[0])
@@ -69,7 +69,7 @@
 		for _, call := range contents.Calls {
 			calls = append(calls, call)
 		}
-		slices.SortFunc(calls, func(a, b recovery.StoredCall) int { return int(int64(a.ID) - int64(b.ID)) })
+		slices.SortFunc(calls, func(a, content recovery.StoredCall) int { return int(int64(a.ID) - int64(content.ID)) })
 		if asJSON {
 			encoder := json.NewEncoder(os.Stdout)
 			for _, call := range calls {
--- a/cmd/indigodrift/numbers.go
+++ b/cmd/indigodrift/numbers.go
@@ -21,8 +21,8 @@
 	var exchangeCount int
 	cmd.PersistentFlags().IntVar(&exchangeCount, "exchanges", 999, "number of exchanges in the network")
 	readTable := func(name string) (numberfile.Source, *numbers.Table, error) {
-		if b, err := os.ReadFile(name); err == nil {
-			if src, err := numberfile.Decode(b); err == nil { // a file written by the build command
+		if content, err := os.ReadFile(name); err == nil {
+			if src, err := numberfile.Decode(content); err == nil { // a file written by the build command
 				t, err := src.Table(exchangeCount)
 				return src, t, err
 			}
@@ -199,7 +199,7 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	for _, t := range tables {
 		remaining, drawn := t.PrefixCount(), 0
-		t.Walk(func(prefix string, entry uint32) bool {
+		t.Walk(func(prefix string, routeIndex uint32) bool {
 			remaining--
 			quota := float64(count/len(tables)-drawn) / float64(remaining+1) // share of the remaining numbers for each remaining prefix
 			for ; quota > 0; quota-- {
@@ -207,7 +207,7 @@
 					break
 				}
 				number := prefix
-				for len(number) < t.Routes[entry].MinDigits {
+				for len(number) < t.Routes[routeIndex].MinDigits {
 					number += string(rune('0' + random.IntN(10)))
 				}
 				sample = append(sample, t.DialPlan.InternationalPrefix+number)
--- a/cmd/indigodrift/soak_test.go
+++ b/cmd/indigodrift/soak_test.go
@@ -56,8 +56,8 @@
 		runs[soakRun{from: 2, fault: "early", ending: ending}] = soak.RuleReleaseTime
 	}
 	var wg sync.WaitGroup
-	for run, rule := range runs {
-		wg.Go(func() { checkFaultFound(t, run, rule) })
+	for settings, rule := range runs {
+		wg.Go(func() { checkFaultFound(t, settings, rule) })
 	}
 	wg.Wait()
 }
@@ -68,11 +68,11 @@
 }
 
 // checkFaultFound checks that a run with an injected fault fails, names the rule and prints how to repeat the seed.
-func checkFaultFound(t *testing.T, run soakRun, rule soak.Rule) {
-	out, err := run.run()
-	repeatFlags := fmt.Sprintf("--seeds 1 --length %v --plant %s", soakLength, run.fault)
+func checkFaultFound(t *testing.T, settings soakRun, rule soak.Rule) {
+	out, err := settings.run()
+	repeatFlags := fmt.Sprintf("--seeds 1 --length %v --plant %s", soakLength, settings.fault)
 	if _, failed := err.(*exec.ExitError); !failed || !strings.Contains(out, string(rule)) || !strings.Contains(out, repeatFlags) {
-		t.Errorf("%+v: %v\n%s", run, err, out)
+		t.Errorf("%+v: %v\n%s", settings, err, out)
 	}
 }
 
