--- a/cmd/indigodrift/main_test.go
+++ b/cmd/indigodrift/main_test.go
@@ -24,6 +24,7 @@
 	os.Exit(m.Run())
 }
 
+// programCommand returns a command that runs the program by the test binary.
 func programCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "INDIGODRIFT_BE_PROGRAM=1")
@@ -48,9 +49,17 @@
 	return file
 }
 
+// dayResult is the part of a day's last line that the tests check.
 type dayResult struct {
-	Offered, Stood, Refused, Failed, Broken int
-	Phones                                  struct{ Calls, Stood int }
+	Offered     int `json:"offered"`
+	Established int `json:"stood"`
+	Refused     int `json:"refused"`
+	Failed      int `json:"failed"`
+	Breaches    int `json:"broken"`
+	Telephones  struct {
+		Calls       int `json:"calls"`
+		Established int `json:"stood"`
+	} `json:"phones"`
 }
 
 func parseLastLine(t *testing.T, out []byte) (result dayResult) {
@@ -100,7 +109,7 @@
 }
 `)
 	out, err := programCommand("day", "run", file, "--json").Output()
-	if v := parseLastLine(t, out); err != nil || v.Broken > 0 || v.Phones.Calls < 100 || v.Phones.Stood < v.Phones.Calls/3 {
+	if v := parseLastLine(t, out); err != nil || v.Breaches > 0 || v.Telephones.Calls < 100 || v.Telephones.Established < v.Telephones.Calls/3 {
 		t.Fatalf("%v: %+v", err, v)
 	}
 }
@@ -136,7 +145,7 @@
 `)
 	dir := t.TempDir()
 	out, err := programCommand("day", "run", file, "--json", "--keep", dir).Output()
-	if v := parseLastLine(t, out); err != nil || v.Broken > 0 || v.Offered < 60 || v.Stood < v.Offered/4 {
+	if v := parseLastLine(t, out); err != nil || v.Breaches > 0 || v.Offered < 60 || v.Established < v.Offered/4 {
 		t.Fatalf("%v: %+v", err, v)
 	}
 	ledgerFile := filepath.Join(dir, "ledger-1")
@@ -159,7 +168,7 @@
 	file := writeFile(t, "day.hcl", "length = \"3s\"\nsettle = \"1s\"\nexchanges = 2\ncalls_per_second = 40\nload = 3\n"+bearerSettings)
 	dir := t.TempDir()
 	out, err := programCommand("day", "run", file, "--json", "--plant", "answer", "--keep", dir).Output()
-	if v := parseLastLine(t, out); err == nil || v.Broken == 0 {
+	if v := parseLastLine(t, out); err == nil || v.Breaches == 0 {
 		t.Fatalf("%v: %+v", err, v)
 	}
 	audit, err := programCommand("audit", filepath.Join(dir, "audit.log")).Output()
--- a/cmd/indigodrift/platform.go
+++ b/cmd/indigodrift/platform.go
@@ -33,6 +33,7 @@
 	return cmd
 }
 
+// runOnPlatform runs a controller until a signal ends it. SIGHUP reloads the configuration.
 func runOnPlatform(fault string) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
--- a/cmd/indigodrift/platform_test.go
+++ b/cmd/indigodrift/platform_test.go
@@ -86,7 +86,7 @@
 	subscriptions chan uint64   // event numbers from which the controller subscribed to the board
 	boardConns    chan net.Conn // the connections of these subscriptions
 	log           *logBuffer
-	configFile    string // configuration file
+	configFile    string
 }
 
 func newPlatformNet(t *testing.T) *platformNet {
--- a/cmd/indigodrift/soak_test.go
+++ b/cmd/indigodrift/soak_test.go
@@ -18,12 +18,12 @@
 	ending string // the one abnormal way in which set-ups end
 }
 
-// soakLength is short enough for a test and long enough for faults to affect established calls.
 const (
-	soakLength   = 8 * time.Second
+	soakLength   = 8 * time.Second // short enough for a test, and long enough for faults to affect established calls
 	soakParallel = 8
 )
 
+// soakTokens limits the runs at the same time to soakParallel.
 var soakTokens = make(chan struct{}, soakParallel)
 
 func (r soakRun) args() []string {
