--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -59,7 +59,7 @@
 	Send(to netip.AddrPort, m mgcp.Message)
 	Offer(point, cic uint16, m isup.Message) // passes a message from the line side to the exchange
 	Note(text string)                        // logs an event
-	Told(line int, words string)             // reports why a call of a line failed
+	CallFailed(line int, words string)       // reports why a call of a line failed
 }
 
 // RequestedEvents is the set of events that a gateway is asked to detect at an endpoint.
--- a/internal/callagent/callagent_test.go
+++ b/internal/callagent/callagent_test.go
@@ -59,13 +59,13 @@
 	index   int
 }
 
-func (o gatewayOutput) Transmit(m mgcp.Message, _ int) {
-	o.harness.transmit(func() { o.harness.agent.HandleMessage(o.harness.now, gatewayAddress, m, 0) })
+func (o gatewayOutput) Transmit(msg mgcp.Message, _ int) {
+	o.harness.transmit(func() { o.harness.agent.HandleMessage(o.harness.now, gatewayAddress, msg, 0) })
 }
-func (f gatewayOutput) HandleOutcome(uint32, mgcp.Outcome, mgcp.Message) {}
-func (f gatewayOutput) HandleConflict(uint32, int, mgcp.Message)         {}
+func (o gatewayOutput) HandleOutcome(uint32, mgcp.Outcome, mgcp.Message) {}
+func (o gatewayOutput) HandleConflict(uint32, int, mgcp.Message)         {}
 func (h *harness) Note(string)                                           {}
-func (h *harness) Told(int, string)                                      {}
+func (h *harness) CallFailed(int, string)                                {}
 func (h *harness) transmit(deliver func()) {
 	switch {
 	case h.random.Float64() < h.loss:
@@ -418,10 +418,10 @@
 	send func(netip.AddrPort, mgcp.Message)
 }
 
-func (o fakeOutput) Send(to netip.AddrPort, m mgcp.Message) { o.send(to, m) }
-func (c fakeOutput) Offer(uint16, uint16, isup.Message)     {}
-func (c fakeOutput) Note(string)                            {}
-func (c fakeOutput) Told(int, string)                       {}
+func (o fakeOutput) Send(to netip.AddrPort, msg mgcp.Message) { o.send(to, msg) }
+func (o fakeOutput) Offer(uint16, uint16, isup.Message)       {}
+func (o fakeOutput) Note(string)                              {}
+func (o fakeOutput) CallFailed(int, string)                   {}
 
 // Guards against states without a transition for an incoming call, which the exchange waits to have answered, or for the loss of the
 // gateway.
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -274,14 +274,14 @@
 	} else {
 		a.Counts.Refused++
 	}
-	a.output.Told(i, reason)
+	a.output.CallFailed(i, reason)
 	a.playTone(i, tone)
 }
 
 // failSetUp ends a call that wasn't offered to the exchange.
 func (a *Agent) failSetUp(i int, _ eventData) {
 	a.Counts.Failed++
-	a.output.Told(i, "the gateway did not create the connection in time")
+	a.output.CallFailed(i, "the gateway did not create the connection in time")
 	a.playTone(i, gateways.Reorder)
 }
 
@@ -289,7 +289,7 @@
 func (a *Agent) failCall(i int, _ eventData) {
 	a.sendRelease(i, isup.NetworkOutOfOrder)
 	a.Counts.Failed++
-	a.output.Told(i, "the gateway lost the connection or the exchange did not answer")
+	a.output.CallFailed(i, "the gateway lost the connection or the exchange did not answer")
 	a.playTone(i, gateways.Reorder)
 }
 
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -203,7 +203,7 @@
 // Note logs a notable event.
 func (a *agentAdapter) Note(text string) { a.server.log.Info(text) }
 
-// Told logs why a call of a line failed.
-func (a *agentAdapter) Told(line int, reason string) {
+// CallFailed logs why a call of a line failed.
+func (a *agentAdapter) CallFailed(line int, reason string) {
 	a.server.log.Debug("call from gateway failed", "line", line, "why", reason)
 }
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -53,7 +53,7 @@
 
 func (h *agentHarness) RequestSwitchList()           {}
 func (h *agentHarness) Note(string)                  {}
-func (h *agentHarness) Told(int, string)             {}
+func (h *agentHarness) CallFailed(int, string)       {}
 func (h *agentHarness) ReportAnswer(exchange.Answer) {}
 func (h *agentHarness) Transmit(to exchange.Hop, m isup.Message) {
 	if to.Side == exchange.Line && h.agent != nil && h.agent.HandleISUP(to.Point, m.CIC, m) {
@@ -415,8 +415,8 @@
 	pending   []func()
 }
 
-func (e *directExchange) Note(string)      {}
-func (e *directExchange) Told(int, string) {}
+func (e *directExchange) Note(string)            {}
+func (e *directExchange) CallFailed(int, string) {}
 func (e *directExchange) Send(to netip.AddrPort, m mgcp.Message) {
 	b, _ := mgcp.Append(nil, m)
 	e.conn.WriteTo(b, net.UDPAddrFromAddrPort(to))
--- a/internal/mgcp/digitmap.go
+++ b/internal/mgcp/digitmap.go
@@ -129,8 +129,8 @@
 func (d DigitMap) Match(dialled string) MatchResult {
 	complete, partial := false, false
 	for _, alternative := range d.alternatives {
-		m, longer := matchAlternative(alternative, dialled)
-		complete, partial = complete || m, partial || longer
+		matches, longer := matchAlternative(alternative, dialled)
+		complete, partial = complete || matches, partial || longer
 	}
 	switch {
 	case complete && partial:
@@ -153,30 +153,30 @@
 		c := toUpper(dialled[i])
 		symbol := strings.IndexByte(symbols, c)
 		next := make([]bool, len(alternative)+1)
-		for p, e := range alternative {
-			if !positions[p] || c == timerSymbol != e.timer || !e.timer && (symbol < 0 || e.digits&(1<<symbol) == 0) {
+		for position, element := range alternative {
+			if !positions[position] || c == timerSymbol != element.timer || !element.timer && (symbol < 0 || element.digits&(1<<symbol) == 0) {
 				continue
 			}
-			if e.repeated {
-				next[p] = true
+			if element.repeated {
+				next[position] = true
 			} else {
-				next[p+1] = true
+				next[position+1] = true
 			}
 		}
 		skipRepeated(alternative, next)
 		positions = next
 	}
-	for p := range alternative {
-		partial = partial || positions[p]
+	for position := range alternative {
+		partial = partial || positions[position]
 	}
 	return positions[len(alternative)], partial
 }
 
 // skipRepeated adds the positions reached by repeating elements zero times.
 func skipRepeated(alternative []element, positions []bool) {
-	for p, e := range alternative {
-		if positions[p] && e.repeated {
-			positions[p+1] = true
+	for position, element := range alternative {
+		if positions[position] && element.repeated {
+			positions[position+1] = true
 		}
 	}
 }
--- a/internal/mgcp/events.go
+++ b/internal/mgcp/events.go
@@ -128,11 +128,11 @@
 // FormatEvents returns a list of events in the format of a parameter.
 func FormatEvents(events []Event) string {
 	var b strings.Builder
-	for i, e := range events {
+	for i, event := range events {
 		if i > 0 {
 			b.WriteString(", ")
 		}
-		b.WriteString(e.String())
+		b.WriteString(event.String())
 	}
 	return b.String()
 }
--- a/internal/mgcp/message.go
+++ b/internal/mgcp/message.go
@@ -155,8 +155,8 @@
 
 // isKnownVerb reports whether v is a verb of RFC 3435.
 func isKnownVerb(v Verb) bool {
-	for _, k := range verbs {
-		if v == k {
+	for _, known := range verbs {
+		if v == known {
 			return true
 		}
 	}
