--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -56,10 +56,10 @@
 
 // Output sends the agent's messages. Its methods must not call the agent.
 type Output interface {
-	Send(to netip.AddrPort, m mgcp.Message)
-	Offer(point, cic uint16, m isup.Message) // passes a message from the line side to the exchange
-	Note(text string)                        // logs an event
-	CallFailed(line int, words string)       // reports why a call of a line failed
+	Send(to netip.AddrPort, msg mgcp.Message)
+	Offer(point, cic uint16, msg isup.Message) // passes a message from the line side to the exchange
+	Note(text string)                          // logs an event
+	CallFailed(line int, words string)         // reports why a call of a line failed
 }
 
 // RequestedEvents is the set of events that a gateway is asked to detect at an endpoint.
