--- a/internal/callagent/session.go
+++ b/internal/callagent/session.go
@@ -41,3 +41,13 @@
 	return "v=0\r\no=- 0 0 IN IP4 " + address + "\r\ns=-\r\nc=IN IP4 " + address +
 		"\r\nt=0 0\r\nm=audio " + strconv.Itoa(port) + " RTP/AVP 0\r\n"
 }
+
+// remoteSessionOf returns the session description of the other side of a call, or that of the own switch if none was given.
+func (a *Agent) remoteSessionOf(userInfo isup.UserInfo, circuit circuitKey) string {
+	if userInfo.Present&isup.PartSession != 0 && userInfo.Session != "" {
+		if _, err := readSession([]byte(userInfo.Session)); err == nil {
+			return userInfo.Session
+		}
+	}
+	return pcmuSession(a.config.MediaAddress, 20000+2*int(circuit.cic))
+}
--- a/internal/mgcp/digitmap.go
+++ b/internal/mgcp/digitmap.go
@@ -1,8 +1,6 @@
 package mgcp
 
-import (
-	"strings"
-)
+import "strings"
 
 // DigitMap decides when the dialled digits are complete (RFC 3435, 2.1.5). Its alternatives consist of digits, ranges, x for any
 // digit, a dot for any number of repetitions of the element before it, and T for the timer.
--- a/internal/mgcp/message.go
+++ b/internal/mgcp/message.go
@@ -25,8 +25,10 @@
 	RestartInProgress     Verb = "RSIP"
 )
 
-var verbs = []Verb{EndpointConfiguration, CreateConnection, ModifyConnection, DeleteConnection, NotificationRequest, Notify,
-	AuditEndpoint, AuditConnection, RestartInProgress}
+var verbs = []Verb{
+	EndpointConfiguration, CreateConnection, ModifyConnection, DeleteConnection, NotificationRequest, Notify, AuditEndpoint,
+	AuditConnection, RestartInProgress,
+}
 
 // Limits of messages.
 const (
