--- a/internal/callagent/callagent_test.go
+++ b/internal/callagent/callagent_test.go
@@ -30,7 +30,7 @@
 	offHook           bool
 	requestID         string
 	requested, signal string
-	armed             bool
+	armed             bool // a notification request is active
 	connections       map[string]bool
 	quarantined       []string // events while no request is active (RFC 3435, quarantine)
 }
@@ -54,6 +54,7 @@
 	started        int
 }
 
+// gatewayOutput is the mgcp.SenderOutput of a simulated gateway.
 type gatewayOutput struct {
 	harness *harness
 	index   int
@@ -66,6 +67,8 @@
 func (o gatewayOutput) HandleConflict(uint32, int, mgcp.Message)         {}
 func (h *harness) Note(string)                                           {}
 func (h *harness) CallFailed(int, string)                                {}
+
+// transmit sends a message over the simulated network, which may lose or delay it.
 func (h *harness) transmit(deliver func()) {
 	switch {
 	case h.random.Float64() < h.loss:
@@ -109,6 +112,7 @@
 	h.transmit(func() { h.receive(msg) })
 }
 
+// receive handles a message at a gateway.
 func (h *harness) receive(msg mgcp.Message) {
 	if msg.Verb == "" {
 		for _, sender := range h.senders {
@@ -142,6 +146,7 @@
 	h.transmit(func() { h.agent.HandleMessage(h.now, gatewayAddress, response, 0) })
 }
 
+// handleCommand executes a command at one endpoint and completes the reply.
 func (h *harness) handleCommand(phone *simulatedPhone, msg mgcp.Message, reply *mgcp.Message) {
 	requestID, hasRequest := msg.Param("X")
 	requested, _ := msg.Param("R")
@@ -210,6 +215,7 @@
 	}
 }
 
+// advance runs the simulation for a duration and checks that the state of every line is consistent.
 func (h *harness) advance(duration policy.Tenths) {
 	for end := h.now + duration; h.now < end; {
 		next := h.now + 50
@@ -255,7 +261,8 @@
 	}
 	for i := range h.agent.lines {
 		line := &h.agent.lines[i]
-		if (line.state == CreatingConnection || line.state == Calling || line.state == Talking || line.state == Incoming || line.state == Ringing) != (line.call != nil) {
+		if (line.state == CreatingConnection || line.state == Calling || line.state == Talking || line.state == Incoming ||
+			line.state == Ringing) != (line.call != nil) {
 			h.t.Fatalf("line %d in state %v has call %v", i, line.state, line.call)
 		}
 		if (line.connection.mayExist() && line.uncertainCall == nil) != (line.applied.mode != NoMode) ||
@@ -271,6 +278,7 @@
 	}
 }
 
+// newHarness returns an agent with two gateways of three endpoints each.
 func newHarness(t *rapid.T, seed uint64) *harness {
 	h := &harness{t: t, now: 1 << 30, random: rand.New(rand.NewPCG(seed, 3)), delayed: map[policy.Tenths][]func(){},
 		calls: map[circuitKey]string{}}
@@ -340,13 +348,15 @@
 			case 4, 5: // the exchange releases or answers a call
 				for i := range h.agent.lines {
 					call := h.agent.lines[i].call
-					if call == nil || h.calls[call.circuit] == "" || call.circuit.point < exchange.FirstCalledPoint && h.agent.lines[i].state == CreatingConnection {
+					if call == nil || h.calls[call.circuit] == "" ||
+						call.circuit.point < exchange.FirstCalledPoint && h.agent.lines[i].state == CreatingConnection {
 						continue
 					}
 					circuit := call.circuit
 					if action == 4 && h.calls[circuit] == "asked" && circuit.point < exchange.FirstCalledPoint {
 						h.calls[circuit] = "stands"
-						h.sendFromExchange(circuit, isup.Message{Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: sessionDescription}})
+						h.sendFromExchange(circuit, isup.Message{Type: isup.ANM,
+							UserInfo: isup.UserInfo{Present: isup.PartSession, Session: sessionDescription}})
 					} else if action == 5 {
 						delete(h.calls, circuit)
 						h.ended++
@@ -359,7 +369,8 @@
 				circuit := circuitKey{exchange.FirstCalledPoint, lastCIC}
 				h.calls[circuit] = "ringing"
 				h.started++
-				h.sendFromExchange(circuit, isup.Message{Type: isup.IAM, Digits: exchange.LineNumber(4, uint32(10*gw+n)), UserInfo: isup.UserInfo{Present: isup.PartTimeLeft, TimeLeft: 50000}})
+				h.sendFromExchange(circuit, isup.Message{Type: isup.IAM, Digits: exchange.LineNumber(4, uint32(10*gw+n)),
+					UserInfo: isup.UserInfo{Present: isup.PartTimeLeft, TimeLeft: 50000}})
 			case 7: // a gateway restarts
 				for i := range h.phones[gw] {
 					h.phones[gw][i] = simulatedPhone{connections: map[string]bool{}, offHook: h.phones[gw][i].offHook}
@@ -384,7 +395,8 @@
 		}
 		for gw := range h.phones {
 			for n, phone := range h.phones[gw] {
-				if line := h.agent.lines[gw*3+n]; len(phone.connections) > 0 || line.state != Idle || !phone.armed || !strings.Contains(phone.requested, "L/hd") {
+				if line := h.agent.lines[gw*3+n]; len(phone.connections) > 0 || line.state != Idle ||
+					!phone.armed || !strings.Contains(phone.requested, "L/hd") {
 					t.Fatalf("phone %d at gateway %d: %+v, line %v", n, gw, phone, line.state)
 				}
 			}
@@ -414,6 +426,7 @@
 	}
 }
 
+// fakeOutput passes on the messages to gateways and ignores everything else.
 type fakeOutput struct {
 	send func(netip.AddrPort, mgcp.Message)
 }
--- a/internal/callagent/datagram.go
+++ b/internal/callagent/datagram.go
@@ -27,6 +27,7 @@
 	a.processQueue()
 }
 
+// handleResponse passes a response to the sender of its gateway. Truncated responses are counted and ignored.
 func (a *Agent) handleResponse(from netip.AddrPort, msg mgcp.Message) {
 	command, ok := a.outstanding[msg.Transaction]
 	gatewayIndex := a.gatewayOfCommand(command)
@@ -69,6 +70,7 @@
 	return true
 }
 
+// handleCommand handles a command from a gateway, at most once per transaction.
 func (a *Agent) handleCommand(from netip.AddrPort, msg mgcp.Message, age policy.Tenths) {
 	gatewayIndex, i, ok := a.findEndpoint(msg.Endpoint)
 	if !ok {
@@ -103,7 +105,8 @@
 		defer a.startJoin(gatewayIndex)
 	}
 	reply := func(code int, comment string) {
-		a.output.Send(from, gateway.receiver.StoreResponse(a.now, mgcp.Message{Transaction: msg.Transaction, Code: code, Comment: comment}))
+		a.output.Send(from, gateway.receiver.StoreResponse(a.now,
+			mgcp.Message{Transaction: msg.Transaction, Code: code, Comment: comment}))
 	}
 	if owner := a.owner(gateway.Name); owner != a.config.OwnEntityIndex {
 		response := mgcp.Message{Transaction: msg.Transaction, Code: mgcp.CodeRedirected, Comment: "it belongs to another call agent",
@@ -116,7 +119,7 @@
 		a.handleRestart(gatewayIndex, i, from, msg, reply)
 	case mgcp.Notify:
 		reply(mgcp.CodeOK, "OK")
-		if gateway.presence.State() == gateways.Absent { // it is reachable after all: join it anew
+		if gateway.presence.State() == gateways.Absent { // it is reachable again: join it
 			a.adoptAddress(gatewayIndex, from)
 			a.admit(gatewayIndex)
 			return
--- a/internal/callagent/endpoint.go
+++ b/internal/callagent/endpoint.go
@@ -123,6 +123,7 @@
 	return gatewayIndex, a.gateways[gatewayIndex].lineOffset + n - 1, true
 }
 
+// numberOf returns the subscriber number of a line.
 func (a *Agent) numberOf(i int) string {
 	gateway := &a.gateways[a.lines[i].gateway]
 	return exchange.LineNumber(a.config.OwnExchange, uint32(gateway.FirstLine+i-gateway.lineOffset))
--- a/internal/callagent/isup.go
+++ b/internal/callagent/isup.go
@@ -57,6 +57,7 @@
 	a.processQueue()
 }
 
+// processQueue handles the queued messages. A nested call returns at once; the outer one handles its messages.
 func (a *Agent) processQueue() {
 	if a.processing {
 		return
@@ -105,6 +106,6 @@
 	a.output.Offer(circuit.point, circuit.cic, msg)
 }
 
-// pointOf and cicOf return the circuit of calls from a line, and numberOf its number.
+// pointOf and cicOf return the circuit of calls from a line.
 func (a *Agent) pointOf(i int) uint16 { return exchange.FirstGatewayPoint + uint16(i>>12) }
 func (a *Agent) cicOf(i int) uint16   { return uint16(i & isup.MaxCIC) }
--- a/internal/mgcp/sender.go
+++ b/internal/mgcp/sender.go
@@ -55,7 +55,7 @@
 	deviation        float64
 	measured         bool                       // a response time has been measured
 	lossRate         float64                    // moving average of the share of retransmitted commands
-	heldRTO          policy.Tenths              // response time of the last command if it was retransmitted, otherwise 0
+	heldRTO          policy.Tenths              // response time of the last answered command if it was retransmitted, otherwise 0
 	finished         map[uint32]finishedCommand // answered or abandoned, by transaction ID
 	purgeAt          policy.Tenths
 	pendingAcks      []uint32 // acknowledged with the next command (K parameter)
--- a/internal/mgcp/transaction_test.go
+++ b/internal/mgcp/transaction_test.go
@@ -31,17 +31,19 @@
 }
 
 type packet struct {
-	at         policy.Tenths
+	at         policy.Tenths // when it arrives, or when its execution ends
 	message    Message
 	isResponse bool
 }
 
 func newLossyNetwork(seed uint64) *lossyNetwork {
-	n := &lossyNetwork{now: 1000000, receiver: NewReceiver(), random: rand.New(rand.NewPCG(seed, 1)), executions: map[uint32]int{}, outcomes: map[uint32]Outcome{}, processingTime: 50}
+	n := &lossyNetwork{now: 1000000, receiver: NewReceiver(), random: rand.New(rand.NewPCG(seed, 1)), executions: map[uint32]int{},
+		outcomes: map[uint32]Outcome{}, processingTime: 50}
 	n.sender = NewSender(NewTransactionIDs(5), seed, n)
 	return n
 }
 
+// deliver sends a message over the network, which may lose, duplicate or delay it.
 func (n *lossyNetwork) deliver(msg Message, isResponse bool) {
 	copies := 1
 	if n.random.Float64() < n.duplication {
@@ -69,6 +71,7 @@
 	n.outcomes[id] = outcome
 }
 
+// advance runs the simulation for a duration.
 func (n *lossyNetwork) advance(duration policy.Tenths) {
 	for end := n.now + duration; n.now < end; {
 		n.now = min(end, n.now+50)
