--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -13,7 +13,7 @@
 
 var testCall = isup.Reference{Point: 1, Identity: 7}
 
-// dayLog is a log on paper: the figures of the rules, one call offered at 1 s with 3 s left, then what a case adds.
+// dayLog returns a log with the parameters of the rules, one call offered at 1 s with 3 s left, and the events of a case.
 func dayLog(more ...Event) []Event {
 	all := []Event{{Kind: Parameter, Site: ParameterDrainGrace, Value: 250 * ms}, {Kind: Parameter, Site: ParameterReleaseTime, Value: 300 * ms},
 		{Kind: Parameter, Site: ParameterRampTime, Value: 14000 * ms}, {Kind: Parameter, Site: ParameterOverloadWindow, Value: 1500 * ms},
@@ -52,45 +52,45 @@
 		log  []Event
 		want []int
 	}{
-		{"a call that stands", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1400, 3, isup.ANM), fine}, nil},
-		{"no answer", nil, []int{1}},
-		{"no answer to one given too late to be told", []Event{callResponse(1500, isup.REL), {At: 1000 * ms, Kind: CallOffered, Ref: isup.Reference{Point: 1, Identity: 8}, Value: ms}}, nil},
-		{"the caller left early", []Event{eventAt(2000, CallerReleased, 0, 0)}, nil},
-		{"the caller left as its time was up", []Event{eventAt(4000, CallerReleased, 0, 0)}, []int{1}},
+		{"an established call", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1400, 3, isup.ANM), fine}, nil},
+		{"no response", nil, []int{1}},
+		{"no response to a call offered just before its deadline", []Event{callResponse(1500, isup.REL), {At: 1000 * ms, Kind: CallOffered, Ref: isup.Reference{Point: 1, Identity: 8}, Value: ms}}, nil},
+		{"the caller abandoned early", []Event{eventAt(2000, CallerReleased, 0, 0)}, nil},
+		{"the caller abandoned at the deadline", []Event{eventAt(4000, CallerReleased, 0, 0)}, []int{1}},
 		{"two refusals", []Event{callResponse(1500, isup.REL), callResponse(1600, isup.REL)}, []int{1}},
-		{"stands and is released", []Event{fine, callResponse(1600, isup.REL)}, nil},
-		{"stands twice", []Event{fine, callResponse(1600, isup.ANM)}, []int{1}},
-		{"an answer past the time by twice the margin", []Event{callResponse(4200, isup.REL)}, []int{1, 1}},
-		{"an answer after the caller left", []Event{eventAt(2000, CallerReleased, 0, 0), callResponse(2200, isup.REL)}, []int{1}},
-		{"the caller left while it stood still", []Event{eventAt(1500, ControllerPaused, 0, 0), eventAt(2000, CallerReleased, 0, 0), eventAt(2500, ControllerResumed, 0, 0), callResponse(2550, isup.REL)}, nil},
-		{"the caller left while it stood still, long ago", []Event{eventAt(1500, ControllerPaused, 0, 0), eventAt(2000, CallerReleased, 0, 0), eventAt(2500, ControllerResumed, 0, 0), callResponse(2700, isup.REL)}, []int{1}},
-		{"sent after the final answer", []Event{callResponse(1500, isup.REL), eventAt(1700, TryReceived, 3, 0)}, []int{1}},
-		{"the caller left while it was stopped twice over", []Event{eventAt(1500, ControllerPaused, 0, 0), eventAt(2000, CallerReleased, 0, 0), eventAt(2100, ControllerPaused, 0, 0), eventAt(2500, ControllerResumed, 0, 0),
+		{"established and released", []Event{fine, callResponse(1600, isup.REL)}, nil},
+		{"established twice", []Event{fine, callResponse(1600, isup.ANM)}, []int{1}},
+		{"a response after the deadline by twice the margin", []Event{callResponse(4200, isup.REL)}, []int{1, 1}},
+		{"a response after the caller abandoned", []Event{eventAt(2000, CallerReleased, 0, 0), callResponse(2200, isup.REL)}, []int{1}},
+		{"the caller abandoned during a pause", []Event{eventAt(1500, ControllerPaused, 0, 0), eventAt(2000, CallerReleased, 0, 0), eventAt(2500, ControllerResumed, 0, 0), callResponse(2550, isup.REL)}, nil},
+		{"the caller abandoned during a pause, response too late", []Event{eventAt(1500, ControllerPaused, 0, 0), eventAt(2000, CallerReleased, 0, 0), eventAt(2500, ControllerResumed, 0, 0), callResponse(2700, isup.REL)}, []int{1}},
+		{"sent after the final response", []Event{callResponse(1500, isup.REL), eventAt(1700, TryReceived, 3, 0)}, []int{1}},
+		{"the caller abandoned during two overlapping pauses", []Event{eventAt(1500, ControllerPaused, 0, 0), eventAt(2000, CallerReleased, 0, 0), eventAt(2100, ControllerPaused, 0, 0), eventAt(2500, ControllerResumed, 0, 0),
 			callResponse(2550, isup.REL), eventAt(2700, ControllerResumed, 0, 0)}, nil},
-		{"unanswered as the controller was killed", []Event{eventAt(2000, ControllerKilled, 0, 0)}, nil},
-		{"unanswered as it stood still at the end", []Event{eventAt(3900, ControllerPaused, 0, 0), eventAt(5000, ControllerResumed, 0, 0)}, nil},
-		{"stood still, but went on in time", []Event{eventAt(1100, ControllerPaused, 0, 0), eventAt(2000, ControllerResumed, 0, 0)}, []int{1}},
-		{"two tries out", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReceived, 4, 0), fine}, []int{2}},
-		{"the next after a refusal", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1150, 3, isup.REL), eventAt(1160, TryReceived, 4, 0), fine}, nil},
-		{"the next after its release time", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1500, TryReceived, 4, 0), fine}, nil},
-		{"the next before it by twice the margin", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
-		{"after a link broke, too early", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, LinkLost, 3, 0), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
-		{"after a reset came in, too early", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, ResetDelivered, 0, 3), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
-		{"a reset of one circuit of a wide call", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 5}, {At: 1200 * ms, Kind: ResetDelivered, Site: 0, Peer: 3, Ref: testCall, CIC: 3},
+		{"no response as the controller was killed", []Event{eventAt(2000, ControllerKilled, 0, 0)}, nil},
+		{"no response as the controller was paused at the deadline", []Event{eventAt(3900, ControllerPaused, 0, 0), eventAt(5000, ControllerResumed, 0, 0)}, nil},
+		{"no response though the controller resumed in time", []Event{eventAt(1100, ControllerPaused, 0, 0), eventAt(2000, ControllerResumed, 0, 0)}, []int{1}},
+		{"two route tries at once", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReceived, 4, 0), fine}, []int{2}},
+		{"the next try after a refusal", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1150, 3, isup.REL), eventAt(1160, TryReceived, 4, 0), fine}, nil},
+		{"the next try after the release time", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1500, TryReceived, 4, 0), fine}, nil},
+		{"the next try too early by twice the margin", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
+		{"too early after a lost link", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, LinkLost, 3, 0), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
+		{"too early after a reset", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, ResetDelivered, 0, 3), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
+		{"a reset of one circuit of a multirate call", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 5}, {At: 1200 * ms, Kind: ResetDelivered, Site: 0, Peer: 3, Ref: testCall, CIC: 3},
 			eventAt(1550, TryReceived, 4, 0), fine}, nil},
-		{"a reset of a circuit beside a wide call", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 5}, {At: 1200 * ms, Kind: ResetDelivered, Site: 0, Peer: 3, Ref: testCall, CIC: 2},
+		{"a reset of a circuit next to a multirate call", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 5}, {At: 1200 * ms, Kind: ResetDelivered, Site: 0, Peer: 3, Ref: testCall, CIC: 2},
 			eventAt(1550, TryReceived, 4, 0), fine}, []int{2}},
-		{"void as the far exchange keeps the circuit", []Event{eventAt(1100, TryReceived, 3, 0), {At: 1150 * ms, Kind: SetUpDelivered, Site: 0, Peer: 3, CIC: 1, Slots: 3},
+		{"dual seizure that the remote exchange wins", []Event{eventAt(1100, TryReceived, 3, 0), {At: 1150 * ms, Kind: SetUpDelivered, Site: 0, Peer: 3, CIC: 1, Slots: 3},
 			eventAt(1151, TryReceived, 4, 0), fine}, nil},
-		{"not void as this one keeps it", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 7},
+		{"dual seizure that this exchange wins", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 7},
 			{At: 1150 * ms, Kind: SetUpDelivered, Site: 0, Peer: 3, CIC: 1, Slots: 3}, eventAt(1151, TryReceived, 4, 0), fine}, []int{2}},
-		{"crossed by a reset that lay unread", []Event{eventAt(1050, ControllerPaused, 0, 0), eventAt(1100, ResetDelivered, 0, 3), eventAt(1200, ControllerResumed, 0, 0), eventAt(1210, TryReceived, 3, 0),
+		{"crossed by a reset that was read after a pause", []Event{eventAt(1050, ControllerPaused, 0, 0), eventAt(1100, ResetDelivered, 0, 3), eventAt(1200, ControllerResumed, 0, 0), eventAt(1210, TryReceived, 3, 0),
 			eventAt(1520, TryReceived, 4, 0), fine}, nil},
 		{"crossed by a reset, and sent again too early", []Event{eventAt(1100, ResetDelivered, 0, 3), eventAt(1110, TryReceived, 3, 0), eventAt(1210, TryReceived, 4, 0), fine}, []int{5}},
-		{"within the grace", []Event{listEntry(900, 0, 1), listAck(950, 1), eventAt(1250, TryReceived, 3, 0), fine}, nil},
-		{"past the grace by twice the margin", []Event{listEntry(800, 0, 1), listAck(850, 1), eventAt(1300, TryReceived, 3, 0), fine}, []int{3}},
-		{"never acknowledged, but alive", []Event{listEntry(500, 0, 1), eventAt(1100, TryReceived, 4, 0), tryResponse(1150, 4, isup.REL), eventAt(1500, TryReceived, 3, 0), fine}, []int{3}},
-		{"told off, then on", []Event{listEntry(100, 0, 1), listAck(150, 1), listEntry(900, 1, 2), listAck(910, 2), eventAt(1300, TryReceived, 3, 0), fine}, nil},
+		{"sent within the grace time", []Event{listEntry(900, 0, 1), listAck(950, 1), eventAt(1250, TryReceived, 3, 0), fine}, nil},
+		{"sent after the grace time by twice the margin", []Event{listEntry(800, 0, 1), listAck(850, 1), eventAt(1300, TryReceived, 3, 0), fine}, []int{3}},
+		{"list never acknowledged by an active controller", []Event{listEntry(500, 0, 1), eventAt(1100, TryReceived, 4, 0), tryResponse(1150, 4, isup.REL), eventAt(1500, TryReceived, 3, 0), fine}, []int{3}},
+		{"reported not ready, then ready", []Event{listEntry(100, 0, 1), listAck(150, 1), listEntry(900, 1, 2), listAck(910, 2), eventAt(1300, TryReceived, 3, 0), fine}, nil},
 	} {
 		var got []int
 		for _, b := range Check(dayLog(c.log...)) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Of lists that were never acknowledged the last one written counts; taken as a map has them, a switch that was ready again
-// seemed told off now and then.
+// Of several lists that were never acknowledged, the last one written must count. Applied in map order, an old list could
+// mark a switch as not ready that was ready again.
 func TestLastOfUnacknowledgedListsCounts(t *testing.T) {
 	var log []Event
 	for version := range int64(20) {
@@ -123,18 +123,18 @@
 		told   bool
 		broken bool
 	}{{20, true, false}, {60, true, true}, {60, false, false}} {
-		log := []Event{{At: 500 * ms, Kind: SwitchStarted, Site: 3, CIC: 1, Value: 20_000}, callResponse(1500, isup.REL)} // 20 set-ups a second warm
+		log := []Event{{At: 500 * ms, Kind: SwitchStarted, Site: 3, CIC: 1, Value: 20_000}, callResponse(1500, isup.REL)} // 20 set-ups per second when warm
 		if c.told {
 			for who := range 5 {
 				log = append(log, Event{At: 600 * ms, Kind: ListEntrySent, Site: who, Peer: 3, CIC: 1, Value: 1}, Event{At: 601 * ms, Kind: ListAcknowledged, Site: who, Value: 1})
 			}
 		}
-		for n := range c.setups { // refused ones count as well: no Back tells them apart
+		for n := range c.setups { // refused set-ups count as well: the log has no TryResponse
 			log = append(log, Event{At: (2000 + int64(n)) * ms, Kind: TryReceived, Site: 3, Peer: n % 5, Ref: isup.Reference{Point: 9, Identity: uint32(n)}, CIC: uint16(n/31*32 + n%31 + 1)})
 		}
 		got := Check(dayLog(log...))
 		if (len(got) > 0) != c.broken || c.broken && got[0].Rule != 4 {
-			t.Errorf("%d set-ups, told %v: %v", c.setups, c.told, got)
+			t.Errorf("%d set-ups, controllers informed %v: %v", c.setups, c.told, got)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-// Calls from phones at gateways, on paper: what is in order, and each thing that is not.
+// Checks valid logs of calls from phones at gateways and one log for each violation.
 func TestVerdictsOnPhones(t *testing.T) {
 	ref := isup.Reference{Point: 1, Identity: 99}
 	ev := func(t int64, k Kind, slots uint32, v int64) Event {
@@ -175,33 +175,33 @@
 		log  []Event
 		want []int
 	}{
-		{"stands", []Event{dialled, taken, ev(1500, PhoneOutcome, 1, 0)}, nil},
-		{"no answer", []Event{dialled, taken}, []int{1}},
-		{"no answer to what was never taken", []Event{dialled}, nil},
-		{"no answer as the gateway was cut off", []Event{dialled, taken, down(3000, 1), down(9000, 0)}, nil},
-		{"no answer, cut off long before", []Event{down(100, 1), down(200, 0), dialled, taken}, []int{1}},
-		{"no answer, the controller killed", []Event{dialled, taken, eventAt(3000, ControllerKilled, 0, 0)}, nil},
-		{"no answer, another controller killed", []Event{dialled, taken, eventAt(3000, ControllerKilled, 1, 0)}, []int{1}},
-		{"every copy of the answer lost", []Event{dialled, taken, ev(2000, PhoneOutcomeLost, 0, 0), ev(2200, PhoneOutcomeLost, 0, 0), ev(2600, PhoneOutcomeLost, 0, 0)}, nil},
+		{"established call", []Event{dialled, taken, ev(1500, PhoneOutcome, 1, 0)}, nil},
+		{"no outcome", []Event{dialled, taken}, []int{1}},
+		{"no outcome of a number that was never acknowledged", []Event{dialled}, nil},
+		{"no outcome as the gateway was unreachable", []Event{dialled, taken, down(3000, 1), down(9000, 0)}, nil},
+		{"no outcome, gateway unreachable long before", []Event{down(100, 1), down(200, 0), dialled, taken}, []int{1}},
+		{"no outcome, controller killed", []Event{dialled, taken, eventAt(3000, ControllerKilled, 0, 0)}, nil},
+		{"no outcome, another controller killed", []Event{dialled, taken, eventAt(3000, ControllerKilled, 1, 0)}, []int{1}},
+		{"every copy of the outcome lost", []Event{dialled, taken, ev(2000, PhoneOutcomeLost, 0, 0), ev(2200, PhoneOutcomeLost, 0, 0), ev(2600, PhoneOutcomeLost, 0, 0)}, nil},
 		{"two copies lost and no third", []Event{dialled, taken, ev(2000, PhoneOutcomeLost, 0, 0), ev(2200, PhoneOutcomeLost, 0, 0)}, []int{1}},
-		{"the caller left early", []Event{dialled, taken, ev(2000, HookChanged, 0, 0)}, nil},
-		{"stands, and a tone at its end", []Event{dialled, taken, ev(1500, PhoneOutcome, 1, 0), ev(4000, PhoneOutcome, 2, 2)}, nil},
-		{"refused, then stands", []Event{dialled, taken, ev(1500, PhoneOutcome, 2, 2), ev(1700, PhoneOutcome, 1, 0)}, []int{1}},
+		{"the caller abandoned early", []Event{dialled, taken, ev(2000, HookChanged, 0, 0)}, nil},
+		{"established call, and a tone at its end", []Event{dialled, taken, ev(1500, PhoneOutcome, 1, 0), ev(4000, PhoneOutcome, 2, 2)}, nil},
+		{"refused, then established", []Event{dialled, taken, ev(1500, PhoneOutcome, 2, 2), ev(1700, PhoneOutcome, 1, 0)}, []int{1}},
 		{"refused, then failed", []Event{dialled, taken, ev(1500, PhoneOutcome, 2, 2), ev(1700, PhoneOutcome, 2, 4)}, []int{1}},
-		{"answered after its time", []Event{dialled, taken, ev(6300, PhoneOutcome, 2, 2)}, []int{1}},
-		{"answered after the hang-up was answered", []Event{dialled, taken, ev(2000, HookChanged, 0, 0), ev(2010, HangUpAcknowledged, 0, 0), ev(2300, PhoneOutcome, 1, 0)}, []int{1}},
+		{"outcome after the deadline", []Event{dialled, taken, ev(6300, PhoneOutcome, 2, 2)}, []int{1}},
+		{"outcome after the acknowledged hang-up", []Event{dialled, taken, ev(2000, HookChanged, 0, 0), ev(2010, HangUpAcknowledged, 0, 0), ev(2300, PhoneOutcome, 1, 0)}, []int{1}},
 		{"a connection kept while the phone is off hook", []Event{ev(900, HookChanged, 0, 1), ev(1000, ConnectionChanged, 7, 1), ev(90000, ConnectionChanged, 7, 0)}, nil},
 		{"a connection that outlives its call", []Event{ev(900, HookChanged, 0, 1), ev(1000, ConnectionChanged, 7, 1), ev(2000, HookChanged, 0, 0), ev(65000, ConnectionChanged, 7, 0)}, []int{6}},
-		{"one that is there at the end", []Event{ev(1000, ConnectionChanged, 7, 1)}, []int{6}},
-		{"one of a gateway that was cut off", []Event{ev(1000, ConnectionChanged, 7, 1), down(50000, 1), down(80000, 0), ev(99000, ConnectionChanged, 7, 0)}, nil},
-		{"one left by a controller that was killed long ago", []Event{ev(1000, ConnectionChanged, 7, 1), eventAt(20000, ControllerKilled, 0, 0), ev(99000, ConnectionChanged, 7, 0)}, []int{6}},
-		{"one left by a controller that was killed of late", []Event{ev(1000, ConnectionChanged, 7, 1), eventAt(50000, ControllerKilled, 0, 0), ev(99000, ConnectionChanged, 7, 0)}, nil},
-		{"one that is torn down after the day", []Event{ev(90000, ConnectionChanged, 7, 1), {At: 95000 * ms, Kind: DayEnded}, eventAt(96000, ControllerKilled, 0, 0)}, nil},
-		{"one that was there long as the day ended", []Event{ev(1000, ConnectionChanged, 7, 1), {At: 95000 * ms, Kind: DayEnded}, eventAt(96000, ControllerKilled, 0, 0)}, []int{6}},
-		{"ring at a phone that is off hook", []Event{ev(1000, ToneRequested, 1, 5)}, []int{7}},
-		{"ring as it is being lifted", []Event{ev(1000, ToneRequested, 3, 5)}, nil},
+		{"a connection that exists at the end", []Event{ev(1000, ConnectionChanged, 7, 1)}, []int{6}},
+		{"a connection at a gateway that was unreachable", []Event{ev(1000, ConnectionChanged, 7, 1), down(50000, 1), down(80000, 0), ev(99000, ConnectionChanged, 7, 0)}, nil},
+		{"a connection left by a controller that was killed long before", []Event{ev(1000, ConnectionChanged, 7, 1), eventAt(20000, ControllerKilled, 0, 0), ev(99000, ConnectionChanged, 7, 0)}, []int{6}},
+		{"a connection left by a controller that was killed recently", []Event{ev(1000, ConnectionChanged, 7, 1), eventAt(50000, ControllerKilled, 0, 0), ev(99000, ConnectionChanged, 7, 0)}, nil},
+		{"a connection that is deleted after the end of the day", []Event{ev(90000, ConnectionChanged, 7, 1), {At: 95000 * ms, Kind: DayEnded}, eventAt(96000, ControllerKilled, 0, 0)}, nil},
+		{"a stale connection at the end of the day", []Event{ev(1000, ConnectionChanged, 7, 1), {At: 95000 * ms, Kind: DayEnded}, eventAt(96000, ControllerKilled, 0, 0)}, []int{6}},
+		{"ringing at a phone that is off hook", []Event{ev(1000, ToneRequested, 1, 5)}, []int{7}},
+		{"ringing while going off hook", []Event{ev(1000, ToneRequested, 3, 5)}, nil},
 		{"dial tone at a phone on hook", []Event{ev(1000, ToneRequested, 0, 1)}, []int{7}},
-		{"dial tone at one that is off", []Event{ev(1000, ToneRequested, 1, 1)}, nil},
+		{"dial tone at a phone that is off hook", []Event{ev(1000, ToneRequested, 1, 1)}, nil},
 	} {
 		var got []int
 		for _, b := range Check(append(c.log, Event{At: 100000 * ms, Kind: ListAcknowledged})) {
--- a/internal/audit/judge.go
+++ b/internal/audit/judge.go
@@ -9,14 +9,15 @@
 	"indigodrift/internal/isup"
 )
 
-// Margin is how far the instants seen at sockets may part from what a controller saw, in microseconds: the two ends of a
-// connection on a machine that is busy with a whole network. A break of twice the margin is always found.
+// Margin is the tolerated difference between a time seen at a socket and the time that the controller saw, in
+// microseconds. The two ends of a connection differ on a machine that is busy with a whole network. A violation by twice
+// the margin is always found.
 const Margin = 100_000
 
-// maxListReadTime is the time after which a controller that shows a sign of life must have read a list written to it.
+// maxListReadTime is the time in microseconds after which a controller that is active must have read a list sent to it.
 const maxListReadTime = 200_000
 
-// Violation is one rule broken.
+// Violation is one case of a broken rule.
 type Violation struct {
 	Rule int
 	At   int64 // microseconds
@@ -25,11 +26,11 @@
 
 type callKey struct {
 	ref        isup.Reference
-	controller int // the exchange whose controller sends it: where it began, or a tandem
+	controller int // exchange that sends the call: its origin or a tandem
 }
 
 type tryKey struct {
-	toSwitch, controller int // switch, controller
+	toSwitch, controller int
 	cic                  uint16
 }
 
@@ -41,9 +42,9 @@
 }
 
 type callTries struct {
-	open       map[tryKey]uint32 // tries out, and their circuits as bits
-	sentAt     map[tryKey]int64  // when each was read
-	releasedAt int64             // the last end that asks for the release time, -1 none
+	open       map[tryKey]uint32 // route tries in progress, and their circuits as a bit mask
+	sentAt     map[tryKey]int64  // when the switch read the set-up
+	releasedAt int64             // last release after which the release time must pass; -1: none
 	answered   bool
 }
 
@@ -55,21 +56,21 @@
 	callOrder        []isup.Reference
 	callTries        map[callKey]*callTries
 	openTries        map[tryKey]callKey
-	unreadLists      map[int]map[int64]int64        // controller: version: written at
-	lists            map[int]map[int64]map[int]bool // controller: version: switch: may be sent to
-	notReadySince    map[int]map[int]int64          // controller: switch: told off at
+	unreadLists      map[int]map[int64]int64        // by controller and version: when the list was written
+	lists            map[int]map[int64]map[int]bool // by controller, version and switch: whether the switch is ready
+	notReadySince    map[int]map[int]int64          // by controller and switch: when the switch was reported not ready
 	pauses           map[int][]interval
 	kills            map[int][]int64
 	starts           map[int]Event
-	informed         map[int]map[int]bool // switch: controllers told of its present life
-	recentSetUps     map[int][]Event      // set-ups at a cold switch
+	informed         map[int]map[int]bool // by switch: controllers that know of its present incarnation
+	recentSetUps     map[int][]Event      // at a cold switch
 	overloadReported map[int]bool
-	deliveredResets  map[[2]int][]Event // controller, exchange beyond: resets written to it
-	deliveredSetUps  map[[2]int][]Event // controller, exchange before it: set-ups written to it of late
+	deliveredResets  map[[2]int][]Event // by controller and remote exchange: resets written to the controller
+	deliveredSetUps  map[[2]int][]Event // by controller and preceding exchange: set-ups written to the controller recently
 	violations       []Violation
 }
 
-// Check returns every breach in a log, in the order found.
+// Check returns every violation in a log, in the order found.
 func Check(events []Event) []Violation {
 	c := &checker{calls: map[isup.Reference]*offeredCall{}, callTries: map[callKey]*callTries{}, openTries: map[tryKey]callKey{},
 		unreadLists: map[int]map[int64]int64{}, lists: map[int]map[int64]map[int]bool{}, notReadySince: map[int]map[int]int64{},
@@ -137,7 +138,7 @@
 		}
 		for cic := e.CIC; cic <= e.CIC+uint16(e.Value); cic++ {
 			c.closeTry(Event{At: e.At, Site: at, Peer: by, CIC: cic}, true)
-			for k, of := range c.openTries { // a multirate call ends with any of its circuits
+			for k, of := range c.openTries { // a reset of one circuit ends a multirate call
 				if s := c.callTries[of]; k.toSwitch == at && k.controller == by && k.cic/32 == cic/32 && s != nil && s.open[k]&(1<<(cic%32-1)) != 0 {
 					c.closeTry(Event{At: e.At, Site: at, Peer: by, CIC: k.cic}, true)
 				}
@@ -160,14 +161,14 @@
 	case ListAcknowledged:
 		c.applyList(e.Site, e.Value, e.At)
 	case ControllerPaused:
-		if c.isPaused(e.Site) { // stopped as it was stopped already: the first word that it goes on counts for both
+		if c.isPaused(e.Site) { // paused twice: the first resumption ends both pauses
 			return
 		}
 		c.pauses[e.Site] = append(c.pauses[e.Site], interval{e.At, math.MaxInt64})
 	case ControllerResumed:
 		if s := c.pauses[e.Site]; len(s) > 0 && s[len(s)-1].end == math.MaxInt64 {
 			s[len(s)-1].end = e.At
-			for at, ins := range c.deliveredSetUps { // what was written to it meanwhile is read now
+			for at, ins := range c.deliveredSetUps { // set-ups written during the pause are read now
 				for i := range ins {
 					if at[0] == e.Site && ins[i].At >= s[len(s)-1].start-Margin {
 						ins[i].At = e.At
@@ -181,7 +182,7 @@
 		delete(c.notReadySince, e.Site)
 		delete(c.lists, e.Site)
 		delete(c.unreadLists, e.Site)
-		for k, by := range c.openTries { // what it had out is nobody's now
+		for k, by := range c.openTries { // its route tries have no owner any more
 			if k.controller == e.Site {
 				delete(c.openTries, k)
 				delete(c.callTries, by)
@@ -190,10 +191,10 @@
 	}
 }
 
-// recordActivity notes a sign of life: a list written well before it has been read.
+// recordActivity notes that a controller is active, which means that it has read the lists written long enough before.
 func (c *checker) recordActivity(site int, at int64) {
-	// In the order written: taken as the map has them, an old list could undo a newer one, and a switch that was told ready
-	// again seemed told off.
+	// Apply the lists in the order written: in map order an old list could override a newer one, and a switch that was
+	// ready again was taken for not ready.
 	for _, version := range slices.Sorted(maps.Keys(c.unreadLists[site])) {
 		if at > c.unreadLists[site][version]+maxListReadTime {
 			c.applyList(site, version, at)
@@ -201,7 +202,7 @@
 	}
 }
 
-// applyList dates what a list tells a controller.
+// applyList records the time at which a controller learns the content of a list.
 func (c *checker) applyList(site int, version, at int64) {
 	list := c.lists[site][version]
 	if c.notReadySince[site] == nil {
@@ -217,7 +218,7 @@
 			c.notReadySince[site][sw] = at
 		}
 	}
-	for v := range c.unreadLists[site] { // what was written before it tells nothing more
+	for v := range c.unreadLists[site] { // older lists are superseded
 		if v <= version {
 			delete(c.unreadLists[site], v)
 			delete(c.lists[site], v)
@@ -225,30 +226,30 @@
 	}
 }
 
-// checkResponse judges the first rule where an answer was read.
+// checkResponse checks rule 1 for a response read from a controller.
 func (c *checker) checkResponse(e Event) {
 	d := c.calls[e.Ref]
 	switch {
 	case d == nil:
-		c.report(1, e.At, "exchange %d answers call %v, which it was not given", e.Site, e.Ref)
+		c.report(1, e.At, "exchange %d responds to call %v, which it was not offered", e.Site, e.Ref)
 	case d.answeredAt != 0 && !d.established:
-		c.report(1, e.At, "call %v is answered twice", e.Ref)
-	case d.answeredAt != 0: // it stood and ends
+		c.report(1, e.At, "call %v got two responses", e.Ref)
+	case d.answeredAt != 0: // an established call ends
 		d.established = false
 		if isup.Type(e.CIC) == isup.ANM {
-			c.report(1, e.At, "call %v is answered twice", e.Ref)
+			c.report(1, e.At, "call %v got two responses", e.Ref)
 		}
 	case d.abandonedAt != 0 && e.At > c.readTime(d.site, d.abandonedAt)+Margin:
-		c.report(1, e.At, "call %v is answered %d ms after its caller left", e.Ref, (e.At-d.abandonedAt)/1000)
+		c.report(1, e.At, "call %v got its response %d ms after its caller released", e.Ref, (e.At-d.abandonedAt)/1000)
 	case e.At > d.deadline+Margin && !c.wasPaused(d.site, d.deadline):
-		c.report(1, e.At, "call %v is answered %d ms after its caller's time", e.Ref, (e.At-d.deadline)/1000)
+		c.report(1, e.At, "call %v got its response %d ms after its deadline", e.Ref, (e.At-d.deadline)/1000)
 	default:
 		d.answeredAt, d.established = e.At, isup.Type(e.CIC) == isup.ANM
 	}
 }
 
-// readTime is when a controller can have read what was written to it at an instant: if it stood still, when it went on. What it
-// had decided before it was stopped goes out then, too.
+// readTime returns the time by which a controller can have read what was written to it at a given time: the end of the
+// pause if it was paused. Decisions made before the pause are sent then, too.
 func (c *checker) readTime(site int, at int64) int64 {
 	for _, s := range c.pauses[site] {
 		if at >= s.start-Margin && at <= s.end && s.end != math.MaxInt64 {
@@ -258,7 +259,7 @@
 	return at
 }
 
-// wasPaused tells whether a controller stood still at an instant, or had just gone on.
+// wasPaused reports whether a controller was paused at a given time or had just resumed.
 func (c *checker) wasPaused(site int, at int64) bool {
 	for _, s := range c.pauses[site] {
 		if at >= s.start-Margin && (s.end == math.MaxInt64 || at <= s.end+Margin) {
@@ -268,7 +269,7 @@
 	return false
 }
 
-// checkUnanswered judges the first rule for calls without an answer.
+// checkUnanswered checks rule 1 for a call without a response.
 func (c *checker) checkUnanswered(ref isup.Reference, last int64) {
 	d := c.calls[ref]
 	early := d.abandonedAt != 0 && d.abandonedAt < d.deadline-Margin
@@ -280,10 +281,10 @@
 			return
 		}
 	}
-	c.report(1, d.deadline, "call %v got no answer before its caller's time was up", ref)
+	c.report(1, d.deadline, "call %v got no response before its deadline", ref)
 }
 
-// checkTry judges what may be sent now.
+// checkTry checks the rules on sending a set-up: 1, 2, 3 and 5.
 func (c *checker) checkTry(e Event) {
 	key := callKey{e.Ref, e.Peer}
 	s := c.callTries[key]
@@ -292,7 +293,7 @@
 		c.callTries[key] = s
 	}
 	mine, bits := tryKey{e.Site, e.Peer, e.CIC}, circuitBits(e)
-	for _, in := range c.deliveredSetUps[[2]int{e.Peer, e.Site}] { // read by the sender as it sent this: both seized a circuit
+	for _, in := range c.deliveredSetUps[[2]int{e.Peer, e.Site}] { // read by the sender as it sent its own: both exchanges seized the circuit
 		if e.At <= in.At+Margin && in.CIC/32 == e.CIC/32 && circuitBits(in)&bits != 0 && !setUpPrevails(e.Peer, bits, in.Peer, circuitBits(in)) {
 			bits = 0
 			break
@@ -304,16 +305,16 @@
 	d := c.calls[e.Ref]
 	switch {
 	case d != nil && d.site == e.Peer && d.answeredAt != 0 && e.At > d.answeredAt+Margin:
-		c.report(1, e.At, "call %v is sent to switch %d after its final answer", e.Ref, e.Site)
+		c.report(1, e.At, "call %v is sent to switch %d after its final response", e.Ref, e.Site)
 	case d != nil && d.site == e.Peer && d.abandonedAt != 0 && e.At > c.readTime(e.Peer, d.abandonedAt)+Margin:
-		c.report(1, e.At, "call %v is sent to switch %d after its caller left", e.Ref, e.Site)
+		c.report(1, e.At, "call %v is sent to switch %d after its caller released", e.Ref, e.Site)
 	case len(s.open) > 0 || s.answered:
-		c.report(2, e.At, "call %v is sent to switch %d with a try out", e.Ref, e.Site)
+		c.report(2, e.At, "call %v is sent to switch %d while another route try is in progress", e.Ref, e.Site)
 	case s.releasedAt >= 0 && e.At < s.releasedAt+c.parameters[ParameterReleaseTime]-Margin:
-		c.report(5, e.At, "call %v is sent again %d ms after a try was given up", e.Ref, (e.At-s.releasedAt)/1000)
+		c.report(5, e.At, "call %v is sent again %d ms after a route try was released", e.Ref, (e.At-s.releasedAt)/1000)
 	}
 	if at, off := c.notReadySince[e.Peer][e.Site]; off && e.At > at+c.parameters[ParameterDrainGrace]+Margin {
-		c.report(3, e.At, "exchange %d sends to switch %d, %d ms after it was told off", e.Peer, e.Site, (e.At-at)/1000)
+		c.report(3, e.At, "exchange %d sends to switch %d %d ms after the switch was reported not ready", e.Peer, e.Site, (e.At-at)/1000)
 	}
 	c.checkColdStart(e)
 	s.releasedAt = -1
@@ -323,8 +324,8 @@
 	}
 }
 
-// closeIfReset closes a try whose circuit the far exchange reset in a message that its sender may have read after it had sent:
-// the two crossed, or the message lay unread while the controller stood still.
+// closeIfReset closes a route try whose circuit the remote exchange reset, where the sender may have read the reset only
+// after it sent the set-up: the two messages crossed, or the reset lay unread while the controller was paused.
 func (c *checker) closeIfReset(s *callTries, k tryKey) {
 	sent := s.sentAt[k]
 	for _, r := range c.deliveredResets[[2]int{k.controller, k.toSwitch}] {
@@ -345,8 +346,8 @@
 	return 1 << (e.CIC%32 - 1)
 }
 
-// recordSetUp takes a set-up that reaches a controller: what that controller has out on the same circuits, and the other end
-// keeps, is void from here on, and nothing need be released.
+// recordSetUp records a set-up that reaches a controller. The controller's own tries on the same circuits end without a
+// release where the other exchange's set-up prevails.
 func (c *checker) recordSetUp(e Event) {
 	at := [2]int{e.Site, e.Peer}
 	recent := c.deliveredSetUps[at][:0]
@@ -364,7 +365,7 @@
 	return len(s) > 0 && s[len(s)-1].end == math.MaxInt64
 }
 
-// dropYieldedTries takes off what a controller has out on circuits that a set-up read by it asks for too and keeps.
+// dropYieldedTries removes a controller's route tries on circuits that a set-up read by it also seizes and wins.
 func (c *checker) dropYieldedTries(e Event) {
 	for k, by := range c.openTries {
 		if k.toSwitch != e.Peer || k.controller != e.Site || k.cic/32 != e.CIC/32 {
@@ -377,8 +378,8 @@
 	}
 }
 
-// setUpPrevails tells whether the set-up of exchange a stands, of two that met on circuits, by the rule that both exchanges know
-// (docs/protocol.md).
+// setUpPrevails reports whether the set-up of exchange a wins when two set-ups seize the same circuits, by the rule that
+// both exchanges apply (docs/protocol.md).
 func setUpPrevails(a int, bitsA uint32, b int, bitsB uint32) bool {
 	if na, nb := countBits(bitsA), countBits(bitsB); na != nb {
 		return na > nb
@@ -398,7 +399,7 @@
 	return n
 }
 
-// closeTry ends a try; released tells that the release time must pass now.
+// closeTry ends a route try. If it was released, the release time must pass before the next one.
 func (c *checker) closeTry(e Event, released bool) {
 	k := tryKey{e.Site, e.Peer, e.CIC}
 	key, ok := c.openTries[k]
@@ -422,7 +423,7 @@
 	s.answered = false
 }
 
-// checkColdStart judges the budget of a switch that has just started: what came within the last window, refused or not.
+// checkColdStart checks rule 4: the set-ups that a cold switch received in the last window, refused or not, against its budget.
 func (c *checker) checkColdStart(e Event) {
 	born, ok := c.starts[e.Site]
 	age := e.At - born.At
@@ -445,6 +446,6 @@
 	budget := float64(c.parameters[ParameterOverloadMultiple]) / 1000 * strength * float64(born.Value) / 1000 * float64(c.parameters[ParameterOverloadWindow]) / 1e6
 	if float64(len(w)) > budget+2*math.Sqrt(budget) && 3*told >= 2*len(w) && !c.overloadReported[e.Site] {
 		c.overloadReported[e.Site] = true
-		c.report(4, e.At, "switch %d, %d ms old, gets %d set-ups in one window; %.0f are its budget", e.Site, age/1000, len(w), budget)
+		c.report(4, e.At, "switch %d, started %d ms before, receives %d set-ups in one window; its budget is %.0f", e.Site, age/1000, len(w), budget)
 	}
 }
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -1,5 +1,5 @@
-// Package audit judges the five rules from what stand-ins saw on their sockets, and from nothing else: no controller is
-// asked. docs/audit.md says how each instant is dated and what margin is allowed.
+// Package audit checks the five rules by what the stand-ins saw on their sockets, independently of the controllers.
+// docs/audit.md says how each event gets its time and which margin is allowed.
 package audit
 
 import (
@@ -15,42 +15,42 @@
 	"indigodrift/internal/isup"
 )
 
-// Kind of what a stand-in saw.
+// Kind is the kind of an event that a stand-in saw. Its values are the codes in the log file.
 type Kind byte
 
 const (
-	Parameter         Kind = 'r' // Site: which rule's figure (ParameterDrainGrace ...), Value: it
-	SwitchStarted     Kind = 'l' // a switch starts: Value is what it does warm, in thousandths of a set-up a second; CIC 1: cold
-	CallOffered       Kind = 'o' // a call written to the controller of Site: Value is the time left, in microseconds
-	CallerReleased    Kind = 'x' // its caller's release written to that controller
-	CallResponse      Kind = 'a' // the controller's answer read from its socket: CIC is the message type
-	TryReceived       Kind = 't' // a set-up from the controller of Peer read at the switch of Site; CIC, Slots
-	SetUpDelivered    Kind = 'n' // that set-up written to the controller of Site: it may make void what both ends seized
-	TryReleased       Kind = 'c' // that controller's release of it read
-	TryResponse       Kind = 'b' // an answer or release written back: Value is the message type
-	ResetReceived     Kind = 's' // a reset of CIC to CIC+Value read from the controller of Peer at switch Site
-	ResetDelivered    Kind = 'i' // the same, written to the controller of Site, for what it sent to Peer
-	LinkLost          Kind = 'd' // the link of controller Peer to switch Site broke
-	ListEntrySent     Kind = 'w' // list Value written to controller Site: switch Peer may be sent to (CIC 1) or not (CIC 0)
-	ListAcknowledged  Kind = 'k' // controller Site says that list Value is in force
-	ControllerPaused  Kind = 'p' // controller Site is stopped, Went: goes on, Killed: is gone, or its own link is
-	ControllerResumed Kind = 'g'
-	ControllerKilled  Kind = 'q'
-	DayEnded          Kind = 'E' // the day is over: what is torn down after it is not judged
+	Parameter         Kind = 'r' // Site: which parameter of the rules (ParameterDrainGrace, ...); Value: its value
+	SwitchStarted     Kind = 'l' // Value: rate of a warm switch, in thousandths of a set-up per second; CIC 1: it starts cold
+	CallOffered       Kind = 'o' // a call written to the controller of Site; Value: time left in microseconds
+	CallerReleased    Kind = 'x' // the caller's release written to that controller
+	CallResponse      Kind = 'a' // the controller's response read from its socket; CIC: message type
+	TryReceived       Kind = 't' // a set-up from the controller of Peer read at switch Site, with CIC and Slots
+	SetUpDelivered    Kind = 'n' // that set-up written to the controller of Site, whose own set-up on the same circuits it may override
+	TryReleased       Kind = 'c' // that controller's release of the set-up read
+	TryResponse       Kind = 'b' // an answer or release written back; Value: message type
+	ResetReceived     Kind = 's' // a reset of circuits CIC to CIC+Value read from the controller of Peer at switch Site
+	ResetDelivered    Kind = 'i' // such a reset written to the controller of Site, for its calls to Peer
+	LinkLost          Kind = 'd' // the link of controller Peer to switch Site was lost
+	ListEntrySent     Kind = 'w' // an entry of list version Value written to controller Site: switch Peer is ready (CIC 1) or not (CIC 0)
+	ListAcknowledged  Kind = 'k' // controller Site acknowledged list version Value
+	ControllerPaused  Kind = 'p' // controller Site is paused
+	ControllerResumed Kind = 'g' // controller Site runs again
+	ControllerKilled  Kind = 'q' // controller Site, or the link to its own switch, is gone
+	DayEnded          Kind = 'E' // later events belong to the shutdown and aren't checked
 
-	// Phones at gateways: Site is the exchange, Peer the gateway, CIC the endpoint, Ref the call that its user makes.
-	NumberDialled      Kind = 'D' // the last digit: Value is how long the caller waits, in microseconds
-	NumberAcknowledged Kind = 'T' // the call agent has answered the notification of the number
-	PhoneOutcome       Kind = 'F' // Slots 1: speech both ways, 2: a tone that says no
-	HangUpAcknowledged Kind = 'U' // the call agent has answered the notification
-	ConnectionChanged  Kind = 'C' // Slots: which; Value 1 made, 0 gone
-	ToneRequested      Kind = 'S' // Value: which; Slots bit 0: the phone is off hook, bit 1: that is not answered yet
-	HookChanged        Kind = 'H' // Value 1: off
-	PhoneOutcomeLost   Kind = 'N' // the network of the rig lost or held up a command that told the phone its answer
-	GatewayDown        Kind = 'G' // Value 1: it starts anew or cannot reach its call agent, 0: it has reported
+	// Phones at gateways. Site: exchange, Peer: gateway, CIC: endpoint, Ref: the call that the user makes.
+	NumberDialled      Kind = 'D' // the last digit was dialled; Value: how long the caller waits, in microseconds
+	NumberAcknowledged Kind = 'T' // the call agent acknowledged the notification of the number
+	PhoneOutcome       Kind = 'F' // Slots 1: speech both ways, 2: a tone for a failed call (Value)
+	HangUpAcknowledged Kind = 'U' // the call agent acknowledged the notification of the hang-up
+	ConnectionChanged  Kind = 'C' // Slots: serial number of the connection; Value 1: created, 0: deleted
+	ToneRequested      Kind = 'S' // Value: tone code; Slots bit 0: the phone is off hook, bit 1: a hook change isn't acknowledged yet
+	HookChanged        Kind = 'H' // Value 1: off hook, 0: on hook
+	PhoneOutcomeLost   Kind = 'N' // the simulated network lost or delayed a command that carries the outcome of the call
+	GatewayDown        Kind = 'G' // Value 1: the gateway restarts or can't reach its call agent, 0: it has registered
 )
 
-// Figures of the rules, in microseconds where they are spans.
+// Parameters of the rules. Durations are in microseconds.
 const (
 	ParameterDrainGrace = iota
 	ParameterReleaseTime
@@ -63,7 +63,7 @@
 
 // Event is one line of the log.
 type Event struct {
-	At    int64 // microseconds since the log began
+	At    int64 // microseconds since the start of the log
 	Kind  Kind
 	Site  int
 	Peer  int
@@ -73,7 +73,7 @@
 	Value int64
 }
 
-// Log takes events from any goroutine and writes them in the order taken.
+// Log writes events in the order received. It is safe for concurrent use.
 type Log struct {
 	mu        sync.Mutex
 	w         *bufio.Writer
@@ -82,10 +82,10 @@
 	line      []byte
 }
 
-// NewLog begins a log now.
+// NewLog returns a log that starts now and writes to w.
 func NewLog(w io.Writer) *Log { return &Log{w: bufio.NewWriterSize(w, 1<<16), startTime: time.Now()} }
 
-// Add dates an event and writes it.
+// Add sets the time of an event and writes it.
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	}
 }
 
-// Close writes out what is left and tells the first failure.
+// Close flushes the log and returns the first write error.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,14 +111,14 @@
 	return l.err
 }
 
-// Read takes a log; it ends at the first line that is none, with its number.
+// Read reads a log, sorted by time. It stops at the first invalid line; the error has its number.
 func Read(r io.Reader) ([]Event, error) {
 	var all []Event
 	in := bufio.NewScanner(r)
 	for n := 1; in.Scan(); n++ {
 		f := strings.Fields(in.Text())
 		if len(f) != 9 || len(f[1]) != 1 {
-			return all, fmt.Errorf("line %d: %d fields, 9 are needed", n, len(f))
+			return all, fmt.Errorf("line %d: %d fields, want 9", n, len(f))
 		}
 		var v [9]int64
 		for i := range f {
--- a/internal/audit/phones.go
+++ b/internal/audit/phones.go
@@ -7,17 +7,17 @@
 	"indigodrift/internal/isup"
 )
 
-// What is judged of phones at gateways beside the first rule.
+// Rules for phones at gateways, in addition to rule 1.
 const (
-	ruleStaleConnection = 6 // a connection outlives its call
-	ruleWrongTone       = 7
+	ruleStaleConnection = 6 // a connection exists long after its call
+	ruleWrongTone       = 7 // a tone doesn't fit the hook state
 )
 
-// MaxOnHookConnectionTime is how long a connection may be there at a phone that is on hook, in microseconds: the way of a notification with
-// its repeats, a gateway's round of audits, and the deletion with its repeats.
+// MaxOnHookConnectionTime is how long a connection may exist at a phone that is on hook, in microseconds. It covers a
+// notification with its retransmissions, one round of audits of a gateway, and the deletion with its retransmissions.
 const MaxOnHookConnectionTime = 60_000_000
 
-// minLostOutcomes is the number of copies of an answer that the network must have taken before a call may stay without one.
+// minLostOutcomes is the number of copies of an outcome that the network must have lost before a call may end without one.
 const minLostOutcomes = 3
 
 type phoneKey struct{ site, gateway, phone int }
@@ -26,17 +26,17 @@
 	key                                            phoneKey
 	dialledAt, deadline                            int64
 	acknowledgedAt, hangUpAcknowledgedAt, hungUpAt int64
-	lostOutcomes                                   int // copies of its answer
+	lostOutcomes                                   int // lost copies of the outcome
 	outcomeCount, outcome                          int
 }
 
 type phoneState struct {
 	offHook     bool
-	onHookSince int64            // on hook since
-	connections map[uint32]int64 // made at
+	onHookSince int64
+	connections map[uint32]int64 // by serial number: when created
 }
 
-// phoneChecker judges calls from phones at gateways.
+// phoneChecker checks calls from phones at gateways.
 type phoneChecker struct {
 	checker   *checker
 	calls     map[isup.Reference]*phoneCall
@@ -55,7 +55,7 @@
 	return k, s
 }
 
-// handle handles what concerns phones and tells whether it did.
+// handle processes an event of phones at gateways and reports whether it was one.
 func (p *phoneChecker) handle(e Event) bool {
 	switch e.Kind {
 	case NumberDialled:
@@ -86,7 +86,7 @@
 	case ToneRequested:
 		offTone := e.Value >= 1 && e.Value <= 4 || e.Value == 6
 		if off := e.Slots&1 != 0; e.Slots&2 == 0 && (offTone && !off || e.Value == 5 && off) {
-			p.checker.report(ruleWrongTone, e.At, "phone %d at gateway %d of exchange %d gets tone %d with its receiver off: %v", e.CIC, e.Peer, e.Site, e.Value, off)
+			p.checker.report(ruleWrongTone, e.At, "phone %d at gateway %d of exchange %d gets tone %d while off hook is %v", e.CIC, e.Peer, e.Site, e.Value, off)
 		}
 	case GatewayDown:
 		at := [2]int{e.Site, e.Peer}
@@ -113,28 +113,29 @@
 		first := c.outcomeCount == 0
 		switch {
 		case c.hangUpAcknowledgedAt != 0 && e.At > c.hangUpAcknowledgedAt+Margin:
-			p.checker.report(1, e.At, "a caller at phone %v hears an answer %d ms after the call agent was told that he hung up", c.key, (e.At-c.hangUpAcknowledgedAt)/1000)
-		case !first && (c.outcome == 2 || e.Slots == 1): // after it stood, a tone tells that it is over
-			p.checker.report(1, e.At, "the call of phone %v is answered twice", c.key)
+			p.checker.report(1, e.At, "the caller at phone %v got an outcome %d ms after the call agent acknowledged the hang-up", c.key, (e.At-c.hangUpAcknowledgedAt)/1000)
+		case !first && (c.outcome == 2 || e.Slots == 1): // after an established call, a tone reports its end
+			p.checker.report(1, e.At, "the call of phone %v got two outcomes", c.key)
 		}
 		c.outcomeCount++
 		c.outcome = int(e.Slots)
 		if first && e.At > c.deadline+Margin {
-			p.checker.report(1, e.At, "the call of phone %v is answered %d ms after its caller's time", c.key, (e.At-c.deadline)/1000)
+			p.checker.report(1, e.At, "the call of phone %v got its outcome %d ms after its deadline", c.key, (e.At-c.deadline)/1000)
 		}
 	}
 }
 
-// checkConnectionAge judges a connection that ends, or is there at the end.
+// checkConnectionAge checks a connection that is deleted or exists at the end of the log.
 func (p *phoneChecker) checkConnectionAge(k phoneKey, s *phoneState, number uint32, at int64) {
 	since := max(s.onHookSince, s.connections[number], p.lastOutageEnd(k, at))
 	if s.offHook || at-since < MaxOnHookConnectionTime {
 		return
 	}
-	p.checker.report(ruleStaleConnection, at, "connection %d at phone %v is there %d s after its call was over", number, k, (at-since)/1_000_000)
+	p.checker.report(ruleStaleConnection, at, "connection %d at phone %v existed for %d s after its call ended", number, k, (at-since)/1_000_000)
 }
 
-// lastOutageEnd is when a gateway or its controller was gone last, up to an instant: from then on it has its time anew.
+// lastOutageEnd returns the end of the last outage of a gateway or its controller before a given time. The time for
+// deleting connections starts again there.
 func (p *phoneChecker) lastOutageEnd(k phoneKey, at int64) (until int64) {
 	for _, s := range slices.Concat(p.outages[[2]int{k.site, k.gateway}], p.checker.pauses[k.site]) {
 		if s.start <= at {
@@ -149,7 +150,7 @@
 	return until
 }
 
-// hadOutage tells whether the gateway or its controller was gone in some part of a span.
+// hadOutage reports whether the gateway or its controller was unavailable at any time between from and to.
 func (p *phoneChecker) hadOutage(k phoneKey, from, to int64) bool {
 	for _, s := range p.outages[[2]int{k.site, k.gateway}] {
 		if s.start <= to && s.end >= from {
@@ -169,14 +170,14 @@
 	return false
 }
 
-// checkRemaining judges what is left at the end of the log.
+// checkRemaining checks the calls and connections that remain at the end of the log.
 func (p *phoneChecker) checkRemaining(last int64) {
 	for _, ref := range p.callOrder {
 		c := p.calls[ref]
 		if c.acknowledgedAt == 0 || c.outcomeCount > 0 || c.lostOutcomes >= minLostOutcomes || c.deadline+Margin > last || c.hungUpAt != 0 && c.hungUpAt < c.deadline-Margin || p.hadOutage(c.key, c.dialledAt-Margin, c.deadline+Margin) {
 			continue
 		}
-		p.checker.report(1, c.deadline, "the call of phone %v got no answer before its caller's time was up", c.key)
+		p.checker.report(1, c.deadline, "the call of phone %v got no outcome before its deadline", c.key)
 	}
 	for k, s := range p.phones {
 		for number := range s.connections {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline holds the two plain ways of routing that the deciding module is measured beside: direct only, and
-// direct, else one tandem drawn anew for each call. Scripted days alone use it; an exchange in service never does.
+// Package baseline implements two simple routing methods as a baseline for measurements of the policy: direct only, and
+// direct with overflow to one random tandem per call. Only scripted days use it, never an exchange in service.
 package baseline
 
 import (
@@ -21,7 +21,8 @@
 	tries    int
 }
 
-// Router routes a call direct; with a tandem it tries one drawn at random when the direct group is full or turned it back.
+// Router routes calls direct. With useTandem it tries a random tandem if the direct trunk group is full or the call could
+// not be sent on it.
 type Router struct {
 	deployment  policy.Deployment
 	executor    policy.Executor
@@ -32,7 +33,7 @@
 	calls       map[uint32]*call
 }
 
-// NewBuilder makes a builder for internal/exchange.
+// NewBuilder returns a builder of Routers for internal/exchange.
 func NewBuilder(tandem bool) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
 	return func(d policy.Deployment, out policy.Executor, _ policy.Tenths) exchange.Decider {
 		return &Router{deployment: d, executor: out, useTandem: tandem, random: rand.New(rand.NewPCG(d.Seed, 5)), switches: map[uint32]*switchState{},
@@ -40,7 +41,7 @@
 	}
 }
 
-// Offer takes a call and sends or blocks it at once.
+// Offer sends or blocks a call at once.
 func (p *Router) Offer(now policy.Tenths, ask policy.Call) bool {
 	k := &call{offer: ask, deadline: now + ask.TTL}
 	p.calls[ask.ID] = k
@@ -77,10 +78,10 @@
 	p.executor.Send(k.offer.ID, to, k.deadline-now)
 }
 
-// Answered forgets the call; its end needs no choice.
+// Answered removes the call, since its end needs no decision.
 func (p *Router) Answered(_ policy.Tenths, id uint32, _ int) { delete(p.calls, id) }
 
-// TryEnded tries a tandem after a try that never ran, and otherwise gives the call up.
+// TryEnded tries a tandem if the route try did not reach the switch, and otherwise aborts the call.
 func (p *Router) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
 	k := p.calls[id]
 	switch {
@@ -95,21 +96,23 @@
 	}
 }
 
-// LoadReported takes the free circuits towards a switch.
+// LoadReported stores the number of free circuits towards a switch.
 func (p *Router) LoadReported(_ policy.Tenths, sw uint32, rep policy.LoadReport) {
 	if f := p.switches[sw]; f != nil && rep.Free >= 0 {
 		f.freeCircuits = rep.Free
 	}
 }
 
-// Abandoned forgets the call.
+// Abandoned removes the call.
 func (p *Router) Abandoned(_ policy.Tenths, id uint32) { delete(p.calls, id) }
 
-// TimerExpired and ListLost need no choice here.
+// TimerExpired does nothing, since a Router sets no timers.
 func (p *Router) TimerExpired(policy.Tenths, uint64) {}
-func (p *Router) ListLost(policy.Tenths)             {}
 
-// ListReceived takes the list of switches.
+// ListLost does nothing: the last list stays in use.
+func (p *Router) ListLost(policy.Tenths) {}
+
+// ListReceived stores which switches are ready.
 func (p *Router) ListReceived(_ policy.Tenths, whole bool, list []policy.Switch) {
 	if whole {
 		for _, f := range p.switches {
--- a/internal/day/alone.go
+++ b/internal/day/alone.go
@@ -12,13 +12,13 @@
 	"indigodrift/internal/standin"
 )
 
-// RunStandin runs one stand-in of a day by itself until ctx ends: a switch, a register whose switches all look ready, or the
+// RunStandin runs one stand-in of a day by itself until ctx ends: a switch, a register whose switches are all ready, or the
 // subscribers of switches that run elsewhere.
 func RunStandin(ctx context.Context, s Script, part string, number int, switches string, listening func(address string)) error {
 	p := newPlan(s)
 	log := audit.NewLog(io.Discard)
 	if number < 0 || number >= s.ExchangeCount {
-		return fmt.Errorf("exchange %d, but the day's are numbered below %d", number, s.ExchangeCount)
+		return fmt.Errorf("exchange %d is out of range: the day has exchanges below %d", number, s.ExchangeCount)
 	}
 	open := func() (net.Listener, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +56,7 @@
 	case "subscribers":
 		at := strings.Split(switches, ",")
 		if len(at) != s.ExchangeCount {
-			return fmt.Errorf("%d addresses of switches, the day has %d exchanges", len(at), s.ExchangeCount)
+			return fmt.Errorf("%d switch addresses for %d exchanges", len(at), s.ExchangeCount)
 		}
 		subs := standin.NewSubscribers(s.ExchangeCount, p.callers, s.Subscribers, s.Seed, func(e int) (net.Conn, error) {
 			return net.DialTimeout("tcp", at[e], time.Second)
--- a/internal/day/draw.go
+++ b/internal/day/draw.go
@@ -10,15 +10,15 @@
 	"indigodrift/internal/standin"
 )
 
-// plan is what the seed makes of a script: who calls whom and when, and the circuits between any two.
+// plan holds what is drawn from the seed of a script: the calls, and the circuits between any two exchanges.
 type plan struct {
-	trafficShares [][]float64 // of all traffic, from one exchange to another
+	trafficShares [][]float64 // share of all traffic from one exchange to another
 	circuits      [][]int
 	callers       []*standin.Caller
 	processor     standin.Processor
 }
 
-// newPlan makes the plan. All calls are drawn ahead, whatever the exchanges will do.
+// newPlan draws the plan. All calls are drawn in advance, independently of what the exchanges do.
 func newPlan(s Script) plan {
 	chance := rand.New(rand.NewPCG(s.Seed, 0xd1))
 	n := s.ExchangeCount
@@ -43,7 +43,7 @@
 			p.trafficShares[a][b] /= sum
 		}
 	}
-	g := s.Gateways // phones call each other evenly, and some of them are calls within an exchange
+	g := s.Gateways // calls between phones are distributed evenly, and a share stays within an exchange
 	phones := g.CallRate * (1 - g.LocalShare) * (g.HoldingTime + g.MeanAnswerDelay).Seconds() / float64(n*n)
 	for a := range n {
 		for b := range a {
@@ -52,7 +52,8 @@
 			p.circuits[a][b], p.circuits[b][a] = size, size
 		}
 	}
-	// A call takes two set-ups and about eight answers and releases of an eighth of that work, three of its units in all.
+	// A call takes two set-ups and about eight answers and releases at an eighth of a set-up's time each: the time of three
+	// set-ups in all.
 	perExchange := (s.CallRate + g.CallRate) / float64(n)
 	p.processor.SetUpTime = time.Duration(s.ProcessorLoad / (3 * perExchange) * float64(time.Second))
 	p.processor.MessageTime = p.processor.SetUpTime / 8
@@ -68,11 +69,11 @@
 	return all
 }
 
-// surge is a time in which more calls are offered than usual.
+// surge is a period with more calls than usual.
 type surge struct {
 	start, end time.Duration
 	factor     float64
-	exchanges  map[int]bool // exchanges whose callers they are, nil all
+	exchanges  map[int]bool // exchanges of the additional callers; nil: all
 }
 
 func drawCallers(s Script, share [][]float64, weight float64, chance *rand.Rand) []*standin.Caller {
@@ -89,7 +90,7 @@
 			surges = append(surges, surge{t.Start, t.Start + t.Duration, t.Size, hot})
 		}
 	}
-	most := 1.0 // arrivals are drawn at the greatest rate and thinned to the present one
+	most := 1.0 // arrivals are drawn at the maximum rate and thinned to the present one
 	for _, g := range surges {
 		most *= max(1, g.factor)
 	}
@@ -129,7 +130,7 @@
 	}
 }
 
-// pickIndices draws a part of the exchanges, at least one.
+// pickIndices draws a share of n indices, at least one, in ascending order.
 func pickIndices(n int, part float64, chance *rand.Rand) []int {
 	all := chance.Perm(n)[:max(1, min(n, int(math.Round(part*float64(n)))))]
 	sort.Ints(all)
--- a/internal/day/file.go
+++ b/internal/day/file.go
@@ -1,5 +1,6 @@
-// Package day plays scripted days: exchanges, switches, a register and subscribers on loopback, troubles at their times,
-// and at the end a table and the audit's verdict. Day files are HCL; docs/days.md lists what may stand in one.
+// Package day runs scripted days: exchanges with simulated switches, a register and subscribers on loopback, and faults at
+// scheduled times. At the end it reports a table of the calls and the result of the audit. Day files are HCL; docs/days.md
+// lists their settings.
 package day
 
 import (
@@ -13,18 +14,18 @@
 	"indigodrift/policy"
 )
 
-// Trouble is one thing that goes wrong in a day.
+// Trouble is one scheduled fault of a day.
 type Trouble struct {
 	Kind     string
 	Start    time.Duration
 	Duration time.Duration
-	Fraction float64 // of the exchanges, or of what the kind says
+	Fraction float64 // share of the exchanges, or of what the kind affects
 	Size     float64
 	Interval time.Duration
 	How      string
 }
 
-// Bearer is what a day says of a bearer type beside what the module reads.
+// Bearer is the traffic of a bearer type, in addition to the settings that the policy reads.
 type Bearer struct {
 	Name        string
 	Share       float64
@@ -32,7 +33,7 @@
 	HoldingTime time.Duration
 }
 
-// Script is one day as its file has it.
+// Script is the content of a day file.
 type Script struct {
 	Name             string
 	Description      string
@@ -40,11 +41,11 @@
 	SettleTime       time.Duration
 	Seed             uint64
 	ExchangeCount    int
-	CallRate         float64 // planned calls a second, all exchanges together
-	LoadFactor       float64 // of the plan that is offered
-	SpareCircuits    float64 // circuits above the planned traffic
-	TrafficDeviation float64 // deviation of pairs' traffic from even
-	ProcessorLoad    float64 // share of the processors that the plan takes
+	CallRate         float64 // planned calls per second of all exchanges
+	LoadFactor       float64 // offered calls relative to the plan
+	SpareCircuits    float64 // share of circuits above the planned traffic
+	TrafficDeviation float64 // standard deviation of the logarithm of the traffic between two exchanges
+	ProcessorLoad    float64 // load of the processors by the planned calls
 	Processor        standin.Processor
 	Subscribers      standin.SubscriberBehaviour
 	ListDelay        time.Duration
@@ -52,18 +53,18 @@
 	Deployment       policy.Deployment
 	Bearers          []Bearer
 	Troubles         []Trouble
-	PortedShare      float64 // share of callers' numbers that were ported, asked for by ENUM; 0: not asked for
+	PortedShare      float64 // share of ported numbers, found by ENUM; 0: no queries
 	Gateways         Gateways
-	UseLedger        bool // calls outlive a controller's process
-	UseTables        bool // destinations are found by tables of numbers, that troubles may change
+	UseLedger        bool // calls survive a restart of their controller
+	UseTables        bool // destinations are found by number tables, which may change during the day
 }
 
 const maxDuration = 24 * time.Hour
 
-// duration is how package time counts what hclread counts in tenths.
+// duration converts tenths of a millisecond.
 func duration(t policy.Tenths) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
-// Read takes a day file. Its error has a line for each fault.
+// Read reads a day file. The error has a line for each fault.
 func Read(name string) (Script, error) {
 	f, b, err := hclread.Open(name)
 	if err != nil {
@@ -89,7 +90,7 @@
 	s.UseTables = b.Bool("tables", false)
 	s.UseLedger = b.Bool("ledger", false)
 	if s.PortedShare = b.Float("ported", 0, 1, 0); s.PortedShare > 0 && !s.UseTables {
-		b.AddErrorAt("ported", "numbers cannot be ported in a day without tables = true")
+		b.AddErrorAt("ported", "ported numbers need tables = true")
 	}
 	site.ParseRules(b, &s.Deployment)
 	s.ListDelay = duration(b.Duration("list_late", 0, time.Minute, time.Second))
@@ -122,19 +123,19 @@
 		kind, ok := troubleKinds[t.Kind]
 		switch {
 		case !ok:
-			n.AddError("trouble %q is not known; there are %v", t.Kind, TroubleKinds())
+			n.AddError("unknown trouble %q; known are %v", t.Kind, TroubleKinds())
 		case t.Kind == "portability" && s.PortedShare == 0:
-			n.AddError("portability cannot be troubled in a day without ported numbers")
+			n.AddError("trouble portability needs ported numbers")
 		case t.Kind == "gateways" && s.Gateways.PerExchange == 0:
-			n.AddError("gateways cannot be troubled in a day without gateways")
+			n.AddError("trouble gateways needs gateways")
 		case t.Kind == "tables_change" && !s.UseTables:
-			n.AddError("tables cannot change in a day without tables = true")
+			n.AddError("trouble tables_change needs tables = true")
 		case t.Start > s.Duration:
-			n.AddErrorAt("start", "the trouble starts after the day's %v", s.Duration)
+			n.AddErrorAt("start", "the trouble starts after the end of the day (%v)", s.Duration)
 		case t.Size < kind.minSize || t.Size > kind.maxSize:
-			n.AddErrorAt("size", "size %v of %s, it can be %v to %v (%s)", t.Size, t.Kind, kind.minSize, kind.maxSize, kind.sizeMeaning)
+			n.AddErrorAt("size", "size %v of trouble %s, it can be %v to %v (%s)", t.Size, t.Kind, kind.minSize, kind.maxSize, kind.sizeMeaning)
 		case len(kind.how) > 0 && !contains(kind.how, t.How):
-			n.AddErrorAt("how", "how %q of %s, it can be %v", t.How, t.Kind, kind.how)
+			n.AddErrorAt("how", "how %q of trouble %s, it can be one of %v", t.How, t.Kind, kind.how)
 		}
 		n.CheckUnknown()
 		s.Troubles = append(s.Troubles, t)
@@ -152,7 +153,7 @@
 	return false
 }
 
-// String names a trouble as the progress shows it.
+// String returns a description for the progress output.
 func (t Trouble) String() string {
 	return fmt.Sprintf("%s %s for %v, part %.2g, size %.3g", t.Kind, t.How, t.Duration, t.Fraction, t.Size)
 }
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -16,13 +16,13 @@
 	"indigodrift/internal/standin"
 )
 
-// Gateways is what a day says of MGCP gateways and their phones; Each 0: there are none.
+// Gateways describes the MGCP gateways of a day and their phones. With PerExchange 0 there are none.
 type Gateways struct {
-	PerExchange       int // at an exchange
+	PerExchange       int
 	Endpoints         int
-	CallRate          float64       // calls a second, all phones together
-	LastCall          time.Duration // no call begins after
-	LocalShare        float64       // share of calls to phones of the same exchange
+	CallRate          float64       // calls per second of all phones
+	LastCall          time.Duration // no call starts later
+	LocalShare        float64       // share of calls within an exchange
 	Bearer            int
 	HoldingTime       time.Duration
 	DigitInterval     time.Duration
@@ -39,7 +39,7 @@
 		DisconnectedDelay: duration(b.Duration("disconnected", time.Millisecond, time.Hour, time.Second))}
 	name := b.Text("bearer", true, "")
 	if g.Bearer = slices.IndexFunc(s.Bearers, func(t Bearer) bool { return t.Name == name }); g.Bearer < 0 {
-		b.AddErrorAt("bearer", "there is no bearer type %q", name)
+		b.AddErrorAt("bearer", "unknown bearer type %q", name)
 	}
 	if g.PerExchange*g.Endpoints > 100000 {
 		b.AddError("%d phones at an exchange, 100000 at most", g.PerExchange*g.Endpoints)
@@ -48,9 +48,9 @@
 	return g
 }
 
-// gatewayNetwork are the gateways of a day that is being played.
+// gatewayNetwork holds the gateways of a running day.
 type gatewayNetwork struct {
-	callAgents []string // where each exchange's call agent listens
+	callAgents []string // address of each exchange's call agent
 	gateways   [][]*standin.Gateway
 	addresses  [][]netip.AddrPort
 	calls      []*standin.PhoneCall
@@ -58,7 +58,7 @@
 
 const firstPhoneLine = 100
 
-// createGateways opens the gateways' sockets and draws their users' calls.
+// createGateways opens the sockets of the gateways and draws the calls of their users.
 func (r *runner) createGateways() error {
 	g := r.script.Gateways
 	if g.PerExchange == 0 {
@@ -149,7 +149,7 @@
 	}
 }
 
-// writeGateways writes an exchange's gateways into its settings.
+// writeGateways writes the gateways of an exchange into its settings.
 func (r *runner) writeGateways(e int, b *hclwrite.Body) {
 	g := r.script.Gateways
 	if g.PerExchange == 0 {
@@ -166,7 +166,7 @@
 	}
 }
 
-// disturbGateways has a part of the gateways do wrong, or fare ill.
+// disturbGateways applies a fault to a share of the gateways.
 func disturbGateways(r *runner, t Trouble, _ []int, chance *rand.Rand) func() {
 	var hit []*standin.Gateway
 	for _, row := range r.gateways.gateways {
@@ -214,14 +214,14 @@
 	}
 }
 
-// PhoneRow counts calls from phones at gateways.
+// PhoneRow counts the outcomes of calls from phones at gateways.
 type PhoneRow struct {
-	Calls           int           `json:"calls"` // numbers dialled to the end
+	Calls           int           `json:"calls"` // completely dialled numbers
 	Established     int           `json:"stood"`
 	Refused         int           `json:"refused"`
 	Failed          int           `json:"failed"`
 	Abandoned       int           `json:"left"`
-	Skipped         int           `json:"skipped"` // the phone was in use, or no number came about
+	Skipped         int           `json:"skipped"` // the phone was in use, or no number was dialled
 	MedianSetUpTime time.Duration `json:"median_ns"`
 	P99SetUpTime    time.Duration `json:"p99_ns"`
 }
--- a/internal/day/hunt_test.go
+++ b/internal/day/hunt_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-var randomDays = flag.Int("hunt", 12, "days drawn at random")
+var randomDays = flag.Int("hunt", 12, "number of random days")
 
-var keepDir = flag.String("keep", "", "folder for the audit's log")
+var keepDir = flag.String("keep", "", "folder for the audit log")
 
-// Days drawn at random, several troubles at once in ways on no list: the rules hold on each.
+// Checks the rules on random days with several overlapping troubles.
 func TestRulesHoldOnDaysDrawnAtRandom(t *testing.T) {
 	usable := []string{}
 	for _, k := range TroubleKinds() {
@@ -34,14 +34,14 @@
 				}
 			})
 			if len(rep.Violations) > 0 {
-				t.Errorf("%d breaches; %q", len(rep.Violations), told)
+				t.Errorf("%d violations; troubles %q", len(rep.Violations), told)
 			}
 			requireRulesHold(t, rep, 0)
 		})
 	}
 }
 
-// drawTrouble draws one trouble of a kind within the first seconds of a day.
+// drawTrouble draws one trouble of a kind that starts within the first 12 s of a day.
 func drawTrouble(chance *rand.Rand, k string) Trouble {
 	of := troubleKinds[k]
 	size := of.minSize + (min(of.maxSize, of.minSize+3)-of.minSize)*chance.Float64()
@@ -56,7 +56,7 @@
 	return tr
 }
 
-// The same with phones at gateways: mixtures of what goes wrong with them, their users, their network, and all else.
+// Checks the rules on random days with phones at gateways and faults of the gateways, their users, their network and others.
 func TestRulesHoldForPhonesOnDaysDrawnAtRandom(t *testing.T) {
 	others := []string{"controllers_kill", "controllers_stall", "controllers_roll", "hung", "links_reset", "mass_restart", "slow", "drain", "answers_lost", "half_open"}
 	for seed := range *randomDays / 2 {
@@ -81,7 +81,7 @@
 				}
 			})
 			if len(rep.Violations) > 0 {
-				t.Errorf("%d breaches; %q", len(rep.Violations), told)
+				t.Errorf("%d violations; troubles %q", len(rep.Violations), told)
 			}
 			requireRulesHold(t, rep, 0)
 		})
--- a/internal/day/plant.go
+++ b/internal/day/plant.go
@@ -8,28 +8,28 @@
 	"indigodrift/policy"
 )
 
-// PlantedFaults are the breaks that a day can plant, one for each rule.
+// PlantedFaults are the violations that a day can inject, one of each rule.
 var PlantedFaults = []string{"answer", "copy", "drain", "cold", "release"}
 
-// FaultyController is a controller that breaks a rule on its sockets: the audit must find it.
+// FaultyController makes a controller violate a rule on its sockets. The audit must find the violation.
 type FaultyController struct {
 	kind        string
 	planted     bool
-	floodTarget int // neighbour to be flooded, -1 none
+	floodTarget int // neighbour to flood with set-ups; -1: none
 	neighbours  []exchange.Neighbour
 }
 
-// NewFaultyController makes what breaks one rule.
+// NewFaultyController returns the violation of one kind, for a controller with neighbours near.
 func NewFaultyController(kind string, near []exchange.Neighbour) (*FaultyController, error) {
 	for _, k := range PlantedFaults {
 		if k == kind {
 			return &FaultyController{kind: kind, floodTarget: -1, neighbours: near}, nil
 		}
 	}
-	return nil, fmt.Errorf("no break %q can be planted; there are %v", kind, PlantedFaults)
+	return nil, fmt.Errorf("unknown planted fault %q; known are %v", kind, PlantedFaults)
 }
 
-// WrapDecider wraps the way a decider is built, so that it forgets a rule.
+// WrapDecider wraps a builder of deciders, so that the decider violates a rule.
 func (w *FaultyController) WrapDecider(build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
 	return func(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
 		if w.kind == "release" {
@@ -39,13 +39,13 @@
 	}
 }
 
-// faultyDecider is a decider that does not hear what the list says of drains, or notes which switch is cold.
+// faultyDecider is a decider that ignores drains, or that selects a cold switch to flood.
 type faultyDecider struct {
 	exchange.Decider
 	controller *FaultyController
 }
 
-// ListReceived passes the list on as the planted break wants it.
+// ListReceived passes the list on, changed as the planted fault needs it.
 func (d *faultyDecider) ListReceived(now policy.Tenths, whole bool, list []policy.Switch) {
 	told := append([]policy.Switch{}, list...)
 	for i := range told {
@@ -63,7 +63,7 @@
 	d.Decider.ListReceived(now, whole, told)
 }
 
-// InterceptSend is what becomes of a message that the controller sends.
+// InterceptSend sends a message of the controller, and once the messages of the planted fault.
 func (w *FaultyController) InterceptSend(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message)) {
 	send(to, m)
 	switch {
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -17,7 +17,7 @@
 	"indigodrift/internal/site"
 )
 
-// OnLoopback has a day's controllers run as processes of a program, and everybody talk over loopback TCP.
+// OnLoopback returns options by which the controllers run as processes of a program, and all connections use loopback.
 func OnLoopback(program string, o Options) Options {
 	o.Launch = func(e int, siteFile, routing, plant string) (Process, error) {
 		return startProcess(program, e, siteFile, routing, plant)
@@ -33,7 +33,7 @@
 	return o
 }
 
-// controllerProcess is a controller as a process of its own.
+// controllerProcess is a controller in an operating system process.
 type controllerProcess struct {
 	cmd            *exec.Cmd
 	controlAddress string
@@ -44,7 +44,7 @@
 	out, err := os.OpenFile(filepath.Join(filepath.Dir(siteFile), fmt.Sprintf("controller-%d.log", e)),
 		os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("controller's log: %w", err)
+		return nil, fmt.Errorf("open log of controller: %w", err)
 	}
 	defer out.Close()
 	args := []string{"serve", "-f", siteFile}
@@ -60,7 +60,7 @@
 	}
 	p := &controllerProcess{controlAddress: s.ControlAddress, cmd: exec.Command(program, args...), ready: make(chan struct{}), done: make(chan struct{})}
 	p.cmd.Stderr = out
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing outlives the day, however it ends
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the day, however that ends
 	pipe, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return nil, fmt.Errorf("controller %d: %w", e, err)
@@ -79,17 +79,17 @@
 	return p, nil
 }
 
-// Ready closes when the exchange is in service, Done when the process has ended.
+// Ready returns a channel that closes when the exchange is in service, Done one that closes when the process has ended.
 func (p *controllerProcess) Ready() <-chan struct{} { return p.ready }
 func (p *controllerProcess) Done() <-chan struct{}  { return p.done }
 
-// Kill, Drain, Stop and Resume send the signal that does so.
+// Kill, Drain, Pause and Resume send the corresponding signal.
 func (p *controllerProcess) Kill()   { p.cmd.Process.Signal(syscall.SIGKILL) }
 func (p *controllerProcess) Drain()  { p.cmd.Process.Signal(syscall.SIGTERM) }
 func (p *controllerProcess) Pause()  { p.cmd.Process.Signal(syscall.SIGSTOP) }
 func (p *controllerProcess) Resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// Load has the process take a table.
+// Load makes the process load a number table.
 func (p *controllerProcess) Load(table string) error {
 	r, err := control.SendCommand(p.controlAddress, control.Command{Name: "load", File: table})
 	if err == nil && r.Error != "" {
@@ -98,7 +98,7 @@
 	return err
 }
 
-// ResourceUse is what the process took.
+// ResourceUse returns the processor time and peak memory of the process.
 func (p *controllerProcess) ResourceUse() (time.Duration, int64) {
 	kilobytes := int64(0)
 	if u, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
--- a/internal/day/report.go
+++ b/internal/day/report.go
@@ -11,16 +11,16 @@
 	"indigodrift/internal/standin"
 )
 
-// Row counts callers and what came of their calls, all dials of a caller together.
+// Row counts callers by the outcome of their calls. All attempts of a caller count as one call.
 type Row struct {
 	Name                          string  `json:"name"`
 	Offered                       int     `json:"offered"`
-	Established                   int     `json:"stood"` // within the GoS target, and not cut
+	Established                   int     `json:"stood"` // within the GoS target and not disconnected
 	Late                          int     `json:"late"`
 	Refused                       int     `json:"refused"`
 	Failed                        int     `json:"failed"`
 	Disconnected                  int     `json:"cut"`
-	Service                       float64 `json:"service"` // revenue of those that stood, over that offered
+	Service                       float64 `json:"service"` // revenue of the established calls relative to that of the offered calls
 	revenueEarned, revenueOffered float64
 }
 
@@ -43,21 +43,21 @@
 	w.Service = w.revenueEarned / w.revenueOffered
 }
 
-// Report is what a day came to.
+// Report holds the results of a day.
 type Report struct {
 	Total              Row
 	Bearers            []Row
-	Windows            []Row // of 10 s
+	Windows            []Row // of reportWindow each
 	Tries              int
-	Disconnections     int // standing calls that the network ended
+	Disconnections     int // established calls that the network ended
 	Phones             PhoneRow
 	Violations         []audit.Violation
-	CPU                time.Duration // all controllers together
-	MaxMemory          int64         // the most that one held, kilobytes
-	TableVersions      int           // of tables, that tries were seen to go by
-	MixedCalls         int           // calls that went by two of them, or otherwise than theirs says
-	PortabilityQueries int           // portability queries
-	MaxDialDelay       time.Duration // the worst that the subscribers were behind their own schedule
+	CPU                time.Duration // of all controllers
+	MaxMemory          int64         // maximum of one controller, in kilobytes
+	TableVersions      int           // versions of the number table used by route tries
+	MixedCalls         int           // calls routed by two versions, or not as their version says
+	PortabilityQueries int
+	MaxDialDelay       time.Duration // longest delay of a subscriber's dial after its planned time
 }
 
 const reportWindow = 10 * time.Second
@@ -80,7 +80,7 @@
 	return rep
 }
 
-// Print writes the tables and, last, one line of JSON.
+// Print writes the tables and a final line of JSON, or only that line.
 func (r Report) Print(w io.Writer, onlyJSON bool) error {
 	if !onlyJSON {
 		t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
@@ -95,20 +95,20 @@
 			return fmt.Errorf("write report: %w", err)
 		}
 		offered := max(1, r.Total.Offered)
-		fmt.Fprintf(w, "%.2f route tries a call; controllers took %.2f ms of processor a call and %d MiB at most each\n",
+		fmt.Fprintf(w, "%.2f route tries per call; controllers used %.2f ms of processor time per call and at most %d MiB each\n",
 			float64(r.Tries)/float64(offered), r.CPU.Seconds()*1000/float64(offered), r.MaxMemory/1024)
 		if r.MaxDialDelay > 20*time.Millisecond {
-			fmt.Fprintf(w, "the subscribers dialled up to %v behind their schedule: this machine is too small for the day\n", r.MaxDialDelay)
+			fmt.Fprintf(w, "the subscribers dialled up to %v late: this machine is too slow for the day\n", r.MaxDialDelay)
 		}
 		if r.PortabilityQueries > 0 {
-			fmt.Fprintf(w, "portability: %.2f queries a call\n", float64(r.PortabilityQueries)/float64(offered))
+			fmt.Fprintf(w, "portability: %.2f queries per call\n", float64(r.PortabilityQueries)/float64(offered))
 		}
 		if p := r.Phones; p.Calls > 0 {
-			fmt.Fprintf(w, "phones at gateways: %d numbers dialled, %d calls stood (half within %v, 99 of 100 within %v), %d refused, %d failed, %d callers left, %d not dialled\n",
+			fmt.Fprintf(w, "phones at gateways: %d numbers dialled, %d calls established (median %v, 99th percentile %v), %d refused, %d failed, %d abandoned, %d not dialled\n",
 				p.Calls, p.Established, p.MedianSetUpTime.Round(time.Millisecond/10), p.P99SetUpTime.Round(time.Millisecond/10), p.Refused, p.Failed, p.Abandoned, p.Skipped)
 		}
 		if r.TableVersions > 0 {
-			fmt.Fprintf(w, "tables: tries went by %d versions, %d calls by two at once\n", r.TableVersions, r.MixedCalls)
+			fmt.Fprintf(w, "tables: route tries used %d versions, %d calls mixed versions\n", r.TableVersions, r.MixedCalls)
 		}
 		if len(r.Violations) == 0 {
 			fmt.Fprintln(w, "rules: none broken")
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -16,31 +16,31 @@
 	"indigodrift/internal/standin"
 )
 
-// Process is one life of one exchange's controller.
+// Process is one process of an exchange's controller.
 type Process interface {
 	Ready() <-chan struct{}
 	Done() <-chan struct{}
 	Kill()
 	Drain()
-	Load(table string) error // has it take a table of numbers at once
-	Pause()                  // stands still until Resume
+	Load(table string) error // loads a number table at once
+	Pause()                  // stops execution until Resume
 	Resume()
-	ResourceUse() (processor time.Duration, kilobytes int64) // once done
+	ResourceUse() (processor time.Duration, kilobytes int64) // after Done is closed
 }
 
-// Options of one run.
+// Options are the options of one run.
 type Options struct {
 	Launch       func(exchange int, siteFile, routing, plant string) (Process, error)
-	Listen       func(address string) (net.Listener, error) // "" has an address chosen
+	Listen       func(address string) (net.Listener, error) // "" chooses an address
 	Dial         func(address string) (net.Conn, error)
-	ListenPacket func(address string) (net.PacketConn, error) // datagram sockets; port 0 has one chosen
+	ListenPacket func(address string) (net.PacketConn, error) // datagram sockets; port 0 chooses a port
 	Routing      string                                       // "module", or a baseline: "direct", "random"
-	PlantedFault string                                       // rule to be broken once: answer, copy, drain, cold, release
-	Dir          string                                       // folder for the log and the controllers' output; "" a temporary one, removed at the end
+	PlantedFault string                                       // violation to inject: answer, copy, drain, cold, release
+	Dir          string                                       // folder for the audit log and the controllers' output; "": a temporary one
 	Progress     io.Writer
 }
 
-// runner is a day being played.
+// runner is a running day.
 type runner struct {
 	script           Script
 	options          Options
@@ -53,29 +53,29 @@
 	registerAddress  string
 	subscribers      *standin.Subscribers
 	controllers      []*controller
-	controlAddresses []string // addresses that take orders, where there are tables
-	tableVersion     int      // versions made so far
+	controlAddresses []string // addresses for control commands, in days with tables
+	tableVersion     int      // last version written
 	portability      *standin.PortabilityServer
 	gateways         gatewayNetwork
 	ctx              context.Context
 	wg               sync.WaitGroup
 	mu               sync.Mutex
 	cpu              time.Duration
-	maxMemory        int64 // the most that one controller held, kilobytes
+	maxMemory        int64 // maximum of one controller, in kilobytes
 }
 
-// Run plays a day and returns its report. It ends all it started, also when ctx ends early.
+// Run runs a day and returns its report. It stops all that it started, also if ctx ends early.
 func Run(ctx context.Context, s Script, o Options) (Report, error) {
 	r := &runner{script: s, options: o, plan: newPlan(s), ctx: ctx}
 	dir := o.Dir
 	var err error
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "indigodrift-day-"); err != nil {
-			return Report{}, fmt.Errorf("folder for the day: %w", err)
+			return Report{}, fmt.Errorf("create folder of the day: %w", err)
 		}
 		defer os.RemoveAll(dir)
 	} else if err = os.MkdirAll(dir, 0o755); err != nil {
-		return Report{}, fmt.Errorf("folder for the day: %w", err)
+		return Report{}, fmt.Errorf("create folder of the day: %w", err)
 	}
 	r.dir = dir
 	name := filepath.Join(dir, "audit.log")
@@ -102,7 +102,7 @@
 			rep.Tries++
 		}
 	}
-	if s.UseTables && s.PortedShare == 0 { // a ported number goes elsewhere than its own digits say
+	if s.UseTables && s.PortedShare == 0 { // a ported number is routed by other digits than its own
 		rep.TableVersions, rep.MixedCalls = checkTables(events, s.ExchangeCount)
 	}
 	if r.portability != nil {
@@ -191,7 +191,7 @@
 	if err := r.startGateways(); err != nil {
 		return err
 	}
-	fmt.Fprintf(r.options.Progress, "%d exchanges are in service, %d callers will call\n", len(r.switches), len(r.plan.callers))
+	fmt.Fprintf(r.options.Progress, "%d exchanges in service, %d callers planned\n", len(r.switches), len(r.plan.callers))
 	if !r.sleep(r.script.SettleTime) {
 		return context.Cause(r.ctx)
 	}
@@ -210,7 +210,7 @@
 		})
 	}
 	if r.options.PlantedFault == "drain" || r.options.PlantedFault == "cold" {
-		fmt.Fprintln(r.options.Progress, "planted break:", r.options.PlantedFault)
+		fmt.Fprintln(r.options.Progress, "planted fault:", r.options.PlantedFault)
 	}
 	stop := make(chan struct{})
 	done := make(chan struct{})
@@ -223,7 +223,7 @@
 		tail = max(tail, duration(b.AbandonTime))
 	}
 	early := done
-	if r.script.Gateways.PerExchange > 0 { // the subscribers may be done before the phones are
+	if r.script.Gateways.PerExchange > 0 { // the phones may take longer than the subscribers
 		early = nil
 	}
 	select {
@@ -246,7 +246,7 @@
 	}
 }
 
-// schedule does something later, unless the day ends before.
+// schedule runs do after a delay, unless the day ends first.
 func (r *runner) schedule(d time.Duration, do func()) {
 	r.wg.Go(func() {
 		if r.sleep(d) {
@@ -283,7 +283,7 @@
 	err := r.switches[e].Start(func() (net.Listener, error) {
 		var ln net.Listener
 		var err error
-		for range 50 { // the address may still be held for a moment
+		for range 50 { // the address may be in use for a moment
 			if ln, err = r.options.Listen(r.switchAddresses[e]); err == nil {
 				break
 			}
@@ -296,14 +296,14 @@
 	}
 }
 
-// controller is one exchange's program over all its lives.
+// controller is the controller of one exchange, over all its processes.
 type controller struct {
 	exchange   int
 	runner     *runner
-	startMutex sync.Mutex // two troubles may want it started again: one life at a time
+	startMutex sync.Mutex // two troubles may restart it: one process at a time
 	mu         sync.Mutex
 	current    Process
-	counted    Process // whose use has been added up
+	counted    Process // last process whose resource use has been added
 }
 
 func (r *runner) startController(e int) error {
@@ -315,7 +315,7 @@
 	}
 	file := filepath.Join(r.dir, fmt.Sprintf("site-%d.hcl", e))
 	if err := os.WriteFile(file, r.siteFile(e), 0o644); err != nil {
-		return fmt.Errorf("site file: %w", err)
+		return fmt.Errorf("write site file: %w", err)
 	}
 	plant := ""
 	if e == 0 || r.options.PlantedFault != "answer" && r.options.PlantedFault != "copy" {
@@ -343,7 +343,7 @@
 	case <-p.Ready():
 		return nil
 	case <-p.Done():
-		return fmt.Errorf("controller %d ended at once; see its log in %s", c.exchange, c.runner.dir)
+		return fmt.Errorf("controller %d ended during start-up; see its log in %s", c.exchange, c.runner.dir)
 	case <-time.After(most):
 		return fmt.Errorf("controller %d is not ready after %v", c.exchange, most)
 	}
@@ -366,7 +366,7 @@
 	c.terminate(c.process())
 }
 
-// terminate kills a program and adds up what it used.
+// terminate kills a process and adds its resource use.
 func (c *controller) terminate(p Process) {
 	p.Kill()
 	<-p.Done()
--- a/internal/day/sitefile.go
+++ b/internal/day/sitefile.go
@@ -10,7 +10,7 @@
 	"indigodrift/policy"
 )
 
-// siteFile writes the settings of one exchange of the day.
+// siteFile returns the settings file of one exchange.
 func (r *runner) siteFile(e int) []byte {
 	f := hclwrite.NewEmptyFile()
 	b := f.Body()
--- a/internal/day/tables.go
+++ b/internal/day/tables.go
@@ -16,14 +16,14 @@
 	"indigodrift/internal/standin"
 )
 
-// A day with tables leads numbers that begin with the three digits of n to exchange n plus the version, counted round: so
-// that every version sends every number elsewhere, and a call routed by two of them shows.
+// The number tables of a day route numbers with the three-digit prefix n to exchange n + version, modulo the number of
+// exchanges. Every version changes the destination of every number, so that a call routed by two versions shows.
 
 func (r *runner) tableFile(version int) string {
 	return filepath.Join(r.dir, fmt.Sprintf("table-%d.hcl", version))
 }
 
-// writeNextTable writes the next version.
+// writeNextTable writes the next version of the number table.
 func (r *runner) writeNextTable() error {
 	r.tableVersion++
 	var b strings.Builder
@@ -32,14 +32,14 @@
 		fmt.Fprintf(&b, "\nroute \"from-%d\" {\n  least    = 9\n  most     = 9\n  ported   = %v\n  prefixes = [\"%03d\"]\n  choice {\n    to \"%d\" {}\n  }\n}\n", n, r.script.PortedShare > 0, n, (n+r.tableVersion)%r.script.ExchangeCount)
 	}
 	if err := os.WriteFile(r.tableFile(r.tableVersion), []byte(b.String()), 0o644); err != nil {
-		return fmt.Errorf("table: %w", err)
+		return fmt.Errorf("write number table: %w", err)
 	}
 	return nil
 }
 
 const enumZone = "e164.test."
 
-// startPortability has a part of the callers' numbers ported to the exchange after next.
+// startPortability starts a server by which a share of the callers' numbers is ported to the exchange after next.
 func (r *runner) startPortability() error {
 	chance := rand.New(rand.NewPCG(r.script.Seed, 0xe1))
 	ported := map[string]string{}
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// changeTables has all exchanges take one new table after the other, every so often.
+// changeTables loads a new number table into all exchanges at each interval.
 func changeTables(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
 	r.wg.Go(func() {
 		for at := time.Duration(0); at < t.Duration && r.sleep(t.Interval); at += t.Interval {
@@ -65,15 +65,16 @@
 			}
 			name := r.tableFile(r.tableVersion)
 			for _, c := range r.controllers {
-				r.wg.Go(func() { c.process().Load(name) }) // one that is down or stopped keeps its own: calls tell by what they went
+				r.wg.Go(func() { c.process().Load(name) }) // a stopped controller keeps its version, which its calls carry
 			}
 		}
 	})
 	return nil
 }
 
-// checkTables checks, from what switches saw, that every call goes by one whole version: all its tries by the same, each
-// to where that version leads the number dialled. It returns the versions seen and the calls that mixed two.
+// checkTables checks by what the switches saw that every call is routed by one version of the number table: all its route
+// tries use the same version and its destination for the number dialled. It returns the number of versions seen and the
+// number of calls that violate this.
 func checkTables(events []audit.Event, exchanges int) (versions, mixed int) {
 	dialled, by, seen := map[isup.Reference]uint32{}, map[isup.Reference]int64{}, map[int64]bool{}
 	bad := map[isup.Reference]bool{}
@@ -99,7 +100,7 @@
 func freeAddress() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", fmt.Errorf("address for orders: %w", err)
+		return "", fmt.Errorf("find control address: %w", err)
 	}
 	defer ln.Close()
 	return ln.Addr().String(), nil
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -8,10 +8,11 @@
 	"indigodrift/internal/standin"
 )
 
-// troubleKind is one sort of trouble: the range of its size, and what brings it on. begin returns what ends it, or nil.
+// troubleKind is one kind of trouble: the range of its size and its effect. start begins it and returns the function that
+// ends it, or nil.
 type troubleKind struct {
 	minSize, maxSize float64
-	sizeMeaning      string // what size means
+	sizeMeaning      string // meaning of the size
 	how              []string
 	start            func(r *runner, t Trouble, in []int, chance *rand.Rand) func()
 }
@@ -20,10 +21,10 @@
 
 func init() {
 	troubleKinds = map[string]troubleKind{
-		"load_jump":         {0, 100, "times the calls", nil, nil},
-		"hot_caller":        {0, 1000, "times the calls of a part of the exchanges", nil, nil},
-		"circuits_lost":     {0, 1, "share of circuits lost, between a part of the exchanges and the others", nil, loseCircuits},
-		"mass_cut":          {0, 1, "share of standing calls cut", nil, disconnectCalls},
+		"load_jump":         {0, 100, "factor of the call rate", nil, nil},
+		"hot_caller":        {0, 1000, "factor of the call rate of some exchanges", nil, nil},
+		"circuits_lost":     {0, 1, "share of the circuits between some exchanges and the others", nil, loseCircuits},
+		"mass_cut":          {0, 1, "share of established calls disconnected", nil, disconnectCalls},
 		"slow":              {1, 1000, "times slower", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.Slowdown = t.Size })},
 		"other_work":        {0, 0.99, "share of the processor taken", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.OtherLoad = t.Size })},
 		"hung":              {0, 1e6, "not used", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.Hung = true })},
@@ -31,18 +32,18 @@
 		"chopped":           {1, 4096, "octets a write", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.MaxWriteSize = int(t.Size) })},
 		"answers_lost":      {0, 1, "share of answers lost", []string{"silence", "reset"}, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.AnswerLossRatio, d.ResetOnLoss = t.Size, t.How == "reset" })},
 		"links_reset":       {0, 1, "share of a switch's links reset", nil, resetLinks},
-		"list_late":         {0, 1000, "seconds later", nil, delayList},
+		"list_late":         {0, 1000, "additional delay in seconds", nil, delayList},
 		"list_wrong":        {0, 1e6, "not used", []string{"short", "repeated", "contradictory", "stale"}, corruptList},
 		"leave_early":       {0, 1, "share of callers", nil, abandonEarly},
-		"controllers_kill":  {0, 1000, "seconds until they are started again", nil, killControllers},
-		"controllers_stall": {0.001, 1000, "seconds stopped, every so often", nil, pauseControllers},
-		"controllers_roll":  {0, 1000, "seconds until each is started again", nil, rollControllers},
+		"controllers_kill":  {0, 1000, "seconds until the restart", nil, killControllers},
+		"controllers_stall": {0.001, 1000, "seconds of each pause", nil, pauseControllers},
+		"controllers_roll":  {0, 1000, "seconds until each restart", nil, rollControllers},
 		"drain":             {0, 1000, "seconds between drain and restart", nil, drainSwitches},
-		"ageing":            {1, 1000, "times slower at the end, then dead for a second", nil, ageSwitches},
+		"ageing":            {1, 1000, "times slower at the end, before a restart within a second", nil, ageSwitches},
 		"gateways":          {0, 60, "share, or seconds late", []string{"loss", "double", "late", "truncated", "two_answers", "reused_ids", "cut", "flash", "hang_up", "trickle", "glare", "restart", "moved"}, disturbGateways},
 		"portability":       {0, 60, "seconds late", []string{"late", "silent", "truncated", "wrong", "contradictory", "other"}, disturbPortability},
 		"tables_change":     {0, 1e6, "not used", nil, changeTables},
-		"mass_restart":      {0, 1000, "seconds that switches are gone", nil, restartSwitches},
+		"mass_restart":      {0, 1000, "seconds without the switches", nil, restartSwitches},
 	}
 }
 
@@ -62,7 +63,7 @@
 			r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { change(d, t) })
 		}
 		return func() {
-			for _, e := range in { // other troubles of the same kind, if any, end with it
+			for _, e := range in { // this also ends other faults of the switch
 				r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { *d = standin.SwitchFaults{Slowdown: 1} })
 			}
 		}
@@ -75,7 +76,7 @@
 	}
 	return func() {
 		for _, e := range in {
-			r.switches[e].ResetLinks(1) // what was half open is not taken up again: both ends start anew
+			r.switches[e].ResetLinks(1) // half-open links are closed, so that both ends reconnect
 			r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { d.HalfOpen = false })
 		}
 	}
@@ -97,7 +98,7 @@
 	}
 	each(func(a, b int) {
 		var cics []uint16
-		if b < a { // the same circuits at both ends
+		if b < a { // the same circuits at both exchanges
 			for i := range r.plan.circuits[a][b] {
 				if chance.Float64() < t.Size {
 					cics = append(cics, uint16(i/31*32+i%31+1))
--- a/internal/day/virtual_test.go
+++ b/internal/day/virtual_test.go
@@ -24,13 +24,13 @@
 	"go.uber.org/goleak"
 )
 
-// virtualNet starts controllers in this process, on a network in memory.
+// virtualNet starts controllers in this process, on an in-memory network.
 type virtualNet struct {
 	*memnet.Net
 	disk ledger.Disk
 }
 
-// inProcess is a controller in this process.
+// inProcess is a controller that runs in this process.
 type inProcess struct {
 	server      *control.Server
 	ready, done chan struct{}
@@ -48,7 +48,7 @@
 		return nil, err
 	}
 	s.Disk = v.disk
-	s.ControlAddress = "" // orders come by call here
+	s.ControlAddress = "" // control commands are method calls here
 	p := &inProcess{ready: make(chan struct{}), done: make(chan struct{}), gate: &memnet.Gate{}}
 	build := control.DeciderBuilder(func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
@@ -135,7 +135,7 @@
 }
 func (p *inProcess) Resume() { p.gate.Open() }
 
-// runVirtual plays a day in virtual time.
+// runVirtual runs a day in virtual time.
 func runVirtual(t *testing.T, name string, change func(*Script)) Report {
 	return runVirtualWithFault(t, name, "", change)
 }
@@ -170,7 +170,7 @@
 		}
 	}
 	if len(rep.Violations) > 0 || rep.Total.Offered == 0 || rep.Total.Service < serviceLeast {
-		t.Fatalf("%d breaches, %d calls, service %.3f (at least %.2f)", len(rep.Violations), rep.Total.Offered, rep.Total.Service, serviceLeast)
+		t.Fatalf("%d violations, %d calls, service %.3f, want at least %.2f", len(rep.Violations), rep.Total.Offered, rep.Total.Service, serviceLeast)
 	}
 }
 
@@ -186,12 +186,12 @@
 	requireRulesHold(t, runVirtual(t, "wide.hcl", func(*Script) {}), 0.3)
 }
 
-// Each kind of trouble alone, on a small network, by name.
+// Checks the rules with each kind of trouble alone, on a small network.
 func TestEachTroubleAloneKeepsTheRules(t *testing.T) {
 	sizes := map[string]float64{"slow": 4, "other_work": 0.7, "circuits_lost": 0.5, "answers_lost": 0.3, "chopped": 1, "load_jump": 2,
 		"hot_caller": 4, "ageing": 6, "mass_cut": 0.6, "leave_early": 0.4, "links_reset": 0.7}
 	for _, kind := range TroubleKinds() {
-		if kind == "portability" || kind == "tables_change" || kind == "gateways" { // need tables, and the first sockets: days of their own
+		if kind == "portability" || kind == "tables_change" || kind == "gateways" { // these need tables, gateways or real sockets and have tests of their own
 			continue
 		}
 		hows := troubleKinds[kind].how
@@ -214,8 +214,8 @@
 	}
 }
 
-// A thousand tables, one every 20 ms, each leading every number elsewhere than the one before, under load: no call is routed
-// by two of them, nor otherwise than its own says, and the rules hold.
+// Loads a thousand number tables under load, one every 20 ms, each with other destinations for all numbers. Guards against
+// calls that are routed by two tables or not as their table says.
 func TestThousandTablesUnderLoadAndNoCallMixesTwo(t *testing.T) {
 	rep := runVirtual(t, "quiet.hcl", func(s *Script) {
 		s.UseTables, s.Duration = true, 21*time.Second
@@ -226,11 +226,11 @@
 	})
 	requireRulesHold(t, rep, 0.2)
 	if rep.MixedCalls > 0 || rep.TableVersions < 200 {
-		t.Fatalf("%d calls went by two tables; %d tables were seen in use", rep.MixedCalls, rep.TableVersions)
+		t.Fatalf("%d calls mixed tables; %d tables were in use", rep.MixedCalls, rep.TableVersions)
 	}
 }
 
-// A controller that breaks one rule on its sockets is found by the audit, by that rule; the same day without it is clean.
+// The audit must find a controller that violates one rule on its sockets, and find nothing on the same day without it.
 func TestPlantedBreaksAreFound(t *testing.T) {
 	requireRulesHold(t, runVirtual(t, "plant.hcl", func(*Script) {}), 0.3)
 	for plant, rule := range map[string]int{"answer": 1, "copy": 2, "drain": 3, "cold": 4, "release": 5} {
@@ -241,7 +241,7 @@
 					return
 				}
 			}
-			t.Fatalf("not found; the audit told %v", rep.Violations)
+			t.Fatalf("planted fault not found in %v", rep.Violations)
 		})
 	}
 }
@@ -255,7 +255,7 @@
 	os.Exit(code)
 }
 
-// Phones at gateways: calls within an exchange, between two and over tandems, with nothing wrong.
+// Checks calls from phones at gateways without faults: within an exchange, between two, and over tandems.
 func TestPhonesAtGatewaysOnAQuietDay(t *testing.T) {
 	rep := runVirtual(t, "mgcp.hcl", func(s *Script) { s.Troubles, s.Duration = nil, 20*time.Second })
 	requireRulesHold(t, rep, 0.8)
@@ -266,7 +266,7 @@
 	}
 }
 
-// Every trouble that gateways, their users and their network have, alone and by name.
+// Checks the rules with each fault of gateways, their users and their network alone.
 func TestEachTroubleOfGatewaysKeepsTheRules(t *testing.T) {
 	sizes := map[string]float64{"loss": 0.05, "double": 0.5, "late": 0.3, "truncated": 0.1, "two_answers": 0.5, "flash": 0.5, "hang_up": 0.5, "trickle": 0.5, "glare": 0.5}
 	for _, how := range troubleKinds["gateways"].how {
@@ -288,7 +288,7 @@
 	}
 }
 
-var mgcpDuration = flag.Duration("mgcp", 0, "length of the MGCP day, its troubles again and again; 0 as its file has it")
+var mgcpDuration = flag.Duration("mgcp", 0, "length of the MGCP day, with its troubles repeated; 0: as in its file")
 
 func TestMGCPDayKeepsTheRules(t *testing.T) {
 	rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
@@ -305,8 +305,8 @@
 	t.Logf("%+v", rep.Phones)
 }
 
-// Calls that stand outlive their controller's process: of all that a kill finds standing, hardly any is cut, where without the
-// ledger all of them are.
+// Established calls must survive the kill of their controller. With the ledger hardly any is disconnected, without it all
+// of the controller's calls are.
 func TestStandingCallsOutliveKills(t *testing.T) {
 	cut := map[bool]int{}
 	for _, kept := range []bool{true, false} {
@@ -316,15 +316,15 @@
 		})
 		requireRulesHold(t, rep, 0.3)
 		cut[kept] = rep.Disconnections
-		t.Logf("ledger %v: %d cuts, %+v", kept, rep.Disconnections, rep.Total)
+		t.Logf("ledger %v: %d disconnections, %+v", kept, rep.Disconnections, rep.Total)
 	}
 	if cut[false] < 10 || cut[true] > cut[false]/20 {
-		t.Fatalf("%d calls were cut with the ledger, %d without", cut[true], cut[false])
+		t.Fatalf("%d calls were disconnected with the ledger, %d without", cut[true], cut[false])
 	}
 }
 
-// A controller is killed twice a second, a hundred and ten times in all, and starts again after a fifth of a second: rules hold, and
-// of the calls that stand hardly one is cut. A call that stood for less than the ledger gathers may be.
+// Kills a controller every 500 ms, 110 times in all, and restarts it after 200 ms. The rules must hold, and hardly any
+// established call may be disconnected: only one that is too recent to be in the ledger may be.
 func TestHundredKillsUnderLoad(t *testing.T) {
 	rep := runVirtual(t, "quiet.hcl", func(s *Script) {
 		s.UseLedger, s.Duration = true, 60*time.Second
@@ -333,14 +333,14 @@
 		}
 	})
 	requireRulesHold(t, rep, 0.2)
-	t.Logf("%d cuts, %+v", rep.Disconnections, rep.Total)
+	t.Logf("%d disconnections, %+v", rep.Disconnections, rep.Total)
 	if stood := rep.Total.Established + rep.Total.Late; rep.Disconnections > stood/50 {
-		t.Fatalf("%d of %d calls that stood were cut", rep.Disconnections, stood)
+		t.Fatalf("%d of %d established calls were disconnected", rep.Disconnections, stood)
 	}
 }
 
-// Every switch stands still for three seconds, and after 0.6 of them, with a hundred and more set-ups from phones in flight, all controllers
-// are killed. What they left at the gateways is audited away: a minute later no connection is there that no call has.
+// All switches hang for 3 s. After 0.6 s, with over a hundred set-ups from phones in progress, all controllers are killed. The
+// audit of the gateways must delete what they left: a minute later there is no connection without a call.
 func TestControllersKilledWithAHundredSetUpsInFlight(t *testing.T) {
 	rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
 		s.ExchangeCount, s.Duration, s.Gateways.CallRate, s.Gateways.LocalShare, s.Gateways.Endpoints, s.Gateways.LastCall = 8, 75*time.Second, 1000, 0, 300, 7*time.Second
@@ -352,7 +352,7 @@
 	}
 }
 
-// A neighbour falls silent while calls from phones are being set up to it.
+// Checks that a neighbour that stops responding does not harm calls from phones that are being set up to it.
 func TestNeighboursSilentDuringSetUpsFromPhones(t *testing.T) {
 	for _, kind := range []string{"hung", "half_open"} {
 		rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
--- a/internal/hclread/hclread.go
+++ b/internal/hclread/hclread.go
@@ -1,5 +1,5 @@
-// Package hclread reads HCL files attribute by attribute, so that each fault is told with file, line, column and reason,
-// all faults of a file at once. internal/site and internal/day state with it what may stand in their files.
+// Package hclread reads HCL files attribute by attribute and collects all errors of a file, each with file, line, column
+// and reason. The callers state which attributes and blocks a file may have by reading them.
 package hclread
 
 import (
@@ -19,12 +19,12 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// File is one file being read; Err tells all that was wrong with it.
+// File collects the errors of one file.
 type File struct {
 	diagnostics hcl.Diagnostics
 }
 
-// Open parses a file and returns its outermost block.
+// Open parses a file and returns its top-level block.
 func Open(name string) (*File, *Block, error) {
 	src, err := os.ReadFile(name)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return f, b, nil
 }
 
-// Parse takes the text of a file.
+// Parse parses the content of a file and returns its top-level block.
 func Parse(name string, src []byte) (*File, *Block) {
 	f := &File{}
 	parsed, diags := hclsyntax.ParseConfig(src, name, hcl.InitialPos)
@@ -48,7 +48,7 @@
 	return f, b
 }
 
-// Err is every fault found, one a line, or nil.
+// Err returns all errors found, one per line, or nil.
 func (f *File) Err() error {
 	if !f.diagnostics.HasErrors() {
 		return nil
@@ -68,7 +68,7 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// Block is one block of a file. Every name in it must be asked for before Done.
+// Block is one block of a file. Its names must be read before CheckUnknown, which reports all others.
 type Block struct {
 	file     *File
 	body     *hclsyntax.Body
@@ -77,10 +77,10 @@
 	Label    string
 }
 
-// AddError tells a fault at the block.
+// AddError adds an error at the position of the block.
 func (b *Block) AddError(format string, args ...any) { b.addDiagnostic(b.location, format, args...) }
 
-// AddErrorAt tells a fault at an attribute of the block.
+// AddErrorAt adds an error at the position of an attribute, or of the block without it.
 func (b *Block) AddErrorAt(name, format string, args ...any) {
 	at := b.location
 	if a := b.body.Attributes[name]; a != nil {
@@ -112,10 +112,10 @@
 	return v, at, true
 }
 
-// Has tells whether an attribute stands in the block.
+// Has reports whether the block has an attribute.
 func (b *Block) Has(name string) bool { return b.body.Attributes[name] != nil }
 
-// Float reads a number within a range; standard is what holds when it is absent, NaN when it must not be.
+// Float reads a number within a range. The default is standard; NaN makes the attribute mandatory.
 func (b *Block) Float(name string, least, most, standard float64) float64 {
 	v, at, ok := b.attribute(name, cty.Number)
 	if !ok {
@@ -132,7 +132,7 @@
 	return f
 }
 
-// Int reads a whole number; standard below least means that it must be there.
+// Int reads an integer within a range. The default is standard; a value below least makes the attribute mandatory.
 func (b *Block) Int(name string, least, most, standard int) int {
 	std := float64(standard)
 	if standard < least {
@@ -143,12 +143,12 @@
 		return least
 	}
 	if f != math.Trunc(f) {
-		b.AddErrorAt(name, "%s is %v, it must be whole", name, f)
+		b.AddErrorAt(name, "%s is %v, it must be an integer", name, f)
 	}
 	return int(f)
 }
 
-// Text reads a string; must tells that it cannot be absent.
+// Text reads a string. With must, the attribute is mandatory.
 func (b *Block) Text(name string, must bool, standard string) string {
 	v, _, ok := b.attribute(name, cty.String)
 	if !ok {
@@ -187,7 +187,7 @@
 	return all
 }
 
-// OneOf reads a string that must be one of some.
+// OneOf reads a string that must be one of the given values.
 func (b *Block) OneOf(name, standard string, of ...string) string {
 	s := b.Text(name, false, standard)
 	for _, o := range of {
@@ -199,7 +199,7 @@
 	return standard
 }
 
-// Bool reads true or false.
+// Bool reads a boolean.
 func (b *Block) Bool(name string, standard bool) bool {
 	if v, _, ok := b.attribute(name, cty.Bool); ok {
 		return v.True()
@@ -207,7 +207,8 @@
 	return standard
 }
 
-// Duration reads a span of time such as "1.2s"; standard is what holds when it is absent, negative when it must not be.
+// Duration reads a duration such as "1.2s" within a range. The default is standard; a negative value makes the attribute
+// mandatory.
 func (b *Block) Duration(name string, least, most, standard time.Duration) policy.Tenths {
 	v, at, ok := b.attribute(name, cty.String)
 	d := standard
@@ -229,7 +230,7 @@
 	return policy.Tenths((d + 100*time.Microsecond - 1) / (100 * time.Microsecond))
 }
 
-// Address reads a literal address and port; loopback tells that no other may stand there.
+// Address reads an IP address with a port. The attribute is mandatory. With loopback, only loopback addresses are valid.
 func (b *Block) Address(name string, loopback bool) string {
 	v, at, ok := b.attribute(name, cty.String)
 	if !ok {
@@ -243,12 +244,12 @@
 	case err != nil:
 		b.addDiagnostic(at, "%s is %q, not an address with a port such as \"127.0.0.1:2905\"", name, v.AsString())
 	case loopback && !a.Addr().IsLoopback():
-		b.addDiagnostic(at, "%s is %s, which is not on loopback", name, a)
+		b.addDiagnostic(at, "%s is %s, which is not a loopback address", name, a)
 	}
 	return v.AsString()
 }
 
-// Blocks lists the blocks of a kind; labelled tells that each has one label.
+// Blocks returns the blocks of a type, which have one label each if labelled, else none.
 func (b *Block) Blocks(kind string, labelled bool) []*Block {
 	b.used[kind] = true
 	var all []*Block
@@ -268,22 +269,22 @@
 	return all
 }
 
-// SingleBlock is the one block of a kind; without it an empty one, told missing if it must be there.
+// SingleBlock returns the only block of a type, or an empty one. With must, the block is mandatory.
 func (b *Block) SingleBlock(kind string, must bool) *Block {
 	all := b.Blocks(kind, false)
 	if len(all) > 1 {
-		all[1].AddError("%s stands twice", kind)
+		all[1].AddError("block %s is defined twice", kind)
 	}
 	if len(all) > 0 {
 		return all[0]
 	}
 	if must {
-		b.AddError("the block %s is missing", kind)
+		b.AddError("block %s is missing", kind)
 	}
 	return &Block{file: b.file, body: &hclsyntax.Body{}, location: b.location, used: map[string]bool{}}
 }
 
-// CheckUnknown tells of every name in the block that nothing asked for.
+// CheckUnknown adds an error for each name in the block that was not read.
 func (b *Block) CheckUnknown() {
 	var names []string
 	for name := range b.body.Attributes {
@@ -297,7 +298,7 @@
 	}
 	for _, inner := range b.body.Blocks {
 		if !b.used[inner.Type] {
-			b.addDiagnostic(inner.DefRange(), "a block %s is not known here", inner.Type)
+			b.addDiagnostic(inner.DefRange(), "block %s is not known here", inner.Type)
 		}
 	}
 }
--- a/internal/memnet/disk.go
+++ b/internal/memnet/disk.go
@@ -9,10 +9,11 @@
 	"indigodrift/internal/ledger"
 )
 
-// inode is a file's octets: an open file keeps its own when it is renamed.
+// inode is the content of a file. An open file keeps its inode when it is renamed.
 type inode struct{ data []byte }
 
-// Disk is a disk in memory. What was written is there at once; Fail makes it fail, and Slow has each sync wait.
+// Disk is an in-memory disk that implements ledger.Disk. Data is readable as soon as it is written. SetFailure injects
+// errors, and OnSync delays.
 type Disk struct {
 	mu      sync.Mutex
 	files   map[string]*inode
@@ -20,20 +21,25 @@
 	onSync  func()
 }
 
-// NewDisk makes an empty one.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk { return &Disk{files: map[string]*inode{}} }
 
-// SetFailure has everything but reading fail from now on, nil no more; Slow is called at each sync.
+// SetFailure makes all operations but reads fail with err from now on; nil ends that.
 func (d *Disk) SetFailure(err error) { d.mu.Lock(); d.failure = err; d.mu.Unlock() }
-func (d *Disk) OnSync(wait func())   { d.mu.Lock(); d.onSync = wait; d.mu.Unlock() }
 
-// Put and Get change and see a file from outside.
+// OnSync sets a function that each sync calls first; nil: none.
+func (d *Disk) OnSync(wait func()) { d.mu.Lock(); d.onSync = wait; d.mu.Unlock() }
+
+// Put sets the content of a file.
 func (d *Disk) Put(name string, b []byte) { d.mu.Lock(); d.files[name] = &inode{b}; d.mu.Unlock() }
+
+// Get returns the content of a file, or nil if there is none.
 func (d *Disk) Get(name string) []byte {
 	b, _ := d.Read(name)
 	return b
 }
 
+// Read implements ledger.Disk.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -44,6 +50,7 @@
 	return append([]byte(nil), b.data...), nil
 }
 
+// Create implements ledger.Disk.
 func (d *Disk) Create(name string) (ledger.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,6 +62,7 @@
 	return &file{disk: d, inode: n}, nil
 }
 
+// Rename implements ledger.Disk.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,7 +71,7 @@
 	}
 	b, ok := d.files[from]
 	if !ok {
-		return errors.New("no such file")
+		return errors.New("rename: no such file")
 	}
 	delete(d.files, from)
 	d.files[to] = b
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network in memory for tests in virtual time (testing/synctest): listeners, connections whose writes
-// do not wait for a reader, as a socket's do not, and gates that hold a party up as a stopped process is held up.
+// Package memnet implements an in-memory network and disk for tests in virtual time (testing/synctest). Writes to a
+// connection do not wait for a reader, as with a socket. A Gate blocks a party's I/O as SIGSTOP would.
 package memnet
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// New makes a network without doors.
+// New returns a network without listeners.
 func New() *Net { return &Net{listeners: map[string]*listener{}} }
 
-// Net is one network.
+// Net is an in-memory network.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// Listen opens a door; "" has a name chosen.
+// Listen opens a listener; "" chooses an address.
 func (m *Net) Listen(name string) (net.Listener, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,7 +71,7 @@
 	return m.listeners[name], nil
 }
 
-// Dial connects to a door; it fails at once where there is none.
+// Dial connects to a listener. It fails at once if there is none.
 func (m *Net) Dial(name string) (net.Conn, error) {
 	m.mu.Lock()
 	d := m.listeners[name]
@@ -88,7 +88,7 @@
 	}
 }
 
-// connectedPair is a connection in memory whose writes do not wait for a reader, as a socket's do not.
+// connectedPair returns the two ends of a connection whose writes do not wait for a reader, as with a socket.
 func connectedPair() (net.Conn, net.Conn) {
 	a, b := newPipe(), newPipe()
 	return &Conn{in: a, out: b}, &Conn{in: b, out: a}
@@ -98,7 +98,7 @@
 	mu             sync.Mutex
 	buf            []byte
 	closed         bool
-	deadlinePassed bool // the deadline of its reader has passed
+	deadlinePassed bool // the read deadline
 	timer          *time.Timer
 	changed        chan struct{}
 }
@@ -115,7 +115,7 @@
 // Conn is one end of a connection.
 type Conn struct {
 	in, out *pipe
-	Gate    *Gate // if set, nothing passes while it is shut
+	Gate    *Gate // if set, reads and writes block while it is closed
 }
 
 func (e *Conn) Read(b []byte) (int, error) {
@@ -171,7 +171,7 @@
 func (e *Conn) RemoteAddr() net.Addr        { return address("there") }
 func (e *Conn) SetDeadline(time.Time) error { return nil }
 
-// CloseWrite ends this side only, as a half-closed socket does.
+// CloseWrite closes the connection for writing only, like a half-closed socket.
 func (e *Conn) CloseWrite() error {
 	e.out.mu.Lock()
 	defer e.out.mu.Unlock()
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// SetReadDeadline has reads fail from an instant on, or no longer.
+// SetReadDeadline makes reads fail from a given time on; the zero time clears the deadline.
 func (e *Conn) SetReadDeadline(at time.Time) error {
 	e.in.mu.Lock()
 	defer e.in.mu.Unlock()
@@ -199,13 +199,13 @@
 }
 func (e *Conn) SetWriteDeadline(time.Time) error { return nil }
 
-// Gate holds up everything that passes it while it is shut, as SIGSTOP does a process.
+// Gate blocks the I/O of a party while it is closed, as SIGSTOP blocks a process.
 type Gate struct {
 	mu     sync.Mutex
 	closed chan struct{} // nil while open
 }
 
-// Wait waits while the gate is shut.
+// Wait blocks while the gate is closed.
 func (g *Gate) Wait() {
 	g.mu.Lock()
 	shut := g.closed
@@ -215,7 +215,7 @@
 	}
 }
 
-// Close closes the gate; false when it was shut already.
+// Close closes the gate. It returns false if the gate was already closed.
 func (g *Gate) Close() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -226,7 +226,7 @@
 	return true
 }
 
-// Open lets everything pass again.
+// Open opens the gate.
 func (g *Gate) Open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/memnet/packet.go
+++ b/internal/memnet/packet.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// packets that may lie unread at a socket; what comes beyond is lost, as at a real one.
+// maxUnreadDatagrams is the receive buffer of a socket. Further datagrams are lost, as at a real socket.
 const maxUnreadDatagrams = 4096
 
 type datagram struct {
@@ -16,17 +16,17 @@
 	from net.Addr
 }
 
-// PacketConn is a datagram socket of a network in memory.
+// PacketConn is a datagram socket of an in-memory network.
 type PacketConn struct {
 	network  *Net
 	address  *net.UDPAddr
 	incoming chan datagram
 	closed   chan struct{}
 	once     sync.Once
-	Gate     *Gate // if set, nothing passes while it is shut
+	Gate     *Gate // if set, reads and writes block while it is closed
 }
 
-// ListenPacket opens a datagram socket; port 0 has one chosen.
+// ListenPacket opens a datagram socket; port 0 chooses a port.
 func (m *Net) ListenPacket(name string) (net.PacketConn, error) {
 	at, err := netip.ParseAddrPort(name)
 	if err != nil {
--- a/internal/seeded/damage.go
+++ b/internal/seeded/damage.go
@@ -6,16 +6,15 @@
 	"testing"
 )
 
-// A fuzz run by the clock draws anew each time: once it held a landing up for a fault of months before, and on the next day
-// it would have passed. So the tests that everybody runs draw damaged inputs from a fixed seed, and `go test -fuzz`, which
-// takes the same check and corpus, is left to whoever looks for more.
-
-// ForEachMutation has check see every input of the corpus, then so many made from them by one to eight damages: octets turned, put
-// in, taken out or doubled, lengths and ends of the range put in place, the tail of another input spliced on.
+// ForEachMutation calls check with every input of the corpus, then with many inputs made from them by one to eight
+// mutations: octets changed, inserted, deleted or duplicated, boundary values put in, and the tail of another input appended.
+//
+// The seed is fixed, so that a test run does not fail by chance for an unrelated change. Fuzzing with `go test -fuzz` uses
+// the same check and corpus and searches further.
 func ForEachMutation(t *testing.T, corpus [][]byte, many int, check func(t *testing.T, in []byte)) {
 	t.Helper()
 	if len(corpus) == 0 {
-		t.Fatal("no inputs to damage")
+		t.Fatal("empty corpus")
 	}
 	rng := rand.New(rand.NewPCG(1971, uint64(len(corpus))))
 	tell := func(in []byte) {
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,4 +1,4 @@
-// Package seeded has random tests draw the same each time: a verdict that changes from run to run is no verdict. Tests alone
+// Package seeded makes randomized tests deterministic, so that their result does not change from run to run. Only tests
 // import it.
 package seeded
 
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-// Main runs a package's tests with rapid's seed fixed, no failure files, and so many checks.
+// Main runs a package's tests with a fixed rapid seed, the given number of checks and no failure files, and exits.
 func Main(m *testing.M, checks int) { os.Exit(Run(m, checks)) }
 
-// Run does so and returns the exit code.
+// Run runs the tests like Main and returns the exit code.
 func Run(m *testing.M, checks int) int {
 	flag.Parse()
 	for name, v := range map[string]string{"rapid.seed": "1971", "rapid.checks": fmt.Sprint(checks), "rapid.nofailfile": "true"} {
-		if f := flag.Lookup(name); f == nil || f.Value.String() != f.DefValue { // given on the command line: that counts
+		if f := flag.Lookup(name); f == nil || f.Value.String() != f.DefValue { // the command line takes precedence
 			continue
 		}
 		if err := flag.Set(name, v); err != nil {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,5 +1,5 @@
-// Package site reads the settings of one exchange and checks them before anything starts. docs/operators.md lists each
-// with its unit and what holds when it is left out.
+// Package site reads and validates the settings of one exchange. docs/operators.md lists each setting with its unit and
+// default.
 package site
 
 import (
@@ -20,13 +20,13 @@
 )
 
 const (
-	maxExchanges = 999 // called numbers begin with three digits of the exchange
+	maxExchanges = 999 // called numbers start with three digits for the exchange
 	maxDuration  = 24 * time.Hour
-	maxLines     = 1_000_000 // called numbers end with six digits of the line
+	maxLines     = 1_000_000 // called numbers end with six digits for the line
 	maxEndpoints = 256 * (isup.MaxCIC + 1)
 )
 
-// Read takes a site file. Its error has a line for each fault, with file, line, column and reason.
+// Read reads a site file. The error has a line for each fault, with file, line, column and reason.
 func Read(name string) (control.Config, error) {
 	f, b, err := hclread.Open(name)
 	if err != nil {
@@ -42,7 +42,7 @@
 	s.ExchangeCount = b.Int("exchanges", 2, maxExchanges, 1)
 	d.OwnExchange = b.Int("exchange", 0, maxExchanges-1, -1)
 	if d.OwnExchange >= s.ExchangeCount {
-		b.AddErrorAt("exchange", "exchange %d, but exchanges are numbered below %d", d.OwnExchange, s.ExchangeCount)
+		b.AddErrorAt("exchange", "exchange %d is out of range: exchanges are numbered below %d", d.OwnExchange, s.ExchangeCount)
 	}
 	d.Seed = uint64(b.Int("seed", 0, math.MaxInt32, 1))
 	s.OwnSwitchAddress = b.Address("own_switch", false)
@@ -74,7 +74,7 @@
 		case near.Number == d.OwnExchange:
 			n.AddErrorAt("exchange", "the group %q leads to this exchange itself", n.Label)
 		case seen[near.Number]:
-			n.AddErrorAt("exchange", "exchange %d has a group already", near.Number)
+			n.AddErrorAt("exchange", "exchange %d already has a trunk group", near.Number)
 		}
 		seen[near.Number] = true
 		s.Neighbours = append(s.Neighbours, near)
@@ -84,7 +84,7 @@
 	return s
 }
 
-// ParseRules reads what site and day files say alike of tries, releases, drains and cold starts.
+// ParseRules reads the settings of tries, releases, drains and cold starts, which site and day files share.
 func ParseRules(b *hclread.Block, d *policy.Deployment) {
 	d.MaxTries = b.Int("tries", 1, 16, 4)
 	d.ReleaseTime = b.Duration("release_time", 0, time.Minute, 300*time.Millisecond)
@@ -99,13 +99,13 @@
 	cold.CheckUnknown()
 }
 
-// ParseBearers reads the bearer types, in the order written; more reads what else may stand in one.
+// ParseBearers reads the bearer types in file order; more reads further settings of a block and may be nil.
 func ParseBearers(b *hclread.Block, more func(*hclread.Block)) []policy.Bearer {
 	var all []policy.Bearer
 	seen := map[string]bool{}
 	for _, n := range b.Blocks("bearer", true) {
 		if seen[n.Label] {
-			n.AddError("bearer type %q stands twice", n.Label)
+			n.AddError("bearer type %q is defined twice", n.Label)
 		}
 		seen[n.Label] = true
 		t := policy.Bearer{Revenue: n.Float("revenue", 0, 1e6, math.NaN()), LateShare: n.Float("late_share", 0, 1, 0),
@@ -120,12 +120,12 @@
 		n.CheckUnknown()
 	}
 	if len(all) == 0 || len(all) > 255 {
-		b.AddError("%d bearer types, 1 to 255 are needed", len(all))
+		b.AddError("%d bearer types, there must be 1 to 255", len(all))
 	}
 	return all
 }
 
-// parseGateways reads what a site says of its MGCP gateways.
+// parseGateways reads the settings of MGCP gateways.
 func parseGateways(b *hclread.Block, d *policy.Deployment, bearers map[string]int) *control.Gateways {
 	g := &control.Gateways{ListenAddress: b.Address("listen", false)}
 	g.OwnExchange, g.PointCode, g.Seed = d.OwnExchange, exchange.PointCode(d.OwnExchange), d.Seed
@@ -162,19 +162,19 @@
 		}
 		bearer, ok := bearers[n.Text("bearer", true, "")]
 		if !ok {
-			n.AddErrorAt("bearer", "there is no such bearer type")
+			n.AddErrorAt("bearer", "unknown bearer type")
 		}
 		one.BearerIndex = bearer
 		switch {
 		case names[strings.ToLower(one.Name)]:
-			n.AddError("a gateway named %q stands twice", one.Name)
+			n.AddError("gateway %q is defined twice", one.Name)
 		case one.FirstLine+one.Endpoints > maxLines:
-			n.AddErrorAt("endpoints", "lines %d to %d, but numbers of lines are below %d", one.FirstLine, one.FirstLine+one.Endpoints-1, maxLines)
+			n.AddErrorAt("endpoints", "lines %d to %d are out of range: lines are numbered below %d", one.FirstLine, one.FirstLine+one.Endpoints-1, maxLines)
 		}
 		names[strings.ToLower(one.Name)] = true
 		for line := one.FirstLine; line < one.FirstLine+one.Endpoints; line++ {
 			if other, taken := lines[line]; taken {
-				n.AddErrorAt("first_line", "line %d belongs to gateway %q already", line, other)
+				n.AddErrorAt("first_line", "line %d already belongs to gateway %q", line, other)
 				break
 			}
 			lines[line] = n.Label
@@ -183,20 +183,20 @@
 		g.Gateways = append(g.Gateways, one)
 	}
 	if len(lines) > maxEndpoints {
-		b.AddError("%d endpoints, %d at most", len(lines), maxEndpoints)
+		b.AddError("%d endpoints, the maximum is %d", len(lines), maxEndpoints)
 	}
 	b.CheckUnknown()
 	return g
 }
 
-// parseNumberAnalysis reads what a site says of number analysis.
+// parseNumberAnalysis reads the settings of number analysis.
 func parseNumberAnalysis(b *hclread.Block) *control.NumberAnalysis {
 	n := &control.NumberAnalysis{StoreFolder: b.Text("store", true, ""), InitialTable: b.Text("table", false, ""), MaxCallers: b.Int("callers", 1, 1<<24, 100000),
 		Trial: numbers.Trial{Window: b.Duration("trial_window", 0, maxDuration, time.Minute), MaxIncrease: b.Float("trial_bound", 0, 1, 0.2),
 			MinFailures: b.Int("trial_least", 1, 1<<30, 20)}}
 	p := b.SingleBlock("portability", false)
 	if n.ENUMServers = p.TextList("servers"); len(n.ENUMServers) != 0 && len(n.ENUMServers) != 2 {
-		p.AddErrorAt("servers", "%d servers, two are needed (the same twice where there is one)", len(n.ENUMServers))
+		p.AddErrorAt("servers", "%d servers, there must be two (a single one is listed twice)", len(n.ENUMServers))
 	}
 	for _, a := range n.ENUMServers {
 		if _, err := netip.ParseAddrPort(a); err != nil {
--- a/internal/standin/enum.go
+++ b/internal/standin/enum.go
@@ -9,10 +9,10 @@
 	"github.com/miekg/dns"
 )
 
-// PortabilityServer answers for portability, honestly or as a trouble has it.
+// PortabilityServer is an ENUM server for ported numbers. SetFault makes it answer late, wrongly or not at all.
 type PortabilityServer struct {
 	mu             sync.Mutex
-	routingNumbers map[string]string // domain name: routing number
+	routingNumbers map[string]string // by domain name
 	fault          string
 	delay          time.Duration
 	queryCount     int
@@ -20,7 +20,7 @@
 	Address        string
 }
 
-// NewPortabilityServer serves numbers (by domain name) on one loopback port, UDP and TCP.
+// NewPortabilityServer starts a server of routing numbers, by domain name, on one loopback port, UDP and TCP.
 func NewPortabilityServer(numbers map[string]string) (*PortabilityServer, error) {
 	pc, ln, err := listenUDPAndTCP()
 	if err != nil {
@@ -37,7 +37,7 @@
 	return p, nil
 }
 
-// maxPortAttempts is how many ports are tried: one that is free for UDP may be another program's for TCP.
+// maxPortAttempts is the number of ports to try: a port that is free for UDP may be in use for TCP.
 const maxPortAttempts = 20
 
 // listenUDPAndTCP listens on one loopback port, UDP and TCP.
@@ -54,24 +54,25 @@
 	return nil, nil, err
 }
 
-// SetFault changes how it answers: "" well, late, silent, truncated, wrong, contradictory, other (another question's answer).
+// SetFault sets how the server answers from now on, and the delay of each answer. The faults are silent, truncated, wrong,
+// contradictory and other (the answer to another question); "" stands for correct answers.
 func (p *PortabilityServer) SetFault(how string, late time.Duration) {
 	p.mu.Lock()
 	p.fault, p.delay = how, late
 	p.mu.Unlock()
 }
 
-// QueryCount counts the queries.
+// QueryCount returns the number of queries received.
 func (p *PortabilityServer) QueryCount() int { p.mu.Lock(); defer p.mu.Unlock(); return p.queryCount }
 
-// Stop ends it.
+// Stop shuts the server down.
 func (p *PortabilityServer) Stop() {
 	for _, s := range p.servers {
 		s.Shutdown()
 	}
 }
 
-// ServeDNS answers one query.
+// ServeDNS implements dns.Handler.
 func (p *PortabilityServer) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
 	p.mu.Lock()
 	p.queryCount++
--- a/internal/standin/enum_test.go
+++ b/internal/standin/enum_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// Guards against a server that does not start, as the port that it found free for UDP was in use for TCP. Many TCP ports are taken here.
+// Guards against a server that does not start because the port chosen for UDP is in use for TCP. The test occupies many TCP
+// ports.
 func TestPortedFindsAPortThatIsFreeForUDPAndTCP(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
 	most := min(2000, int(limit.Cur)/2)
-	for range most { // one in fourteen of the system's usual range
+	for range most { // about one in fourteen ports of the usual ephemeral range
 		if ln, err := net.Listen("tcp", "127.0.0.1:0"); err == nil {
 			defer ln.Close()
 		}
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -17,39 +17,40 @@
 	"indigodrift/policy"
 )
 
-// PhoneCall is one call that the user of a phone wants to make; what came of it stands in the second half.
+// PhoneCall is one call that the user of a phone attempts. The fields from Dialled on hold its outcome.
 type PhoneCall struct {
 	StartTime   time.Duration
 	Phone       int
 	Digits      string
-	AbandonTime time.Duration // from the last digit
+	AbandonTime time.Duration // counted from the last digit
 	HoldingTime time.Duration
 
 	Dialled   bool
-	SetUpTime time.Duration // from the last digit until it stood
+	SetUpTime time.Duration // from the last digit until the call was established
 	Refused   bool
 	Failed    bool
 	Abandoned bool
-	Skipped   bool // the phone was in use, or gave no dial tone
+	Skipped   bool // the phone was in use or got no dial tone
 }
 
-// NetworkFaults is what happens to a gateway's datagrams, either way.
+// NetworkFaults are the faults of the network between a gateway and its call agent, in both directions. The ratios are
+// shares of all datagrams.
 type NetworkFaults struct {
-	LossRatio, DuplicationRatio, TruncationRatio float64 // shares
+	LossRatio, DuplicationRatio, TruncationRatio float64
 	DelayRatio                                   float64
-	MaxDelay                                     time.Duration // so much later: behind others, or past the keeping time
+	MaxDelay                                     time.Duration // long enough to reorder datagrams or to exceed the time that transactions are stored
 }
 
-// GatewayFaults is what a trouble makes a gateway or its users do.
+// GatewayFaults are the faults of a gateway, its network and its users.
 type GatewayFaults struct {
 	Network             NetworkFaults
-	TwoResponsesRatio   float64 // share of connections made that are answered twice, differently
-	ReuseTransactionIDs bool    // transaction ids are counted from one again and again
-	Isolated            bool    // nothing passes
-	FlashRatio          float64 // share of callers who flash the hook while they wait
-	HangUpRatio         float64 // share of callers who hang up while they wait
-	SlowDigitsRatio     float64 // share of numbers that come a digit at a time as the time-out falls
-	GlareRatio          float64 // share of rings at which the user lifts to dial at that moment
+	TwoResponsesRatio   float64 // share of CreateConnection commands that get a second, different response
+	ReuseTransactionIDs bool    // transaction identifiers are reused too early
+	Isolated            bool    // no datagram passes
+	FlashRatio          float64 // share of callers who flash the hook while waiting
+	HangUpRatio         float64 // share of callers who hang up while waiting
+	SlowDigitsRatio     float64 // share of numbers dialled so slowly that the digit timer expires between digits
+	GlareRatio          float64 // share of incoming calls at which the user goes off hook to dial at the same moment
 }
 
 type connection struct {
@@ -69,17 +70,17 @@
 	digitMap          mgcp.DigitMap
 	dialString        string
 	tone              string
-	endTone           string // the tone that told its user that the call is over
+	endTone           string // the tone that reported the end of the call
 	ringing           bool
-	quarantined       []mgcp.Event // quarantined
+	quarantined       []mgcp.Event
 	connections       []connection
-	call              *PhoneCall // that its user makes
+	call              *PhoneCall // the call that the user attempts
 	callRef           isup.Reference
 	dialledAt         time.Time
-	waiting           bool // dialled and not answered
+	waiting           bool // the number is dialled and the outcome unknown
 	established       bool
-	unackedHookEvents int // hook changes that the call agent has not answered
-	userActions       int // counts what its user does, so that a timer of before does nothing
+	unackedHookEvents int // hook changes that the call agent has not acknowledged
+	userActions       int // counts user actions, which makes earlier timers void
 }
 
 type timerEntry struct {
@@ -97,19 +98,19 @@
 func (t *timerHeap) Push(x any)   { *t = append(*t, x.(timerEntry)) }
 func (t *timerHeap) Pop() any     { n := len(*t) - 1; x := (*t)[n]; *t = (*t)[:n]; return x }
 
-// GatewayConfig is what a gateway is and where.
+// GatewayConfig is the configuration of a simulated gateway.
 type GatewayConfig struct {
 	Exchange, Number  int
 	Name              string
 	PhoneCount        int
-	CallAgents        []netip.AddrPort // the addresses of its notified entity
-	DigitInterval     time.Duration    // between two digits
-	MeanAnswerDelay   time.Duration    // mean time until somebody picks up
-	MaxRestartDelay   time.Duration    // it reports at random within, after a start
-	DisconnectedDelay time.Duration    // first wait of the disconnected procedure
+	CallAgents        []netip.AddrPort // addresses of the notified entity
+	DigitInterval     time.Duration    // time between two digits
+	MeanAnswerDelay   time.Duration    // mean time until a ringing phone is answered
+	MaxRestartDelay   time.Duration    // bound of the random delay of a restart report
+	DisconnectedDelay time.Duration    // initial delay of the disconnected procedure
 }
 
-// Gateway is a stand-in MGCP gateway with phones and their users. One goroutine does all.
+// Gateway simulates an MGCP gateway with phones and their users. One goroutine owns its state.
 type Gateway struct {
 	config                GatewayConfig
 	log                   *audit.Log
@@ -133,8 +134,8 @@
 	agentIndex            int
 	disconnectedProcedure mgcp.DisconnectedProcedure
 	unregistered          bool
-	loggedDown            bool // as noted
-	staleCommand          bool // what is being carried out is older than transactions are kept
+	loggedDown            bool // as last written to the audit log
+	staleCommand          bool // the command being executed is older than the time that transactions are stored
 	serial                uint32
 	incarnation           int
 	nextTry               time.Time
@@ -145,13 +146,13 @@
 	data []byte
 }
 
-// NewGateway makes a gateway that is off.
+// NewGateway returns a gateway that is switched off.
 func NewGateway(p GatewayConfig, calls []*PhoneCall, seed uint64, listen func() (net.PacketConn, error), log *audit.Log) *Gateway {
 	return &Gateway{config: p, calls: calls, log: log, random: rand.New(rand.NewPCG(seed, uint64(p.Exchange<<16+p.Number))), listen: listen,
 		datagrams: make(chan datagram, 1024), commands: make(chan func(), 64), stop: make(chan struct{}), phones: make([]phone, p.PhoneCount)}
 }
 
-// Start turns it on; its users begin to call at their times from then.
+// Start switches the gateway on. The start times of its users' calls count from here.
 func (g *Gateway) Start() error {
 	g.startTime = time.Now()
 	conn, err := g.listen()
@@ -166,13 +167,13 @@
 	return nil
 }
 
-// Stop ends it.
+// Stop shuts the gateway down.
 func (g *Gateway) Stop() {
 	close(g.stop)
 	g.wg.Wait()
 }
 
-// UpdateFaults has the gateway's goroutine do something: troubles come through it.
+// UpdateFaults runs do with the faults in the gateway's goroutine.
 func (g *Gateway) UpdateFaults(do func(q *GatewayFaults)) {
 	select {
 	case g.commands <- func() { do(&g.faults); g.logReachability() }:
@@ -180,7 +181,7 @@
 	}
 }
 
-// Restart turns it off and on: its connections are gone; elsewhere: it comes back at another address.
+// Restart switches the gateway off and on, which deletes its connections. With elsewhere it comes back at another address.
 func (g *Gateway) Restart(elsewhere bool) {
 	g.UpdateFaults(func(*GatewayFaults) {
 		for i := range g.phones {
@@ -218,7 +219,7 @@
 	g.schedule(time.Duration(mgcp.RestartDelay(tenths(g.config.MaxRestartDelay), g.random))*100*time.Microsecond, func() { g.reportRestart("restart", life) })
 }
 
-// logReachability notes when the gateway cannot reach its call agent, or has not yet, and when it can again.
+// logReachability records when the gateway loses its call agent and when it has registered again.
 func (g *Gateway) logReachability() {
 	if down := g.faults.Isolated || g.unregistered; down != g.loggedDown {
 		g.loggedDown = down
@@ -292,8 +293,8 @@
 			came := time.Now()
 			g.applyNetworkFaults(func() {
 				heard = true
-				// Held up by the network past the time for which transactions are kept, a command is carried out twice, and no call
-				// agent can help it: what its user hears then is not the call agent's answer.
+				// A command that the network delays beyond the time for which transactions are stored is executed twice. The
+				// call agent cannot prevent that, so the tone that the user hears then is not the call agent's response.
 				g.staleCommand = time.Since(came) > 29*time.Second
 				g.handleDatagram(r)
 				g.staleCommand = false
@@ -305,7 +306,7 @@
 	}
 }
 
-// applyNetworkFaults lets the network do to a datagram what it does.
+// applyNetworkFaults loses, truncates, duplicates or delays a datagram by the present faults, or passes it on.
 func (g *Gateway) applyNetworkFaults(pass func(), cut func()) {
 	n := g.faults.Network
 	switch {
@@ -325,7 +326,7 @@
 	pass()
 }
 
-// logLostOutcomes notes the answers to calls in a datagram that the network lost or holds up.
+// logLostOutcomes records the call outcomes in a datagram that the network lost or delays.
 func (g *Gateway) logLostOutcomes(b []byte) {
 	all, _ := mgcp.Decode(b)
 	for _, m := range all {
@@ -352,7 +353,7 @@
 	g.applyNetworkFaults(write(b), write(b[:g.random.IntN(len(b))]))
 }
 
-// mgcpOutput is the gateway as its sender sees it.
+// mgcpOutput adapts the gateway to the handler of mgcp.Sender.
 type mgcpOutput Gateway
 
 func (o *mgcpOutput) Transmit(m mgcp.Message, _ int) {
@@ -363,7 +364,7 @@
 func (o *mgcpOutput) HandleOutcome(id uint32, fate mgcp.Outcome, r mgcp.Message) {
 	g := (*Gateway)(o)
 	if fate == mgcp.PeerSuspect {
-		g.agentIndex++ // another address of the notified entity
+		g.agentIndex++ // try the next address of the notified entity
 		return
 	}
 	done := g.outstanding[id]
@@ -382,7 +383,7 @@
 }
 
 func (g *Gateway) sendCommand(m mgcp.Message, done func(ok bool)) {
-	if g.faults.ReuseTransactionIDs { // RFC 3435 asks for THist between two uses
+	if g.faults.ReuseTransactionIDs { // RFC 3435 requires THist between two uses
 		g.transactionIDs = mgcp.NewTransactionIDs(uint32(g.random.IntN(3)))
 		g.sender = mgcp.NewSender(g.transactionIDs, g.random.Uint64(), (*mgcpOutput)(g))
 	}
@@ -390,7 +391,7 @@
 	g.outstanding[id] = done
 }
 
-// reportRestart tells the call agent of a start, or that it could not be reached; until it is answered it reports again.
+// reportRestart sends RestartInProgress after a start or a lost call agent, and repeats it until it is acknowledged.
 func (g *Gateway) reportRestart(method string, life int) {
 	if life != g.incarnation || !g.unregistered {
 		return
@@ -441,7 +442,7 @@
 	}
 }
 
-// sendSecondResponse contradicts the first: another connection, which it makes as well.
+// sendSecondResponse creates another connection and reports it in a second response that contradicts the first.
 func (g *Gateway) sendSecondResponse(m, reply mgcp.Message, to netip.AddrPort) {
 	local, _, _ := strings.Cut(m.Endpoint, "@")
 	if i, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/")); err == nil && reply.Code == mgcp.CodeOK {
--- a/internal/standin/phone.go
+++ b/internal/standin/phone.go
@@ -12,10 +12,10 @@
 	"indigodrift/internal/mgcp"
 )
 
-// toneCodes numbers tones for the log.
+// toneCodes are the codes of tones in the audit log.
 var toneCodes = map[string]int64{"": 0, "L/dl": 1, "L/bz": 2, "G/cg": 3, "L/ro": 4, "L/rg": 5, "L/ot": 6}
 
-// executeCommand does what a command asks of one endpoint or of all, and returns the response.
+// executeCommand executes a command for one endpoint or for all, and returns the response.
 func (g *Gateway) executeCommand(m mgcp.Message) mgcp.Message {
 	local, _, _ := strings.Cut(m.Endpoint, "@")
 	if strings.HasSuffix(local, "*") {
@@ -41,7 +41,7 @@
 	default:
 		return mgcp.Message{Code: mgcp.CodeUnknownCommand}
 	}
-	if s, _ := m.Param("S"); strings.HasPrefix(s, "L/rg") && !p.offHook && g.random.Float64() < g.faults.GlareRatio { // lifted to dial, at that instant
+	if s, _ := m.Param("S"); strings.HasPrefix(s, "L/rg") && !p.offHook && g.random.Float64() < g.faults.GlareRatio { // goes off hook to dial at the same moment
 		g.goOffHook(i)
 		g.scheduleUserAction(i, time.Second, func() { g.goOnHook(i) })
 	}
@@ -63,7 +63,7 @@
 		reply.Params = []mgcp.Param{{Name: "I", Value: g.createConnection(i, call, mode == "sendrecv")}}
 		reply.Session = []byte("v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio " + strconv.Itoa(30000+2*i) + " RTP/AVP 0\r\n")
 	case mgcp.ModifyConnection, mgcp.DeleteConnection:
-		if call, _ := m.Param("C"); m.Verb == mgcp.DeleteConnection && id == "" { // all of the call (RFC 3435, 2.3.8)
+		if call, _ := m.Param("C"); m.Verb == mgcp.DeleteConnection && id == "" { // all connections of the call (RFC 3435, 2.3.8)
 			for n := len(p.connections) - 1; n >= 0; n-- {
 				if p.connections[n].callID == call {
 					g.logEvent(audit.ConnectionChanged, i, p.callRef, p.connections[n].serial, 0)
@@ -97,7 +97,7 @@
 	return id
 }
 
-// hookStateError tells whether what is asked does not go with the hook (401, 402).
+// hookStateError returns 401 or 402 if the request does not fit the hook state, else 0.
 func (g *Gateway) hookStateError(i int, m mgcp.Message) int {
 	if _, asks := m.Param("X"); !asks {
 		return 0
@@ -147,7 +147,7 @@
 	return reply
 }
 
-// applyNotificationRequest takes a notification request, also one within another command.
+// applyNotificationRequest processes a notification request, which may be part of another command.
 func (g *Gateway) applyNotificationRequest(i int, m mgcp.Message) {
 	x, ok := m.Param("X")
 	if !ok {
@@ -181,7 +181,7 @@
 	}
 }
 
-// handleEvent takes an event: notified if it was asked for, else kept until something is asked for again.
+// handleEvent notifies an event that was requested. Without a pending request, the event waits in quarantine.
 func (g *Gateway) handleEvent(i int, e mgcp.Event) {
 	p := &g.phones[i]
 	switch {
@@ -225,7 +225,7 @@
 	})
 }
 
-// simulateUserReaction lets the user of a phone notice what a command has changed.
+// simulateUserReaction makes the user of a phone react to the changes of a command.
 func (g *Gateway) simulateUserReaction(i int) {
 	p := &g.phones[i]
 	both := false
@@ -239,7 +239,7 @@
 			break
 		}
 		g.dialDigit(i, c, p.userActions, 0)
-	case p.offHook && c != nil && !c.Dialled && p.tone == "G/cg": // no room to dial
+	case p.offHook && c != nil && !c.Dialled && p.tone == "G/cg": // congestion before dialling
 		c.Refused = true
 		g.scheduleUserAction(i, 300*time.Millisecond, func() { g.goOnHook(i) })
 	case p.waiting && both:
@@ -262,7 +262,7 @@
 	}
 }
 
-// scheduleUserAction has a phone's user do something, unless something else has come up by then.
+// scheduleUserAction runs an action of a phone's user later, unless another action comes first.
 func (g *Gateway) scheduleUserAction(i int, d time.Duration, do func()) {
 	p := &g.phones[i]
 	p.userActions++
@@ -297,7 +297,7 @@
 	g.handleEvent(i, mgcp.Event{Package: mgcp.PackageLine, Name: "hu"})
 }
 
-// startCall has a user make a call, if the phone is free.
+// startCall starts a call if the phone is free.
 func (g *Gateway) startCall(c *PhoneCall) {
 	p := &g.phones[c.Phone]
 	if p.offHook || p.ringing || p.call != nil {
@@ -309,7 +309,7 @@
 	p.callRef = isup.Reference{Point: exchange.PointCode(g.config.Exchange), Identity: uint32(g.config.Number)<<17 | g.serial&0x1ffff}
 	p.userActions++
 	g.goOffHook(c.Phone)
-	g.scheduleUserAction(c.Phone, c.AbandonTime, func() { // no dial tone
+	g.scheduleUserAction(c.Phone, c.AbandonTime, func() { // no dial tone in time
 		if p.call == c && !c.Dialled {
 			c.Skipped = true
 			g.goOnHook(c.Phone)
@@ -317,13 +317,13 @@
 	})
 }
 
-// dialDigit dials one digit after the other.
+// dialDigit dials digit n of the number and schedules the next one.
 func (g *Gateway) dialDigit(i int, c *PhoneCall, turn, n int) {
 	p := &g.phones[i]
 	life := g.incarnation
 	wait := g.config.DigitInterval
 	if g.random.Float64() < g.faults.SlowDigitsRatio {
-		wait = 4 * time.Second // as long as the gateway waits for the next one
+		wait = 4 * time.Second // as long as the gateway's digit timer
 	}
 	g.schedule(wait, func() {
 		if p.userActions != turn || life != g.incarnation || p.call != c {
@@ -335,14 +335,14 @@
 		g.handleEvent(i, mgcp.Event{Package: mgcp.PackageDTMF, Name: c.Digits[n : n+1]})
 		if n < len(c.Digits)-1 && wait < 4*time.Second {
 			g.dialDigit(i, c, turn, n+1)
-		} else if n < len(c.Digits)-1 { // the time-out and the digit fall together
+		} else if n < len(c.Digits)-1 { // the digit timer expires at the same time
 			g.handleEvent(i, mgcp.Event{Package: mgcp.PackageDTMF, Name: "T"})
 			g.dialDigit(i, c, turn, n+1)
 		}
 	})
 }
 
-// finishDialling: the last digit is pressed, and the caller waits.
+// finishDialling records that the last digit is dialled. From here the caller waits.
 func (g *Gateway) finishDialling(i int, c *PhoneCall) {
 	p := &g.phones[i]
 	c.Dialled, p.waiting, p.dialledAt = true, true, time.Now()
@@ -351,7 +351,7 @@
 	g.scheduleImpatience(i, c)
 }
 
-// scheduleImpatience has some callers flash or hang up while they wait.
+// scheduleImpatience makes some callers flash or hang up while they wait.
 func (g *Gateway) scheduleImpatience(i int, c *PhoneCall) {
 	p := &g.phones[i]
 	turn := p.userActions
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -13,16 +13,17 @@
 	"indigodrift/policy"
 )
 
-// Register watches the lamps of switches, late, and tells every controller that calls; the centre's advice rides along.
+// Register simulates the register of switches. It publishes their status with a delay to every connected controller, and
+// sends advice on tandems.
 type Register struct {
 	switches     []*Switch
-	circuits     [][]int // circuits between two exchanges
+	circuits     [][]int // number of circuits between two exchanges
 	log          *audit.Log
 	interval     time.Duration
 	mu           sync.Mutex
 	delay        time.Duration
 	faultCleared bool
-	fault        string // trouble: how the next lists are wrong
+	fault        string // how the next lists are wrong
 	version      uint64
 	observations []observation
 	published    []membership.Entry
@@ -43,13 +44,13 @@
 	told     bool
 }
 
-// NewRegister makes a register over switches, told of a change late.
+// NewRegister returns a register that publishes a change of the switches after late.
 func NewRegister(switches []*Switch, sizes [][]int, late, every time.Duration, log *audit.Log) *Register {
 	return &Register{switches: switches, circuits: sizes, delay: late, interval: every, log: log, clients: map[*client]bool{},
 		stop: make(chan struct{})}
 }
 
-// Start serves on a listener.
+// Start serves controllers on ln.
 func (r *Register) Start(ln net.Listener) {
 	r.listener = ln
 	r.wg.Go(func() {
@@ -64,7 +65,7 @@
 	r.wg.Go(r.publishChanges)
 }
 
-// Stop ends it.
+// Stop shuts the register down.
 func (r *Register) Stop() {
 	close(r.stop)
 	r.listener.Close()
@@ -76,8 +77,10 @@
 	r.wg.Wait()
 }
 
-// SetDelay changes how late changes are told; Wrong how lists are wrong: short, repeated, contradictory, stale or not at all.
+// SetDelay sets the time after which a change is published.
 func (r *Register) SetDelay(d time.Duration) { r.mu.Lock(); r.delay = d; r.mu.Unlock() }
+
+// SetFault sets how the next lists are wrong: short, repeated, contradictory or stale; "" stands for correct lists.
 func (r *Register) SetFault(how string) {
 	r.mu.Lock()
 	r.fault, r.faultCleared = how, how == ""
@@ -104,12 +107,12 @@
 			for i, l := range r.observations[0].entries {
 				changed = changed || r.published == nil || l.Ready != r.published[i].Ready || l.Draining != r.published[i].Draining || l.Incarnation != r.published[i].Incarnation
 			}
-			for i := range r.observations[0].entries { // how long it has been up is reckoned when it is told
+			for i := range r.observations[0].entries { // the uptime counts until publication
 				r.observations[0].entries[i].Uptime += policy.Tenths(now.Sub(r.observations[0].at) / (100 * time.Microsecond))
 			}
 			r.published, r.observations = r.observations[0].entries, r.observations[1:]
 		}
-		if changed || r.fault != "" || r.faultCleared { // once it is well again all are told so
+		if changed || r.fault != "" || r.faultCleared { // send a correct list after a fault is cleared
 			r.faultCleared = false
 			r.version++
 			for c := range r.clients {
@@ -128,7 +131,7 @@
 	}
 }
 
-// sendList writes the whole list to one controller; the lock is held.
+// sendList sends the whole list to one controller. The caller holds the lock.
 func (r *Register) sendList(c *client) {
 	l := membership.List{Epoch: 1, Version: r.version, Full: true, Count: len(r.published), Entries: r.published}
 	switch r.fault {
@@ -146,7 +149,7 @@
 		if s.Ready {
 			e.CIC = 1
 		}
-		// What a controller must not believe tells it nothing; a list that is sent twice, or wrong about one switch, does.
+		// Record only the entries that the controller must accept: none of a short or stale list, and not the contradictory one.
 		if r.fault == "" || r.fault == "repeated" || r.fault == "contradictory" && s.ID != l.Entries[0].ID {
 			r.log.Add(e)
 		}
@@ -168,7 +171,7 @@
 	}
 }
 
-// sendAdvice tells each controller, for each destination, the tandem with most room on both legs at this look.
+// sendAdvice sends each controller the tandem with the most free circuits on both legs, for each destination.
 func (r *Register) sendAdvice() {
 	n := len(r.switches)
 	room := make([][]int, n)
--- a/internal/standin/subscribers.go
+++ b/internal/standin/subscribers.go
@@ -12,7 +12,8 @@
 	"indigodrift/internal/m3ua"
 )
 
-// Caller is one subscriber who wants one call; its times count from the day's begin. The second half is what came of it.
+// Caller is one subscriber who attempts one call. Times count from the start of the day. The fields from Attempts on hold
+// the outcome.
 type Caller struct {
 	StartTime                 time.Duration
 	From, Dest, Bearer, Width int
@@ -20,26 +21,26 @@
 	AbandonTime               time.Duration
 
 	Attempts       int
-	EstablishedAt  time.Duration // when it first stood, 0 never
-	Disconnections int           // times that it stood and the network ended it
-	Disconnected   bool          // it stood and was cut, and did not stand again in time
+	EstablishedAt  time.Duration // when the call was first established; 0: never
+	Disconnections int           // how often the network ended the established call
+	Disconnected   bool          // the call was disconnected and not established again in time
 	Refused        int
 	Failed         int
 	Abandoned      int
 	disconnectedAt time.Duration
-	gosTarget      time.Duration // GoSTargets target
+	gosTarget      time.Duration
 }
 
-// Line is the number that the caller dials at its exchange.
+// Line returns the line number that the caller dials at the destination exchange.
 func (c *Caller) Line() uint32 { return uint32(c.StartTime/time.Microsecond) % 1000000 }
 
-// SubscriberBehaviour of subscribers.
+// SubscriberBehaviour is how subscribers redial and abandon.
 type SubscriberBehaviour struct {
 	MaxRedials           int
-	InitialBackoff       time.Duration // before the first redial; it doubles
-	RetryAfterCompliance float64       // share who heed a time to come back
-	AttemptTimeRatio     float64       // part of the abandon time that one dial is given
-	MaxReconnectDelay    time.Duration // a call that was cut is dialled again within
+	InitialBackoff       time.Duration // before the first redial; doubles with each attempt
+	RetryAfterCompliance float64       // share of subscribers that observe a given retry time
+	AttemptTimeRatio     float64       // fraction of the abandon time that one attempt may take
+	MaxReconnectDelay    time.Duration // a disconnected call is dialled again within this time
 	GoSTargets           []time.Duration
 }
 
@@ -52,7 +53,7 @@
 
 type action struct {
 	at        time.Duration
-	kind      byte // d dial, l leave, h hang up
+	kind      byte // 'd' dial, 'l' abandon, 'h' hang up
 	caller    *Caller
 	attempt   *attempt
 	reconnect bool
@@ -73,7 +74,7 @@
 	conn     net.Conn
 }
 
-// Subscribers dial at their set times whatever the exchanges do.
+// Subscribers simulates subscribers, which dial at fixed times whatever the exchanges do.
 type Subscribers struct {
 	behaviour         SubscriberBehaviour
 	dialer            func(exchange int) (net.Conn, error)
@@ -85,12 +86,12 @@
 	nextCIC           []uint16
 	lastIdentity      uint32
 	linkEvents        chan linkEvent
-	earlyAbandonRatio float64 // trouble: share of callers who leave early
+	earlyAbandonRatio float64 // share of callers who abandon early
 	mu                sync.Mutex
-	maxDialDelay      time.Duration // the worst that a dial was behind its time
+	maxDialDelay      time.Duration // longest delay of a dial after its planned time
 }
 
-// NewSubscribers makes the subscribers of a number of exchanges.
+// NewSubscribers returns the subscribers of all exchanges. The dialer connects to the switch of an exchange.
 func NewSubscribers(exchanges int, callers []*Caller, h SubscriberBehaviour, seed uint64, dialer func(int) (net.Conn, error)) *Subscribers {
 	s := &Subscribers{behaviour: h, dialer: dialer, random: rand.New(rand.NewPCG(seed, 77)), conns: make([]net.Conn, exchanges),
 		nextCIC: make([]uint16, exchanges), linkEvents: make(chan linkEvent, 4096)}
@@ -105,17 +106,17 @@
 	return s
 }
 
-// SetEarlyAbandonRatio has a share of the callers give up long before their time.
+// SetEarlyAbandonRatio makes a share of the callers abandon long before their time.
 func (s *Subscribers) SetEarlyAbandonRatio(share float64) {
 	s.mu.Lock()
 	s.earlyAbandonRatio = share
 	s.mu.Unlock()
 }
 
-// MaxDialDelay is the worst that a dial went out behind its time.
+// MaxDialDelay returns the longest delay of a dial after its planned time.
 func (s *Subscribers) MaxDialDelay() time.Duration { return s.maxDialDelay }
 
-// Run dials until every caller is done or stop closes.
+// Run makes the calls until every caller is done or stop is closed.
 func (s *Subscribers) Run(stop <-chan struct{}) {
 	s.startTime = time.Now()
 	var all sync.WaitGroup
@@ -148,7 +149,7 @@
 			c.Close()
 		}
 	}
-	go func() { // readers may be handing over
+	go func() { // a reader may be sending still
 		for range s.linkEvents {
 		}
 	}()
@@ -156,7 +157,7 @@
 	close(s.linkEvents)
 }
 
-// maintainLink keeps the connection to one exchange's switch.
+// maintainLink maintains the connection to one exchange's switch.
 func (s *Subscribers) maintainLink(i int, closing chan struct{}) {
 	for {
 		conn, err := s.dialer(i)
@@ -252,7 +253,7 @@
 	heap.Push(&s.actions, action{at: now + ttl, kind: 'l', caller: c, attempt: d})
 }
 
-// scheduleRedial has a caller dial once more, if its patience and habits allow.
+// scheduleRedial schedules the next attempt of a caller, if its abandon time and behaviour allow one.
 func (s *Subscribers) scheduleRedial(c *Caller, comeBack, now time.Duration) {
 	if c.Attempts > s.behaviour.MaxRedials {
 		return
@@ -304,7 +305,7 @@
 	}
 }
 
-// handleNetworkRelease ends a dial that the network ended.
+// handleNetworkRelease ends an attempt that the network released.
 func (s *Subscribers) handleNetworkRelease(d *attempt, refused bool, comeBack, now time.Duration) {
 	c := d.caller
 	s.endAttempt(d)
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -1,6 +1,6 @@
-// Package standin holds the parties that the project writes for itself to run exchanges against: switches with a
-// processor and lines, the register with the centre, and subscribers. They are plain and honest: what a trouble makes them
-// do wrong, they do on the sockets, and what they see there goes into the audit's log.
+// Package standin simulates the peers of a controller: switches with a processor and subscriber lines, the register,
+// subscribers, gateways with phones, and a portability server. Faults show on their sockets, and what they see there goes
+// into the audit log.
 package standin
 
 import (
@@ -17,37 +17,37 @@
 	"indigodrift/internal/m3ua"
 )
 
-// Processor is what a processor is: how long each kind of job takes when it is warm and undisturbed.
+// Processor describes the processor of a switch. Times of jobs hold for a warm processor without faults.
 type Processor struct {
-	SetUpTime, MessageTime time.Duration // a set-up looked at, also one refused; an answer or a release
-	MaxWait                time.Duration // set-ups are refused once they would wait so long
+	SetUpTime, MessageTime time.Duration // time of a set-up, refused or not; time of an answer or a release
+	MaxWait                time.Duration // set-ups that would wait longer are refused
 	ReportInterval         time.Duration
-	ReportNoise            float64 // of reports
+	ReportNoise            float64 // relative error of reported waits
 	InitialCapacity        float64
 	RampTime               time.Duration
 	OverloadMultiple       float64
 	OverloadWindow         time.Duration
-	WarmStart              bool // warm at the first start
+	WarmStart              bool // the first start is warm
 }
 
-// SwitchFaults is what a trouble does to a switch while it lasts.
+// SwitchFaults are the present faults of a switch.
 type SwitchFaults struct {
-	Slowdown        float64 // times slower, 1 when well
-	OtherLoad       float64 // share of the processor that other work takes
-	Hung            bool    // does no work at all
-	AnswerLossRatio float64 // share of answers to other exchanges that do not leave
-	ResetOnLoss     bool    // the link of a lost answer is reset
-	HalfOpen        bool    // reads and drops all, says nothing (a half-open link)
-	MaxWriteSize    int     // writes go out in pieces of so many octets
+	Slowdown        float64 // factor; 1: normal speed
+	OtherLoad       float64 // share of the processor taken by other work
+	Hung            bool    // the processor does nothing
+	AnswerLossRatio float64 // share of answers to other exchanges that are not sent
+	ResetOnLoss     bool    // reset the link of a lost answer
+	HalfOpen        bool    // links of other exchanges are read, but messages are dropped and none is sent
+	MaxWriteSize    int     // octets per write; 0: no limit
 }
 
 type job struct {
 	cost      time.Duration
 	run       func(wait time.Duration)
-	cancelled *bool // set: the set-up was given up while it waited, and costs nothing
+	cancelled *bool // the set-up was released while it waited, and costs nothing; nil for other jobs
 }
 
-// setUpKey names a set-up that waits in line: who sent it, on which circuit.
+// setUpKey identifies a queued set-up by its sender and circuit.
 type setUpKey struct {
 	pointCode uint32
 	cic       uint16
@@ -56,12 +56,12 @@
 type peer struct {
 	conn      net.Conn
 	pointCode uint32
-	draining  bool // the own controller drains: no set-up goes there, what ends calls does
+	draining  bool // the own controller drains: it gets no more set-ups, but still what ends calls
 	mu        sync.Mutex
 	buf       []byte
 }
 
-// Switch is one exchange's switch.
+// Switch simulates the switch of one exchange.
 type Switch struct {
 	Number        int
 	processor     Processor
@@ -76,29 +76,29 @@
 	draining      bool
 	faults        SwitchFaults
 	peers         map[uint32]*peer
-	connections   map[net.Conn]bool // every one open, also those that speak for nobody any more
+	connections   map[net.Conn]bool // all open connections, also those that are no peer's any more
 	priorityQueue []job
 	setUpQueue    []job
-	queuedWork    time.Duration // work that waits
+	queuedWork    time.Duration // processing time of all queued jobs
 	wake          chan struct{}
 	stop          chan struct{}
-	reportedWait  time.Duration // wait last reported
+	reportedWait  time.Duration // wait in the last report
 	reportedAt    time.Time
-	coldSetUps    []time.Time // while cold
+	coldSetUps    []time.Time // recent set-ups while the switch is cold
 	lostCircuits  map[uint32]map[uint16]bool
-	busyCircuits  map[uint32]map[uint16]uint32 // by exchange whose calls they are: circuits held, as slots of the call
-	lineCalls     map[uint16]isup.Reference    // subscriber's circuit: the call on it
+	busyCircuits  map[uint32]map[uint16]uint32 // by remote exchange and first circuit of a call: bit mask of the circuits in use
+	lineCalls     map[uint16]isup.Reference    // by subscriber circuit
 	queuedSetUps  map[setUpKey]*bool
 	wg            sync.WaitGroup
 }
 
-// NewSwitch makes a switch that is off; Start turns it on.
+// NewSwitch returns a switch that is switched off.
 func NewSwitch(number int, work Processor, seed uint64, log *audit.Log) *Switch {
 	return &Switch{Number: number, processor: work, log: log, random: rand.New(rand.NewPCG(seed, uint64(number))), faults: SwitchFaults{Slowdown: 1},
 		lostCircuits: map[uint32]map[uint16]bool{}}
 }
 
-// Start turns the switch on; from the second life on it is cold.
+// Start switches the switch on. From the second start on it is cold.
 func (s *Switch) Start(listen func() (net.Listener, error)) error {
 	ln, err := listen()
 	if err != nil {
@@ -124,14 +124,14 @@
 	return nil
 }
 
-// Stop ends this life: every connection breaks and what was waiting is gone.
+// Stop switches the switch off. All connections and queued jobs are lost.
 func (s *Switch) Stop() {
 	s.mu.Lock()
 	if s.running {
 		s.running = false
 		s.listener.Close()
 		close(s.stop)
-		for c := range s.connections { // with the peers' alone, one that had drained held the end up for ever
+		for c := range s.connections { // closing the peers' alone would wait forever for a connection that had drained
 			c.Close()
 		}
 	}
@@ -139,27 +139,29 @@
 	s.wg.Wait()
 }
 
-// Status is what the register sees.
+// Status returns what the register sees of the switch.
 func (s *Switch) Status() (life int, up time.Duration, ready, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	up = time.Since(s.startTime)
-	if !s.cold { // it has run for long when the day begins
+	if !s.cold { // a warm switch has run for long before the day starts
 		up += time.Hour
 	}
 	return s.incarnation, up, s.running && !s.draining, s.running && s.draining
 }
 
-// UpdateFaults changes what disturbs the switch; Drain its lamp.
+// UpdateFaults changes the faults of the switch.
 func (s *Switch) UpdateFaults(change func(d *SwitchFaults)) {
 	s.mu.Lock()
 	change(&s.faults)
 	s.mu.Unlock()
 	s.wakeProcessor()
 }
+
+// SetDraining sets whether the switch reports that it drains.
 func (s *Switch) SetDraining(on bool) { s.mu.Lock(); s.draining = on; s.mu.Unlock() }
 
-// ResetLinks resets the connections of other exchanges' controllers, all or a share of them.
+// ResetLinks resets a share of the connections from other exchanges' controllers.
 func (s *Switch) ResetLinks(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +172,7 @@
 	}
 }
 
-// resetConnection closes a connection so that the far end sees a reset where there is one to see.
+// resetConnection closes a connection with a TCP reset where the network has one.
 func resetConnection(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -178,8 +180,8 @@
 	c.Close()
 }
 
-// SetLostCircuits takes circuits of the group to another exchange out of service, cutting that exchange's calls on them; with
-// none, all are back.
+// SetLostCircuits sets which circuits of the group to another exchange are out of service. Calls of that exchange on them
+// are disconnected, and all others are back in service.
 func (s *Switch) SetLostCircuits(to int, cics []uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,7 +201,7 @@
 	}
 }
 
-// DisconnectCalls cuts a share of the calls that come in from other exchanges; their circuits stay.
+// DisconnectCalls disconnects a share of the calls from other exchanges. The circuits stay in service.
 func (s *Switch) DisconnectCalls(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,7 +227,7 @@
 	s.sendMessage(s.peers[own], point, own, m)
 }
 
-// BusyCircuits counts the circuits that calls of another exchange hold here.
+// BusyCircuits returns the number of circuits in use by calls from another exchange.
 func (s *Switch) BusyCircuits(of int) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,7 +239,7 @@
 	return n
 }
 
-// capacity is the part of its full speed that the processor has now.
+// capacity returns the present speed of the processor relative to its full speed.
 func (s *Switch) capacity() float64 {
 	v := 1.0
 	if age := time.Since(s.startTime); s.cold && age < s.processor.RampTime {
@@ -246,7 +248,7 @@
 	return v / s.faults.Slowdown * (1 - s.faults.OtherLoad)
 }
 
-// runProcessor works off one job after the other, answers and releases first.
+// runProcessor executes the queued jobs one by one, answers and releases first.
 func (s *Switch) runProcessor(stop, kick chan struct{}) {
 	free := time.Now()
 	for {
@@ -276,7 +278,7 @@
 		}
 		took := time.Duration(float64(j.cost) / s.capacity())
 		s.mu.Unlock()
-		free = maxTime(free, time.Now().Add(-2*time.Millisecond)).Add(took) // sleeping long is made up for
+		free = maxTime(free, time.Now().Add(-2*time.Millisecond)).Add(took) // catch up after an overlong sleep
 		if d := time.Until(free); d > 0 {
 			select {
 			case <-stop:
@@ -298,7 +300,7 @@
 	return b
 }
 
-// enqueue puts a job in line; the lock is held.
+// enqueue queues a job. The caller holds the lock.
 func (s *Switch) enqueue(fresh bool, cost time.Duration, do func(time.Duration)) {
 	queue := &s.priorityQueue
 	if fresh {
@@ -309,7 +311,7 @@
 	s.wakeProcessorLocked()
 }
 
-// enqueueSetUp puts a set-up in line for the own controller, from which a release drops it again.
+// enqueueSetUp queues a set-up for the own controller. A release cancels it while it waits.
 func (s *Switch) enqueueSetUp(point uint32, m isup.Message, arrived time.Time) {
 	void := new(bool)
 	at := setUpKey{point, m.CIC}
@@ -323,7 +325,7 @@
 	s.setUpQueue[len(s.setUpQueue)-1].cancelled = void
 }
 
-// cancelSetUp takes a set-up out of the line, and tells whether it was there.
+// cancelSetUp cancels a queued set-up and reports whether there was one.
 func (s *Switch) cancelSetUp(point uint32, cic uint16) bool {
 	void := s.queuedSetUps[setUpKey{point, cic}]
 	if void == nil {
@@ -386,14 +388,14 @@
 		s.mu.Lock()
 		switch {
 		case s.faults.HalfOpen && p.pointCode < exchange.FirstSubscriberPoint && p.pointCode != uint32(exchange.PointCode(s.Number)):
-			// Nothing is done, but what came was seen: without it the audit held tries to be out that had been released.
+			// Dropped, but recorded: otherwise the audit would take released route tries for open ones.
 			if m, err := isup.Decode(f.UserData); f.Kind == m3ua.Data && err == nil && m.Type == isup.REL {
 				s.log.Add(audit.Event{Kind: audit.TryReleased, Site: s.Number, Peer: int(p.pointCode) - 1, CIC: m.CIC})
 			}
 		case f.Kind == m3ua.Heartbeat:
 			s.sendFrame(p, m3ua.Frame{Kind: m3ua.HeartbeatAck, UserData: f.UserData})
 		case f.Kind == m3ua.ASPDown:
-			// With the peer forgotten here its callers' releases were lost, and it answered callers who had left.
+			// Keep the peer: without it the releases of its callers would be lost, and it would answer calls that were abandoned.
 			p.draining = true
 		case f.Kind == m3ua.Data:
 			var m isup.Message
@@ -415,7 +417,7 @@
 	s.mu.Unlock()
 }
 
-// handleMessage puts a message in the processor's line; the lock is held.
+// handleMessage queues a received message for the processor. The caller holds the lock.
 func (s *Switch) handleMessage(p *peer, to uint32, m isup.Message) {
 	own := uint32(exchange.PointCode(s.Number))
 	far := int(p.pointCode) - 1
@@ -441,7 +443,7 @@
 			if s.busyCircuits[p.pointCode] == nil {
 				s.busyCircuits[p.pointCode] = map[uint16]uint32{}
 			}
-			for lead, held := range s.busyCircuits[p.pointCode] { // a call that a restarted controller dropped without a word is over by now
+			for lead, held := range s.busyCircuits[p.pointCode] { // a restarted controller has dropped an earlier call without a release
 				if lead/32 == m.CIC/32 && held&bits != 0 {
 					delete(s.busyCircuits[p.pointCode], lead)
 				}
@@ -493,7 +495,8 @@
 	}
 }
 
-// refuseSetUp turns a set-up away when no controller is there, its circuit is lost, or the line of work is too long.
+// refuseSetUp refuses a set-up and returns true if there is no controller, the circuit is out of service, or the processor's
+// queue is too long.
 func (s *Switch) refuseSetUp(p *peer, own, to uint32, m isup.Message) bool {
 	r := isup.Message{CIC: m.CIC, Type: isup.REL, Cause: isup.Congestion, Location: isup.LocalNetwork}
 	wait := time.Duration(float64(s.queuedWork) / s.capacity())
@@ -517,7 +520,8 @@
 	return true
 }
 
-// failsFromOverload tells whether the set-up that just came pushes a cold processor over; the lock is held.
+// failsFromOverload reports whether the received set-up overloads a cold processor, and stops the switch then. The caller
+// holds the lock.
 func (s *Switch) failsFromOverload() bool {
 	now := time.Now()
 	if !s.cold || time.Since(s.startTime) > s.processor.RampTime {
@@ -536,16 +540,16 @@
 	return true
 }
 
-// sendToController passes a message on to the own controller, which may not be there.
+// sendToController passes a message on to the own controller, if it is connected.
 func (s *Switch) sendToController(from uint32, m isup.Message, arrived time.Time) {
 	own := uint32(exchange.PointCode(s.Number))
 	p := s.peers[own]
-	if p != nil && p.draining && m.Type == isup.IAM { // it was in line when the controller said that it drains
+	if p != nil && p.draining && m.Type == isup.IAM { // queued before the controller reported that it drains
 		p = nil
 	}
 	if m.UserInfo.Present&isup.PartTimeLeft != 0 {
 		waited := uint32(time.Since(arrived) / (100 * time.Microsecond))
-		if m.UserInfo.TimeLeft <= waited { // its caller is gone
+		if m.UserInfo.TimeLeft <= waited { // the caller has abandoned
 			return
 		}
 		m.UserInfo.TimeLeft -= waited
@@ -573,10 +577,10 @@
 	s.sendMessage(p, from, own, m)
 }
 
-// clock is what stamps count with.
+// clock returns the time that stamps count with, in units of 100 µs.
 func (s *Switch) clock() uint32 { return uint32(time.Since(s.startTime) / (100 * time.Microsecond)) }
 
-// sendBack sends a message of the own controller, or a refusal of the switch itself, to the exchange whose call it concerns.
+// sendBack sends a message of the own controller, or a refusal of the switch itself, to the exchange that sent the call.
 func (s *Switch) sendBack(to uint32, m isup.Message, wait time.Duration) {
 	if time.Since(s.reportedAt) >= s.processor.ReportInterval {
 		s.reportedWait, s.reportedAt = time.Duration(float64(wait)*(1+s.processor.ReportNoise*(2*s.random.Float64()-1))), time.Now()
@@ -616,7 +620,8 @@
 	s.sendFrame(p, m3ua.Frame{Kind: m3ua.Data, OPC: from, DPC: to, UserData: b})
 }
 
-// sendFrame writes a frame; a far end that does not read loses its connection rather than hold the switch up.
+// sendFrame writes a frame. The connection is closed if the peer does not read within the write timeout, so that the switch
+// is not blocked.
 func (s *Switch) sendFrame(p *peer, f m3ua.Frame) {
 	if s.faults.HalfOpen && p.pointCode < exchange.FirstSubscriberPoint && p.pointCode != uint32(exchange.PointCode(s.Number)) {
 		return
