--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -15,12 +15,12 @@
 
 // dayLog returns a log with the parameters of the rules, one call offered at 1 s with 3 s left, and the events of a case.
 func dayLog(more ...Event) []Event {
-	all := []Event{{Kind: Parameter, Site: ParameterDrainGrace, Value: 250 * ms}, {Kind: Parameter, Site: ParameterReleaseTime, Value: 300 * ms},
+	events := []Event{{Kind: Parameter, Site: ParameterDrainGrace, Value: 250 * ms}, {Kind: Parameter, Site: ParameterReleaseTime, Value: 300 * ms},
 		{Kind: Parameter, Site: ParameterRampTime, Value: 14000 * ms}, {Kind: Parameter, Site: ParameterOverloadWindow, Value: 1500 * ms},
 		{Kind: Parameter, Site: ParameterOverloadMultiple, Value: 3000}, {Kind: Parameter, Site: ParameterInitialCapacity, Value: 300},
 		{At: 1000 * ms, Kind: CallOffered, Ref: testCall, Value: 3000 * ms}}
-	all = append(all, more...)
-	return append(all, Event{At: 100000 * ms, Kind: ListEntrySent})
+	events = append(events, more...)
+	return append(events, Event{At: 100000 * ms, Kind: ListEntrySent})
 }
 
 func eventAt(t int64, k Kind, site, peer int) Event {
@@ -45,21 +45,21 @@
 	return Event{At: t * ms, Kind: ListAcknowledged, Site: 0, Value: version}
 }
 
-func TestVerdicts(t *testing.T) {
-	fine := callResponse(1500, isup.ANM)
+func TestCheckReportsViolations(t *testing.T) {
+	answered := callResponse(1500, isup.ANM)
 	for _, c := range []struct {
 		name string
 		log  []Event
 		want []int
 	}{
-		{"an established call", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1400, 3, isup.ANM), fine}, nil},
+		{"an established call", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1400, 3, isup.ANM), answered}, nil},
 		{"no response", nil, []int{1}},
 		{"no response to a call offered just before its deadline", []Event{callResponse(1500, isup.REL), {At: 1000 * ms, Kind: CallOffered, Ref: isup.Reference{Point: 1, Identity: 8}, Value: ms}}, nil},
 		{"the caller abandoned early", []Event{eventAt(2000, CallerReleased, 0, 0)}, nil},
 		{"the caller abandoned at the deadline", []Event{eventAt(4000, CallerReleased, 0, 0)}, []int{1}},
 		{"two refusals", []Event{callResponse(1500, isup.REL), callResponse(1600, isup.REL)}, []int{1}},
-		{"established and released", []Event{fine, callResponse(1600, isup.REL)}, nil},
-		{"established twice", []Event{fine, callResponse(1600, isup.ANM)}, []int{1}},
+		{"established and released", []Event{answered, callResponse(1600, isup.REL)}, nil},
+		{"established twice", []Event{answered, callResponse(1600, isup.ANM)}, []int{1}},
 		{"a response after the deadline by twice the margin", []Event{callResponse(4200, isup.REL)}, []int{1, 1}},
 		{"a response after the caller abandoned", []Event{eventAt(2000, CallerReleased, 0, 0), callResponse(2200, isup.REL)}, []int{1}},
 		{"the caller abandoned during a pause", []Event{eventAt(1500, ControllerPaused, 0, 0), eventAt(2000, CallerReleased, 0, 0), eventAt(2500, ControllerResumed, 0, 0), callResponse(2550, isup.REL)}, nil},
@@ -70,27 +70,27 @@
 		{"no response as the controller was killed", []Event{eventAt(2000, ControllerKilled, 0, 0)}, nil},
 		{"no response as the controller was paused at the deadline", []Event{eventAt(3900, ControllerPaused, 0, 0), eventAt(5000, ControllerResumed, 0, 0)}, nil},
 		{"no response though the controller resumed in time", []Event{eventAt(1100, ControllerPaused, 0, 0), eventAt(2000, ControllerResumed, 0, 0)}, []int{1}},
-		{"two route tries at once", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReceived, 4, 0), fine}, []int{2}},
-		{"the next try after a refusal", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1150, 3, isup.REL), eventAt(1160, TryReceived, 4, 0), fine}, nil},
-		{"the next try after the release time", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1500, TryReceived, 4, 0), fine}, nil},
-		{"the next try too early by twice the margin", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
-		{"too early after a lost link", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, LinkLost, 3, 0), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
-		{"too early after a reset", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, ResetDelivered, 0, 3), eventAt(1300, TryReceived, 4, 0), fine}, []int{5}},
+		{"two route tries at once", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReceived, 4, 0), answered}, []int{2}},
+		{"the next try after a refusal", []Event{eventAt(1100, TryReceived, 3, 0), tryResponse(1150, 3, isup.REL), eventAt(1160, TryReceived, 4, 0), answered}, nil},
+		{"the next try after the release time", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1500, TryReceived, 4, 0), answered}, nil},
+		{"the next try too early by twice the margin", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, TryReleased, 3, 0), eventAt(1300, TryReceived, 4, 0), answered}, []int{5}},
+		{"too early after a lost link", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, LinkLost, 3, 0), eventAt(1300, TryReceived, 4, 0), answered}, []int{5}},
+		{"too early after a reset", []Event{eventAt(1100, TryReceived, 3, 0), eventAt(1200, ResetDelivered, 0, 3), eventAt(1300, TryReceived, 4, 0), answered}, []int{5}},
 		{"a reset of one circuit of a multirate call", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 5}, {At: 1200 * ms, Kind: ResetDelivered, Site: 0, Peer: 3, Ref: testCall, CIC: 3},
-			eventAt(1550, TryReceived, 4, 0), fine}, nil},
+			eventAt(1550, TryReceived, 4, 0), answered}, nil},
 		{"a reset of a circuit next to a multirate call", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 5}, {At: 1200 * ms, Kind: ResetDelivered, Site: 0, Peer: 3, Ref: testCall, CIC: 2},
-			eventAt(1550, TryReceived, 4, 0), fine}, []int{2}},
+			eventAt(1550, TryReceived, 4, 0), answered}, []int{2}},
 		{"dual seizure that the remote exchange wins", []Event{eventAt(1100, TryReceived, 3, 0), {At: 1150 * ms, Kind: SetUpDelivered, Site: 0, Peer: 3, CIC: 1, Slots: 3},
-			eventAt(1151, TryReceived, 4, 0), fine}, nil},
+			eventAt(1151, TryReceived, 4, 0), answered}, nil},
 		{"dual seizure that this exchange wins", []Event{{At: 1100 * ms, Kind: TryReceived, Site: 3, Peer: 0, Ref: testCall, CIC: 1, Slots: 7},
-			{At: 1150 * ms, Kind: SetUpDelivered, Site: 0, Peer: 3, CIC: 1, Slots: 3}, eventAt(1151, TryReceived, 4, 0), fine}, []int{2}},
+			{At: 1150 * ms, Kind: SetUpDelivered, Site: 0, Peer: 3, CIC: 1, Slots: 3}, eventAt(1151, TryReceived, 4, 0), answered}, []int{2}},
 		{"crossed by a reset that was read after a pause", []Event{eventAt(1050, ControllerPaused, 0, 0), eventAt(1100, ResetDelivered, 0, 3), eventAt(1200, ControllerResumed, 0, 0), eventAt(1210, TryReceived, 3, 0),
-			eventAt(1520, TryReceived, 4, 0), fine}, nil},
-		{"crossed by a reset, and sent again too early", []Event{eventAt(1100, ResetDelivered, 0, 3), eventAt(1110, TryReceived, 3, 0), eventAt(1210, TryReceived, 4, 0), fine}, []int{5}},
-		{"sent within the grace time", []Event{listEntry(900, 0, 1), listAck(950, 1), eventAt(1250, TryReceived, 3, 0), fine}, nil},
-		{"sent after the grace time by twice the margin", []Event{listEntry(800, 0, 1), listAck(850, 1), eventAt(1300, TryReceived, 3, 0), fine}, []int{3}},
-		{"list never acknowledged by an active controller", []Event{listEntry(500, 0, 1), eventAt(1100, TryReceived, 4, 0), tryResponse(1150, 4, isup.REL), eventAt(1500, TryReceived, 3, 0), fine}, []int{3}},
-		{"reported not ready, then ready", []Event{listEntry(100, 0, 1), listAck(150, 1), listEntry(900, 1, 2), listAck(910, 2), eventAt(1300, TryReceived, 3, 0), fine}, nil},
+			eventAt(1520, TryReceived, 4, 0), answered}, nil},
+		{"crossed by a reset, and sent again too early", []Event{eventAt(1100, ResetDelivered, 0, 3), eventAt(1110, TryReceived, 3, 0), eventAt(1210, TryReceived, 4, 0), answered}, []int{5}},
+		{"sent within the grace time", []Event{listEntry(900, 0, 1), listAck(950, 1), eventAt(1250, TryReceived, 3, 0), answered}, nil},
+		{"sent after the grace time by twice the margin", []Event{listEntry(800, 0, 1), listAck(850, 1), eventAt(1300, TryReceived, 3, 0), answered}, []int{3}},
+		{"list never acknowledged by an active controller", []Event{listEntry(500, 0, 1), eventAt(1100, TryReceived, 4, 0), tryResponse(1150, 4, isup.REL), eventAt(1500, TryReceived, 3, 0), answered}, []int{3}},
+		{"reported not ready, then ready", []Event{listEntry(100, 0, 1), listAck(150, 1), listEntry(900, 1, 2), listAck(910, 2), eventAt(1300, TryReceived, 3, 0), answered}, nil},
 	} {
 		var got []int
 		for _, b := range Check(dayLog(c.log...)) {
@@ -104,7 +104,7 @@
 
 // Of several lists that were never acknowledged, the last one written must count. Applied in map order, an old list could
 // mark a switch as not ready that was ready again.
-func TestLastOfUnacknowledgedListsCounts(t *testing.T) {
+func TestLastUnacknowledgedListCounts(t *testing.T) {
 	var log []Event
 	for version := range int64(20) {
 		log = append(log, listEntry(100+version, uint16(version%2), version))
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestColdSwitchIsJudgedByAllItGets(t *testing.T) {
+func TestColdSwitchBudgetCountsAllSetUps(t *testing.T) {
 	for _, c := range []struct {
 		setups int
 		told   bool
@@ -125,8 +125,8 @@
 	}{{20, true, false}, {60, true, true}, {60, false, false}} {
 		log := []Event{{At: 500 * ms, Kind: SwitchStarted, Site: 3, CIC: 1, Value: 20_000}, callResponse(1500, isup.REL)} // 20 set-ups per second when warm
 		if c.told {
-			for who := range 5 {
-				log = append(log, Event{At: 600 * ms, Kind: ListEntrySent, Site: who, Peer: 3, CIC: 1, Value: 1}, Event{At: 601 * ms, Kind: ListAcknowledged, Site: who, Value: 1})
+			for controller := range 5 {
+				log = append(log, Event{At: 600 * ms, Kind: ListEntrySent, Site: controller, Peer: 3, CIC: 1, Value: 1}, Event{At: 601 * ms, Kind: ListAcknowledged, Site: controller, Value: 1})
 			}
 		}
 		for n := range c.setups { // refused set-ups count as well: the log has no TryResponse
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestLogReadsBackAndNamesABadLine(t *testing.T) {
+func TestReadRoundTripAndErrorLine(t *testing.T) {
 	var b bytes.Buffer
 	l := NewLog(&b)
 	want := Event{Kind: TryReceived, Site: 3, Peer: 4, Ref: testCall, CIC: 77, Slots: 1 << 30, Value: -5}
@@ -162,7 +162,7 @@
 }
 
 // Checks valid logs of calls from phones at gateways and one log for each violation.
-func TestVerdictsOnPhones(t *testing.T) {
+func TestCheckReportsViolationsOfPhones(t *testing.T) {
 	ref := isup.Reference{Point: 1, Identity: 99}
 	ev := func(t int64, k Kind, slots uint32, v int64) Event {
 		return Event{At: t * ms, Kind: k, Site: 0, Peer: 2, CIC: 5, Ref: ref, Slots: slots, Value: v}
--- a/internal/audit/judge.go
+++ b/internal/audit/judge.go
@@ -111,8 +111,8 @@
 		c.calls[e.Ref] = &offeredCall{site: e.Site, offeredAt: e.At, deadline: e.At + e.Value}
 		c.callOrder = append(c.callOrder, e.Ref)
 	case CallerReleased:
-		if d := c.calls[e.Ref]; d != nil && d.abandonedAt == 0 {
-			d.abandonedAt = e.At
+		if call := c.calls[e.Ref]; call != nil && call.abandonedAt == 0 {
+			call.abandonedAt = e.At
 		}
 	case CallResponse:
 		c.recordActivity(e.Site, e.At)
@@ -138,16 +138,16 @@
 		}
 		for cic := e.CIC; cic <= e.CIC+uint16(e.Value); cic++ {
 			c.closeTry(Event{At: e.At, Site: at, Peer: by, CIC: cic}, true)
-			for k, of := range c.openTries { // a reset of one circuit ends a multirate call
-				if s := c.callTries[of]; k.toSwitch == at && k.controller == by && k.cic/32 == cic/32 && s != nil && s.open[k]&(1<<(cic%32-1)) != 0 {
-					c.closeTry(Event{At: e.At, Site: at, Peer: by, CIC: k.cic}, true)
+			for try, call := range c.openTries { // a reset of one circuit ends a multirate call
+				if state := c.callTries[call]; try.toSwitch == at && try.controller == by && try.cic/32 == cic/32 && state != nil && state.open[try]&(1<<(cic%32-1)) != 0 {
+					c.closeTry(Event{At: e.At, Site: at, Peer: by, CIC: try.cic}, true)
 				}
 			}
 		}
 	case LinkLost:
-		for k := range c.openTries {
-			if k.toSwitch == e.Site && k.controller == e.Peer {
-				c.closeTry(Event{At: e.At, Site: e.Site, Peer: e.Peer, CIC: k.cic}, true)
+		for try := range c.openTries {
+			if try.toSwitch == e.Site && try.controller == e.Peer {
+				c.closeTry(Event{At: e.At, Site: e.Site, Peer: e.Peer, CIC: try.cic}, true)
 			}
 		}
 	case ListEntrySent:
@@ -166,13 +166,13 @@
 		}
 		c.pauses[e.Site] = append(c.pauses[e.Site], interval{e.At, math.MaxInt64})
 	case ControllerResumed:
-		if s := c.pauses[e.Site]; len(s) > 0 && s[len(s)-1].end == math.MaxInt64 {
-			s[len(s)-1].end = e.At
-			for at, ins := range c.deliveredSetUps { // set-ups written during the pause are read now
-				for i := range ins {
-					if at[0] == e.Site && ins[i].At >= s[len(s)-1].start-Margin {
-						ins[i].At = e.At
-						c.dropYieldedTries(ins[i])
+		if state := c.pauses[e.Site]; len(state) > 0 && state[len(state)-1].end == math.MaxInt64 {
+			state[len(state)-1].end = e.At
+			for at, setUps := range c.deliveredSetUps { // set-ups written during the pause are read now
+				for i := range setUps {
+					if at[0] == e.Site && setUps[i].At >= state[len(state)-1].start-Margin {
+						setUps[i].At = e.At
+						c.dropYieldedTries(setUps[i])
 					}
 				}
 			}
@@ -182,9 +182,9 @@
 		delete(c.notReadySince, e.Site)
 		delete(c.lists, e.Site)
 		delete(c.unreadLists, e.Site)
-		for k, by := range c.openTries { // its route tries have no owner any more
-			if k.controller == e.Site {
-				delete(c.openTries, k)
+		for try, by := range c.openTries { // its route tries have no owner any more
+			if try.controller == e.Site {
+				delete(c.openTries, try)
 				delete(c.callTries, by)
 			}
 		}
@@ -192,30 +192,30 @@
 }
 
 // recordActivity notes that a controller is active, which means that it has read the lists written long enough before.
-func (c *checker) recordActivity(site int, at int64) {
+func (c *checker) recordActivity(site int, time int64) {
 	// Apply the lists in the order written: in map order an old list could override a newer one, and a switch that was
 	// ready again was taken for not ready.
 	for _, version := range slices.Sorted(maps.Keys(c.unreadLists[site])) {
-		if at > c.unreadLists[site][version]+maxListReadTime {
-			c.applyList(site, version, at)
+		if time > c.unreadLists[site][version]+maxListReadTime {
+			c.applyList(site, version, time)
 		}
 	}
 }
 
 // applyList records the time at which a controller learns the content of a list.
-func (c *checker) applyList(site int, version, at int64) {
+func (c *checker) applyList(site int, version, time int64) {
 	list := c.lists[site][version]
 	if c.notReadySince[site] == nil {
 		c.notReadySince[site] = map[int]int64{}
 	}
-	for sw, ready := range list {
-		if _, off := c.notReadySince[site][sw]; ready {
-			delete(c.notReadySince[site], sw)
-			if c.informed[sw] != nil {
-				c.informed[sw][site] = true
+	for number, ready := range list {
+		if _, notReady := c.notReadySince[site][number]; ready {
+			delete(c.notReadySince[site], number)
+			if c.informed[number] != nil {
+				c.informed[number][site] = true
 			}
-		} else if !off {
-			c.notReadySince[site][sw] = at
+		} else if !notReady {
+			c.notReadySince[site][number] = time
 		}
 	}
 	for v := range c.unreadLists[site] { // older lists are superseded
@@ -228,41 +228,41 @@
 
 // checkResponse checks rule 1 for a response read from a controller.
 func (c *checker) checkResponse(e Event) {
-	d := c.calls[e.Ref]
+	call := c.calls[e.Ref]
 	switch {
-	case d == nil:
+	case call == nil:
 		c.report(1, e.At, "exchange %d responds to call %v, which it was not offered", e.Site, e.Ref)
-	case d.answeredAt != 0 && !d.established:
+	case call.answeredAt != 0 && !call.established:
 		c.report(1, e.At, "call %v got two responses", e.Ref)
-	case d.answeredAt != 0: // an established call ends
-		d.established = false
+	case call.answeredAt != 0: // an established call ends
+		call.established = false
 		if isup.Type(e.CIC) == isup.ANM {
 			c.report(1, e.At, "call %v got two responses", e.Ref)
 		}
-	case d.abandonedAt != 0 && e.At > c.readTime(d.site, d.abandonedAt)+Margin:
-		c.report(1, e.At, "call %v got its response %d ms after its caller released", e.Ref, (e.At-d.abandonedAt)/1000)
-	case e.At > d.deadline+Margin && !c.wasPaused(d.site, d.deadline):
-		c.report(1, e.At, "call %v got its response %d ms after its deadline", e.Ref, (e.At-d.deadline)/1000)
+	case call.abandonedAt != 0 && e.At > c.readTime(call.site, call.abandonedAt)+Margin:
+		c.report(1, e.At, "call %v got its response %d ms after its caller released", e.Ref, (e.At-call.abandonedAt)/1000)
+	case e.At > call.deadline+Margin && !c.wasPaused(call.site, call.deadline):
+		c.report(1, e.At, "call %v got its response %d ms after its deadline", e.Ref, (e.At-call.deadline)/1000)
 	default:
-		d.answeredAt, d.established = e.At, isup.Type(e.CIC) == isup.ANM
+		call.answeredAt, call.established = e.At, isup.Type(e.CIC) == isup.ANM
 	}
 }
 
 // readTime returns the time by which a controller can have read what was written to it at a given time: the end of the
 // pause if it was paused. Decisions made before the pause are sent then, too.
-func (c *checker) readTime(site int, at int64) int64 {
-	for _, s := range c.pauses[site] {
-		if at >= s.start-Margin && at <= s.end && s.end != math.MaxInt64 {
-			return s.end
+func (c *checker) readTime(site int, written int64) int64 {
+	for _, pause := range c.pauses[site] {
+		if written >= pause.start-Margin && written <= pause.end && pause.end != math.MaxInt64 {
+			return pause.end
 		}
 	}
-	return at
+	return written
 }
 
 // wasPaused reports whether a controller was paused at a given time or had just resumed.
-func (c *checker) wasPaused(site int, at int64) bool {
-	for _, s := range c.pauses[site] {
-		if at >= s.start-Margin && (s.end == math.MaxInt64 || at <= s.end+Margin) {
+func (c *checker) wasPaused(site int, time int64) bool {
+	for _, pause := range c.pauses[site] {
+		if time >= pause.start-Margin && (pause.end == math.MaxInt64 || time <= pause.end+Margin) {
 			return true
 		}
 	}
@@ -271,69 +271,69 @@
 
 // checkUnanswered checks rule 1 for a call without a response.
 func (c *checker) checkUnanswered(ref isup.Reference, last int64) {
-	d := c.calls[ref]
-	early := d.abandonedAt != 0 && d.abandonedAt < d.deadline-Margin
-	if d.answeredAt != 0 || early || d.deadline-d.offeredAt < Margin || d.deadline+Margin > last || c.wasPaused(d.site, d.deadline) {
+	call := c.calls[ref]
+	abandonedEarly := call.abandonedAt != 0 && call.abandonedAt < call.deadline-Margin
+	if call.answeredAt != 0 || abandonedEarly || call.deadline-call.offeredAt < Margin || call.deadline+Margin > last || c.wasPaused(call.site, call.deadline) {
 		return
 	}
-	for _, at := range c.kills[d.site] {
-		if at >= d.offeredAt-Margin && at <= d.deadline+Margin {
+	for _, killedAt := range c.kills[call.site] {
+		if killedAt >= call.offeredAt-Margin && killedAt <= call.deadline+Margin {
 			return
 		}
 	}
-	c.report(1, d.deadline, "call %v got no response before its deadline", ref)
+	c.report(1, call.deadline, "call %v got no response before its deadline", ref)
 }
 
 // checkTry checks the rules on sending a set-up: 1, 2, 3 and 5.
 func (c *checker) checkTry(e Event) {
-	key := callKey{e.Ref, e.Peer}
-	s := c.callTries[key]
-	if s == nil {
-		s = &callTries{open: map[tryKey]uint32{}, sentAt: map[tryKey]int64{}, releasedAt: -1}
-		c.callTries[key] = s
-	}
-	mine, bits := tryKey{e.Site, e.Peer, e.CIC}, circuitBits(e)
-	for _, in := range c.deliveredSetUps[[2]int{e.Peer, e.Site}] { // read by the sender as it sent its own: both exchanges seized the circuit
-		if e.At <= in.At+Margin && in.CIC/32 == e.CIC/32 && circuitBits(in)&bits != 0 && !setUpPrevails(e.Peer, bits, in.Peer, circuitBits(in)) {
+	call := callKey{e.Ref, e.Peer}
+	tries := c.callTries[call]
+	if tries == nil {
+		tries = &callTries{open: map[tryKey]uint32{}, sentAt: map[tryKey]int64{}, releasedAt: -1}
+		c.callTries[call] = tries
+	}
+	try, bits := tryKey{e.Site, e.Peer, e.CIC}, circuitBits(e)
+	for _, remote := range c.deliveredSetUps[[2]int{e.Peer, e.Site}] { // read by the sender as it sent its own: both exchanges seized the circuit
+		if e.At <= remote.At+Margin && remote.CIC/32 == e.CIC/32 && circuitBits(remote)&bits != 0 && !setUpPrevails(e.Peer, bits, remote.Peer, circuitBits(remote)) {
 			bits = 0
 			break
 		}
 	}
-	for k := range s.open {
-		c.closeIfReset(s, k)
+	for earlier := range tries.open {
+		c.closeIfReset(tries, earlier)
 	}
-	d := c.calls[e.Ref]
+	offered := c.calls[e.Ref]
 	switch {
-	case d != nil && d.site == e.Peer && d.answeredAt != 0 && e.At > d.answeredAt+Margin:
+	case offered != nil && offered.site == e.Peer && offered.answeredAt != 0 && e.At > offered.answeredAt+Margin:
 		c.report(1, e.At, "call %v is sent to switch %d after its final response", e.Ref, e.Site)
-	case d != nil && d.site == e.Peer && d.abandonedAt != 0 && e.At > c.readTime(e.Peer, d.abandonedAt)+Margin:
+	case offered != nil && offered.site == e.Peer && offered.abandonedAt != 0 && e.At > c.readTime(e.Peer, offered.abandonedAt)+Margin:
 		c.report(1, e.At, "call %v is sent to switch %d after its caller released", e.Ref, e.Site)
-	case len(s.open) > 0 || s.answered:
+	case len(tries.open) > 0 || tries.answered:
 		c.report(2, e.At, "call %v is sent to switch %d while another route try is in progress", e.Ref, e.Site)
-	case s.releasedAt >= 0 && e.At < s.releasedAt+c.parameters[ParameterReleaseTime]-Margin:
-		c.report(5, e.At, "call %v is sent again %d ms after a route try was released", e.Ref, (e.At-s.releasedAt)/1000)
+	case tries.releasedAt >= 0 && e.At < tries.releasedAt+c.parameters[ParameterReleaseTime]-Margin:
+		c.report(5, e.At, "call %v is sent again %d ms after a route try was released", e.Ref, (e.At-tries.releasedAt)/1000)
 	}
-	if at, off := c.notReadySince[e.Peer][e.Site]; off && e.At > at+c.parameters[ParameterDrainGrace]+Margin {
-		c.report(3, e.At, "exchange %d sends to switch %d %d ms after the switch was reported not ready", e.Peer, e.Site, (e.At-at)/1000)
+	if since, notReady := c.notReadySince[e.Peer][e.Site]; notReady && e.At > since+c.parameters[ParameterDrainGrace]+Margin {
+		c.report(3, e.At, "exchange %d sends to switch %d %d ms after the switch was reported not ready", e.Peer, e.Site, (e.At-since)/1000)
 	}
 	c.checkColdStart(e)
-	s.releasedAt = -1
+	tries.releasedAt = -1
 	if bits != 0 {
-		s.open[mine], s.sentAt[mine] = bits, e.At
-		c.openTries[mine] = key
+		tries.open[try], tries.sentAt[try] = bits, e.At
+		c.openTries[try] = call
 	}
 }
 
 // closeIfReset closes a route try whose circuit the remote exchange reset, where the sender may have read the reset only
 // after it sent the set-up: the two messages crossed, or the reset lay unread while the controller was paused.
-func (c *checker) closeIfReset(s *callTries, k tryKey) {
-	sent := s.sentAt[k]
-	for _, r := range c.deliveredResets[[2]int{k.controller, k.toSwitch}] {
-		read := c.readTime(k.controller, r.At)
-		if k.cic >= r.CIC && int64(k.cic) <= int64(r.CIC)+r.Value && read >= sent-Margin && r.At <= sent+Margin && !s.answered {
-			s.releasedAt = max(read, sent)
-			delete(s.open, k)
-			delete(c.openTries, k)
+func (c *checker) closeIfReset(tries *callTries, try tryKey) {
+	sent := tries.sentAt[try]
+	for _, reset := range c.deliveredResets[[2]int{try.controller, try.toSwitch}] {
+		read := c.readTime(try.controller, reset.At)
+		if try.cic >= reset.CIC && int64(try.cic) <= int64(reset.CIC)+reset.Value && read >= sent-Margin && reset.At <= sent+Margin && !tries.answered {
+			tries.releasedAt = max(read, sent)
+			delete(tries.open, try)
+			delete(c.openTries, try)
 			return
 		}
 	}
@@ -349,31 +349,31 @@
 // recordSetUp records a set-up that reaches a controller. The controller's own tries on the same circuits end without a
 // release where the other exchange's set-up prevails.
 func (c *checker) recordSetUp(e Event) {
-	at := [2]int{e.Site, e.Peer}
-	recent := c.deliveredSetUps[at][:0]
-	for _, in := range c.deliveredSetUps[at] {
-		if e.At <= in.At+Margin || c.isPaused(e.Site) {
-			recent = append(recent, in)
+	route := [2]int{e.Site, e.Peer}
+	recent := c.deliveredSetUps[route][:0]
+	for _, setUp := range c.deliveredSetUps[route] {
+		if e.At <= setUp.At+Margin || c.isPaused(e.Site) {
+			recent = append(recent, setUp)
 		}
 	}
-	c.deliveredSetUps[at] = append(recent, e)
+	c.deliveredSetUps[route] = append(recent, e)
 	c.dropYieldedTries(e)
 }
 
 func (c *checker) isPaused(site int) bool {
-	s := c.pauses[site]
-	return len(s) > 0 && s[len(s)-1].end == math.MaxInt64
+	pauses := c.pauses[site]
+	return len(pauses) > 0 && pauses[len(pauses)-1].end == math.MaxInt64
 }
 
 // dropYieldedTries removes a controller's route tries on circuits that a set-up read by it also seizes and wins.
-func (c *checker) dropYieldedTries(e Event) {
-	for k, by := range c.openTries {
-		if k.toSwitch != e.Peer || k.controller != e.Site || k.cic/32 != e.CIC/32 {
+func (c *checker) dropYieldedTries(setUp Event) {
+	for try, call := range c.openTries {
+		if try.toSwitch != setUp.Peer || try.controller != setUp.Site || try.cic/32 != setUp.CIC/32 {
 			continue
 		}
-		if s := c.callTries[by]; s != nil && !s.answered && s.open[k]&circuitBits(e) != 0 && !setUpPrevails(e.Site, s.open[k], e.Peer, circuitBits(e)) {
-			delete(s.open, k)
-			delete(c.openTries, k)
+		if tries := c.callTries[call]; tries != nil && !tries.answered && tries.open[try]&circuitBits(setUp) != 0 && !setUpPrevails(setUp.Site, tries.open[try], setUp.Peer, circuitBits(setUp)) {
+			delete(tries.open, try)
+			delete(c.openTries, try)
 		}
 	}
 }
@@ -392,8 +392,8 @@
 	return (a > b) == even
 }
 
-func countBits(b uint32) (n int) {
-	for ; b != 0; b &= b - 1 {
+func countBits(bits uint32) (n int) {
+	for ; bits != 0; bits &= bits - 1 {
 		n++
 	}
 	return n
@@ -401,51 +401,51 @@
 
 // closeTry ends a route try. If it was released, the release time must pass before the next one.
 func (c *checker) closeTry(e Event, released bool) {
-	k := tryKey{e.Site, e.Peer, e.CIC}
-	key, ok := c.openTries[k]
+	try := tryKey{e.Site, e.Peer, e.CIC}
+	call, ok := c.openTries[try]
 	if !ok {
 		return
 	}
-	s := c.callTries[key]
-	if s == nil {
-		delete(c.openTries, k)
+	tries := c.callTries[call]
+	if tries == nil {
+		delete(c.openTries, try)
 		return
 	}
 	if !released && isup.Type(e.Value) == isup.ANM {
-		s.answered = true
+		tries.answered = true
 		return
 	}
-	if _, open := s.open[k]; open && released && !s.answered {
-		s.releasedAt = e.At
+	if _, open := tries.open[try]; open && released && !tries.answered {
+		tries.releasedAt = e.At
 	}
-	delete(s.open, k)
-	delete(c.openTries, k)
-	s.answered = false
+	delete(tries.open, try)
+	delete(c.openTries, try)
+	tries.answered = false
 }
 
 // checkColdStart checks rule 4: the set-ups that a cold switch received in the last window, refused or not, against its budget.
 func (c *checker) checkColdStart(e Event) {
-	born, ok := c.starts[e.Site]
-	age := e.At - born.At
-	if !ok || born.CIC == 0 || age > c.parameters[ParameterRampTime] || c.parameters[ParameterOverloadWindow] == 0 {
+	start, ok := c.starts[e.Site]
+	age := e.At - start.At
+	if !ok || start.CIC == 0 || age > c.parameters[ParameterRampTime] || c.parameters[ParameterOverloadWindow] == 0 {
 		return
 	}
-	w := append(c.recentSetUps[e.Site], e)
-	for len(w) > 0 && w[0].At < e.At-c.parameters[ParameterOverloadWindow] {
-		w = w[1:]
+	recent := append(c.recentSetUps[e.Site], e)
+	for len(recent) > 0 && recent[0].At < e.At-c.parameters[ParameterOverloadWindow] {
+		recent = recent[1:]
 	}
-	c.recentSetUps[e.Site] = w
-	told := 0
-	for _, one := range w {
-		if c.informed[e.Site][one.Peer] {
-			told++
+	c.recentSetUps[e.Site] = recent
+	informed := 0
+	for _, setUp := range recent {
+		if c.informed[e.Site][setUp.Peer] {
+			informed++
 		}
 	}
-	from := float64(c.parameters[ParameterInitialCapacity]) / 1000
-	strength := from + (1-from)*float64(age)/float64(max(1, c.parameters[ParameterRampTime]))
-	budget := float64(c.parameters[ParameterOverloadMultiple]) / 1000 * strength * float64(born.Value) / 1000 * float64(c.parameters[ParameterOverloadWindow]) / 1e6
-	if float64(len(w)) > budget+2*math.Sqrt(budget) && 3*told >= 2*len(w) && !c.overloadReported[e.Site] {
+	initial := float64(c.parameters[ParameterInitialCapacity]) / 1000
+	capacity := initial + (1-initial)*float64(age)/float64(max(1, c.parameters[ParameterRampTime]))
+	budget := float64(c.parameters[ParameterOverloadMultiple]) / 1000 * capacity * float64(start.Value) / 1000 * float64(c.parameters[ParameterOverloadWindow]) / 1e6
+	if float64(len(recent)) > budget+2*math.Sqrt(budget) && 3*informed >= 2*len(recent) && !c.overloadReported[e.Site] {
 		c.overloadReported[e.Site] = true
-		c.report(4, e.At, "switch %d, started %d ms before, receives %d set-ups in one window; its budget is %.0f", e.Site, age/1000, len(w), budget)
+		c.report(4, e.At, "switch %d, started %d ms before, receives %d set-ups in one window; its budget is %.0f", e.Site, age/1000, len(recent), budget)
 	}
 }
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -89,13 +89,13 @@
 func (l *Log) Add(e Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	b := strconv.AppendInt(l.line[:0], time.Since(l.startTime).Microseconds(), 10)
-	b = append(b, ' ', byte(e.Kind))
+	line := strconv.AppendInt(l.line[:0], time.Since(l.startTime).Microseconds(), 10)
+	line = append(line, ' ', byte(e.Kind))
 	for _, v := range []int64{int64(e.Site), int64(e.Peer), int64(e.Ref.Point), int64(e.Ref.Identity), int64(e.CIC),
 		int64(e.Slots), e.Value} {
-		b = strconv.AppendInt(append(b, ' '), v, 10)
+		line = strconv.AppendInt(append(line, ' '), v, 10)
 	}
-	l.line = append(b, '\n')
+	l.line = append(line, '\n')
 	if _, err := l.w.Write(l.line); err != nil && l.err == nil {
 		l.err = fmt.Errorf("write log: %w", err)
 	}
@@ -113,29 +113,29 @@
 
 // Read reads a log, sorted by time. It stops at the first invalid line; the error has its number.
 func Read(r io.Reader) ([]Event, error) {
-	var all []Event
-	in := bufio.NewScanner(r)
-	for n := 1; in.Scan(); n++ {
-		f := strings.Fields(in.Text())
-		if len(f) != 9 || len(f[1]) != 1 {
-			return all, fmt.Errorf("line %d: %d fields, want 9", n, len(f))
+	var events []Event
+	scanner := bufio.NewScanner(r)
+	for number := 1; scanner.Scan(); number++ {
+		fields := strings.Fields(scanner.Text())
+		if len(fields) != 9 || len(fields[1]) != 1 {
+			return events, fmt.Errorf("line %d: %d fields, want 9", number, len(fields))
 		}
-		var v [9]int64
-		for i := range f {
+		var values [9]int64
+		for i := range fields {
 			if i == 1 {
 				continue
 			}
 			var err error
-			if v[i], err = strconv.ParseInt(f[i], 10, 64); err != nil {
-				return all, fmt.Errorf("line %d, field %d: %w", n, i+1, err)
+			if values[i], err = strconv.ParseInt(fields[i], 10, 64); err != nil {
+				return events, fmt.Errorf("line %d, field %d: %w", number, i+1, err)
 			}
 		}
-		all = append(all, Event{v[0], Kind(f[1][0]), int(v[2]), int(v[3]),
-			isup.Reference{Point: uint16(v[4]), Identity: uint32(v[5])}, uint16(v[6]), uint32(v[7]), v[8]})
+		events = append(events, Event{values[0], Kind(fields[1][0]), int(values[2]), int(values[3]),
+			isup.Reference{Point: uint16(values[4]), Identity: uint32(values[5])}, uint16(values[6]), uint32(values[7]), values[8]})
 	}
-	if err := in.Err(); err != nil {
-		return all, fmt.Errorf("read log: %w", err)
+	if err := scanner.Err(); err != nil {
+		return events, fmt.Errorf("read log: %w", err)
 	}
-	slices.SortStableFunc(all, func(a, b Event) int { return int(a.At - b.At) })
-	return all, nil
+	slices.SortStableFunc(events, func(a, b Event) int { return int(a.At - b.At) })
+	return events, nil
 }
--- a/internal/audit/phones.go
+++ b/internal/audit/phones.go
@@ -46,54 +46,54 @@
 }
 
 func (p *phoneChecker) phoneOf(e Event) (phoneKey, *phoneState) {
-	k := phoneKey{e.Site, e.Peer, int(e.CIC)}
-	s := p.phones[k]
-	if s == nil {
-		s = &phoneState{connections: map[uint32]int64{}}
-		p.phones[k] = s
+	key := phoneKey{e.Site, e.Peer, int(e.CIC)}
+	state := p.phones[key]
+	if state == nil {
+		state = &phoneState{connections: map[uint32]int64{}}
+		p.phones[key] = state
 	}
-	return k, s
+	return key, state
 }
 
 // handle processes an event of phones at gateways and reports whether it was one.
 func (p *phoneChecker) handle(e Event) bool {
 	switch e.Kind {
 	case NumberDialled:
-		k, _ := p.phoneOf(e)
-		p.calls[e.Ref] = &phoneCall{key: k, dialledAt: e.At, deadline: e.At + e.Value}
+		phone, _ := p.phoneOf(e)
+		p.calls[e.Ref] = &phoneCall{key: phone, dialledAt: e.At, deadline: e.At + e.Value}
 		p.callOrder = append(p.callOrder, e.Ref)
 	case NumberAcknowledged, HangUpAcknowledged, PhoneOutcome, PhoneOutcomeLost:
-		if c := p.calls[e.Ref]; c != nil {
-			p.checkCallEvent(c, e)
+		if call := p.calls[e.Ref]; call != nil {
+			p.checkCallEvent(call, e)
 		}
 	case HookChanged:
-		_, s := p.phoneOf(e)
-		s.offHook = e.Value == 1
-		if !s.offHook {
-			s.onHookSince = e.At
-			if c := p.calls[e.Ref]; c != nil && c.hungUpAt == 0 {
-				c.hungUpAt = e.At
+		_, state := p.phoneOf(e)
+		state.offHook = e.Value == 1
+		if !state.offHook {
+			state.onHookSince = e.At
+			if call := p.calls[e.Ref]; call != nil && call.hungUpAt == 0 {
+				call.hungUpAt = e.At
 			}
 		}
 	case ConnectionChanged:
-		k, s := p.phoneOf(e)
+		phone, state := p.phoneOf(e)
 		if e.Value == 1 {
-			s.connections[e.Slots] = e.At
+			state.connections[e.Slots] = e.At
 		} else {
-			p.checkConnectionAge(k, s, e.Slots, e.At)
-			delete(s.connections, e.Slots)
+			p.checkConnectionAge(phone, state, e.Slots, e.At)
+			delete(state.connections, e.Slots)
 		}
 	case ToneRequested:
-		offTone := e.Value >= 1 && e.Value <= 4 || e.Value == 6
-		if off := e.Slots&1 != 0; e.Slots&2 == 0 && (offTone && !off || e.Value == 5 && off) {
-			p.checker.report(ruleWrongTone, e.At, "phone %d at gateway %d of exchange %d gets tone %d while off hook is %v", e.CIC, e.Peer, e.Site, e.Value, off)
+		offHookTone := e.Value >= 1 && e.Value <= 4 || e.Value == 6
+		if offHook := e.Slots&1 != 0; e.Slots&2 == 0 && (offHookTone && !offHook || e.Value == 5 && offHook) {
+			p.checker.report(ruleWrongTone, e.At, "phone %d at gateway %d of exchange %d gets tone %d while off hook is %v", e.CIC, e.Peer, e.Site, e.Value, offHook)
 		}
 	case GatewayDown:
-		at := [2]int{e.Site, e.Peer}
-		if n := len(p.outages[at]); e.Value == 1 {
-			p.outages[at] = append(p.outages[at], interval{e.At, math.MaxInt64})
-		} else if n > 0 && p.outages[at][n-1].end == math.MaxInt64 {
-			p.outages[at][n-1].end = e.At
+		gateway := [2]int{e.Site, e.Peer}
+		if n := len(p.outages[gateway]); e.Value == 1 {
+			p.outages[gateway] = append(p.outages[gateway], interval{e.At, math.MaxInt64})
+		} else if n > 0 && p.outages[gateway][n-1].end == math.MaxInt64 {
+			p.outages[gateway][n-1].end = e.At
 		}
 	default:
 		return false
@@ -101,69 +101,69 @@
 	return true
 }
 
-func (p *phoneChecker) checkCallEvent(c *phoneCall, e Event) {
+func (p *phoneChecker) checkCallEvent(call *phoneCall, e Event) {
 	switch e.Kind {
 	case NumberAcknowledged:
-		c.acknowledgedAt = e.At
+		call.acknowledgedAt = e.At
 	case PhoneOutcomeLost:
-		c.lostOutcomes++
+		call.lostOutcomes++
 	case HangUpAcknowledged:
-		c.hangUpAcknowledgedAt = e.At
+		call.hangUpAcknowledgedAt = e.At
 	case PhoneOutcome:
-		first := c.outcomeCount == 0
+		first := call.outcomeCount == 0
 		switch {
-		case c.hangUpAcknowledgedAt != 0 && e.At > c.hangUpAcknowledgedAt+Margin:
-			p.checker.report(1, e.At, "the caller at phone %v got an outcome %d ms after the call agent acknowledged the hang-up", c.key, (e.At-c.hangUpAcknowledgedAt)/1000)
-		case !first && (c.outcome == 2 || e.Slots == 1): // after an established call, a tone reports its end
-			p.checker.report(1, e.At, "the call of phone %v got two outcomes", c.key)
+		case call.hangUpAcknowledgedAt != 0 && e.At > call.hangUpAcknowledgedAt+Margin:
+			p.checker.report(1, e.At, "the caller at phone %v got an outcome %d ms after the call agent acknowledged the hang-up", call.key, (e.At-call.hangUpAcknowledgedAt)/1000)
+		case !first && (call.outcome == 2 || e.Slots == 1): // after an established call, a tone reports its end
+			p.checker.report(1, e.At, "the call of phone %v got two outcomes", call.key)
 		}
-		c.outcomeCount++
-		c.outcome = int(e.Slots)
-		if first && e.At > c.deadline+Margin {
-			p.checker.report(1, e.At, "the call of phone %v got its outcome %d ms after its deadline", c.key, (e.At-c.deadline)/1000)
+		call.outcomeCount++
+		call.outcome = int(e.Slots)
+		if first && e.At > call.deadline+Margin {
+			p.checker.report(1, e.At, "the call of phone %v got its outcome %d ms after its deadline", call.key, (e.At-call.deadline)/1000)
 		}
 	}
 }
 
 // checkConnectionAge checks a connection that is deleted or exists at the end of the log.
-func (p *phoneChecker) checkConnectionAge(k phoneKey, s *phoneState, number uint32, at int64) {
-	since := max(s.onHookSince, s.connections[number], p.lastOutageEnd(k, at))
-	if s.offHook || at-since < MaxOnHookConnectionTime {
+func (p *phoneChecker) checkConnectionAge(phone phoneKey, state *phoneState, serial uint32, time int64) {
+	since := max(state.onHookSince, state.connections[serial], p.lastOutageEnd(phone, time))
+	if state.offHook || time-since < MaxOnHookConnectionTime {
 		return
 	}
-	p.checker.report(ruleStaleConnection, at, "connection %d at phone %v existed for %d s after its call ended", number, k, (at-since)/1_000_000)
+	p.checker.report(ruleStaleConnection, time, "connection %d at phone %v existed for %d s after its call ended", serial, phone, (time-since)/1_000_000)
 }
 
 // lastOutageEnd returns the end of the last outage of a gateway or its controller before a given time. The time for
 // deleting connections starts again there.
-func (p *phoneChecker) lastOutageEnd(k phoneKey, at int64) (until int64) {
-	for _, s := range slices.Concat(p.outages[[2]int{k.site, k.gateway}], p.checker.pauses[k.site]) {
-		if s.start <= at {
-			until = max(until, min(s.end, at))
+func (p *phoneChecker) lastOutageEnd(phone phoneKey, before int64) (end int64) {
+	for _, outage := range slices.Concat(p.outages[[2]int{phone.site, phone.gateway}], p.checker.pauses[phone.site]) {
+		if outage.start <= before {
+			end = max(end, min(outage.end, before))
 		}
 	}
-	for _, t := range p.checker.kills[k.site] {
-		if t <= at {
-			until = max(until, t)
+	for _, killedAt := range p.checker.kills[phone.site] {
+		if killedAt <= before {
+			end = max(end, killedAt)
 		}
 	}
-	return until
+	return end
 }
 
 // hadOutage reports whether the gateway or its controller was unavailable at any time between from and to.
-func (p *phoneChecker) hadOutage(k phoneKey, from, to int64) bool {
-	for _, s := range p.outages[[2]int{k.site, k.gateway}] {
-		if s.start <= to && s.end >= from {
+func (p *phoneChecker) hadOutage(phone phoneKey, from, to int64) bool {
+	for _, outage := range p.outages[[2]int{phone.site, phone.gateway}] {
+		if outage.start <= to && outage.end >= from {
 			return true
 		}
 	}
-	for _, s := range p.checker.pauses[k.site] {
-		if s.start <= to && s.end >= from {
+	for _, outage := range p.checker.pauses[phone.site] {
+		if outage.start <= to && outage.end >= from {
 			return true
 		}
 	}
-	for _, at := range p.checker.kills[k.site] {
-		if at >= from && at <= to {
+	for _, killedAt := range p.checker.kills[phone.site] {
+		if killedAt >= from && killedAt <= to {
 			return true
 		}
 	}
@@ -173,15 +173,15 @@
 // checkRemaining checks the calls and connections that remain at the end of the log.
 func (p *phoneChecker) checkRemaining(last int64) {
 	for _, ref := range p.callOrder {
-		c := p.calls[ref]
-		if c.acknowledgedAt == 0 || c.outcomeCount > 0 || c.lostOutcomes >= minLostOutcomes || c.deadline+Margin > last || c.hungUpAt != 0 && c.hungUpAt < c.deadline-Margin || p.hadOutage(c.key, c.dialledAt-Margin, c.deadline+Margin) {
+		call := p.calls[ref]
+		if call.acknowledgedAt == 0 || call.outcomeCount > 0 || call.lostOutcomes >= minLostOutcomes || call.deadline+Margin > last || call.hungUpAt != 0 && call.hungUpAt < call.deadline-Margin || p.hadOutage(call.key, call.dialledAt-Margin, call.deadline+Margin) {
 			continue
 		}
-		p.checker.report(1, c.deadline, "the call of phone %v got no outcome before its deadline", c.key)
+		p.checker.report(1, call.deadline, "the call of phone %v got no outcome before its deadline", call.key)
 	}
-	for k, s := range p.phones {
-		for number := range s.connections {
-			p.checkConnectionAge(k, s, number, last)
+	for phone, state := range p.phones {
+		for serial := range state.connections {
+			p.checkConnectionAge(phone, state, serial, last)
 		}
 	}
 }
--- a/internal/standin/enum.go
+++ b/internal/standin/enum.go
@@ -22,43 +22,43 @@
 
 // NewPortabilityServer starts a server of routing numbers, by domain name, on one loopback port, UDP and TCP.
 func NewPortabilityServer(numbers map[string]string) (*PortabilityServer, error) {
-	pc, ln, err := listenUDPAndTCP()
+	packetConn, listener, err := listenUDPAndTCP()
 	if err != nil {
 		return nil, err
 	}
-	p := &PortabilityServer{routingNumbers: numbers, Address: pc.LocalAddr().String()}
-	p.servers = []*dns.Server{{PacketConn: pc, Handler: p}, {Listener: ln, Handler: p}}
-	for _, s := range p.servers {
-		up := make(chan struct{})
-		s.NotifyStartedFunc = func() { close(up) }
-		go s.ActivateAndServe()
-		<-up
+	server := &PortabilityServer{routingNumbers: numbers, Address: packetConn.LocalAddr().String()}
+	server.servers = []*dns.Server{{PacketConn: packetConn, Handler: server}, {Listener: listener, Handler: server}}
+	for _, transport := range server.servers {
+		started := make(chan struct{})
+		transport.NotifyStartedFunc = func() { close(started) }
+		go transport.ActivateAndServe()
+		<-started
 	}
-	return p, nil
+	return server, nil
 }
 
 // maxPortAttempts is the number of ports to try: a port that is free for UDP may be in use for TCP.
 const maxPortAttempts = 20
 
 // listenUDPAndTCP listens on one loopback port, UDP and TCP.
-func listenUDPAndTCP() (pc net.PacketConn, ln net.Listener, err error) {
+func listenUDPAndTCP() (packetConn net.PacketConn, listener net.Listener, err error) {
 	for range maxPortAttempts {
-		if pc, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
+		if packetConn, err = net.ListenPacket("udp", "127.0.0.1:0"); err != nil {
 			return nil, nil, err
 		}
-		if ln, err = net.Listen("tcp", pc.LocalAddr().String()); err == nil {
-			return pc, ln, nil
+		if listener, err = net.Listen("tcp", packetConn.LocalAddr().String()); err == nil {
+			return packetConn, listener, nil
 		}
-		pc.Close()
+		packetConn.Close()
 	}
 	return nil, nil, err
 }
 
 // SetFault sets how the server answers from now on, and the delay of each answer. The faults are silent, truncated, wrong,
 // contradictory and other (the answer to another question); "" stands for correct answers.
-func (p *PortabilityServer) SetFault(how string, late time.Duration) {
+func (p *PortabilityServer) SetFault(fault string, delay time.Duration) {
 	p.mu.Lock()
-	p.fault, p.delay = how, late
+	p.fault, p.delay = fault, delay
 	p.mu.Unlock()
 }
 
@@ -67,43 +67,43 @@
 
 // Stop shuts the server down.
 func (p *PortabilityServer) Stop() {
-	for _, s := range p.servers {
-		s.Shutdown()
+	for _, server := range p.servers {
+		server.Shutdown()
 	}
 }
 
 // ServeDNS implements dns.Handler.
-func (p *PortabilityServer) ServeDNS(w dns.ResponseWriter, q *dns.Msg) {
+func (p *PortabilityServer) ServeDNS(w dns.ResponseWriter, query *dns.Msg) {
 	p.mu.Lock()
 	p.queryCount++
-	how, late, rn := p.fault, p.delay, p.routingNumbers[strings.ToLower(q.Question[0].Name)]
+	fault, delay, routingNumber := p.fault, p.delay, p.routingNumbers[strings.ToLower(query.Question[0].Name)]
 	p.mu.Unlock()
-	time.Sleep(late)
-	m := new(dns.Msg)
-	m.SetReply(q)
+	time.Sleep(delay)
+	reply := new(dns.Msg)
+	reply.SetReply(query)
 	_, tcp := w.RemoteAddr().(*net.TCPAddr)
-	name := q.Question[0].Name
-	record := func(text string) {
-		m.Answer = append(m.Answer, &dns.NAPTR{Hdr: dns.RR_Header{Name: name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET, Ttl: 60},
-			Order: 10, Preference: 10, Flags: "u", Service: "E2U+pstn:tel", Regexp: "!^.*$!tel:" + text + "!", Replacement: "."})
+	name := query.Question[0].Name
+	addRecord := func(uri string) {
+		reply.Answer = append(reply.Answer, &dns.NAPTR{Hdr: dns.RR_Header{Name: name, Rrtype: dns.TypeNAPTR, Class: dns.ClassINET, Ttl: 60},
+			Order: 10, Preference: 10, Flags: "u", Service: "E2U+pstn:tel", Regexp: "!^.*$!tel:" + uri + "!", Replacement: "."})
 	}
 	switch {
-	case how == "silent":
+	case fault == "silent":
 		return
-	case how == "truncated" && !tcp:
-		m.Truncated = true
-	case how == "wrong":
-		m.Rcode = dns.RcodeServerFailure
-	case how == "contradictory":
-		record("+1;npdi;rn=111")
-		record("+1;npdi;rn=222")
-	case how == "other":
-		m.Question[0].Name = "1.2.3." + name
-		record("+1;npdi;rn=999")
-	case rn != "":
-		record("+1;npdi;rn=" + rn)
+	case fault == "truncated" && !tcp:
+		reply.Truncated = true
+	case fault == "wrong":
+		reply.Rcode = dns.RcodeServerFailure
+	case fault == "contradictory":
+		addRecord("+1;npdi;rn=111")
+		addRecord("+1;npdi;rn=222")
+	case fault == "other":
+		reply.Question[0].Name = "1.2.3." + name
+		addRecord("+1;npdi;rn=999")
+	case routingNumber != "":
+		addRecord("+1;npdi;rn=" + routingNumber)
 	default:
-		m.Rcode = dns.RcodeNameError
+		reply.Rcode = dns.RcodeNameError
 	}
-	w.WriteMsg(m)
+	w.WriteMsg(reply)
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -147,9 +147,9 @@
 }
 
 // NewGateway returns a gateway that is switched off.
-func NewGateway(p GatewayConfig, calls []*PhoneCall, seed uint64, listen func() (net.PacketConn, error), log *audit.Log) *Gateway {
-	return &Gateway{config: p, calls: calls, log: log, random: rand.New(rand.NewPCG(seed, uint64(p.Exchange<<16+p.Number))), listen: listen,
-		datagrams: make(chan datagram, 1024), commands: make(chan func(), 64), stop: make(chan struct{}), phones: make([]phone, p.PhoneCount)}
+func NewGateway(config GatewayConfig, calls []*PhoneCall, seed uint64, listen func() (net.PacketConn, error), log *audit.Log) *Gateway {
+	return &Gateway{config: config, calls: calls, log: log, random: rand.New(rand.NewPCG(seed, uint64(config.Exchange<<16+config.Number))), listen: listen,
+		datagrams: make(chan datagram, 1024), commands: make(chan func(), 64), stop: make(chan struct{}), phones: make([]phone, config.PhoneCount)}
 }
 
 // Start switches the gateway on. The start times of its users' calls count from here.
@@ -160,8 +160,8 @@
 		return fmt.Errorf("gateway %s: %w", g.config.Name, err)
 	}
 	g.boot(conn)
-	for _, c := range g.calls {
-		g.schedule(c.StartTime, func() { g.startCall(c) })
+	for _, call := range g.calls {
+		g.schedule(call.StartTime, func() { g.startCall(call) })
 	}
 	g.wg.Go(g.run)
 	return nil
@@ -174,9 +174,9 @@
 }
 
 // UpdateFaults runs do with the faults in the gateway's goroutine.
-func (g *Gateway) UpdateFaults(do func(q *GatewayFaults)) {
+func (g *Gateway) UpdateFaults(update func(faults *GatewayFaults)) {
 	select {
-	case g.commands <- func() { do(&g.faults); g.logReachability() }:
+	case g.commands <- func() { update(&g.faults); g.logReachability() }:
 	case <-g.stop:
 	}
 }
@@ -185,14 +185,14 @@
 func (g *Gateway) Restart(elsewhere bool) {
 	g.UpdateFaults(func(*GatewayFaults) {
 		for i := range g.phones {
-			p := &g.phones[i]
-			for _, c := range p.connections {
-				g.logEvent(audit.ConnectionChanged, i, p.callRef, c.serial, 0)
+			current := &g.phones[i]
+			for _, connection := range current.connections {
+				g.logEvent(audit.ConnectionChanged, i, current.callRef, connection.serial, 0)
 			}
-			if p.call != nil {
-				p.call.Failed = p.call.Failed || p.waiting
+			if current.call != nil {
+				current.call.Failed = current.call.Failed || current.waiting
 			}
-			g.phones[i] = phone{userActions: p.userActions + 1}
+			g.phones[i] = phone{userActions: current.userActions + 1}
 		}
 		conn := g.conn
 		if elsewhere {
@@ -215,19 +215,19 @@
 	g.sender = mgcp.NewSender(g.transactionIDs, g.random.Uint64(), (*mgcpOutput)(g))
 	g.disconnectedProcedure = mgcp.DisconnectedProcedure{MinWait: tenths(g.config.DisconnectedDelay), MaxWait: tenths(8 * g.config.DisconnectedDelay)}
 	g.unregistered = true
-	life := g.incarnation
-	g.schedule(time.Duration(mgcp.RestartDelay(tenths(g.config.MaxRestartDelay), g.random))*100*time.Microsecond, func() { g.reportRestart("restart", life) })
+	incarnation := g.incarnation
+	g.schedule(time.Duration(mgcp.RestartDelay(tenths(g.config.MaxRestartDelay), g.random))*100*time.Microsecond, func() { g.reportRestart("restart", incarnation) })
 }
 
 // logReachability records when the gateway loses its call agent and when it has registered again.
 func (g *Gateway) logReachability() {
 	if down := g.faults.Isolated || g.unregistered; down != g.loggedDown {
 		g.loggedDown = down
-		v := int64(0)
+		value := int64(0)
 		if down {
-			v = 1
+			value = 1
 		}
-		g.logEvent(audit.GatewayDown, 0, isup.Reference{}, 0, v)
+		g.logEvent(audit.GatewayDown, 0, isup.Reference{}, 0, value)
 	}
 }
 
@@ -235,13 +235,13 @@
 
 func (g *Gateway) now() policy.Tenths { return 1<<32 + tenths(time.Since(g.startTime)) }
 
-func (g *Gateway) logEvent(k audit.Kind, i int, ref isup.Reference, slots uint32, v int64) {
-	g.log.Add(audit.Event{Kind: k, Site: g.config.Exchange, Peer: g.config.Number, Ref: ref, CIC: uint16(i), Slots: slots, Value: v})
+func (g *Gateway) logEvent(kind audit.Kind, phone int, ref isup.Reference, slots uint32, value int64) {
+	g.log.Add(audit.Event{Kind: kind, Site: g.config.Exchange, Peer: g.config.Number, Ref: ref, CIC: uint16(phone), Slots: slots, Value: value})
 }
 
-func (g *Gateway) schedule(d time.Duration, do func()) {
+func (g *Gateway) schedule(d time.Duration, run func()) {
 	g.timerSerial++
-	heap.Push(&g.timers, timerEntry{time.Now().Add(d), g.timerSerial, do})
+	heap.Push(&g.timers, timerEntry{time.Now().Add(d), g.timerSerial, run})
 }
 
 func (g *Gateway) readDatagrams(conn net.PacketConn) {
@@ -251,9 +251,9 @@
 		if err != nil {
 			return
 		}
-		if at, err := netip.ParseAddrPort(from.String()); err == nil {
+		if address, err := netip.ParseAddrPort(from.String()); err == nil {
 			select {
-			case g.datagrams <- datagram{at, append([]byte(nil), buf[:n]...)}:
+			case g.datagrams <- datagram{address, append([]byte(nil), buf[:n]...)}:
 			case <-g.stop:
 				return
 			}
@@ -273,12 +273,12 @@
 		if len(g.timers) > 0 {
 			wait = time.Until(g.timers[0].at)
 		}
-		if at, ok := g.sender.Next(); ok {
-			if due := time.Duration(at-g.now()) * 100 * time.Microsecond; due <= 0 {
+		if next, ok := g.sender.Next(); ok {
+			if remaining := time.Duration(next-g.now()) * 100 * time.Microsecond; remaining <= 0 {
 				g.sender.Tick(g.now())
 				continue
 			} else {
-				wait = min(wait, due)
+				wait = min(wait, remaining)
 			}
 		}
 		timer.Reset(wait)
@@ -286,50 +286,50 @@
 		case <-g.stop:
 			return
 		case <-timer.C:
-		case do := <-g.commands:
-			do()
-		case r := <-g.datagrams:
-			heard := false
-			came := time.Now()
+		case command := <-g.commands:
+			command()
+		case received := <-g.datagrams:
+			delivered := false
+			receivedAt := time.Now()
 			g.applyNetworkFaults(func() {
-				heard = true
+				delivered = true
 				// A command that the network delays beyond the time for which transactions are stored is executed twice. The
 				// call agent cannot prevent that, so the tone that the user hears then is not the call agent's response.
-				g.staleCommand = time.Since(came) > 29*time.Second
-				g.handleDatagram(r)
+				g.staleCommand = time.Since(receivedAt) > 29*time.Second
+				g.handleDatagram(received)
 				g.staleCommand = false
 			}, nil)
-			if !heard {
-				g.logLostOutcomes(r.data)
+			if !delivered {
+				g.logLostOutcomes(received.data)
 			}
 		}
 	}
 }
 
 // applyNetworkFaults loses, truncates, duplicates or delays a datagram by the present faults, or passes it on.
-func (g *Gateway) applyNetworkFaults(pass func(), cut func()) {
-	n := g.faults.Network
+func (g *Gateway) applyNetworkFaults(deliver func(), truncate func()) {
+	network := g.faults.Network
 	switch {
-	case g.faults.Isolated || g.random.Float64() < n.LossRatio:
+	case g.faults.Isolated || g.random.Float64() < network.LossRatio:
 		return
-	case cut != nil && g.random.Float64() < n.TruncationRatio:
-		cut()
+	case truncate != nil && g.random.Float64() < network.TruncationRatio:
+		truncate()
 		return
 	}
-	if g.random.Float64() < n.DuplicationRatio {
-		g.schedule(time.Duration(g.random.Int64N(int64(20*time.Millisecond))), pass)
+	if g.random.Float64() < network.DuplicationRatio {
+		g.schedule(time.Duration(g.random.Int64N(int64(20*time.Millisecond))), deliver)
 	}
-	if g.random.Float64() < n.DelayRatio {
-		g.schedule(time.Duration(g.random.Float64()*float64(n.MaxDelay)), pass)
+	if g.random.Float64() < network.DelayRatio {
+		g.schedule(time.Duration(g.random.Float64()*float64(network.MaxDelay)), deliver)
 		return
 	}
-	pass()
+	deliver()
 }
 
 // logLostOutcomes records the call outcomes in a datagram that the network lost or delays.
-func (g *Gateway) logLostOutcomes(b []byte) {
-	all, _ := mgcp.Decode(b)
-	for _, m := range all {
+func (g *Gateway) logLostOutcomes(data []byte) {
+	messages, _ := mgcp.Decode(data)
+	for _, m := range messages {
 		local, _, _ := strings.Cut(m.Endpoint, "@")
 		i, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/"))
 		if err != nil || i < 1 || i > len(g.phones) || !g.phones[i-1].waiting {
@@ -344,13 +344,13 @@
 }
 
 func (g *Gateway) send(to netip.AddrPort, m mgcp.Message) {
-	b, err := mgcp.Append(nil, m)
+	data, err := mgcp.Append(nil, m)
 	if err != nil {
 		return
 	}
 	addr := net.UDPAddrFromAddrPort(to)
-	write := func(b []byte) func() { return func() { g.conn.WriteTo(b, addr) } }
-	g.applyNetworkFaults(write(b), write(b[:g.random.IntN(len(b))]))
+	write := func(data []byte) func() { return func() { g.conn.WriteTo(data, addr) } }
+	g.applyNetworkFaults(write(data), write(data[:g.random.IntN(len(data))]))
 }
 
 // mgcpOutput adapts the gateway to the handler of mgcp.Sender.
@@ -361,24 +361,24 @@
 	g.send(g.config.CallAgents[g.agentIndex%len(g.config.CallAgents)], m)
 }
 func (o *mgcpOutput) HandleConflict(uint32, int, mgcp.Message) {}
-func (o *mgcpOutput) HandleOutcome(id uint32, fate mgcp.Outcome, r mgcp.Message) {
+func (o *mgcpOutput) HandleOutcome(id uint32, outcome mgcp.Outcome, response mgcp.Message) {
 	g := (*Gateway)(o)
-	if fate == mgcp.PeerSuspect {
+	if outcome == mgcp.PeerSuspect {
 		g.agentIndex++ // try the next address of the notified entity
 		return
 	}
 	done := g.outstanding[id]
 	delete(g.outstanding, id)
-	if r.Code == mgcp.CodeRedirected {
-		if n, ok := r.Param("N"); ok {
-			if at, err := netip.ParseAddrPort(n[strings.LastIndexByte(n, '@')+1:]); err == nil {
-				g.config.CallAgents = append([]netip.AddrPort{at}, g.config.CallAgents...)
+	if response.Code == mgcp.CodeRedirected {
+		if entity, ok := response.Param("N"); ok {
+			if address, err := netip.ParseAddrPort(entity[strings.LastIndexByte(entity, '@')+1:]); err == nil {
+				g.config.CallAgents = append([]netip.AddrPort{address}, g.config.CallAgents...)
 				g.agentIndex = 0
 			}
 		}
 	}
 	if done != nil {
-		done(fate == mgcp.Answered && mgcp.ClassOf(r.Code) == mgcp.Success)
+		done(outcome == mgcp.Answered && mgcp.ClassOf(response.Code) == mgcp.Success)
 	}
 }
 
@@ -392,18 +392,18 @@
 }
 
 // reportRestart sends RestartInProgress after a start or a lost call agent, and repeats it until it is acknowledged.
-func (g *Gateway) reportRestart(method string, life int) {
-	if life != g.incarnation || !g.unregistered {
+func (g *Gateway) reportRestart(method string, incarnation int) {
+	if incarnation != g.incarnation || !g.unregistered {
 		return
 	}
 	g.sendCommand(mgcp.Message{Verb: mgcp.RestartInProgress, Endpoint: "aaln/*@" + g.config.Name, Params: []mgcp.Param{{Name: "RM", Value: method}}}, func(ok bool) {
-		if ok && life == g.incarnation {
+		if ok && incarnation == g.incarnation {
 			g.unregistered = false
 			g.logReachability()
 			return
 		}
-		at := g.disconnectedProcedure.NextReport(g.now())
-		g.schedule(time.Duration(at-g.now())*100*time.Microsecond, func() { g.reportRestart(method, life) })
+		next := g.disconnectedProcedure.NextReport(g.now())
+		g.schedule(time.Duration(next-g.now())*100*time.Microsecond, func() { g.reportRestart(method, incarnation) })
 	})
 }
 
@@ -413,29 +413,29 @@
 	}
 	g.unregistered = true
 	g.logReachability()
-	at, life := g.disconnectedProcedure.Start(g.now(), tenths(g.config.DisconnectedDelay), g.random), g.incarnation
-	g.schedule(time.Duration(at-g.now())*100*time.Microsecond, func() { g.reportRestart("disconnected", life) })
+	next, incarnation := g.disconnectedProcedure.Start(g.now(), tenths(g.config.DisconnectedDelay), g.random), g.incarnation
+	g.schedule(time.Duration(next-g.now())*100*time.Microsecond, func() { g.reportRestart("disconnected", incarnation) })
 }
 
-func (g *Gateway) handleDatagram(r datagram) {
-	all, _ := mgcp.Decode(r.data)
-	for _, m := range all {
+func (g *Gateway) handleDatagram(received datagram) {
+	messages, _ := mgcp.Decode(received.data)
+	for _, m := range messages {
 		switch {
 		case m.IsAcknowledgement():
 			g.receiver.HandleAck(m.Transaction)
 		case m.Verb == "":
 			g.sender.HandleResponse(g.now(), m)
 		default:
-			carryOut, again := g.receiver.HandleCommand(g.now(), m)
-			if again != nil {
-				g.send(r.from, *again)
+			execute, repeated := g.receiver.HandleCommand(g.now(), m)
+			if repeated != nil {
+				g.send(received.from, *repeated)
 			}
-			if carryOut {
+			if execute {
 				reply := g.executeCommand(m)
 				reply.Transaction = m.Transaction
-				g.send(r.from, g.receiver.StoreResponse(g.now(), reply))
+				g.send(received.from, g.receiver.StoreResponse(g.now(), reply))
 				if m.Verb == mgcp.CreateConnection && g.random.Float64() < g.faults.TwoResponsesRatio {
-					g.sendSecondResponse(m, reply, r.from)
+					g.sendSecondResponse(m, reply, received.from)
 				}
 			}
 		}
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -45,21 +45,21 @@
 }
 
 // NewRegister returns a register that publishes a change of the switches after late.
-func NewRegister(switches []*Switch, sizes [][]int, late, every time.Duration, log *audit.Log) *Register {
-	return &Register{switches: switches, circuits: sizes, delay: late, interval: every, log: log, clients: map[*client]bool{},
+func NewRegister(switches []*Switch, circuits [][]int, delay, interval time.Duration, log *audit.Log) *Register {
+	return &Register{switches: switches, circuits: circuits, delay: delay, interval: interval, log: log, clients: map[*client]bool{},
 		stop: make(chan struct{})}
 }
 
 // Start serves controllers on ln.
-func (r *Register) Start(ln net.Listener) {
-	r.listener = ln
+func (r *Register) Start(listener net.Listener) {
+	r.listener = listener
 	r.wg.Go(func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			r.wg.Go(func() { r.serve(c) })
+			r.wg.Go(func() { r.serve(conn) })
 		}
 	})
 	r.wg.Go(r.publishChanges)
@@ -70,42 +70,42 @@
 	close(r.stop)
 	r.listener.Close()
 	r.mu.Lock()
-	for c := range r.clients {
-		c.conn.Close()
+	for client := range r.clients {
+		client.conn.Close()
 	}
 	r.mu.Unlock()
 	r.wg.Wait()
 }
 
 // SetDelay sets the time after which a change is published.
-func (r *Register) SetDelay(d time.Duration) { r.mu.Lock(); r.delay = d; r.mu.Unlock() }
+func (r *Register) SetDelay(delay time.Duration) { r.mu.Lock(); r.delay = delay; r.mu.Unlock() }
 
 // SetFault sets how the next lists are wrong: short, repeated, contradictory or stale; "" stands for correct lists.
-func (r *Register) SetFault(how string) {
+func (r *Register) SetFault(fault string) {
 	r.mu.Lock()
-	r.fault, r.faultCleared = how, how == ""
+	r.fault, r.faultCleared = fault, fault == ""
 	r.mu.Unlock()
 }
 
 func (r *Register) observe() []membership.Entry {
-	var lines []membership.Entry
+	var entries []membership.Entry
 	for _, s := range r.switches {
-		life, up, ready, draining := s.Status()
-		lines = append(lines, membership.Entry{ID: uint32(1000 + s.Number), Number: s.Number, Incarnation: uint64(life),
-			Uptime: policy.Tenths(up / (100 * time.Microsecond)), Ready: ready, Draining: draining})
+		incarnation, uptime, ready, draining := s.Status()
+		entries = append(entries, membership.Entry{ID: uint32(1000 + s.Number), Number: s.Number, Incarnation: uint64(incarnation),
+			Uptime: policy.Tenths(uptime / (100 * time.Microsecond)), Ready: ready, Draining: draining})
 	}
-	return lines
+	return entries
 }
 
 func (r *Register) publishChanges() {
-	for n := 0; ; n++ {
-		now, seen := time.Now(), r.observe()
+	for round := 0; ; round++ {
+		now, entries := time.Now(), r.observe()
 		r.mu.Lock()
-		r.observations = append(r.observations, observation{now, seen})
+		r.observations = append(r.observations, observation{now, entries})
 		changed := r.published == nil
 		for len(r.observations) > 0 && (now.Sub(r.observations[0].at) >= r.delay || r.published == nil) {
-			for i, l := range r.observations[0].entries {
-				changed = changed || r.published == nil || l.Ready != r.published[i].Ready || l.Draining != r.published[i].Draining || l.Incarnation != r.published[i].Incarnation
+			for i, entry := range r.observations[0].entries {
+				changed = changed || r.published == nil || entry.Ready != r.published[i].Ready || entry.Draining != r.published[i].Draining || entry.Incarnation != r.published[i].Incarnation
 			}
 			for i := range r.observations[0].entries { // the uptime counts until publication
 				r.observations[0].entries[i].Uptime += policy.Tenths(now.Sub(r.observations[0].at) / (100 * time.Microsecond))
@@ -115,11 +115,11 @@
 		if changed || r.fault != "" || r.faultCleared { // send a correct list after a fault is cleared
 			r.faultCleared = false
 			r.version++
-			for c := range r.clients {
-				r.sendList(c)
+			for client := range r.clients {
+				r.sendList(client)
 			}
 		}
-		if n%20 == 0 {
+		if round%20 == 0 {
 			r.sendAdvice()
 		}
 		r.mu.Unlock()
@@ -132,99 +132,99 @@
 }
 
 // sendList sends the whole list to one controller. The caller holds the lock.
-func (r *Register) sendList(c *client) {
-	l := membership.List{Epoch: 1, Version: r.version, Full: true, Count: len(r.published), Entries: r.published}
+func (r *Register) sendList(client *client) {
+	list := membership.List{Epoch: 1, Version: r.version, Full: true, Count: len(r.published), Entries: r.published}
 	switch r.fault {
 	case "short":
-		l.Entries = l.Entries[:len(l.Entries)/2]
+		list.Entries = list.Entries[:len(list.Entries)/2]
 	case "stale":
-		l.Version = 1
+		list.Version = 1
 	case "contradictory":
-		l.Entries = append(append([]membership.Entry{}, l.Entries...), l.Entries[0])
-		l.Entries[len(l.Entries)-1].Ready = !l.Entries[0].Ready
-		l.Count++
+		list.Entries = append(append([]membership.Entry{}, list.Entries...), list.Entries[0])
+		list.Entries[len(list.Entries)-1].Ready = !list.Entries[0].Ready
+		list.Count++
 	}
-	for _, s := range l.Entries {
-		e := audit.Event{Kind: audit.ListEntrySent, Site: c.exchange, Peer: s.Number, Value: int64(l.Version)}
-		if s.Ready {
-			e.CIC = 1
+	for _, entry := range list.Entries {
+		event := audit.Event{Kind: audit.ListEntrySent, Site: client.exchange, Peer: entry.Number, Value: int64(list.Version)}
+		if entry.Ready {
+			event.CIC = 1
 		}
 		// Record only the entries that the controller must accept: none of a short or stale list, and not the contradictory one.
-		if r.fault == "" || r.fault == "repeated" || r.fault == "contradictory" && s.ID != l.Entries[0].ID {
-			r.log.Add(e)
+		if r.fault == "" || r.fault == "repeated" || r.fault == "contradictory" && entry.ID != list.Entries[0].ID {
+			r.log.Add(event)
 		}
 	}
-	r.send(c, register.Message{List: &l})
+	r.send(client, register.Message{List: &list})
 	if r.fault == "repeated" {
-		r.send(c, register.Message{List: &l})
+		r.send(client, register.Message{List: &list})
 	}
 }
 
-func (r *Register) send(c *client, w register.Message) {
-	b, err := json.Marshal(w)
+func (r *Register) send(client *client, message register.Message) {
+	b, err := json.Marshal(message)
 	if err != nil {
 		return
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
-	if _, err := c.conn.Write(append(b, '\n')); err != nil {
-		c.conn.Close()
+	client.conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
+	if _, err := client.conn.Write(append(b, '\n')); err != nil {
+		client.conn.Close()
 	}
 }
 
 // sendAdvice sends each controller the tandem with the most free circuits on both legs, for each destination.
 func (r *Register) sendAdvice() {
-	n := len(r.switches)
-	room := make([][]int, n)
-	for a := range n {
-		room[a] = make([]int, n)
-		for b := range n {
+	count := len(r.switches)
+	free := make([][]int, count)
+	for a := range count {
+		free[a] = make([]int, count)
+		for b := range count {
 			if a != b {
-				room[a][b] = r.circuits[a][b] - r.switches[b].BusyCircuits(a) - r.switches[a].BusyCircuits(b)
+				free[a][b] = r.circuits[a][b] - r.switches[b].BusyCircuits(a) - r.switches[a].BusyCircuits(b)
 			}
 		}
 	}
-	for c := range r.clients {
+	for client := range r.clients {
 		advice := map[int]int{}
-		for to := range n {
-			best, most := -1, 0
-			for t := range n {
-				if got := min(room[c.exchange][t], room[t][to]); t != c.exchange && t != to && to != c.exchange && got > most {
-					best, most = t, got
+		for to := range count {
+			best, maxAvailable := -1, 0
+			for tandem := range count {
+				if available := min(free[client.exchange][tandem], free[tandem][to]); tandem != client.exchange && tandem != to && to != client.exchange && available > maxAvailable {
+					best, maxAvailable = tandem, available
 				}
 			}
 			if best >= 0 {
 				advice[to] = best
 			}
 		}
-		r.send(c, register.Message{Advice: advice})
+		r.send(client, register.Message{Advice: advice})
 	}
 }
 
 func (r *Register) serve(conn net.Conn) {
-	c := &client{conn: conn}
+	client := &client{conn: conn}
 	defer func() {
 		r.mu.Lock()
-		delete(r.clients, c)
+		delete(r.clients, client)
 		r.mu.Unlock()
 		conn.Close()
 	}()
-	in := bufio.NewScanner(conn)
-	for in.Scan() {
-		var w register.Message
-		if json.Unmarshal(in.Bytes(), &w) != nil {
+	scanner := bufio.NewScanner(conn)
+	for scanner.Scan() {
+		var message register.Message
+		if json.Unmarshal(scanner.Bytes(), &message) != nil {
 			return
 		}
 		r.mu.Lock()
-		if w.Exchange != nil && *w.Exchange >= 0 && *w.Exchange < len(r.switches) {
-			c.exchange = *w.Exchange
-			r.clients[c] = true
+		if message.Exchange != nil && *message.Exchange >= 0 && *message.Exchange < len(r.switches) {
+			client.exchange = *message.Exchange
+			r.clients[client] = true
 		}
-		if (w.Exchange != nil || w.RequestList) && r.clients[c] && r.published != nil {
+		if (message.Exchange != nil || message.RequestList) && r.clients[client] && r.published != nil {
 			r.version++
-			r.sendList(c)
+			r.sendList(client)
 		}
-		if w.AckVersion != 0 && r.clients[c] {
-			r.log.Add(audit.Event{Kind: audit.ListAcknowledged, Site: c.exchange, Value: int64(w.AckVersion)})
+		if message.AckVersion != 0 && r.clients[client] {
+			r.log.Add(audit.Event{Kind: audit.ListAcknowledged, Site: client.exchange, Value: int64(message.AckVersion)})
 		}
 		r.mu.Unlock()
 	}
--- a/internal/standin/subscribers.go
+++ b/internal/standin/subscribers.go
@@ -92,15 +92,15 @@
 }
 
 // NewSubscribers returns the subscribers of all exchanges. The dialer connects to the switch of an exchange.
-func NewSubscribers(exchanges int, callers []*Caller, h SubscriberBehaviour, seed uint64, dialer func(int) (net.Conn, error)) *Subscribers {
-	s := &Subscribers{behaviour: h, dialer: dialer, random: rand.New(rand.NewPCG(seed, 77)), conns: make([]net.Conn, exchanges),
+func NewSubscribers(exchanges int, callers []*Caller, behaviour SubscriberBehaviour, seed uint64, dialer func(int) (net.Conn, error)) *Subscribers {
+	s := &Subscribers{behaviour: behaviour, dialer: dialer, random: rand.New(rand.NewPCG(seed, 77)), conns: make([]net.Conn, exchanges),
 		nextCIC: make([]uint16, exchanges), linkEvents: make(chan linkEvent, 4096)}
 	for range exchanges {
 		s.attempts = append(s.attempts, map[uint16]*attempt{})
 	}
-	for _, c := range callers {
-		c.gosTarget = h.GoSTargets[c.Bearer]
-		s.actions = append(s.actions, action{at: c.StartTime, kind: 'd', caller: c})
+	for _, caller := range callers {
+		caller.gosTarget = behaviour.GoSTargets[caller.Bearer]
+		s.actions = append(s.actions, action{at: caller.StartTime, kind: 'd', caller: caller})
 	}
 	heap.Init(&s.actions)
 	return s
@@ -119,10 +119,10 @@
 // Run makes the calls until every caller is done or stop is closed.
 func (s *Subscribers) Run(stop <-chan struct{}) {
 	s.startTime = time.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	closing := make(chan struct{})
 	for i := range s.conns {
-		all.Go(func() { s.maintainLink(i, closing) })
+		wg.Go(func() { s.maintainLink(i, closing) })
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -139,43 +139,43 @@
 		case <-stop:
 			running = false
 		case <-timer.C:
-		case h := <-s.linkEvents:
-			s.handleLinkEvent(h)
+		case event := <-s.linkEvents:
+			s.handleLinkEvent(event)
 		}
 	}
 	close(closing)
-	for _, c := range s.conns {
-		if c != nil {
-			c.Close()
+	for _, conn := range s.conns {
+		if conn != nil {
+			conn.Close()
 		}
 	}
 	go func() { // a reader may be sending still
 		for range s.linkEvents {
 		}
 	}()
-	all.Wait()
+	wg.Wait()
 	close(s.linkEvents)
 }
 
 // maintainLink maintains the connection to one exchange's switch.
-func (s *Subscribers) maintainLink(i int, closing chan struct{}) {
+func (s *Subscribers) maintainLink(number int, closing chan struct{}) {
 	for {
-		conn, err := s.dialer(i)
+		conn, err := s.dialer(number)
 		if err == nil {
-			hello, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: exchange.FirstSubscriberPoint})
-			_, err = conn.Write(hello)
-			var f m3ua.Frame
+			aspUp, _ := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.ASPUp, ASPID: exchange.FirstSubscriberPoint})
+			_, err = conn.Write(aspUp)
+			var frame m3ua.Frame
 			var scratch []byte
-			s.linkEvents <- linkEvent{exchange: i, conn: conn}
+			s.linkEvents <- linkEvent{exchange: number, conn: conn}
 			for err == nil {
-				if f, scratch, err = m3ua.Read(conn, scratch); err == nil && f.Kind == m3ua.Data {
-					if m, bad := isup.Decode(f.UserData); bad == nil {
-						s.linkEvents <- linkEvent{exchange: i, message: m}
+				if frame, scratch, err = m3ua.Read(conn, scratch); err == nil && frame.Kind == m3ua.Data {
+					if message, decodeErr := isup.Decode(frame.UserData); decodeErr == nil {
+						s.linkEvents <- linkEvent{exchange: number, message: message}
 					}
 				}
 			}
 			conn.Close()
-			s.linkEvents <- linkEvent{exchange: i, linkDown: true}
+			s.linkEvents <- linkEvent{exchange: number, linkDown: true}
 		}
 		select {
 		case <-closing:
@@ -185,140 +185,140 @@
 	}
 }
 
-func (s *Subscribers) send(i int, m isup.Message) bool {
-	b, err := isup.Append(nil, m)
-	if err != nil || s.conns[i] == nil {
+func (s *Subscribers) send(number int, message isup.Message) bool {
+	data, err := isup.Append(nil, message)
+	if err != nil || s.conns[number] == nil {
 		return false
 	}
-	f, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: uint32(exchange.PointCode(i)), UserData: b})
+	frame, err := m3ua.Append(nil, m3ua.Frame{Kind: m3ua.Data, OPC: exchange.FirstSubscriberPoint, DPC: uint32(exchange.PointCode(number)), UserData: data})
 	if err != nil {
 		return false
 	}
-	_, err = s.conns[i].Write(f)
+	_, err = s.conns[number].Write(frame)
 	return err == nil
 }
 
-func (s *Subscribers) perform(st action, now time.Duration) {
-	c := st.caller
-	switch st.kind {
+func (s *Subscribers) perform(next action, now time.Duration) {
+	caller := next.caller
+	switch next.kind {
 	case 'd':
-		s.maxDialDelay = max(s.maxDialDelay, now-st.at)
-		s.startAttempt(c, st.reconnect, now)
+		s.maxDialDelay = max(s.maxDialDelay, now-next.at)
+		s.startAttempt(caller, next.reconnect, now)
 	case 'l', 'h':
-		if d := st.attempt; !d.ended && d.established == (st.kind == 'h') {
-			s.send(c.From, isup.Message{CIC: d.cic, Type: isup.REL, Cause: isup.NormalClearing, Location: isup.User})
-			s.endAttempt(d)
-			if st.kind == 'l' {
-				c.Abandoned++
-				s.scheduleRedial(c, 0, now)
+		if attempt := next.attempt; !attempt.ended && attempt.established == (next.kind == 'h') {
+			s.send(caller.From, isup.Message{CIC: attempt.cic, Type: isup.REL, Cause: isup.NormalClearing, Location: isup.User})
+			s.endAttempt(attempt)
+			if next.kind == 'l' {
+				caller.Abandoned++
+				s.scheduleRedial(caller, 0, now)
 			}
 		}
 	}
 }
 
-func (s *Subscribers) endAttempt(d *attempt) {
-	d.ended = true
-	delete(s.attempts[d.caller.From], d.cic)
+func (s *Subscribers) endAttempt(ending *attempt) {
+	ending.ended = true
+	delete(s.attempts[ending.caller.From], ending.cic)
 }
 
-func (s *Subscribers) startAttempt(c *Caller, cut bool, now time.Duration) {
-	if c.Attempts++; s.conns[c.From] == nil || len(s.attempts[c.From]) > isup.MaxCIC/2 {
-		c.Failed++
-		s.scheduleRedial(c, 0, now)
+func (s *Subscribers) startAttempt(caller *Caller, reconnect bool, now time.Duration) {
+	if caller.Attempts++; s.conns[caller.From] == nil || len(s.attempts[caller.From]) > isup.MaxCIC/2 {
+		caller.Failed++
+		s.scheduleRedial(caller, 0, now)
 		return
 	}
-	for s.attempts[c.From][s.nextCIC[c.From]] != nil {
-		s.nextCIC[c.From] = (s.nextCIC[c.From] + 1) & isup.MaxCIC
+	for s.attempts[caller.From][s.nextCIC[caller.From]] != nil {
+		s.nextCIC[caller.From] = (s.nextCIC[caller.From] + 1) & isup.MaxCIC
 	}
-	d := &attempt{caller: c, cic: s.nextCIC[c.From]}
-	s.nextCIC[c.From] = (s.nextCIC[c.From] + 1) & isup.MaxCIC
-	s.attempts[c.From][d.cic] = d
+	started := &attempt{caller: caller, cic: s.nextCIC[caller.From]}
+	s.nextCIC[caller.From] = (s.nextCIC[caller.From] + 1) & isup.MaxCIC
+	s.attempts[caller.From][started.cic] = started
 	s.lastIdentity++
-	ttl := time.Duration(s.behaviour.AttemptTimeRatio * float64(c.AbandonTime))
-	marks := uint8(0)
-	if c.Attempts > 1 && !cut {
-		marks = isup.FlagRedial
-	} else if cut {
-		marks = isup.FlagDisconnectedBefore
+	timeLeft := time.Duration(s.behaviour.AttemptTimeRatio * float64(caller.AbandonTime))
+	flags := uint8(0)
+	if caller.Attempts > 1 && !reconnect {
+		flags = isup.FlagRedial
+	} else if reconnect {
+		flags = isup.FlagDisconnectedBefore
 	}
-	s.send(c.From, isup.Message{CIC: d.cic, Type: isup.IAM, Digits: exchange.LineNumber(c.Dest, c.Line()), Caller: exchange.LineNumber(c.From, c.Line()), Width: c.Width,
-		Ref: isup.Reference{Point: exchange.PointCode(c.From), Identity: s.lastIdentity & 0xffffff}, UserInfo: isup.UserInfo{
-			Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(ttl / (100 * time.Microsecond)),
-			SentAt: uint32(now / (100 * time.Microsecond)), Bearer: uint8(c.Bearer), Flags: marks}})
+	s.send(caller.From, isup.Message{CIC: started.cic, Type: isup.IAM, Digits: exchange.LineNumber(caller.Dest, caller.Line()), Caller: exchange.LineNumber(caller.From, caller.Line()), Width: caller.Width,
+		Ref: isup.Reference{Point: exchange.PointCode(caller.From), Identity: s.lastIdentity & 0xffffff}, UserInfo: isup.UserInfo{
+			Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: uint32(timeLeft / (100 * time.Microsecond)),
+			SentAt: uint32(now / (100 * time.Microsecond)), Bearer: uint8(caller.Bearer), Flags: flags}})
 	s.mu.Lock()
 	if s.random.Float64() < s.earlyAbandonRatio {
-		ttl = time.Duration(float64(ttl) * s.random.Float64() * 0.3)
+		timeLeft = time.Duration(float64(timeLeft) * s.random.Float64() * 0.3)
 	}
 	s.mu.Unlock()
-	heap.Push(&s.actions, action{at: now + ttl, kind: 'l', caller: c, attempt: d})
+	heap.Push(&s.actions, action{at: now + timeLeft, kind: 'l', caller: caller, attempt: started})
 }
 
 // scheduleRedial schedules the next attempt of a caller, if its abandon time and behaviour allow one.
-func (s *Subscribers) scheduleRedial(c *Caller, comeBack, now time.Duration) {
-	if c.Attempts > s.behaviour.MaxRedials {
+func (s *Subscribers) scheduleRedial(caller *Caller, retryAfter, now time.Duration) {
+	if caller.Attempts > s.behaviour.MaxRedials {
 		return
 	}
-	wait := time.Duration(float64(s.behaviour.InitialBackoff<<(c.Attempts-1)) * (0.5 + s.random.Float64()))
-	if comeBack > 0 && s.random.Float64() < s.behaviour.RetryAfterCompliance {
-		wait = max(comeBack, wait)
+	wait := time.Duration(float64(s.behaviour.InitialBackoff<<(caller.Attempts-1)) * (0.5 + s.random.Float64()))
+	if retryAfter > 0 && s.random.Float64() < s.behaviour.RetryAfterCompliance {
+		wait = max(retryAfter, wait)
 	}
-	if now+wait < c.StartTime+c.AbandonTime {
-		heap.Push(&s.actions, action{at: now + wait, kind: 'd', caller: c})
+	if now+wait < caller.StartTime+caller.AbandonTime {
+		heap.Push(&s.actions, action{at: now + wait, kind: 'd', caller: caller})
 	}
 }
 
-func (s *Subscribers) handleLinkEvent(h linkEvent) {
+func (s *Subscribers) handleLinkEvent(event linkEvent) {
 	now := time.Since(s.startTime)
 	switch {
-	case h.conn != nil:
-		s.conns[h.exchange] = h.conn
+	case event.conn != nil:
+		s.conns[event.exchange] = event.conn
 		return
-	case h.linkDown:
-		s.conns[h.exchange] = nil
-		for _, d := range s.attempts[h.exchange] {
-			s.handleNetworkRelease(d, false, 0, now)
+	case event.linkDown:
+		s.conns[event.exchange] = nil
+		for _, current := range s.attempts[event.exchange] {
+			s.handleNetworkRelease(current, false, 0, now)
 		}
 		return
 	}
-	d := s.attempts[h.exchange][h.message.CIC]
-	if d == nil {
+	current := s.attempts[event.exchange][event.message.CIC]
+	if current == nil {
 		return
 	}
-	switch h.message.Type {
+	switch event.message.Type {
 	case isup.ANM:
-		if d.established {
+		if current.established {
 			return
 		}
-		d.established = true
-		c := d.caller
-		if c.EstablishedAt == 0 {
-			c.EstablishedAt = max(now, 1)
+		current.established = true
+		caller := current.caller
+		if caller.EstablishedAt == 0 {
+			caller.EstablishedAt = max(now, 1)
 		}
-		if c.disconnectedAt > 0 && now-c.disconnectedAt <= c.gosTarget {
-			c.Disconnected = false
+		if caller.disconnectedAt > 0 && now-caller.disconnectedAt <= caller.gosTarget {
+			caller.Disconnected = false
 		}
-		heap.Push(&s.actions, action{at: now + c.HoldingTime, kind: 'h', caller: c, attempt: d})
+		heap.Push(&s.actions, action{at: now + caller.HoldingTime, kind: 'h', caller: caller, attempt: current})
 	case isup.REL:
-		s.send(h.exchange, isup.Message{CIC: h.message.CIC, Type: isup.RLC})
-		refused := h.message.Cause == isup.NoCircuit || h.message.Cause == isup.Congestion || h.message.Cause == isup.UserBusy
-		s.handleNetworkRelease(d, refused, time.Duration(h.message.UserInfo.RetryAfter)*100*time.Microsecond, now)
+		s.send(event.exchange, isup.Message{CIC: event.message.CIC, Type: isup.RLC})
+		refused := event.message.Cause == isup.NoCircuit || event.message.Cause == isup.Congestion || event.message.Cause == isup.UserBusy
+		s.handleNetworkRelease(current, refused, time.Duration(event.message.UserInfo.RetryAfter)*100*time.Microsecond, now)
 	}
 }
 
 // handleNetworkRelease ends an attempt that the network released.
-func (s *Subscribers) handleNetworkRelease(d *attempt, refused bool, comeBack, now time.Duration) {
-	c := d.caller
-	s.endAttempt(d)
+func (s *Subscribers) handleNetworkRelease(released *attempt, refused bool, retryAfter, now time.Duration) {
+	caller := released.caller
+	s.endAttempt(released)
 	switch {
-	case d.established:
-		c.Disconnections++
-		c.Disconnected, c.disconnectedAt = true, now
-		heap.Push(&s.actions, action{at: now + time.Duration(s.random.Float64()*float64(s.behaviour.MaxReconnectDelay)), kind: 'd', caller: c, reconnect: true})
+	case released.established:
+		caller.Disconnections++
+		caller.Disconnected, caller.disconnectedAt = true, now
+		heap.Push(&s.actions, action{at: now + time.Duration(s.random.Float64()*float64(s.behaviour.MaxReconnectDelay)), kind: 'd', caller: caller, reconnect: true})
 		return
 	case refused:
-		c.Refused++
+		caller.Refused++
 	default:
-		c.Failed++
+		caller.Failed++
 	}
-	s.scheduleRedial(c, comeBack, now)
+	s.scheduleRedial(caller, retryAfter, now)
 }
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -93,21 +93,21 @@
 }
 
 // NewSwitch returns a switch that is switched off.
-func NewSwitch(number int, work Processor, seed uint64, log *audit.Log) *Switch {
-	return &Switch{Number: number, processor: work, log: log, random: rand.New(rand.NewPCG(seed, uint64(number))), faults: SwitchFaults{Slowdown: 1},
+func NewSwitch(number int, processor Processor, seed uint64, log *audit.Log) *Switch {
+	return &Switch{Number: number, processor: processor, log: log, random: rand.New(rand.NewPCG(seed, uint64(number))), faults: SwitchFaults{Slowdown: 1},
 		lostCircuits: map[uint32]map[uint16]bool{}}
 }
 
 // Start switches the switch on. From the second start on it is cold.
 func (s *Switch) Start(listen func() (net.Listener, error)) error {
-	ln, err := listen()
+	listener, err := listen()
 	if err != nil {
 		return fmt.Errorf("switch %d: %w", s.Number, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.incarnation++
-	s.listener, s.running, s.draining = ln, true, false
+	s.listener, s.running, s.draining = listener, true, false
 	s.startTime, s.cold = time.Now(), s.incarnation > 1 || !s.processor.WarmStart
 	s.connections = map[net.Conn]bool{}
 	s.peers, s.busyCircuits, s.lineCalls = map[uint32]*peer{}, map[uint32]map[uint16]uint32{}, map[uint16]isup.Reference{}
@@ -120,7 +120,7 @@
 	}
 	s.log.Add(audit.Event{Kind: audit.SwitchStarted, Site: s.Number, CIC: cold, Value: int64(float64(time.Second) / float64(s.processor.SetUpTime) * 1000)})
 	s.wg.Go(func() { s.runProcessor(s.stop, s.wake) })
-	s.wg.Go(func() { s.accept(ln) })
+	s.wg.Go(func() { s.accept(listener) })
 	return nil
 }
 
@@ -131,8 +131,8 @@
 		s.running = false
 		s.listener.Close()
 		close(s.stop)
-		for c := range s.connections { // closing the peers' alone would wait forever for a connection that had drained
-			c.Close()
+		for conn := range s.connections { // closing the peers' alone would wait forever for a connection that had drained
+			conn.Close()
 		}
 	}
 	s.mu.Unlock()
@@ -140,44 +140,44 @@
 }
 
 // Status returns what the register sees of the switch.
-func (s *Switch) Status() (life int, up time.Duration, ready, draining bool) {
+func (s *Switch) Status() (incarnation int, uptime time.Duration, ready, draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	up = time.Since(s.startTime)
+	uptime = time.Since(s.startTime)
 	if !s.cold { // a warm switch has run for long before the day starts
-		up += time.Hour
+		uptime += time.Hour
 	}
-	return s.incarnation, up, s.running && !s.draining, s.running && s.draining
+	return s.incarnation, uptime, s.running && !s.draining, s.running && s.draining
 }
 
 // UpdateFaults changes the faults of the switch.
-func (s *Switch) UpdateFaults(change func(d *SwitchFaults)) {
+func (s *Switch) UpdateFaults(update func(faults *SwitchFaults)) {
 	s.mu.Lock()
-	change(&s.faults)
+	update(&s.faults)
 	s.mu.Unlock()
 	s.wakeProcessor()
 }
 
 // SetDraining sets whether the switch reports that it drains.
-func (s *Switch) SetDraining(on bool) { s.mu.Lock(); s.draining = on; s.mu.Unlock() }
+func (s *Switch) SetDraining(draining bool) { s.mu.Lock(); s.draining = draining; s.mu.Unlock() }
 
 // ResetLinks resets a share of the connections from other exchanges' controllers.
 func (s *Switch) ResetLinks(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for point, p := range s.peers {
-		if point < exchange.FirstSubscriberPoint && int(point) != int(exchange.PointCode(s.Number)) && s.random.Float64() < share {
-			resetConnection(p.conn)
+	for pointCode, remote := range s.peers {
+		if pointCode < exchange.FirstSubscriberPoint && int(pointCode) != int(exchange.PointCode(s.Number)) && s.random.Float64() < share {
+			resetConnection(remote.conn)
 		}
 	}
 }
 
 // resetConnection closes a connection with a TCP reset where the network has one.
-func resetConnection(c net.Conn) {
-	if t, ok := c.(*net.TCPConn); ok {
-		t.SetLinger(0)
+func resetConnection(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
 // SetLostCircuits sets which circuits of the group to another exchange are out of service. Calls of that exchange on them
@@ -185,17 +185,17 @@
 func (s *Switch) SetLostCircuits(to int, cics []uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	point := uint32(exchange.PointCode(to))
-	for cic := range s.lostCircuits[point] {
-		s.sendToBothEnds(point, isup.UBL, cic)
+	pointCode := uint32(exchange.PointCode(to))
+	for cic := range s.lostCircuits[pointCode] {
+		s.sendToBothEnds(pointCode, isup.UBL, cic)
 	}
-	s.lostCircuits[point] = map[uint16]bool{}
+	s.lostCircuits[pointCode] = map[uint16]bool{}
 	for _, cic := range cics {
-		s.lostCircuits[point][cic] = true
-		s.sendToBothEnds(point, isup.BLO, cic)
-		for lead, bits := range s.busyCircuits[point] {
-			if lead/32 == cic/32 && bits&(1<<(cic%32-1)) != 0 {
-				s.disconnect(point, lead)
+		s.lostCircuits[pointCode][cic] = true
+		s.sendToBothEnds(pointCode, isup.BLO, cic)
+		for firstCIC, bits := range s.busyCircuits[pointCode] {
+			if firstCIC/32 == cic/32 && bits&(1<<(cic%32-1)) != 0 {
+				s.disconnect(pointCode, firstCIC)
 			}
 		}
 	}
@@ -205,55 +205,55 @@
 func (s *Switch) DisconnectCalls(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for point, calls := range s.busyCircuits {
-		for lead := range calls {
+	for pointCode, calls := range s.busyCircuits {
+		for firstCIC := range calls {
 			if s.random.Float64() < share {
-				s.disconnect(point, lead)
+				s.disconnect(pointCode, firstCIC)
 			}
 		}
 	}
 }
 
-func (s *Switch) disconnect(point uint32, lead uint16) {
-	s.log.Add(audit.Event{Kind: audit.TryResponse, Site: s.Number, Peer: int(point) - 1, CIC: lead, Value: int64(isup.REL)})
-	s.sendToBothEnds(point, isup.REL, lead)
-	delete(s.busyCircuits[point], lead)
+func (s *Switch) disconnect(pointCode uint32, firstCIC uint16) {
+	s.log.Add(audit.Event{Kind: audit.TryResponse, Site: s.Number, Peer: int(pointCode) - 1, CIC: firstCIC, Value: int64(isup.REL)})
+	s.sendToBothEnds(pointCode, isup.REL, firstCIC)
+	delete(s.busyCircuits[pointCode], firstCIC)
 }
 
-func (s *Switch) sendToBothEnds(point uint32, t isup.Type, cic uint16) {
+func (s *Switch) sendToBothEnds(pointCode uint32, messageType isup.Type, cic uint16) {
 	own := uint32(exchange.PointCode(s.Number))
-	m := isup.Message{CIC: cic, Type: t, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork}
-	s.sendMessage(s.peers[point], own, point, m)
-	s.sendMessage(s.peers[own], point, own, m)
+	message := isup.Message{CIC: cic, Type: messageType, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork}
+	s.sendMessage(s.peers[pointCode], own, pointCode, message)
+	s.sendMessage(s.peers[own], pointCode, own, message)
 }
 
 // BusyCircuits returns the number of circuits in use by calls from another exchange.
-func (s *Switch) BusyCircuits(of int) (n int) {
+func (s *Switch) BusyCircuits(number int) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, bits := range s.busyCircuits[uint32(exchange.PointCode(of))] {
+	for _, bits := range s.busyCircuits[uint32(exchange.PointCode(number))] {
 		for ; bits != 0; bits &= bits - 1 {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // capacity returns the present speed of the processor relative to its full speed.
 func (s *Switch) capacity() float64 {
-	v := 1.0
+	capacity := 1.0
 	if age := time.Since(s.startTime); s.cold && age < s.processor.RampTime {
-		v = s.processor.InitialCapacity + (1-s.processor.InitialCapacity)*float64(age)/float64(s.processor.RampTime)
+		capacity = s.processor.InitialCapacity + (1-s.processor.InitialCapacity)*float64(age)/float64(s.processor.RampTime)
 	}
-	return v / s.faults.Slowdown * (1 - s.faults.OtherLoad)
+	return capacity / s.faults.Slowdown * (1 - s.faults.OtherLoad)
 }
 
 // runProcessor executes the queued jobs one by one, answers and releases first.
-func (s *Switch) runProcessor(stop, kick chan struct{}) {
-	free := time.Now()
+func (s *Switch) runProcessor(stop, wake chan struct{}) {
+	idleFrom := time.Now()
 	for {
 		s.mu.Lock()
-		var j job
+		var next job
 		queue := &s.priorityQueue
 		if len(s.priorityQueue) == 0 {
 			queue = &s.setUpQueue
@@ -263,23 +263,23 @@
 			select {
 			case <-stop:
 				return
-			case <-kick:
+			case <-wake:
 			}
-			free = maxTime(free, time.Now())
+			idleFrom = maxTime(idleFrom, time.Now())
 			continue
 		}
-		j = (*queue)[0]
+		next = (*queue)[0]
 		*queue = (*queue)[1:]
-		if j.cancelled != nil && *j.cancelled {
-			s.queuedWork -= j.cost
+		if next.cancelled != nil && *next.cancelled {
+			s.queuedWork -= next.cost
 			s.mu.Unlock()
 			s.wakeProcessor()
 			continue
 		}
-		took := time.Duration(float64(j.cost) / s.capacity())
+		duration := time.Duration(float64(next.cost) / s.capacity())
 		s.mu.Unlock()
-		free = maxTime(free, time.Now().Add(-2*time.Millisecond)).Add(took) // catch up after an overlong sleep
-		if d := time.Until(free); d > 0 {
+		idleFrom = maxTime(idleFrom, time.Now().Add(-2*time.Millisecond)).Add(duration) // catch up after an overlong sleep
+		if d := time.Until(idleFrom); d > 0 {
 			select {
 			case <-stop:
 				return
@@ -287,8 +287,8 @@
 			}
 		}
 		s.mu.Lock()
-		s.queuedWork -= j.cost
-		j.run(time.Duration(float64(s.queuedWork) / s.capacity()))
+		s.queuedWork -= next.cost
+		next.run(time.Duration(float64(s.queuedWork) / s.capacity()))
 		s.mu.Unlock()
 	}
 }
@@ -301,38 +301,38 @@
 }
 
 // enqueue queues a job. The caller holds the lock.
-func (s *Switch) enqueue(fresh bool, cost time.Duration, do func(time.Duration)) {
+func (s *Switch) enqueue(isSetUp bool, cost time.Duration, run func(time.Duration)) {
 	queue := &s.priorityQueue
-	if fresh {
+	if isSetUp {
 		queue = &s.setUpQueue
 	}
-	*queue = append(*queue, job{cost: cost, run: do})
+	*queue = append(*queue, job{cost: cost, run: run})
 	s.queuedWork += cost
 	s.wakeProcessorLocked()
 }
 
 // enqueueSetUp queues a set-up for the own controller. A release cancels it while it waits.
-func (s *Switch) enqueueSetUp(point uint32, m isup.Message, arrived time.Time) {
-	void := new(bool)
-	at := setUpKey{point, m.CIC}
-	s.queuedSetUps[at] = void
+func (s *Switch) enqueueSetUp(pointCode uint32, message isup.Message, arrived time.Time) {
+	cancelled := new(bool)
+	key := setUpKey{pointCode, message.CIC}
+	s.queuedSetUps[key] = cancelled
 	s.enqueue(true, s.processor.SetUpTime, func(time.Duration) {
-		if s.queuedSetUps[at] == void {
-			delete(s.queuedSetUps, at)
+		if s.queuedSetUps[key] == cancelled {
+			delete(s.queuedSetUps, key)
 		}
-		s.sendToController(point, m, arrived)
+		s.sendToController(pointCode, message, arrived)
 	})
-	s.setUpQueue[len(s.setUpQueue)-1].cancelled = void
+	s.setUpQueue[len(s.setUpQueue)-1].cancelled = cancelled
 }
 
 // cancelSetUp cancels a queued set-up and reports whether there was one.
-func (s *Switch) cancelSetUp(point uint32, cic uint16) bool {
-	void := s.queuedSetUps[setUpKey{point, cic}]
-	if void == nil {
+func (s *Switch) cancelSetUp(pointCode uint32, cic uint16) bool {
+	cancelled := s.queuedSetUps[setUpKey{pointCode, cic}]
+	if cancelled == nil {
 		return false
 	}
-	*void = true
-	delete(s.queuedSetUps, setUpKey{point, cic})
+	*cancelled = true
+	delete(s.queuedSetUps, setUpKey{pointCode, cic})
 	return true
 }
 
@@ -344,177 +344,179 @@
 	}
 }
 
-func (s *Switch) accept(ln net.Listener) {
+func (s *Switch) accept(listener net.Listener) {
 	for {
-		c, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		s.wg.Go(func() { s.serve(c) })
+		s.wg.Go(func() { s.serve(conn) })
 	}
 }
 
-func (s *Switch) serve(c net.Conn) {
-	defer c.Close()
+func (s *Switch) serve(conn net.Conn) {
+	defer conn.Close()
 	s.mu.Lock()
 	if !s.running {
 		s.mu.Unlock()
 		return
 	}
-	s.connections[c] = true
+	s.connections[conn] = true
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(s.connections, c)
+		delete(s.connections, conn)
 		s.mu.Unlock()
 	}()
-	f, scratch, err := m3ua.Read(c, nil)
-	if err != nil || f.Kind != m3ua.ASPUp {
+	frame, scratch, err := m3ua.Read(conn, nil)
+	if err != nil || frame.Kind != m3ua.ASPUp {
 		return
 	}
-	p := &peer{conn: c, pointCode: f.ASPID}
+	client := &peer{conn: conn, pointCode: frame.ASPID}
 	s.mu.Lock()
 	if !s.running {
 		s.mu.Unlock()
 		return
 	}
-	s.peers[p.pointCode] = p
-	s.sendFrame(p, m3ua.Frame{Kind: m3ua.ASPUpAck, ASPID: uint32(exchange.PointCode(s.Number)), Info: fmt.Sprintf("life=%d clock=%d", s.incarnation, s.clock())})
+	s.peers[client.pointCode] = client
+	s.sendFrame(client, m3ua.Frame{Kind: m3ua.ASPUpAck, ASPID: uint32(exchange.PointCode(s.Number)), Info: fmt.Sprintf("life=%d clock=%d", s.incarnation, s.clock())})
 	s.mu.Unlock()
 	for err == nil {
-		if f, scratch, err = m3ua.Read(c, scratch); err != nil {
+		if frame, scratch, err = m3ua.Read(conn, scratch); err != nil {
 			break
 		}
 		s.mu.Lock()
 		switch {
-		case s.faults.HalfOpen && p.pointCode < exchange.FirstSubscriberPoint && p.pointCode != uint32(exchange.PointCode(s.Number)):
+		case s.faults.HalfOpen && client.pointCode < exchange.FirstSubscriberPoint && client.pointCode != uint32(exchange.PointCode(s.Number)):
 			// Dropped, but recorded: otherwise the audit would take released route tries for open ones.
-			if m, err := isup.Decode(f.UserData); f.Kind == m3ua.Data && err == nil && m.Type == isup.REL {
-				s.log.Add(audit.Event{Kind: audit.TryReleased, Site: s.Number, Peer: int(p.pointCode) - 1, CIC: m.CIC})
+			if message, err := isup.Decode(frame.UserData); frame.Kind == m3ua.Data && err == nil && message.Type == isup.REL {
+				s.log.Add(audit.Event{Kind: audit.TryReleased, Site: s.Number, Peer: int(client.pointCode) - 1, CIC: message.CIC})
 			}
-		case f.Kind == m3ua.Heartbeat:
-			s.sendFrame(p, m3ua.Frame{Kind: m3ua.HeartbeatAck, UserData: f.UserData})
-		case f.Kind == m3ua.ASPDown:
+		case frame.Kind == m3ua.Heartbeat:
+			s.sendFrame(client, m3ua.Frame{Kind: m3ua.HeartbeatAck, UserData: frame.UserData})
+		case frame.Kind == m3ua.ASPDown:
 			// Keep the peer: without it the releases of its callers would be lost, and it would answer calls that were abandoned.
-			p.draining = true
-		case f.Kind == m3ua.Data:
-			var m isup.Message
-			if m, err = isup.Decode(f.UserData); err == nil {
-				s.handleMessage(p, f.DPC, m)
+			client.draining = true
+		case frame.Kind == m3ua.Data:
+			var message isup.Message
+			if message, err = isup.Decode(frame.UserData); err == nil {
+				s.handleMessage(client, frame.DPC, message)
 			}
 		}
 		s.mu.Unlock()
 	}
 	s.mu.Lock()
-	if s.peers[p.pointCode] == p {
-		delete(s.peers, p.pointCode)
+	if s.peers[client.pointCode] == client {
+		delete(s.peers, client.pointCode)
 	}
-	if p.pointCode == uint32(exchange.PointCode(s.Number)) {
+	if client.pointCode == uint32(exchange.PointCode(s.Number)) {
 		s.log.Add(audit.Event{Kind: audit.ControllerKilled, Site: s.Number})
-	} else if p.pointCode < exchange.FirstSubscriberPoint {
-		s.log.Add(audit.Event{Kind: audit.LinkLost, Site: s.Number, Peer: int(p.pointCode) - 1})
+	} else if client.pointCode < exchange.FirstSubscriberPoint {
+		s.log.Add(audit.Event{Kind: audit.LinkLost, Site: s.Number, Peer: int(client.pointCode) - 1})
 	}
 	s.mu.Unlock()
 }
 
 // handleMessage queues a received message for the processor. The caller holds the lock.
-func (s *Switch) handleMessage(p *peer, to uint32, m isup.Message) {
+func (s *Switch) handleMessage(sender *peer, destination uint32, message isup.Message) {
 	own := uint32(exchange.PointCode(s.Number))
-	far := int(p.pointCode) - 1
+	remote := int(sender.pointCode) - 1
 	switch {
-	case p.pointCode >= exchange.FirstSubscriberPoint: // a subscriber
-		s.handleSubscriberMessage(p, m, time.Now())
-	case p.pointCode != own: // another exchange's controller
+	case sender.pointCode >= exchange.FirstSubscriberPoint: // a subscriber
+		s.handleSubscriberMessage(sender, message, time.Now())
+	case sender.pointCode != own: // another exchange's controller
 		arrived := time.Now()
-		switch m.Type {
+		switch message.Type {
 		case isup.IAM:
-			s.log.Add(audit.Event{Kind: audit.TryReceived, Site: s.Number, Peer: far, Ref: m.Ref, CIC: m.CIC, Slots: m.Slots,
-				Value: int64(m.UserInfo.TableVersion)<<16 | int64(m.UserInfo.Dest)})
+			s.log.Add(audit.Event{Kind: audit.TryReceived, Site: s.Number, Peer: remote, Ref: message.Ref, CIC: message.CIC, Slots: message.Slots,
+				Value: int64(message.UserInfo.TableVersion)<<16 | int64(message.UserInfo.Dest)})
 			if s.failsFromOverload() {
 				return
 			}
-			if s.refuseSetUp(p, own, p.pointCode, m) {
+			if s.refuseSetUp(sender, own, sender.pointCode, message) {
 				return
 			}
-			bits := m.Slots
+			bits := message.Slots
 			if bits == 0 {
-				bits = 1 << (m.CIC%32 - 1)
+				bits = 1 << (message.CIC%32 - 1)
 			}
-			if s.busyCircuits[p.pointCode] == nil {
-				s.busyCircuits[p.pointCode] = map[uint16]uint32{}
+			if s.busyCircuits[sender.pointCode] == nil {
+				s.busyCircuits[sender.pointCode] = map[uint16]uint32{}
 			}
-			for lead, held := range s.busyCircuits[p.pointCode] { // a restarted controller has dropped an earlier call without a release
-				if lead/32 == m.CIC/32 && held&bits != 0 {
-					delete(s.busyCircuits[p.pointCode], lead)
+			for firstCIC, heldBits := range s.busyCircuits[sender.pointCode] { // a restarted controller has dropped an earlier call without a release
+				if firstCIC/32 == message.CIC/32 && heldBits&bits != 0 {
+					delete(s.busyCircuits[sender.pointCode], firstCIC)
 				}
 			}
-			s.busyCircuits[p.pointCode][m.CIC] = bits
-			s.enqueueSetUp(p.pointCode, m, arrived)
+			s.busyCircuits[sender.pointCode][message.CIC] = bits
+			s.enqueueSetUp(sender.pointCode, message, arrived)
 			return
 		case isup.REL:
-			s.cancelSetUp(p.pointCode, m.CIC)
-			s.log.Add(audit.Event{Kind: audit.TryReleased, Site: s.Number, Peer: far, CIC: m.CIC})
+			s.cancelSetUp(sender.pointCode, message.CIC)
+			s.log.Add(audit.Event{Kind: audit.TryReleased, Site: s.Number, Peer: remote, CIC: message.CIC})
 		case isup.RSC, isup.GRS:
-			for cic := m.CIC; cic <= m.CIC+uint16(m.Range); cic++ {
-				s.cancelSetUp(p.pointCode, cic)
+			for cic := message.CIC; cic <= message.CIC+uint16(message.Range); cic++ {
+				s.cancelSetUp(sender.pointCode, cic)
 			}
-			s.log.Add(audit.Event{Kind: audit.ResetReceived, Site: s.Number, Peer: far, CIC: m.CIC, Value: int64(m.Range)})
+			s.log.Add(audit.Event{Kind: audit.ResetReceived, Site: s.Number, Peer: remote, CIC: message.CIC, Value: int64(message.Range)})
 		}
-		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendToController(p.pointCode, m, arrived) })
-	case to >= exchange.FirstCalledPoint: // own controller, to a line it calls
-		reply := isup.Message{CIC: m.CIC, Type: isup.RLC}
-		if m.Type == isup.IAM {
+		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendToController(sender.pointCode, message, arrived) })
+	case destination >= exchange.FirstCalledPoint: // own controller, to a line it calls
+		reply := isup.Message{CIC: message.CIC, Type: isup.RLC}
+		if message.Type == isup.IAM {
 			reply.Type = isup.ANM
-		} else if m.Type != isup.REL {
+		} else if message.Type != isup.REL {
 			return
 		}
-		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendMessage(s.peers[own], to, own, reply) })
-	case to >= exchange.FirstSubscriberPoint: // own controller, to a subscriber
-		if ref, ok := s.lineCalls[m.CIC]; ok && (m.Type == isup.ANM || m.Type == isup.REL) {
-			s.log.Add(audit.Event{Kind: audit.CallResponse, Site: s.Number, Ref: ref, CIC: uint16(m.Type)})
+		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendMessage(s.peers[own], destination, own, reply) })
+	case destination >= exchange.FirstSubscriberPoint: // own controller, to a subscriber
+		if ref, ok := s.lineCalls[message.CIC]; ok && (message.Type == isup.ANM || message.Type == isup.REL) {
+			s.log.Add(audit.Event{Kind: audit.CallResponse, Site: s.Number, Ref: ref, CIC: uint16(message.Type)})
 		}
-		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendMessage(s.peers[to], own, to, m) })
+		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendMessage(s.peers[destination], own, destination, message) })
 	default: // own controller, back to another exchange
-		s.enqueue(false, s.processor.MessageTime, func(wait time.Duration) { s.sendBack(to, m, wait) })
+		s.enqueue(false, s.processor.MessageTime, func(wait time.Duration) { s.sendBack(destination, message, wait) })
 	}
 }
 
-func (s *Switch) handleSubscriberMessage(p *peer, m isup.Message, arrived time.Time) {
+func (s *Switch) handleSubscriberMessage(sender *peer, message isup.Message, arrived time.Time) {
 	own := uint32(exchange.PointCode(s.Number))
-	switch m.Type {
+	switch message.Type {
 	case isup.IAM:
-		if !s.refuseSetUp(p, own, p.pointCode, m) {
-			s.enqueueSetUp(p.pointCode, m, arrived)
+		if !s.refuseSetUp(sender, own, sender.pointCode, message) {
+			s.enqueueSetUp(sender.pointCode, message, arrived)
 		}
 	case isup.REL:
-		if s.cancelSetUp(p.pointCode, m.CIC) {
-			s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendMessage(p, own, p.pointCode, isup.Message{CIC: m.CIC, Type: isup.RLC}) })
+		if s.cancelSetUp(sender.pointCode, message.CIC) {
+			s.enqueue(false, s.processor.MessageTime, func(time.Duration) {
+				s.sendMessage(sender, own, sender.pointCode, isup.Message{CIC: message.CIC, Type: isup.RLC})
+			})
 			return
 		}
-		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendToController(p.pointCode, m, arrived) })
+		s.enqueue(false, s.processor.MessageTime, func(time.Duration) { s.sendToController(sender.pointCode, message, arrived) })
 	}
 }
 
 // refuseSetUp refuses a set-up and returns true if there is no controller, the circuit is out of service, or the processor's
 // queue is too long.
-func (s *Switch) refuseSetUp(p *peer, own, to uint32, m isup.Message) bool {
-	r := isup.Message{CIC: m.CIC, Type: isup.REL, Cause: isup.Congestion, Location: isup.LocalNetwork}
+func (s *Switch) refuseSetUp(sender *peer, own, to uint32, message isup.Message) bool {
+	refusal := isup.Message{CIC: message.CIC, Type: isup.REL, Cause: isup.Congestion, Location: isup.LocalNetwork}
 	wait := time.Duration(float64(s.queuedWork) / s.capacity())
 	switch {
 	case s.peers[own] == nil || s.peers[own].draining:
-		r.Cause = isup.OutOfOrder
-	case s.lostCircuits[p.pointCode][m.CIC]:
-		r.Cause = isup.NoCircuit
+		refusal.Cause = isup.OutOfOrder
+	case s.lostCircuits[sender.pointCode][message.CIC]:
+		refusal.Cause = isup.NoCircuit
 	case wait > s.processor.MaxWait:
-		r.UserInfo = isup.UserInfo{Present: isup.PartRetryAfter, RetryAfter: uint32(wait / (100 * time.Microsecond))}
+		refusal.UserInfo = isup.UserInfo{Present: isup.PartRetryAfter, RetryAfter: uint32(wait / (100 * time.Microsecond))}
 	default:
 		return false
 	}
 	s.enqueue(false, s.processor.SetUpTime/2, func(wait time.Duration) {
-		if p.pointCode < exchange.FirstSubscriberPoint {
-			s.sendBack(to, r, wait)
+		if sender.pointCode < exchange.FirstSubscriberPoint {
+			s.sendBack(to, refusal, wait)
 		} else {
-			s.sendMessage(p, own, to, r)
+			s.sendMessage(sender, own, to, refusal)
 		}
 	})
 	return true
@@ -532,8 +534,8 @@
 	for now.Sub(s.coldSetUps[0]) > s.processor.OverloadWindow {
 		s.coldSetUps = s.coldSetUps[1:]
 	}
-	full := s.processor.OverloadWindow.Seconds() / s.processor.SetUpTime.Seconds()
-	if most := s.processor.OverloadMultiple * s.capacity() * full; float64(len(s.coldSetUps)) <= most*1.3+10 {
+	capacity := s.processor.OverloadWindow.Seconds() / s.processor.SetUpTime.Seconds()
+	if maxSetUps := s.processor.OverloadMultiple * s.capacity() * capacity; float64(len(s.coldSetUps)) <= maxSetUps*1.3+10 {
 		return false
 	}
 	go s.Stop()
@@ -541,108 +543,108 @@
 }
 
 // sendToController passes a message on to the own controller, if it is connected.
-func (s *Switch) sendToController(from uint32, m isup.Message, arrived time.Time) {
+func (s *Switch) sendToController(from uint32, message isup.Message, arrived time.Time) {
 	own := uint32(exchange.PointCode(s.Number))
-	p := s.peers[own]
-	if p != nil && p.draining && m.Type == isup.IAM { // queued before the controller reported that it drains
-		p = nil
+	controller := s.peers[own]
+	if controller != nil && controller.draining && message.Type == isup.IAM { // queued before the controller reported that it drains
+		controller = nil
 	}
-	if m.UserInfo.Present&isup.PartTimeLeft != 0 {
+	if message.UserInfo.Present&isup.PartTimeLeft != 0 {
 		waited := uint32(time.Since(arrived) / (100 * time.Microsecond))
-		if m.UserInfo.TimeLeft <= waited { // the caller has abandoned
+		if message.UserInfo.TimeLeft <= waited { // the caller has abandoned
 			return
 		}
-		m.UserInfo.TimeLeft -= waited
-		m.UserInfo.SentAt = s.clock()
+		message.UserInfo.TimeLeft -= waited
+		message.UserInfo.SentAt = s.clock()
 	}
-	if p != nil && from < exchange.FirstSubscriberPoint && m.Type == isup.IAM {
-		s.log.Add(audit.Event{Kind: audit.SetUpDelivered, Site: s.Number, Peer: int(from) - 1, Ref: m.Ref, CIC: m.CIC, Slots: m.Slots})
+	if controller != nil && from < exchange.FirstSubscriberPoint && message.Type == isup.IAM {
+		s.log.Add(audit.Event{Kind: audit.SetUpDelivered, Site: s.Number, Peer: int(from) - 1, Ref: message.Ref, CIC: message.CIC, Slots: message.Slots})
 	}
-	if p != nil && (m.Type == isup.RSC || m.Type == isup.GRS) {
-		s.log.Add(audit.Event{Kind: audit.ResetDelivered, Site: s.Number, Peer: int(from) - 1, CIC: m.CIC, Value: int64(m.Range)})
+	if controller != nil && (message.Type == isup.RSC || message.Type == isup.GRS) {
+		s.log.Add(audit.Event{Kind: audit.ResetDelivered, Site: s.Number, Peer: int(from) - 1, CIC: message.CIC, Value: int64(message.Range)})
 	}
 	if from >= exchange.FirstSubscriberPoint {
 		switch {
-		case m.Type == isup.IAM && p != nil:
-			s.lineCalls[m.CIC] = m.Ref
-			dialled, _ := strconv.Atoi(m.Digits[:min(3, len(m.Digits))])
-			s.log.Add(audit.Event{Kind: audit.CallOffered, Site: s.Number, Ref: m.Ref, Slots: uint32(dialled), Value: int64(m.UserInfo.TimeLeft) * 100})
-		case m.Type == isup.REL:
-			s.log.Add(audit.Event{Kind: audit.CallerReleased, Site: s.Number, Ref: s.lineCalls[m.CIC]})
+		case message.Type == isup.IAM && controller != nil:
+			s.lineCalls[message.CIC] = message.Ref
+			dialled, _ := strconv.Atoi(message.Digits[:min(3, len(message.Digits))])
+			s.log.Add(audit.Event{Kind: audit.CallOffered, Site: s.Number, Ref: message.Ref, Slots: uint32(dialled), Value: int64(message.UserInfo.TimeLeft) * 100})
+		case message.Type == isup.REL:
+			s.log.Add(audit.Event{Kind: audit.CallerReleased, Site: s.Number, Ref: s.lineCalls[message.CIC]})
 		}
 	}
-	if p == nil && from >= exchange.FirstSubscriberPoint && m.Type == isup.REL {
-		s.sendMessage(s.peers[from], own, from, isup.Message{CIC: m.CIC, Type: isup.RLC})
+	if controller == nil && from >= exchange.FirstSubscriberPoint && message.Type == isup.REL {
+		s.sendMessage(s.peers[from], own, from, isup.Message{CIC: message.CIC, Type: isup.RLC})
 	}
-	s.sendMessage(p, from, own, m)
+	s.sendMessage(controller, from, own, message)
 }
 
 // clock returns the time that stamps count with, in units of 100 µs.
 func (s *Switch) clock() uint32 { return uint32(time.Since(s.startTime) / (100 * time.Microsecond)) }
 
 // sendBack sends a message of the own controller, or a refusal of the switch itself, to the exchange that sent the call.
-func (s *Switch) sendBack(to uint32, m isup.Message, wait time.Duration) {
+func (s *Switch) sendBack(to uint32, message isup.Message, wait time.Duration) {
 	if time.Since(s.reportedAt) >= s.processor.ReportInterval {
 		s.reportedWait, s.reportedAt = time.Duration(float64(wait)*(1+s.processor.ReportNoise*(2*s.random.Float64()-1))), time.Now()
 	}
-	m.UserInfo.Present |= isup.PartLoad
-	m.UserInfo.Wait = uint32(s.reportedWait / (100 * time.Microsecond))
-	m.UserInfo.HoldBack = uint16(min(900, max(0, (s.reportedWait-100*time.Millisecond)*1000/(2*time.Second))))
-	p := s.peers[to]
-	if (m.Type == isup.ANM || m.Type == isup.REL) && p != nil {
+	message.UserInfo.Present |= isup.PartLoad
+	message.UserInfo.Wait = uint32(s.reportedWait / (100 * time.Microsecond))
+	message.UserInfo.HoldBack = uint16(min(900, max(0, (s.reportedWait-100*time.Millisecond)*1000/(2*time.Second))))
+	remote := s.peers[to]
+	if (message.Type == isup.ANM || message.Type == isup.REL) && remote != nil {
 		if s.random.Float64() < s.faults.AnswerLossRatio {
 			if s.faults.ResetOnLoss {
-				resetConnection(p.conn)
+				resetConnection(remote.conn)
 			}
 			return
 		}
-		s.log.Add(audit.Event{Kind: audit.TryResponse, Site: s.Number, Peer: int(to) - 1, CIC: m.CIC, Value: int64(m.Type)})
+		s.log.Add(audit.Event{Kind: audit.TryResponse, Site: s.Number, Peer: int(to) - 1, CIC: message.CIC, Value: int64(message.Type)})
 	}
-	switch m.Type {
+	switch message.Type {
 	case isup.REL, isup.RLC:
-		delete(s.busyCircuits[to], m.CIC)
+		delete(s.busyCircuits[to], message.CIC)
 	case isup.GRA:
-		for cic := m.CIC; cic <= m.CIC+uint16(m.Range); cic++ {
+		for cic := message.CIC; cic <= message.CIC+uint16(message.Range); cic++ {
 			delete(s.busyCircuits[to], cic)
 		}
 	}
-	s.sendMessage(p, uint32(exchange.PointCode(s.Number)), to, m)
+	s.sendMessage(remote, uint32(exchange.PointCode(s.Number)), to, message)
 }
 
-func (s *Switch) sendMessage(p *peer, from, to uint32, m isup.Message) {
-	if p == nil {
+func (s *Switch) sendMessage(receiver *peer, from, to uint32, message isup.Message) {
+	if receiver == nil {
 		return
 	}
-	b, err := isup.Append(nil, m)
+	data, err := isup.Append(nil, message)
 	if err != nil {
 		return
 	}
-	s.sendFrame(p, m3ua.Frame{Kind: m3ua.Data, OPC: from, DPC: to, UserData: b})
+	s.sendFrame(receiver, m3ua.Frame{Kind: m3ua.Data, OPC: from, DPC: to, UserData: data})
 }
 
 // sendFrame writes a frame. The connection is closed if the peer does not read within the write timeout, so that the switch
 // is not blocked.
-func (s *Switch) sendFrame(p *peer, f m3ua.Frame) {
-	if s.faults.HalfOpen && p.pointCode < exchange.FirstSubscriberPoint && p.pointCode != uint32(exchange.PointCode(s.Number)) {
+func (s *Switch) sendFrame(receiver *peer, frame m3ua.Frame) {
+	if s.faults.HalfOpen && receiver.pointCode < exchange.FirstSubscriberPoint && receiver.pointCode != uint32(exchange.PointCode(s.Number)) {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	receiver.mu.Lock()
+	defer receiver.mu.Unlock()
 	var err error
-	if p.buf, err = m3ua.Append(p.buf[:0], f); err != nil {
+	if receiver.buf, err = m3ua.Append(receiver.buf[:0], frame); err != nil {
 		return
 	}
-	p.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	step := len(p.buf)
+	receiver.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
+	size := len(receiver.buf)
 	if s.faults.MaxWriteSize > 0 {
-		step = s.faults.MaxWriteSize
+		size = s.faults.MaxWriteSize
 	}
-	for b := p.buf; len(b) > 0 && err == nil; {
-		n := min(step, len(b))
-		_, err = p.conn.Write(b[:n])
-		b = b[n:]
+	for rest := receiver.buf; len(rest) > 0 && err == nil; {
+		n := min(size, len(rest))
+		_, err = receiver.conn.Write(rest[:n])
+		rest = rest[n:]
 	}
 	if err != nil {
-		p.conn.Close()
+		receiver.conn.Close()
 	}
 }
