--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -34,48 +34,48 @@
 }
 
 // NewBuilder returns a builder of Routers for internal/exchange.
-func NewBuilder(tandem bool) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
-	return func(d policy.Deployment, out policy.Executor, _ policy.Tenths) exchange.Decider {
-		return &Router{deployment: d, executor: out, useTandem: tandem, random: rand.New(rand.NewPCG(d.Seed, 5)), switches: map[uint32]*switchState{},
+func NewBuilder(useTandem bool) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
+	return func(deployment policy.Deployment, executor policy.Executor, _ policy.Tenths) exchange.Decider {
+		return &Router{deployment: deployment, executor: executor, useTandem: useTandem, random: rand.New(rand.NewPCG(deployment.Seed, 5)), switches: map[uint32]*switchState{},
 			calls: map[uint32]*call{}}
 	}
 }
 
 // Offer sends or blocks a call at once.
-func (p *Router) Offer(now policy.Tenths, ask policy.Call) bool {
-	k := &call{offer: ask, deadline: now + ask.TTL}
-	p.calls[ask.ID] = k
-	p.route(now, k, true)
+func (p *Router) Offer(now policy.Tenths, offer policy.Call) bool {
+	c := &call{offer: offer, deadline: now + offer.TTL}
+	p.calls[offer.ID] = c
+	p.route(now, c, true)
 	return true
 }
 
-func (p *Router) route(now policy.Tenths, k *call, direct bool) {
-	var fit []uint32
+func (p *Router) route(now policy.Tenths, c *call, direct bool) {
+	var tandems []uint32
 	for _, id := range p.switchOrder {
-		f := p.switches[id]
-		if !f.ready || f.number == p.deployment.OwnExchange || f.freeCircuits < k.offer.Width {
+		candidate := p.switches[id]
+		if !candidate.ready || candidate.number == p.deployment.OwnExchange || candidate.freeCircuits < c.offer.Width {
 			continue
 		}
-		if f.number == k.offer.Dest && direct {
-			p.send(now, k, id)
+		if candidate.number == c.offer.Dest && direct {
+			p.send(now, c, id)
 			return
 		}
-		if f.number != k.offer.Dest {
-			fit = append(fit, id)
+		if candidate.number != c.offer.Dest {
+			tandems = append(tandems, id)
 		}
 	}
-	if p.useTandem && !k.offer.Transit && k.tries < 2 && len(fit) > 0 {
-		p.send(now, k, fit[p.random.IntN(len(fit))])
+	if p.useTandem && !c.offer.Transit && c.tries < 2 && len(tandems) > 0 {
+		p.send(now, c, tandems[p.random.IntN(len(tandems))])
 		return
 	}
-	delete(p.calls, k.offer.ID)
-	p.executor.Block(k.offer.ID, 0)
+	delete(p.calls, c.offer.ID)
+	p.executor.Block(c.offer.ID, 0)
 }
 
-func (p *Router) send(now policy.Tenths, k *call, to uint32) {
-	k.tries++
-	p.switches[to].freeCircuits -= k.offer.Width
-	p.executor.Send(k.offer.ID, to, k.deadline-now)
+func (p *Router) send(now policy.Tenths, c *call, to uint32) {
+	c.tries++
+	p.switches[to].freeCircuits -= c.offer.Width
+	p.executor.Send(c.offer.ID, to, c.deadline-now)
 }
 
 // Answered removes the call, since its end needs no decision.
@@ -83,13 +83,13 @@
 
 // TryEnded tries a tandem if the route try did not reach the switch, and otherwise aborts the call.
 func (p *Router) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
-	k := p.calls[id]
+	c := p.calls[id]
 	switch {
-	case k == nil:
+	case c == nil:
 	case final:
 		delete(p.calls, id)
 	case end == policy.Blocked || end == policy.Unsent || end == policy.Unreachable:
-		p.route(now, k, false)
+		p.route(now, c, false)
 	default:
 		delete(p.calls, id)
 		p.executor.Abort(id)
@@ -98,8 +98,8 @@
 
 // LoadReported stores the number of free circuits towards a switch.
 func (p *Router) LoadReported(_ policy.Tenths, sw uint32, rep policy.LoadReport) {
-	if f := p.switches[sw]; f != nil && rep.Free >= 0 {
-		f.freeCircuits = rep.Free
+	if target := p.switches[sw]; target != nil && rep.Free >= 0 {
+		target.freeCircuits = rep.Free
 	}
 }
 
@@ -113,19 +113,19 @@
 func (p *Router) ListLost(policy.Tenths) {}
 
 // ListReceived stores which switches are ready.
-func (p *Router) ListReceived(_ policy.Tenths, whole bool, list []policy.Switch) {
-	if whole {
-		for _, f := range p.switches {
-			f.ready = false
+func (p *Router) ListReceived(_ policy.Tenths, full bool, list []policy.Switch) {
+	if full {
+		for _, known := range p.switches {
+			known.ready = false
 		}
 	}
 	for _, s := range list {
-		f := p.switches[s.ID]
-		if f == nil {
-			f = &switchState{}
-			p.switches[s.ID] = f
+		known := p.switches[s.ID]
+		if known == nil {
+			known = &switchState{}
+			p.switches[s.ID] = known
 			p.switchOrder = append(p.switchOrder, s.ID)
 		}
-		f.number, f.ready = s.Number, s.Ready
+		known.number, known.ready = s.Number, s.Ready
 	}
 }
--- a/internal/day/draw.go
+++ b/internal/day/draw.go
@@ -19,54 +19,54 @@
 }
 
 // newPlan draws the plan. All calls are drawn in advance, independently of what the exchanges do.
-func newPlan(s Script) plan {
-	chance := rand.New(rand.NewPCG(s.Seed, 0xd1))
-	n := s.ExchangeCount
-	p := plan{trafficShares: newMatrix[float64](n), circuits: newMatrix[int](n), processor: s.Processor}
-	sum := 0.0
-	for a := range n {
-		for b := range n {
+func newPlan(script Script) plan {
+	random := rand.New(rand.NewPCG(script.Seed, 0xd1))
+	count := script.ExchangeCount
+	drawn := plan{trafficShares: newMatrix[float64](count), circuits: newMatrix[int](count), processor: script.Processor}
+	total := 0.0
+	for a := range count {
+		for b := range count {
 			if a != b {
-				p.trafficShares[a][b] = math.Exp(s.TrafficDeviation * chance.NormFloat64())
-				sum += p.trafficShares[a][b]
+				drawn.trafficShares[a][b] = math.Exp(script.TrafficDeviation * random.NormFloat64())
+				total += drawn.trafficShares[a][b]
 			}
 		}
 	}
-	holding, weight := 0.0, 0.0
-	for _, t := range s.Bearers {
-		holding += t.Share * float64(t.Width) * t.HoldingTime.Seconds()
-		weight += t.Share
+	holding, shares := 0.0, 0.0
+	for _, bearer := range script.Bearers {
+		holding += bearer.Share * float64(bearer.Width) * bearer.HoldingTime.Seconds()
+		shares += bearer.Share
 	}
-	holding /= weight
-	for a := range n {
-		for b := range n {
-			p.trafficShares[a][b] /= sum
+	holding /= shares
+	for a := range count {
+		for b := range count {
+			drawn.trafficShares[a][b] /= total
 		}
 	}
-	g := s.Gateways // calls between phones are distributed evenly, and a share stays within an exchange
-	phones := g.CallRate * (1 - g.LocalShare) * (g.HoldingTime + g.MeanAnswerDelay).Seconds() / float64(n*n)
-	for a := range n {
+	gateways := script.Gateways // calls between phones are distributed evenly, and a share stays within an exchange
+	phoneErlangs := gateways.CallRate * (1 - gateways.LocalShare) * (gateways.HoldingTime + gateways.MeanAnswerDelay).Seconds() / float64(count*count)
+	for a := range count {
 		for b := range a {
-			erlangs := 2*phones + (p.trafficShares[a][b]+p.trafficShares[b][a])*s.CallRate*holding
-			size := min(circuit.MaxCircuits, max(1, int(math.Round(erlangs*(1+s.SpareCircuits)))))
-			p.circuits[a][b], p.circuits[b][a] = size, size
+			erlangs := 2*phoneErlangs + (drawn.trafficShares[a][b]+drawn.trafficShares[b][a])*script.CallRate*holding
+			size := min(circuit.MaxCircuits, max(1, int(math.Round(erlangs*(1+script.SpareCircuits)))))
+			drawn.circuits[a][b], drawn.circuits[b][a] = size, size
 		}
 	}
 	// A call takes two set-ups and about eight answers and releases at an eighth of a set-up's time each: the time of three
 	// set-ups in all.
-	perExchange := (s.CallRate + g.CallRate) / float64(n)
-	p.processor.SetUpTime = time.Duration(s.ProcessorLoad / (3 * perExchange) * float64(time.Second))
-	p.processor.MessageTime = p.processor.SetUpTime / 8
-	p.callers = drawCallers(s, p.trafficShares, weight, chance)
-	return p
+	perExchange := (script.CallRate + gateways.CallRate) / float64(count)
+	drawn.processor.SetUpTime = time.Duration(script.ProcessorLoad / (3 * perExchange) * float64(time.Second))
+	drawn.processor.MessageTime = drawn.processor.SetUpTime / 8
+	drawn.callers = drawCallers(script, drawn.trafficShares, shares, random)
+	return drawn
 }
 
 func newMatrix[T any](n int) [][]T {
-	all := make([][]T, n)
-	for i := range all {
-		all[i] = make([]T, n)
+	rows := make([][]T, n)
+	for i := range rows {
+		rows[i] = make([]T, n)
 	}
-	return all
+	return rows
 }
 
 // surge is a period with more calls than usual.
@@ -76,63 +76,63 @@
 	exchanges  map[int]bool // exchanges of the additional callers; nil: all
 }
 
-func drawCallers(s Script, share [][]float64, weight float64, chance *rand.Rand) []*standin.Caller {
+func drawCallers(script Script, trafficShares [][]float64, bearerShares float64, random *rand.Rand) []*standin.Caller {
 	var surges []surge
-	for _, t := range s.Troubles {
+	for _, t := range script.Troubles {
 		switch t.Kind {
 		case "load_jump":
 			surges = append(surges, surge{t.Start, t.Start + t.Duration, t.Size, nil})
 		case "hot_caller":
-			hot := map[int]bool{}
-			for _, e := range pickIndices(s.ExchangeCount, t.Fraction, chance) {
-				hot[e] = true
+			hotExchanges := map[int]bool{}
+			for _, e := range pickIndices(script.ExchangeCount, t.Fraction, random) {
+				hotExchanges[e] = true
 			}
-			surges = append(surges, surge{t.Start, t.Start + t.Duration, t.Size, hot})
+			surges = append(surges, surge{t.Start, t.Start + t.Duration, t.Size, hotExchanges})
 		}
 	}
-	most := 1.0 // arrivals are drawn at the maximum rate and thinned to the present one
-	for _, g := range surges {
-		most *= max(1, g.factor)
+	maxFactor := 1.0 // arrivals are drawn at the maximum rate and thinned to the present one
+	for _, period := range surges {
+		maxFactor *= max(1, period.factor)
 	}
-	var all []*standin.Caller
-	cumulated := make([]float64, 0, len(share)*len(share))
+	var callers []*standin.Caller
+	cumulativeShares := make([]float64, 0, len(trafficShares)*len(trafficShares))
 	total := 0.0
-	for a := range share {
-		for b := range share {
-			total += share[a][b]
-			cumulated = append(cumulated, total)
+	for a := range trafficShares {
+		for b := range trafficShares {
+			total += trafficShares[a][b]
+			cumulativeShares = append(cumulativeShares, total)
 		}
 	}
-	for at := time.Duration(0); ; {
-		at += time.Duration(chance.ExpFloat64() / (s.CallRate * s.LoadFactor * most) * float64(time.Second))
-		if at > s.Duration {
-			return all
+	for start := time.Duration(0); ; {
+		start += time.Duration(random.ExpFloat64() / (script.CallRate * script.LoadFactor * maxFactor) * float64(time.Second))
+		if start > script.Duration {
+			return callers
 		}
-		pair := min(sort.SearchFloat64s(cumulated, chance.Float64()*total), len(cumulated)-1)
-		from := pair / len(share)
-		now := 1.0
-		for _, g := range surges {
-			if at >= g.start && at < g.end && (g.exchanges == nil || g.exchanges[from]) {
-				now *= g.factor
+		pair := min(sort.SearchFloat64s(cumulativeShares, random.Float64()*total), len(cumulativeShares)-1)
+		from := pair / len(trafficShares)
+		factor := 1.0
+		for _, period := range surges {
+			if start >= period.start && start < period.end && (period.exchanges == nil || period.exchanges[from]) {
+				factor *= period.factor
 			}
 		}
-		if chance.Float64()*most > now {
+		if random.Float64()*maxFactor > factor {
 			continue
 		}
-		kind, left := 0, chance.Float64()*weight
-		for kind < len(s.Bearers)-1 && left > s.Bearers[kind].Share {
-			left -= s.Bearers[kind].Share
-			kind++
+		bearer, remaining := 0, random.Float64()*bearerShares
+		for bearer < len(script.Bearers)-1 && remaining > script.Bearers[bearer].Share {
+			remaining -= script.Bearers[bearer].Share
+			bearer++
 		}
-		t := s.Bearers[kind]
-		all = append(all, &standin.Caller{StartTime: at, From: from, Dest: pair % len(share), Bearer: kind, Width: t.Width,
-			HoldingTime: time.Duration(chance.ExpFloat64() * float64(t.HoldingTime)), AbandonTime: duration(s.Deployment.Bearers[kind].AbandonTime)})
+		t := script.Bearers[bearer]
+		callers = append(callers, &standin.Caller{StartTime: start, From: from, Dest: pair % len(trafficShares), Bearer: bearer, Width: t.Width,
+			HoldingTime: time.Duration(random.ExpFloat64() * float64(t.HoldingTime)), AbandonTime: duration(script.Deployment.Bearers[bearer].AbandonTime)})
 	}
 }
 
 // pickIndices draws a share of n indices, at least one, in ascending order.
-func pickIndices(n int, part float64, chance *rand.Rand) []int {
-	all := chance.Perm(n)[:max(1, min(n, int(math.Round(part*float64(n)))))]
-	sort.Ints(all)
-	return all
+func pickIndices(n int, fraction float64, random *rand.Rand) []int {
+	indices := random.Perm(n)[:max(1, min(n, int(math.Round(fraction*float64(n)))))]
+	sort.Ints(indices)
+	return indices
 }
--- a/internal/day/file.go
+++ b/internal/day/file.go
@@ -75,78 +75,78 @@
 	return s, f.Err()
 }
 
-func parse(b *hclread.Block) Script {
-	var s Script
-	s.Description = b.Text("about", false, "")
-	s.Duration = duration(b.Duration("length", time.Second, maxDuration, -1))
-	s.SettleTime = duration(b.Duration("settle", 0, time.Minute, 2*time.Second))
-	s.Seed = uint64(b.Int("seed", 0, math.MaxInt32, 1))
-	s.ExchangeCount = b.Int("exchanges", 2, 999, 1)
-	s.CallRate = b.Float("calls_per_second", 0.1, 1e6, math.NaN())
-	s.LoadFactor = b.Float("load", 0.01, 100, 0.9)
-	s.SpareCircuits = b.Float("spare", 0, 10, 0.2)
-	s.TrafficDeviation = b.Float("uneven", 0, 3, 0.4)
-	s.ProcessorLoad = b.Float("processors_at", 0.01, 1, 0.75)
-	s.UseTables = b.Bool("tables", false)
-	s.UseLedger = b.Bool("ledger", false)
-	if s.PortedShare = b.Float("ported", 0, 1, 0); s.PortedShare > 0 && !s.UseTables {
-		b.AddErrorAt("ported", "ported numbers need tables = true")
+func parse(root *hclread.Block) Script {
+	var script Script
+	script.Description = root.Text("about", false, "")
+	script.Duration = duration(root.Duration("length", time.Second, maxDuration, -1))
+	script.SettleTime = duration(root.Duration("settle", 0, time.Minute, 2*time.Second))
+	script.Seed = uint64(root.Int("seed", 0, math.MaxInt32, 1))
+	script.ExchangeCount = root.Int("exchanges", 2, 999, 1)
+	script.CallRate = root.Float("calls_per_second", 0.1, 1e6, math.NaN())
+	script.LoadFactor = root.Float("load", 0.01, 100, 0.9)
+	script.SpareCircuits = root.Float("spare", 0, 10, 0.2)
+	script.TrafficDeviation = root.Float("uneven", 0, 3, 0.4)
+	script.ProcessorLoad = root.Float("processors_at", 0.01, 1, 0.75)
+	script.UseTables = root.Bool("tables", false)
+	script.UseLedger = root.Bool("ledger", false)
+	if script.PortedShare = root.Float("ported", 0, 1, 0); script.PortedShare > 0 && !script.UseTables {
+		root.AddErrorAt("ported", "ported numbers need tables = true")
 	}
-	site.ParseRules(b, &s.Deployment)
-	s.ListDelay = duration(b.Duration("list_late", 0, time.Minute, time.Second))
-	s.ListInterval = duration(b.Duration("list_every", 10*time.Millisecond, time.Minute, 200*time.Millisecond))
-	p := b.SingleBlock("processor", false)
-	s.Processor = standin.Processor{MaxWait: duration(p.Duration("refuse_after", time.Millisecond, time.Minute, 2*time.Second)),
-		ReportInterval: duration(p.Duration("report_every", time.Millisecond, time.Minute, 300*time.Millisecond)),
-		ReportNoise:    p.Float("noise", 0, 1, 0.08), InitialCapacity: s.Deployment.InitialCapacity, RampTime: duration(s.Deployment.RampTime),
-		OverloadMultiple: s.Deployment.OverloadMultiple, OverloadWindow: duration(s.Deployment.OverloadWindow), WarmStart: true}
-	p.CheckUnknown()
-	c := b.SingleBlock("callers", false)
-	s.Subscribers = standin.SubscriberBehaviour{MaxRedials: c.Int("redials", 0, 100, 2), InitialBackoff: duration(c.Duration("backoff", 0, time.Hour, time.Second)),
-		RetryAfterCompliance: c.Float("honour", 0, 1, 0.6), AttemptTimeRatio: c.Float("try_share", 0.01, 1, 0.35),
-		MaxReconnectDelay: duration(c.Duration("cut_back", 0, time.Hour, 2500*time.Millisecond))}
-	c.CheckUnknown()
-	s.Deployment.Bearers = site.ParseBearers(b, func(n *hclread.Block) {
-		s.Bearers = append(s.Bearers, Bearer{Name: n.Label, Share: n.Float("share", 0, 1e6, 1), Width: n.Int("width", 1, 30, 1),
-			HoldingTime: duration(n.Duration("holding", time.Millisecond, maxDuration, 10*time.Second))})
+	site.ParseRules(root, &script.Deployment)
+	script.ListDelay = duration(root.Duration("list_late", 0, time.Minute, time.Second))
+	script.ListInterval = duration(root.Duration("list_every", 10*time.Millisecond, time.Minute, 200*time.Millisecond))
+	processor := root.SingleBlock("processor", false)
+	script.Processor = standin.Processor{MaxWait: duration(processor.Duration("refuse_after", time.Millisecond, time.Minute, 2*time.Second)),
+		ReportInterval: duration(processor.Duration("report_every", time.Millisecond, time.Minute, 300*time.Millisecond)),
+		ReportNoise:    processor.Float("noise", 0, 1, 0.08), InitialCapacity: script.Deployment.InitialCapacity, RampTime: duration(script.Deployment.RampTime),
+		OverloadMultiple: script.Deployment.OverloadMultiple, OverloadWindow: duration(script.Deployment.OverloadWindow), WarmStart: true}
+	processor.CheckUnknown()
+	callers := root.SingleBlock("callers", false)
+	script.Subscribers = standin.SubscriberBehaviour{MaxRedials: callers.Int("redials", 0, 100, 2), InitialBackoff: duration(callers.Duration("backoff", 0, time.Hour, time.Second)),
+		RetryAfterCompliance: callers.Float("honour", 0, 1, 0.6), AttemptTimeRatio: callers.Float("try_share", 0.01, 1, 0.35),
+		MaxReconnectDelay: duration(callers.Duration("cut_back", 0, time.Hour, 2500*time.Millisecond))}
+	callers.CheckUnknown()
+	script.Deployment.Bearers = site.ParseBearers(root, func(block *hclread.Block) {
+		script.Bearers = append(script.Bearers, Bearer{Name: block.Label, Share: block.Float("share", 0, 1e6, 1), Width: block.Int("width", 1, 30, 1),
+			HoldingTime: duration(block.Duration("holding", time.Millisecond, maxDuration, 10*time.Second))})
 	})
-	for _, t := range s.Deployment.Bearers {
-		s.Subscribers.GoSTargets = append(s.Subscribers.GoSTargets, duration(t.GoSTarget))
+	for _, t := range script.Deployment.Bearers {
+		script.Subscribers.GoSTargets = append(script.Subscribers.GoSTargets, duration(t.GoSTarget))
 	}
-	if len(b.Blocks("gateways", false)) > 0 {
-		s.Gateways = parseGateways(b.SingleBlock("gateways", false), s)
+	if len(root.Blocks("gateways", false)) > 0 {
+		script.Gateways = parseGateways(root.SingleBlock("gateways", false), script)
 	}
-	for _, n := range b.Blocks("trouble", true) {
-		t := Trouble{Kind: n.Label, Start: duration(n.Duration("start", 0, maxDuration, 0)), Duration: duration(n.Duration("length", 0, maxDuration, 10*time.Second)),
-			Fraction: n.Float("part", 0, 1, 0.3), Size: n.Float("size", 0, 1e6, 1), Interval: duration(n.Duration("every", 10*time.Millisecond, maxDuration, 3*time.Second)),
-			How: n.Text("how", false, "")}
-		kind, ok := troubleKinds[t.Kind]
+	for _, block := range root.Blocks("trouble", true) {
+		t := Trouble{Kind: block.Label, Start: duration(block.Duration("start", 0, maxDuration, 0)), Duration: duration(block.Duration("length", 0, maxDuration, 10*time.Second)),
+			Fraction: block.Float("part", 0, 1, 0.3), Size: block.Float("size", 0, 1e6, 1), Interval: duration(block.Duration("every", 10*time.Millisecond, maxDuration, 3*time.Second)),
+			How: block.Text("how", false, "")}
+		kind, known := troubleKinds[t.Kind]
 		switch {
-		case !ok:
-			n.AddError("unknown trouble %q; known are %v", t.Kind, TroubleKinds())
-		case t.Kind == "portability" && s.PortedShare == 0:
-			n.AddError("trouble portability needs ported numbers")
-		case t.Kind == "gateways" && s.Gateways.PerExchange == 0:
-			n.AddError("trouble gateways needs gateways")
-		case t.Kind == "tables_change" && !s.UseTables:
-			n.AddError("trouble tables_change needs tables = true")
-		case t.Start > s.Duration:
-			n.AddErrorAt("start", "the trouble starts after the end of the day (%v)", s.Duration)
+		case !known:
+			block.AddError("unknown trouble %q; known are %v", t.Kind, TroubleKinds())
+		case t.Kind == "portability" && script.PortedShare == 0:
+			block.AddError("trouble portability needs ported numbers")
+		case t.Kind == "gateways" && script.Gateways.PerExchange == 0:
+			block.AddError("trouble gateways needs gateways")
+		case t.Kind == "tables_change" && !script.UseTables:
+			block.AddError("trouble tables_change needs tables = true")
+		case t.Start > script.Duration:
+			block.AddErrorAt("start", "the trouble starts after the end of the day (%v)", script.Duration)
 		case t.Size < kind.minSize || t.Size > kind.maxSize:
-			n.AddErrorAt("size", "size %v of trouble %s, it can be %v to %v (%s)", t.Size, t.Kind, kind.minSize, kind.maxSize, kind.sizeMeaning)
+			block.AddErrorAt("size", "size %v of trouble %s, it can be %v to %v (%s)", t.Size, t.Kind, kind.minSize, kind.maxSize, kind.sizeMeaning)
 		case len(kind.how) > 0 && !contains(kind.how, t.How):
-			n.AddErrorAt("how", "how %q of trouble %s, it can be one of %v", t.How, t.Kind, kind.how)
+			block.AddErrorAt("how", "how %q of trouble %s, it can be one of %v", t.How, t.Kind, kind.how)
 		}
-		n.CheckUnknown()
-		s.Troubles = append(s.Troubles, t)
+		block.CheckUnknown()
+		script.Troubles = append(script.Troubles, t)
 	}
-	b.CheckUnknown()
-	return s
+	root.CheckUnknown()
+	return script
 }
 
-func contains(all []string, one string) bool {
-	for _, a := range all {
-		if a == one {
+func contains(values []string, value string) bool {
+	for _, element := range values {
+		if element == value {
 			return true
 		}
 	}
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -31,21 +31,21 @@
 	DisconnectedDelay time.Duration
 }
 
-func parseGateways(b *hclread.Block, s Script) Gateways {
-	g := Gateways{PerExchange: b.Int("each", 1, 10000, 0), Endpoints: b.Int("endpoints", 1, 512, 0), CallRate: b.Float("calls_per_second", 0.01, 1e5, 1),
+func parseGateways(b *hclread.Block, script Script) Gateways {
+	gateways := Gateways{PerExchange: b.Int("each", 1, 10000, 0), Endpoints: b.Int("endpoints", 1, 512, 0), CallRate: b.Float("calls_per_second", 0.01, 1e5, 1),
 		LastCall: duration(b.Duration("until", 0, maxDuration, maxDuration)), LocalShare: b.Float("near", 0, 1, 0.2), HoldingTime: duration(b.Duration("holding", time.Millisecond, time.Hour, 3*time.Second)),
 		DigitInterval: duration(b.Duration("digit", 0, time.Minute, 5*time.Millisecond)), MeanAnswerDelay: duration(b.Duration("pick_up", 0, time.Minute, 500*time.Millisecond)),
 		MaxRestartDelay:   duration(b.Duration("restart_wait", 0, time.Hour, 500*time.Millisecond)),
 		DisconnectedDelay: duration(b.Duration("disconnected", time.Millisecond, time.Hour, time.Second))}
 	name := b.Text("bearer", true, "")
-	if g.Bearer = slices.IndexFunc(s.Bearers, func(t Bearer) bool { return t.Name == name }); g.Bearer < 0 {
+	if gateways.Bearer = slices.IndexFunc(script.Bearers, func(bearer Bearer) bool { return bearer.Name == name }); gateways.Bearer < 0 {
 		b.AddErrorAt("bearer", "unknown bearer type %q", name)
 	}
-	if g.PerExchange*g.Endpoints > 100000 {
-		b.AddError("%d phones at an exchange, 100000 at most", g.PerExchange*g.Endpoints)
+	if gateways.PerExchange*gateways.Endpoints > 100000 {
+		b.AddError("%d phones at an exchange, 100000 at most", gateways.PerExchange*gateways.Endpoints)
 	}
 	b.CheckUnknown()
-	return g
+	return gateways
 }
 
 // gatewayNetwork holds the gateways of a running day.
@@ -60,75 +60,77 @@
 
 // createGateways opens the sockets of the gateways and draws the calls of their users.
 func (r *runner) createGateways() error {
-	g := r.script.Gateways
-	if g.PerExchange == 0 {
+	settings := r.script.Gateways
+	if settings.PerExchange == 0 {
 		return nil
 	}
 	open := func() (net.PacketConn, error) { return r.options.ListenPacket("127.0.0.1:0") }
-	p := &r.gateways
+	network := &r.gateways
 	for range r.script.ExchangeCount {
 		agent, err := open()
 		if err != nil {
 			return fmt.Errorf("call agent's address: %w", err)
 		}
-		p.callAgents = append(p.callAgents, agent.LocalAddr().String())
+		network.callAgents = append(network.callAgents, agent.LocalAddr().String())
 		agent.Close()
 	}
-	chance := rand.New(rand.NewPCG(r.script.Seed, 0x9a7e))
+	random := rand.New(rand.NewPCG(r.script.Seed, 0x9a7e))
 	calls := make([][][]*standin.PhoneCall, r.script.ExchangeCount)
 	for e := range calls {
-		calls[e] = make([][]*standin.PhoneCall, g.PerExchange)
+		calls[e] = make([][]*standin.PhoneCall, settings.PerExchange)
 	}
-	patience := duration(r.script.Deployment.Bearers[g.Bearer].AbandonTime)
+	patience := duration(r.script.Deployment.Bearers[settings.Bearer].AbandonTime)
 	for at := time.Duration(0); ; {
-		at += time.Duration(chance.ExpFloat64() / g.CallRate * float64(time.Second))
-		if at > min(r.script.Duration, g.LastCall) {
+		at += time.Duration(random.ExpFloat64() / settings.CallRate * float64(time.Second))
+		if at > min(r.script.Duration, settings.LastCall) {
 			break
 		}
-		from, to := chance.IntN(r.script.ExchangeCount), chance.IntN(r.script.ExchangeCount)
-		if chance.Float64() < g.LocalShare {
+		from, to := random.IntN(r.script.ExchangeCount), random.IntN(r.script.ExchangeCount)
+		if random.Float64() < settings.LocalShare {
 			to = from
 		}
-		line := firstPhoneLine + chance.IntN(g.PerExchange*g.Endpoints)
-		n := chance.IntN(g.PerExchange)
-		c := &standin.PhoneCall{StartTime: r.script.SettleTime + at, Phone: chance.IntN(g.Endpoints), Digits: exchange.LineNumber(to, uint32(line)), AbandonTime: patience,
-			HoldingTime: time.Duration(chance.ExpFloat64() * float64(g.HoldingTime))}
-		calls[from][n] = append(calls[from][n], c)
-		p.calls = append(p.calls, c)
+		line := firstPhoneLine + random.IntN(settings.PerExchange*settings.Endpoints)
+		gateway := random.IntN(settings.PerExchange)
+		call := &standin.PhoneCall{StartTime: r.script.SettleTime + at, Phone: random.IntN(settings.Endpoints), Digits: exchange.LineNumber(to, uint32(line)), AbandonTime: patience,
+			HoldingTime: time.Duration(random.ExpFloat64() * float64(settings.HoldingTime))}
+		calls[from][gateway] = append(calls[from][gateway], call)
+		network.calls = append(network.calls, call)
 	}
 	for e := range r.script.ExchangeCount {
-		agent, err := netip.ParseAddrPort(p.callAgents[e])
+		agent, err := netip.ParseAddrPort(network.callAgents[e])
 		if err != nil {
 			return fmt.Errorf("call agent's address: %w", err)
 		}
 		var row []*standin.Gateway
 		var at []netip.AddrPort
-		for n := range g.PerExchange {
-			first, err := open()
+		for gateway := range settings.PerExchange {
+			socket, err := open()
 			if err != nil {
 				return fmt.Errorf("gateway's socket: %w", err)
 			}
-			where, err := netip.ParseAddrPort(first.LocalAddr().String())
+			address, err := netip.ParseAddrPort(socket.LocalAddr().String())
 			if err != nil {
 				return fmt.Errorf("gateway's address: %w", err)
 			}
-			at = append(at, where)
-			plant := standin.GatewayConfig{Exchange: e, Number: n, Name: gatewayName(e, n), PhoneCount: g.Endpoints, CallAgents: []netip.AddrPort{agent},
-				DigitInterval: g.DigitInterval, MeanAnswerDelay: g.MeanAnswerDelay, MaxRestartDelay: g.MaxRestartDelay, DisconnectedDelay: g.DisconnectedDelay}
-			row = append(row, standin.NewGateway(plant, calls[e][n], r.script.Seed, func() (net.PacketConn, error) {
-				if c := first; c != nil {
-					first = nil
-					return c, nil
+			at = append(at, address)
+			config := standin.GatewayConfig{Exchange: e, Number: gateway, Name: gatewayName(e, gateway), PhoneCount: settings.Endpoints, CallAgents: []netip.AddrPort{agent},
+				DigitInterval: settings.DigitInterval, MeanAnswerDelay: settings.MeanAnswerDelay, MaxRestartDelay: settings.MaxRestartDelay, DisconnectedDelay: settings.DisconnectedDelay}
+			row = append(row, standin.NewGateway(config, calls[e][gateway], r.script.Seed, func() (net.PacketConn, error) {
+				if call := socket; call != nil {
+					socket = nil
+					return call, nil
 				}
 				return open()
 			}, r.log))
 		}
-		p.gateways, p.addresses = append(p.gateways, row), append(p.addresses, at)
+		network.gateways, network.addresses = append(network.gateways, row), append(network.addresses, at)
 	}
 	return nil
 }
 
-func gatewayName(e, n int) string { return fmt.Sprintf("gw-%d-%d.example", e, n) }
+func gatewayName(exchange, number int) string {
+	return fmt.Sprintf("gw-%d-%d.example", exchange, number)
+}
 
 func (r *runner) startGateways() error {
 	for _, row := range r.gateways.gateways {
@@ -150,66 +152,66 @@
 }
 
 // writeGateways writes the gateways of an exchange into its settings.
-func (r *runner) writeGateways(e int, b *hclwrite.Body) {
-	g := r.script.Gateways
-	if g.PerExchange == 0 {
+func (r *runner) writeGateways(exchange int, body *hclwrite.Body) {
+	settings := r.script.Gateways
+	if settings.PerExchange == 0 {
 		return
 	}
-	all := b.AppendNewBlock("gateways", nil).Body()
-	all.SetAttributeValue("listen", cty.StringVal(r.gateways.callAgents[e]))
-	for n := range g.PerExchange {
-		one := all.AppendNewBlock("gateway", []string{gatewayName(e, n)}).Body()
-		one.SetAttributeValue("addresses", cty.ListVal([]cty.Value{cty.StringVal(r.gateways.addresses[e][n].String())}))
-		one.SetAttributeValue("endpoints", cty.NumberIntVal(int64(g.Endpoints)))
-		one.SetAttributeValue("first_line", cty.NumberIntVal(int64(firstPhoneLine+n*g.Endpoints)))
-		one.SetAttributeValue("bearer", cty.StringVal(r.script.Bearers[g.Bearer].Name))
+	gateways := body.AppendNewBlock("gateways", nil).Body()
+	gateways.SetAttributeValue("listen", cty.StringVal(r.gateways.callAgents[exchange]))
+	for n := range settings.PerExchange {
+		gateway := gateways.AppendNewBlock("gateway", []string{gatewayName(exchange, n)}).Body()
+		gateway.SetAttributeValue("addresses", cty.ListVal([]cty.Value{cty.StringVal(r.gateways.addresses[exchange][n].String())}))
+		gateway.SetAttributeValue("endpoints", cty.NumberIntVal(int64(settings.Endpoints)))
+		gateway.SetAttributeValue("first_line", cty.NumberIntVal(int64(firstPhoneLine+n*settings.Endpoints)))
+		gateway.SetAttributeValue("bearer", cty.StringVal(r.script.Bearers[settings.Bearer].Name))
 	}
 }
 
 // disturbGateways applies a fault to a share of the gateways.
-func disturbGateways(r *runner, t Trouble, _ []int, chance *rand.Rand) func() {
-	var hit []*standin.Gateway
+func disturbGateways(r *runner, trouble Trouble, _ []int, random *rand.Rand) func() {
+	var affected []*standin.Gateway
 	for _, row := range r.gateways.gateways {
-		for _, n := range pickIndices(len(row), t.Fraction, chance) {
-			hit = append(hit, row[n])
+		for _, n := range pickIndices(len(row), trouble.Fraction, random) {
+			affected = append(affected, row[n])
 		}
 	}
-	set := func(q *standin.GatewayFaults, size float64) {
-		switch t.How {
+	set := func(faults *standin.GatewayFaults, size float64) {
+		switch trouble.How {
 		case "loss":
-			q.Network.LossRatio = size
+			faults.Network.LossRatio = size
 		case "double":
-			q.Network.DuplicationRatio = size
+			faults.Network.DuplicationRatio = size
 		case "late":
-			q.Network.DelayRatio, q.Network.MaxDelay = min(0.3, size), seconds(size)
+			faults.Network.DelayRatio, faults.Network.MaxDelay = min(0.3, size), seconds(size)
 		case "truncated":
-			q.Network.TruncationRatio = size
+			faults.Network.TruncationRatio = size
 		case "two_answers":
-			q.TwoResponsesRatio = size
+			faults.TwoResponsesRatio = size
 		case "reused_ids":
-			q.ReuseTransactionIDs = size > 0
+			faults.ReuseTransactionIDs = size > 0
 		case "cut":
-			q.Isolated = size > 0
+			faults.Isolated = size > 0
 		case "flash":
-			q.FlashRatio = size
+			faults.FlashRatio = size
 		case "hang_up":
-			q.HangUpRatio = size
+			faults.HangUpRatio = size
 		case "trickle":
-			q.SlowDigitsRatio = size
+			faults.SlowDigitsRatio = size
 		case "glare":
-			q.GlareRatio = size
+			faults.GlareRatio = size
 		}
 	}
-	for _, g := range hit {
-		if t.How == "restart" || t.How == "moved" {
-			g.Restart(t.How == "moved")
+	for _, gateway := range affected {
+		if trouble.How == "restart" || trouble.How == "moved" {
+			gateway.Restart(trouble.How == "moved")
 			continue
 		}
-		g.UpdateFaults(func(q *standin.GatewayFaults) { set(q, t.Size) })
+		gateway.UpdateFaults(func(faults *standin.GatewayFaults) { set(faults, trouble.Size) })
 	}
 	return func() {
-		for _, g := range hit {
-			g.UpdateFaults(func(q *standin.GatewayFaults) { set(q, 0) })
+		for _, gateway := range affected {
+			gateway.UpdateFaults(func(faults *standin.GatewayFaults) { set(faults, 0) })
 		}
 	}
 }
@@ -227,27 +229,27 @@
 }
 
 func countPhoneCalls(calls []*standin.PhoneCall) PhoneRow {
-	var w PhoneRow
-	var took []time.Duration
+	var row PhoneRow
+	var setUpTimes []time.Duration
 	for _, c := range calls {
 		switch {
 		case !c.Dialled:
-			w.Skipped++
+			row.Skipped++
 			continue
 		case c.SetUpTime > 0:
-			w.Established++
-			took = append(took, c.SetUpTime)
+			row.Established++
+			setUpTimes = append(setUpTimes, c.SetUpTime)
 		case c.Failed:
-			w.Failed++
+			row.Failed++
 		case c.Refused:
-			w.Refused++
+			row.Refused++
 		default:
-			w.Abandoned++
+			row.Abandoned++
 		}
-		w.Calls++
+		row.Calls++
 	}
-	if slices.Sort(took); len(took) > 0 {
-		w.MedianSetUpTime, w.P99SetUpTime = took[len(took)/2], took[len(took)*99/100]
+	if slices.Sort(setUpTimes); len(setUpTimes) > 0 {
+		row.MedianSetUpTime, row.P99SetUpTime = setUpTimes[len(setUpTimes)/2], setUpTimes[len(setUpTimes)*99/100]
 	}
-	return w
+	return row
 }
--- a/internal/day/plant.go
+++ b/internal/day/plant.go
@@ -20,10 +20,10 @@
 }
 
 // NewFaultyController returns the violation of one kind, for a controller with neighbours near.
-func NewFaultyController(kind string, near []exchange.Neighbour) (*FaultyController, error) {
+func NewFaultyController(kind string, neighbours []exchange.Neighbour) (*FaultyController, error) {
 	for _, k := range PlantedFaults {
 		if k == kind {
-			return &FaultyController{kind: kind, floodTarget: -1, neighbours: near}, nil
+			return &FaultyController{kind: kind, floodTarget: -1, neighbours: neighbours}, nil
 		}
 	}
 	return nil, fmt.Errorf("unknown planted fault %q; known are %v", kind, PlantedFaults)
@@ -31,11 +31,11 @@
 
 // WrapDecider wraps a builder of deciders, so that the decider violates a rule.
 func (w *FaultyController) WrapDecider(build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
-	return func(d policy.Deployment, out policy.Executor, now policy.Tenths) exchange.Decider {
+	return func(deployment policy.Deployment, executor policy.Executor, now policy.Tenths) exchange.Decider {
 		if w.kind == "release" {
-			d.ReleaseTime = 0
+			deployment.ReleaseTime = 0
 		}
-		return &faultyDecider{Decider: build(d, out, now), controller: w}
+		return &faultyDecider{Decider: build(deployment, executor, now), controller: w}
 	}
 }
 
@@ -46,34 +46,34 @@
 }
 
 // ListReceived passes the list on, changed as the planted fault needs it.
-func (d *faultyDecider) ListReceived(now policy.Tenths, whole bool, list []policy.Switch) {
-	told := append([]policy.Switch{}, list...)
-	for i := range told {
+func (d *faultyDecider) ListReceived(now policy.Tenths, full bool, list []policy.Switch) {
+	changed := append([]policy.Switch{}, list...)
+	for i := range changed {
 		if d.controller.kind == "drain" {
-			told[i].Ready = true
+			changed[i].Ready = true
 		}
-		if d.controller.kind == "cold" && told[i].Ready && now-told[i].BootAt < 20000 && now > 20000 {
+		if d.controller.kind == "cold" && changed[i].Ready && now-changed[i].BootAt < 20000 && now > 20000 {
 			for j, n := range d.controller.neighbours {
-				if n.Number == told[i].Number && !d.controller.planted {
+				if n.Number == changed[i].Number && !d.controller.planted {
 					d.controller.floodTarget = j
 				}
 			}
 		}
 	}
-	d.Decider.ListReceived(now, whole, told)
+	d.Decider.ListReceived(now, full, changed)
 }
 
 // InterceptSend sends a message of the controller, and once the messages of the planted fault.
-func (w *FaultyController) InterceptSend(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message)) {
-	send(to, m)
+func (w *FaultyController) InterceptSend(to exchange.Hop, message isup.Message, send func(exchange.Hop, isup.Message)) {
+	send(to, message)
 	switch {
-	case w.kind == "answer" && !w.planted && to.Side == exchange.Line && to.Point < exchange.FirstCalledPoint && m.Type == isup.REL:
+	case w.kind == "answer" && !w.planted && to.Side == exchange.Line && to.Point < exchange.FirstCalledPoint && message.Type == isup.REL:
 		w.planted = true
-		send(to, m)
-	case w.kind == "copy" && !w.planted && to.Side == exchange.Succeeding && m.Type == isup.IAM && len(w.neighbours) > 1:
+		send(to, message)
+	case w.kind == "copy" && !w.planted && to.Side == exchange.Succeeding && message.Type == isup.IAM && len(w.neighbours) > 1:
 		w.planted = true
 		to.Peer = (to.Peer + 1) % len(w.neighbours)
-		send(to, m)
+		send(to, message)
 	case w.kind == "cold" && w.floodTarget >= 0:
 		to := exchange.Hop{Side: exchange.Succeeding, Peer: w.floodTarget}
 		w.floodTarget, w.planted = -1, true
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -18,19 +18,19 @@
 )
 
 // OnLoopback returns options by which the controllers run as processes of a program, and all connections use loopback.
-func OnLoopback(program string, o Options) Options {
-	o.Launch = func(e int, siteFile, routing, plant string) (Process, error) {
-		return startProcess(program, e, siteFile, routing, plant)
+func OnLoopback(program string, options Options) Options {
+	options.Launch = func(exchange int, siteFile, routing, plant string) (Process, error) {
+		return startProcess(program, exchange, siteFile, routing, plant)
 	}
-	o.Listen = func(address string) (net.Listener, error) {
+	options.Listen = func(address string) (net.Listener, error) {
 		if address == "" {
 			address = "127.0.0.1:0"
 		}
 		return net.Listen("tcp", address)
 	}
-	o.ListenPacket = func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }
-	o.Dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }
-	return o
+	options.ListenPacket = func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) }
+	options.Dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }
+	return options
 }
 
 // controllerProcess is a controller in an operating system process.
@@ -40,13 +40,13 @@
 	ready, done    chan struct{}
 }
 
-func startProcess(program string, e int, siteFile, routing, plant string) (Process, error) {
-	out, err := os.OpenFile(filepath.Join(filepath.Dir(siteFile), fmt.Sprintf("controller-%d.log", e)),
+func startProcess(program string, exchange int, siteFile, routing, plant string) (Process, error) {
+	logFile, err := os.OpenFile(filepath.Join(filepath.Dir(siteFile), fmt.Sprintf("controller-%d.log", exchange)),
 		os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, fmt.Errorf("open log of controller: %w", err)
 	}
-	defer out.Close()
+	defer logFile.Close()
 	args := []string{"serve", "-f", siteFile}
 	if routing != "" {
 		args = append(args, "--routing", routing)
@@ -54,29 +54,29 @@
 	if plant != "" {
 		args = append(args, "--plant", plant)
 	}
-	s, err := site.Read(siteFile)
+	config, err := site.Read(siteFile)
 	if err != nil {
 		return nil, err
 	}
-	p := &controllerProcess{controlAddress: s.ControlAddress, cmd: exec.Command(program, args...), ready: make(chan struct{}), done: make(chan struct{})}
-	p.cmd.Stderr = out
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the day, however that ends
-	pipe, err := p.cmd.StdoutPipe()
+	started := &controllerProcess{controlAddress: config.ControlAddress, cmd: exec.Command(program, args...), ready: make(chan struct{}), done: make(chan struct{})}
+	started.cmd.Stderr = logFile
+	started.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the process ends with the day, however that ends
+	pipe, err := started.cmd.StdoutPipe()
 	if err != nil {
-		return nil, fmt.Errorf("controller %d: %w", e, err)
+		return nil, fmt.Errorf("controller %d: %w", exchange, err)
 	}
-	if err := p.cmd.Start(); err != nil {
-		return nil, fmt.Errorf("controller %d: %w", e, err)
+	if err := started.cmd.Start(); err != nil {
+		return nil, fmt.Errorf("controller %d: %w", exchange, err)
 	}
 	go func() {
-		if in := bufio.NewScanner(pipe); in.Scan() && strings.HasPrefix(in.Text(), "ready") {
-			close(p.ready)
+		if scanner := bufio.NewScanner(pipe); scanner.Scan() && strings.HasPrefix(scanner.Text(), "ready") {
+			close(started.ready)
 		}
 		io.Copy(io.Discard, pipe)
-		p.cmd.Wait()
-		close(p.done)
+		started.cmd.Wait()
+		close(started.done)
 	}()
-	return p, nil
+	return started, nil
 }
 
 // Ready returns a channel that closes when the exchange is in service, Done one that closes when the process has ended.
@@ -91,9 +91,9 @@
 
 // Load makes the process load a number table.
 func (p *controllerProcess) Load(table string) error {
-	r, err := control.SendCommand(p.controlAddress, control.Command{Name: "load", File: table})
-	if err == nil && r.Error != "" {
-		err = errors.New(r.Error)
+	reply, err := control.SendCommand(p.controlAddress, control.Command{Name: "load", File: table})
+	if err == nil && reply.Error != "" {
+		err = errors.New(reply.Error)
 	}
 	return err
 }
@@ -101,8 +101,8 @@
 // ResourceUse returns the processor time and peak memory of the process.
 func (p *controllerProcess) ResourceUse() (time.Duration, int64) {
 	kilobytes := int64(0)
-	if u, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
-		kilobytes = u.Maxrss
+	if usage, ok := p.cmd.ProcessState.SysUsage().(*syscall.Rusage); ok {
+		kilobytes = usage.Maxrss
 	}
 	return p.cmd.ProcessState.UserTime() + p.cmd.ProcessState.SystemTime(), kilobytes
 }
--- a/internal/day/report.go
+++ b/internal/day/report.go
@@ -24,18 +24,18 @@
 	revenueEarned, revenueOffered float64
 }
 
-func (w *Row) add(c *standin.Caller, revenue float64, within time.Duration) {
+func (w *Row) add(caller *standin.Caller, revenue float64, gosTarget time.Duration) {
 	w.Offered++
 	w.revenueOffered += revenue
 	switch {
-	case c.EstablishedAt > 0 && c.Disconnected:
+	case caller.EstablishedAt > 0 && caller.Disconnected:
 		w.Disconnected++
-	case c.EstablishedAt > 0 && c.EstablishedAt-c.StartTime <= within:
+	case caller.EstablishedAt > 0 && caller.EstablishedAt-caller.StartTime <= gosTarget:
 		w.Established++
 		w.revenueEarned += revenue
-	case c.EstablishedAt > 0:
+	case caller.EstablishedAt > 0:
 		w.Late++
-	case c.Refused > 0:
+	case caller.Refused > 0:
 		w.Refused++
 	default:
 		w.Failed++
@@ -62,36 +62,36 @@
 
 const reportWindow = 10 * time.Second
 
-func countCallers(s Script, callers []*standin.Caller) Report {
-	rep := Report{Total: Row{Name: "all"}}
-	for _, b := range s.Bearers {
-		rep.Bearers = append(rep.Bearers, Row{Name: b.Name})
+func countCallers(script Script, callers []*standin.Caller) Report {
+	report := Report{Total: Row{Name: "all"}}
+	for _, b := range script.Bearers {
+		report.Bearers = append(report.Bearers, Row{Name: b.Name})
 	}
-	for at := time.Duration(0); at < s.Duration; at += reportWindow {
-		rep.Windows = append(rep.Windows, Row{Name: fmt.Sprintf("%.0f s", at.Seconds())})
+	for at := time.Duration(0); at < script.Duration; at += reportWindow {
+		report.Windows = append(report.Windows, Row{Name: fmt.Sprintf("%.0f s", at.Seconds())})
 	}
-	for _, c := range callers {
-		revenue, within := s.Deployment.Bearers[c.Bearer].Revenue, s.Subscribers.GoSTargets[c.Bearer]
-		rep.Disconnections += c.Disconnections
-		rep.Total.add(c, revenue, within)
-		rep.Bearers[c.Bearer].add(c, revenue, within)
-		rep.Windows[min(int(c.StartTime/reportWindow), len(rep.Windows)-1)].add(c, revenue, within)
+	for _, caller := range callers {
+		revenue, gosTarget := script.Deployment.Bearers[caller.Bearer].Revenue, script.Subscribers.GoSTargets[caller.Bearer]
+		report.Disconnections += caller.Disconnections
+		report.Total.add(caller, revenue, gosTarget)
+		report.Bearers[caller.Bearer].add(caller, revenue, gosTarget)
+		report.Windows[min(int(caller.StartTime/reportWindow), len(report.Windows)-1)].add(caller, revenue, gosTarget)
 	}
-	return rep
+	return report
 }
 
 // Print writes the tables and a final line of JSON, or only that line.
 func (r Report) Print(w io.Writer, onlyJSON bool) error {
 	if !onlyJSON {
-		t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
-		fmt.Fprintln(t, "\toffered\tstood\tlate\trefused\tfailed\tcut\tservice\t")
+		table := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
+		fmt.Fprintln(table, "\toffered\tstood\tlate\trefused\tfailed\tcut\tservice\t")
 		for _, rows := range [][]Row{r.Windows, r.Bearers, {r.Total}} {
-			for _, x := range rows {
-				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", x.Name, x.Offered, x.Established, x.Late, x.Refused, x.Failed, x.Disconnected, x.Service)
+			for _, row := range rows {
+				fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", row.Name, row.Offered, row.Established, row.Late, row.Refused, row.Failed, row.Disconnected, row.Service)
 			}
-			fmt.Fprintln(t, "\t\t\t\t\t\t\t\t")
+			fmt.Fprintln(table, "\t\t\t\t\t\t\t\t")
 		}
-		if err := t.Flush(); err != nil {
+		if err := table.Flush(); err != nil {
 			return fmt.Errorf("write report: %w", err)
 		}
 		offered := max(1, r.Total.Offered)
@@ -103,9 +103,9 @@
 		if r.PortabilityQueries > 0 {
 			fmt.Fprintf(w, "portability: %.2f queries per call\n", float64(r.PortabilityQueries)/float64(offered))
 		}
-		if p := r.Phones; p.Calls > 0 {
+		if phones := r.Phones; phones.Calls > 0 {
 			fmt.Fprintf(w, "phones at gateways: %d numbers dialled, %d calls established (median %v, 99th percentile %v), %d refused, %d failed, %d abandoned, %d not dialled\n",
-				p.Calls, p.Established, p.MedianSetUpTime.Round(time.Millisecond/10), p.P99SetUpTime.Round(time.Millisecond/10), p.Refused, p.Failed, p.Abandoned, p.Skipped)
+				phones.Calls, phones.Established, phones.MedianSetUpTime.Round(time.Millisecond/10), phones.P99SetUpTime.Round(time.Millisecond/10), phones.Refused, phones.Failed, phones.Abandoned, phones.Skipped)
 		}
 		if r.TableVersions > 0 {
 			fmt.Fprintf(w, "tables: route tries used %d versions, %d calls mixed versions\n", r.TableVersions, r.MixedCalls)
@@ -113,12 +113,12 @@
 		if len(r.Violations) == 0 {
 			fmt.Fprintln(w, "rules: none broken")
 		}
-		for i, b := range r.Violations {
+		for i, violation := range r.Violations {
 			if i == 20 {
 				fmt.Fprintf(w, "and %d more\n", len(r.Violations)-i)
 				break
 			}
-			fmt.Fprintf(w, "rule %d broken at %.3f s: %s\n", b.Rule, float64(b.At)/1e6, b.Text)
+			fmt.Fprintf(w, "rule %d broken at %.3f s: %s\n", violation.Rule, float64(violation.At)/1e6, violation.Text)
 		}
 	}
 	line, err := json.Marshal(map[string]any{"offered": r.Total.Offered, "stood": r.Total.Established, "late": r.Total.Late, "refused": r.Total.Refused,
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -65,9 +65,9 @@
 }
 
 // Run runs a day and returns its report. It stops all that it started, also if ctx ends early.
-func Run(ctx context.Context, s Script, o Options) (Report, error) {
-	r := &runner{script: s, options: o, plan: newPlan(s), ctx: ctx}
-	dir := o.Dir
+func Run(ctx context.Context, script Script, options Options) (Report, error) {
+	day := &runner{script: script, options: options, plan: newPlan(script), ctx: ctx}
+	dir := options.Dir
 	var err error
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "indigodrift-day-"); err != nil {
@@ -77,16 +77,16 @@
 	} else if err = os.MkdirAll(dir, 0o755); err != nil {
 		return Report{}, fmt.Errorf("create folder of the day: %w", err)
 	}
-	r.dir = dir
+	day.dir = dir
 	name := filepath.Join(dir, "audit.log")
-	f, err := os.Create(name)
+	file, err := os.Create(name)
 	if err != nil {
 		return Report{}, fmt.Errorf("audit log: %w", err)
 	}
-	r.log = audit.NewLog(f)
-	err = r.play()
-	if closing := errors.Join(r.log.Close(), f.Close()); err == nil {
-		err = closing
+	day.log = audit.NewLog(file)
+	err = day.play()
+	if closeErr := errors.Join(day.log.Close(), file.Close()); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return Report{}, err
@@ -95,31 +95,31 @@
 	if err != nil {
 		return Report{}, err
 	}
-	rep := countCallers(s, r.plan.callers)
-	rep.Violations = audit.Check(events)
-	for _, e := range events {
-		if e.Kind == audit.TryReceived {
-			rep.Tries++
+	report := countCallers(script, day.plan.callers)
+	report.Violations = audit.Check(events)
+	for _, event := range events {
+		if event.Kind == audit.TryReceived {
+			report.Tries++
 		}
 	}
-	if s.UseTables && s.PortedShare == 0 { // a ported number is routed by other digits than its own
-		rep.TableVersions, rep.MixedCalls = checkTables(events, s.ExchangeCount)
+	if script.UseTables && script.PortedShare == 0 { // a ported number is routed by other digits than its own
+		report.TableVersions, report.MixedCalls = checkTables(events, script.ExchangeCount)
 	}
-	if r.portability != nil {
-		rep.PortabilityQueries = r.portability.QueryCount()
+	if day.portability != nil {
+		report.PortabilityQueries = day.portability.QueryCount()
 	}
-	rep.Phones = countPhoneCalls(r.gateways.calls)
-	rep.CPU, rep.MaxMemory, rep.MaxDialDelay = r.cpu, r.maxMemory, r.subscribers.MaxDialDelay()
-	return rep, nil
+	report.Phones = countPhoneCalls(day.gateways.calls)
+	report.CPU, report.MaxMemory, report.MaxDialDelay = day.cpu, day.maxMemory, day.subscribers.MaxDialDelay()
+	return report, nil
 }
 
 func readAuditLog(name string) ([]audit.Event, error) {
-	f, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("audit log: %w", err)
 	}
-	defer f.Close()
-	events, err := audit.Read(f)
+	defer file.Close()
+	events, err := audit.Read(file)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -127,35 +127,35 @@
 }
 
 func (r *runner) play() error {
-	d := r.script.Deployment
-	for rule, v := range map[int]int64{audit.ParameterDrainGrace: duration(d.DrainGrace).Microseconds(), audit.ParameterReleaseTime: duration(d.ReleaseTime).Microseconds(),
-		audit.ParameterRampTime: duration(d.RampTime).Microseconds(), audit.ParameterOverloadWindow: duration(d.OverloadWindow).Microseconds(),
-		audit.ParameterOverloadMultiple: int64(d.OverloadMultiple * 1000), audit.ParameterInitialCapacity: int64(d.InitialCapacity * 1000)} {
-		r.log.Add(audit.Event{Kind: audit.Parameter, Site: rule, Value: v})
+	deployment := r.script.Deployment
+	for parameter, value := range map[int]int64{audit.ParameterDrainGrace: duration(deployment.DrainGrace).Microseconds(), audit.ParameterReleaseTime: duration(deployment.ReleaseTime).Microseconds(),
+		audit.ParameterRampTime: duration(deployment.RampTime).Microseconds(), audit.ParameterOverloadWindow: duration(deployment.OverloadWindow).Microseconds(),
+		audit.ParameterOverloadMultiple: int64(deployment.OverloadMultiple * 1000), audit.ParameterInitialCapacity: int64(deployment.InitialCapacity * 1000)} {
+		r.log.Add(audit.Event{Kind: audit.Parameter, Site: parameter, Value: value})
 	}
-	ctx, end := context.WithCancel(r.ctx)
+	ctx, cancel := context.WithCancel(r.ctx)
 	r.ctx = ctx
-	defer r.stopAll(end)
+	defer r.stopAll(cancel)
 	for i := range r.script.ExchangeCount {
 		r.switches = append(r.switches, standin.NewSwitch(i, r.plan.processor, r.script.Seed, r.log))
-		ln, err := r.options.Listen("")
+		listener, err := r.options.Listen("")
 		if err != nil {
 			return fmt.Errorf("switch %d: %w", i, err)
 		}
-		r.switchAddresses = append(r.switchAddresses, ln.Addr().String())
-		if err := r.switches[i].Start(func() (net.Listener, error) { return ln, nil }); err != nil {
+		r.switchAddresses = append(r.switchAddresses, listener.Addr().String())
+		if err := r.switches[i].Start(func() (net.Listener, error) { return listener, nil }); err != nil {
 			return err
 		}
 	}
-	ln, err := r.options.Listen("")
+	listener, err := r.options.Listen("")
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	r.registerAddress = ln.Addr().String()
+	r.registerAddress = listener.Addr().String()
 	r.register = standin.NewRegister(r.switches, r.plan.circuits, r.script.ListDelay, r.script.ListInterval, r.log)
-	r.register.Start(ln)
-	r.subscribers = standin.NewSubscribers(r.script.ExchangeCount, r.plan.callers, r.script.Subscribers, r.script.Seed, func(e int) (net.Conn, error) {
-		return r.options.Dial(r.switchAddresses[e])
+	r.register.Start(listener)
+	r.subscribers = standin.NewSubscribers(r.script.ExchangeCount, r.plan.callers, r.script.Subscribers, r.script.Seed, func(exchange int) (net.Conn, error) {
+		return r.options.Dial(r.switchAddresses[exchange])
 	})
 	if r.script.UseTables {
 		if err := r.writeNextTable(); err != nil {
@@ -167,11 +167,11 @@
 			}
 		}
 		for range r.script.ExchangeCount {
-			at, err := freeAddress()
+			address, err := freeAddress()
 			if err != nil {
 				return err
 			}
-			r.controlAddresses = append(r.controlAddresses, at)
+			r.controlAddresses = append(r.controlAddresses, address)
 		}
 	}
 	if err := r.createGateways(); err != nil {
@@ -195,17 +195,17 @@
 	if !r.sleep(r.script.SettleTime) {
 		return context.Cause(r.ctx)
 	}
-	for i, t := range r.script.Troubles {
-		chance := rand.New(rand.NewPCG(r.script.Seed, uint64(1000+i)))
-		k := troubleKinds[t.Kind]
-		in := pickIndices(r.script.ExchangeCount, t.Fraction, chance)
-		r.schedule(t.Start, func() {
-			fmt.Fprintf(r.options.Progress, "%6.1f s  %v\n", t.Start.Seconds(), t)
-			if k.start == nil {
+	for i, trouble := range r.script.Troubles {
+		random := rand.New(rand.NewPCG(r.script.Seed, uint64(1000+i)))
+		kind := troubleKinds[trouble.Kind]
+		affected := pickIndices(r.script.ExchangeCount, trouble.Fraction, random)
+		r.schedule(trouble.Start, func() {
+			fmt.Fprintf(r.options.Progress, "%6.1f s  %v\n", trouble.Start.Seconds(), trouble)
+			if kind.start == nil {
 				return
 			}
-			if over := k.start(r, t, in, chance); over != nil {
-				r.schedule(t.Duration, over)
+			if end := kind.start(r, trouble, affected, random); end != nil {
+				r.schedule(trouble.Duration, end)
 			}
 		})
 	}
@@ -218,17 +218,17 @@
 		r.subscribers.Run(stop)
 		close(done)
 	}()
-	tail := 5 * time.Second
+	grace := 5 * time.Second
 	for _, b := range r.script.Deployment.Bearers {
-		tail = max(tail, duration(b.AbandonTime))
+		grace = max(grace, duration(b.AbandonTime))
 	}
-	early := done
+	subscribersDone := done
 	if r.script.Gateways.PerExchange > 0 { // the phones may take longer than the subscribers
-		early = nil
+		subscribersDone = nil
 	}
 	select {
-	case <-early:
-	case <-time.After(r.script.Duration + tail):
+	case <-subscribersDone:
+	case <-time.After(r.script.Duration + grace):
 	case <-r.ctx.Done():
 	}
 	r.log.Add(audit.Event{Kind: audit.DayEnded})
@@ -255,13 +255,13 @@
 	})
 }
 
-func (r *runner) stopAll(end func()) {
-	end()
+func (r *runner) stopAll(cancel func()) {
+	cancel()
 	r.wg.Wait()
 	for _, c := range r.controllers {
 		c.resume()
-		if p := c.process(); p != nil {
-			p.Drain()
+		if process := c.process(); process != nil {
+			process.Drain()
 		}
 	}
 	for _, c := range r.controllers {
@@ -279,17 +279,17 @@
 	}
 }
 
-func (r *runner) startSwitch(e int) {
-	err := r.switches[e].Start(func() (net.Listener, error) {
-		var ln net.Listener
+func (r *runner) startSwitch(exchange int) {
+	err := r.switches[exchange].Start(func() (net.Listener, error) {
+		var listener net.Listener
 		var err error
 		for range 50 { // the address may be in use for a moment
-			if ln, err = r.options.Listen(r.switchAddresses[e]); err == nil {
+			if listener, err = r.options.Listen(r.switchAddresses[exchange]); err == nil {
 				break
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		return ln, err
+		return listener, err
 	})
 	if err != nil {
 		fmt.Fprintln(r.options.Progress, err)
@@ -306,28 +306,28 @@
 	counted    Process // last process whose resource use has been added
 }
 
-func (r *runner) startController(e int) error {
-	c := r.controllers[e]
-	c.startMutex.Lock()
-	defer c.startMutex.Unlock()
-	if p := c.process(); p != nil {
-		c.terminate(p)
-	}
-	file := filepath.Join(r.dir, fmt.Sprintf("site-%d.hcl", e))
-	if err := os.WriteFile(file, r.siteFile(e), 0o644); err != nil {
+func (r *runner) startController(exchange int) error {
+	controller := r.controllers[exchange]
+	controller.startMutex.Lock()
+	defer controller.startMutex.Unlock()
+	if process := controller.process(); process != nil {
+		controller.terminate(process)
+	}
+	path := filepath.Join(r.dir, fmt.Sprintf("site-%d.hcl", exchange))
+	if err := os.WriteFile(path, r.siteFile(exchange), 0o644); err != nil {
 		return fmt.Errorf("write site file: %w", err)
 	}
-	plant := ""
-	if e == 0 || r.options.PlantedFault != "answer" && r.options.PlantedFault != "copy" {
-		plant = r.options.PlantedFault
+	plantedFault := ""
+	if exchange == 0 || r.options.PlantedFault != "answer" && r.options.PlantedFault != "copy" {
+		plantedFault = r.options.PlantedFault
 	}
-	p, err := r.options.Launch(e, file, r.options.Routing, plant)
+	process, err := r.options.Launch(exchange, path, r.options.Routing, plantedFault)
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	c.current = p
-	c.mu.Unlock()
+	controller.mu.Lock()
+	controller.current = process
+	controller.mu.Unlock()
 	return nil
 }
 
@@ -337,15 +337,15 @@
 	return c.current
 }
 
-func (c *controller) waitReady(most time.Duration) error {
-	p := c.process()
+func (c *controller) waitReady(timeout time.Duration) error {
+	process := c.process()
 	select {
-	case <-p.Ready():
+	case <-process.Ready():
 		return nil
-	case <-p.Done():
+	case <-process.Done():
 		return fmt.Errorf("controller %d ended during start-up; see its log in %s", c.exchange, c.runner.dir)
-	case <-time.After(most):
-		return fmt.Errorf("controller %d is not ready after %v", c.exchange, most)
+	case <-time.After(timeout):
+		return fmt.Errorf("controller %d is not ready after %v", c.exchange, timeout)
 	}
 }
 
@@ -355,8 +355,8 @@
 }
 
 func (c *controller) resume() {
-	if p := c.process(); p != nil {
-		p.Resume()
+	if process := c.process(); process != nil {
+		process.Resume()
 		c.runner.log.Add(audit.Event{Kind: audit.ControllerResumed, Site: c.exchange})
 	}
 }
@@ -367,29 +367,29 @@
 }
 
 // terminate kills a process and adds its resource use.
-func (c *controller) terminate(p Process) {
-	p.Kill()
-	<-p.Done()
+func (c *controller) terminate(process Process) {
+	process.Kill()
+	<-process.Done()
 	c.mu.Lock()
-	again := c.counted == p
-	c.counted = p
+	alreadyCounted := c.counted == process
+	c.counted = process
 	c.mu.Unlock()
-	if again {
+	if alreadyCounted {
 		return
 	}
-	cpu, memory := p.ResourceUse()
+	cpu, memory := process.ResourceUse()
 	c.runner.mu.Lock()
 	c.runner.cpu += cpu
 	c.runner.maxMemory = max(c.runner.maxMemory, memory)
 	c.runner.mu.Unlock()
 }
 
-func (c *controller) waitExit(most time.Duration) {
-	if p := c.process(); p != nil {
+func (c *controller) waitExit(timeout time.Duration) {
+	if process := c.process(); process != nil {
 		select {
-		case <-p.Done():
-		case <-time.After(most):
+		case <-process.Done():
+		case <-time.After(timeout):
 		}
-		c.terminate(p)
+		c.terminate(process)
 	}
 }
--- a/internal/day/sitefile.go
+++ b/internal/day/sitefile.go
@@ -11,58 +11,62 @@
 )
 
 // siteFile returns the settings file of one exchange.
-func (r *runner) siteFile(e int) []byte {
-	f := hclwrite.NewEmptyFile()
-	b := f.Body()
-	text := func(b *hclwrite.Body, name, v string) { b.SetAttributeValue(name, cty.StringVal(v)) }
-	whole := func(b *hclwrite.Body, name string, v int) { b.SetAttributeValue(name, cty.NumberIntVal(int64(v))) }
-	number := func(b *hclwrite.Body, name string, v float64) { b.SetAttributeValue(name, cty.NumberFloatVal(v)) }
-	during := func(b *hclwrite.Body, name string, v policy.Tenths) { text(b, name, duration(v).String()) }
-	d := r.script.Deployment
-	whole(b, "exchange", e)
-	whole(b, "exchanges", r.script.ExchangeCount)
-	whole(b, "seed", int(r.script.Seed)*1000+e)
-	text(b, "own_switch", r.switchAddresses[e])
-	text(b, "register", r.registerAddress)
-	whole(b, "tries", d.MaxTries)
-	during(b, "release_time", d.ReleaseTime)
-	during(b, "come_back_most", d.MaxRetryAfter)
-	during(b, "drain_grace", d.DrainGrace)
-	b.SetAttributeValue("cancels", cty.BoolVal(d.CancelsAllowed))
+func (r *runner) siteFile(exchange int) []byte {
+	file := hclwrite.NewEmptyFile()
+	b := file.Body()
+	setText := func(b *hclwrite.Body, name, value string) { b.SetAttributeValue(name, cty.StringVal(value)) }
+	setInt := func(b *hclwrite.Body, name string, value int) {
+		b.SetAttributeValue(name, cty.NumberIntVal(int64(value)))
+	}
+	setFloat := func(b *hclwrite.Body, name string, value float64) {
+		b.SetAttributeValue(name, cty.NumberFloatVal(value))
+	}
+	setDuration := func(b *hclwrite.Body, name string, value policy.Tenths) { setText(b, name, duration(value).String()) }
+	deployment := r.script.Deployment
+	setInt(b, "exchange", exchange)
+	setInt(b, "exchanges", r.script.ExchangeCount)
+	setInt(b, "seed", int(r.script.Seed)*1000+exchange)
+	setText(b, "own_switch", r.switchAddresses[exchange])
+	setText(b, "register", r.registerAddress)
+	setInt(b, "tries", deployment.MaxTries)
+	setDuration(b, "release_time", deployment.ReleaseTime)
+	setDuration(b, "come_back_most", deployment.MaxRetryAfter)
+	setDuration(b, "drain_grace", deployment.DrainGrace)
+	b.SetAttributeValue("cancels", cty.BoolVal(deployment.CancelsAllowed))
 	if r.script.UseLedger {
-		text(b, "ledger", filepath.Join(r.dir, fmt.Sprintf("ledger-%d", e)))
+		setText(b, "ledger", filepath.Join(r.dir, fmt.Sprintf("ledger-%d", exchange)))
 	}
 	if r.script.UseTables {
-		text(b, "control", r.controlAddresses[e])
-		n := b.AppendNewBlock("numbers", nil).Body()
-		text(n, "store", filepath.Join(r.dir, fmt.Sprintf("tables-%d", e)))
-		text(n, "table", r.tableFile(1))
+		setText(b, "control", r.controlAddresses[exchange])
+		block := b.AppendNewBlock("numbers", nil).Body()
+		setText(block, "store", filepath.Join(r.dir, fmt.Sprintf("tables-%d", exchange)))
+		setText(block, "table", r.tableFile(1))
 		if r.portability != nil {
-			p := n.AppendNewBlock("portability", nil).Body()
-			p.SetAttributeValue("servers", cty.ListVal([]cty.Value{cty.StringVal(r.portability.Address), cty.StringVal(r.portability.Address)}))
-			text(p, "zone", enumZone)
+			portability := block.AppendNewBlock("portability", nil).Body()
+			portability.SetAttributeValue("servers", cty.ListVal([]cty.Value{cty.StringVal(r.portability.Address), cty.StringVal(r.portability.Address)}))
+			setText(portability, "zone", enumZone)
 		}
 	}
-	r.writeGateways(e, b)
+	r.writeGateways(exchange, b)
 	cold := b.AppendNewBlock("cold", nil).Body()
-	number(cold, "from", d.InitialCapacity)
-	during(cold, "ramp", d.RampTime)
-	number(cold, "fall_multiple", d.OverloadMultiple)
-	during(cold, "fall_window", d.OverloadWindow)
-	for i, t := range d.Bearers {
-		n := b.AppendNewBlock("bearer", []string{r.script.Bearers[i].Name}).Body()
-		number(n, "revenue", t.Revenue)
-		number(n, "late_share", t.LateShare)
-		during(n, "gos_target", t.GoSTarget)
-		during(n, "abandon", t.AbandonTime)
+	setFloat(cold, "from", deployment.InitialCapacity)
+	setDuration(cold, "ramp", deployment.RampTime)
+	setFloat(cold, "fall_multiple", deployment.OverloadMultiple)
+	setDuration(cold, "fall_window", deployment.OverloadWindow)
+	for i, bearer := range deployment.Bearers {
+		block := b.AppendNewBlock("bearer", []string{r.script.Bearers[i].Name}).Body()
+		setFloat(block, "revenue", bearer.Revenue)
+		setFloat(block, "late_share", bearer.LateShare)
+		setDuration(block, "gos_target", bearer.GoSTarget)
+		setDuration(block, "abandon", bearer.AbandonTime)
 	}
-	for j, address := range r.switchAddresses {
-		if j != e {
-			n := b.AppendNewBlock("neighbour", []string{fmt.Sprintf("exchange-%d", j)}).Body()
-			whole(n, "exchange", j)
-			whole(n, "circuits", r.plan.circuits[e][j])
-			text(n, "address", address)
+	for neighbour, address := range r.switchAddresses {
+		if neighbour != exchange {
+			block := b.AppendNewBlock("neighbour", []string{fmt.Sprintf("exchange-%d", neighbour)}).Body()
+			setInt(block, "exchange", neighbour)
+			setInt(block, "circuits", r.plan.circuits[exchange][neighbour])
+			setText(block, "address", address)
 		}
 	}
-	return f.Bytes()
+	return file.Bytes()
 }
--- a/internal/day/tables.go
+++ b/internal/day/tables.go
@@ -26,12 +26,12 @@
 // writeNextTable writes the next version of the number table.
 func (r *runner) writeNextTable() error {
 	r.tableVersion++
-	var b strings.Builder
-	fmt.Fprintf(&b, "name    = \"day\"\nversion = %d\ndialling {\n  international = \"\"\n}\n", r.tableVersion)
+	var table strings.Builder
+	fmt.Fprintf(&table, "name    = \"day\"\nversion = %d\ndialling {\n  international = \"\"\n}\n", r.tableVersion)
 	for n := range r.script.ExchangeCount {
-		fmt.Fprintf(&b, "\nroute \"from-%d\" {\n  least    = 9\n  most     = 9\n  ported   = %v\n  prefixes = [\"%03d\"]\n  choice {\n    to \"%d\" {}\n  }\n}\n", n, r.script.PortedShare > 0, n, (n+r.tableVersion)%r.script.ExchangeCount)
+		fmt.Fprintf(&table, "\nroute \"from-%d\" {\n  least    = 9\n  most     = 9\n  ported   = %v\n  prefixes = [\"%03d\"]\n  choice {\n    to \"%d\" {}\n  }\n}\n", n, r.script.PortedShare > 0, n, (n+r.tableVersion)%r.script.ExchangeCount)
 	}
-	if err := os.WriteFile(r.tableFile(r.tableVersion), []byte(b.String()), 0o644); err != nil {
+	if err := os.WriteFile(r.tableFile(r.tableVersion), []byte(table.String()), 0o644); err != nil {
 		return fmt.Errorf("write number table: %w", err)
 	}
 	return nil
@@ -41,11 +41,11 @@
 
 // startPortability starts a server by which a share of the callers' numbers is ported to the exchange after next.
 func (r *runner) startPortability() error {
-	chance := rand.New(rand.NewPCG(r.script.Seed, 0xe1))
+	random := rand.New(rand.NewPCG(r.script.Seed, 0xe1))
 	ported := map[string]string{}
-	for _, c := range r.plan.callers {
-		if chance.Float64() < r.script.PortedShare {
-			ported[enum.DomainName(exchange.LineNumber(c.Dest, c.Line()), enumZone)] = exchange.LineNumber((c.Dest+2)%r.script.ExchangeCount, c.Line())
+	for _, caller := range r.plan.callers {
+		if random.Float64() < r.script.PortedShare {
+			ported[enum.DomainName(exchange.LineNumber(caller.Dest, caller.Line()), enumZone)] = exchange.LineNumber((caller.Dest+2)%r.script.ExchangeCount, caller.Line())
 		}
 	}
 	var err error
@@ -56,9 +56,9 @@
 }
 
 // changeTables loads a new number table into all exchanges at each interval.
-func changeTables(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
+func changeTables(r *runner, trouble Trouble, _ []int, _ *rand.Rand) func() {
 	r.wg.Go(func() {
-		for at := time.Duration(0); at < t.Duration && r.sleep(t.Interval); at += t.Interval {
+		for elapsed := time.Duration(0); elapsed < trouble.Duration && r.sleep(trouble.Interval); elapsed += trouble.Interval {
 			if err := r.writeNextTable(); err != nil {
 				fmt.Fprintln(r.options.Progress, err)
 				return
@@ -76,32 +76,32 @@
 // tries use the same version and its destination for the number dialled. It returns the number of versions seen and the
 // number of calls that violate this.
 func checkTables(events []audit.Event, exchanges int) (versions, mixed int) {
-	dialled, by, seen := map[isup.Reference]uint32{}, map[isup.Reference]int64{}, map[int64]bool{}
-	bad := map[isup.Reference]bool{}
+	dialled, versionOf, seen := map[isup.Reference]uint32{}, map[isup.Reference]int64{}, map[int64]bool{}
+	violating := map[isup.Reference]bool{}
 	for _, e := range events {
 		switch e.Kind {
 		case audit.CallOffered:
 			dialled[e.Ref] = e.Slots
 		case audit.TryReceived:
 			version, dest := e.Value>>16, e.Value&0xffff
-			n, ok := dialled[e.Ref]
+			prefix, ok := dialled[e.Ref]
 			if !ok {
 				continue
 			}
-			if was, again := by[e.Ref]; again && was != version || dest != (int64(n)+version)%int64(exchanges) {
-				bad[e.Ref] = true
+			if earlier, found := versionOf[e.Ref]; found && earlier != version || dest != (int64(prefix)+version)%int64(exchanges) {
+				violating[e.Ref] = true
 			}
-			by[e.Ref], seen[version] = version, true
+			versionOf[e.Ref], seen[version] = version, true
 		}
 	}
-	return len(seen), len(bad)
+	return len(seen), len(violating)
 }
 
 func freeAddress() (string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", fmt.Errorf("find control address: %w", err)
 	}
-	defer ln.Close()
-	return ln.Addr().String(), nil
+	defer listener.Close()
+	return listener.Addr().String(), nil
 }
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -49,58 +49,58 @@
 
 // TroubleKinds lists the names of all kinds of trouble.
 func TroubleKinds() []string {
-	var all []string
+	var names []string
 	for name := range troubleKinds {
-		all = append(all, name)
+		names = append(names, name)
 	}
-	sort.Strings(all)
-	return all
+	sort.Strings(names)
+	return names
 }
 
-func switchFault(change func(*standin.SwitchFaults, Trouble)) func(*runner, Trouble, []int, *rand.Rand) func() {
-	return func(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
-		for _, e := range in {
-			r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { change(d, t) })
+func switchFault(set func(*standin.SwitchFaults, Trouble)) func(*runner, Trouble, []int, *rand.Rand) func() {
+	return func(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
+		for _, exchange := range affected {
+			r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { set(faults, trouble) })
 		}
 		return func() {
-			for _, e := range in { // this also ends other faults of the switch
-				r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { *d = standin.SwitchFaults{Slowdown: 1} })
+			for _, exchange := range affected { // this also ends other faults of the switch
+				r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { *faults = standin.SwitchFaults{Slowdown: 1} })
 			}
 		}
 	}
 }
 
-func halfOpen(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
-	for _, e := range in {
-		r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { d.HalfOpen = true })
+func halfOpen(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
+	for _, exchange := range affected {
+		r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { faults.HalfOpen = true })
 	}
 	return func() {
-		for _, e := range in {
-			r.switches[e].ResetLinks(1) // half-open links are closed, so that both ends reconnect
-			r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { d.HalfOpen = false })
+		for _, exchange := range affected {
+			r.switches[exchange].ResetLinks(1) // half-open links are closed, so that both ends reconnect
+			r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { faults.HalfOpen = false })
 		}
 	}
 }
 
-func loseCircuits(r *runner, t Trouble, in []int, chance *rand.Rand) func() {
-	inside := map[int]bool{}
-	for _, e := range in {
-		inside[e] = true
+func loseCircuits(r *runner, t Trouble, affected []int, random *rand.Rand) func() {
+	isAffected := map[int]bool{}
+	for _, exchange := range affected {
+		isAffected[exchange] = true
 	}
-	each := func(do func(a, b int)) {
+	forEachPair := func(do func(a, b int)) {
 		for a := range r.switches {
 			for b := range r.switches {
-				if a != b && inside[a] != inside[b] {
+				if a != b && isAffected[a] != isAffected[b] {
 					do(a, b)
 				}
 			}
 		}
 	}
-	each(func(a, b int) {
+	forEachPair(func(a, b int) {
 		var cics []uint16
 		if b < a { // the same circuits at both exchanges
 			for i := range r.plan.circuits[a][b] {
-				if chance.Float64() < t.Size {
+				if random.Float64() < t.Size {
 					cics = append(cics, uint16(i/31*32+i%31+1))
 				}
 			}
@@ -108,7 +108,7 @@
 			r.switches[b].SetLostCircuits(a, cics)
 		}
 	})
-	return func() { each(func(a, b int) { r.switches[a].SetLostCircuits(b, nil) }) }
+	return func() { forEachPair(func(a, b int) { r.switches[a].SetLostCircuits(b, nil) }) }
 }
 
 func disconnectCalls(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
@@ -118,9 +118,9 @@
 	return nil
 }
 
-func resetLinks(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
-	for _, e := range in {
-		r.switches[e].ResetLinks(t.Size)
+func resetLinks(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+	for _, exchange := range affected {
+		r.switches[exchange].ResetLinks(t.Size)
 	}
 	return nil
 }
@@ -141,86 +141,86 @@
 }
 
 func disturbPortability(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
-	how, late := t.How, time.Duration(0)
-	if how == "late" {
-		how, late = "", seconds(t.Size)
+	fault, delay := t.How, time.Duration(0)
+	if fault == "late" {
+		fault, delay = "", seconds(t.Size)
 	}
-	r.portability.SetFault(how, late)
+	r.portability.SetFault(fault, delay)
 	return func() { r.portability.SetFault("", 0) }
 }
 
 func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
-func killControllers(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
-	for _, e := range in {
-		r.controllers[e].kill()
+func killControllers(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+	for _, exchange := range affected {
+		r.controllers[exchange].kill()
 	}
 	r.schedule(seconds(t.Size), func() {
-		for _, e := range in {
-			r.startController(e)
+		for _, exchange := range affected {
+			r.startController(exchange)
 		}
 	})
 	return nil
 }
 
-func rollControllers(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
-	for i, e := range in {
-		r.schedule(t.Duration*time.Duration(i)/time.Duration(len(in)), func() {
-			r.controllers[e].process().Drain()
+func rollControllers(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+	for i, exchange := range affected {
+		r.schedule(t.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
+			r.controllers[exchange].process().Drain()
 			r.schedule(seconds(t.Size), func() {
-				r.controllers[e].kill()
-				r.startController(e)
+				r.controllers[exchange].kill()
+				r.startController(exchange)
 			})
 		})
 	}
 	return nil
 }
 
-func pauseControllers(r *runner, t Trouble, in []int, chance *rand.Rand) func() {
-	for _, e := range in {
-		for at := time.Duration(chance.Float64() * float64(t.Interval)); at < t.Duration; at += t.Interval {
-			r.schedule(at, func() { r.controllers[e].pause() })
-			r.schedule(at+seconds(t.Size), func() { r.controllers[e].resume() })
+func pauseControllers(r *runner, t Trouble, affected []int, random *rand.Rand) func() {
+	for _, exchange := range affected {
+		for start := time.Duration(random.Float64() * float64(t.Interval)); start < t.Duration; start += t.Interval {
+			r.schedule(start, func() { r.controllers[exchange].pause() })
+			r.schedule(start+seconds(t.Size), func() { r.controllers[exchange].resume() })
 		}
 	}
 	return nil
 }
 
-func (r *runner) restartSwitch(e int, gone time.Duration) {
-	r.switches[e].Stop()
-	r.schedule(gone, func() { r.startSwitch(e) })
+func (r *runner) restartSwitch(exchange int, downTime time.Duration) {
+	r.switches[exchange].Stop()
+	r.schedule(downTime, func() { r.startSwitch(exchange) })
 }
 
-func drainSwitches(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
-	for i, e := range in {
-		r.schedule(t.Duration*time.Duration(i)/time.Duration(len(in)), func() {
-			r.switches[e].SetDraining(true)
-			r.schedule(seconds(t.Size), func() { r.restartSwitch(e, time.Second) })
+func drainSwitches(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+	for i, exchange := range affected {
+		r.schedule(t.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
+			r.switches[exchange].SetDraining(true)
+			r.schedule(seconds(t.Size), func() { r.restartSwitch(exchange, time.Second) })
 		})
 	}
 	return nil
 }
 
-func ageSwitches(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
+func ageSwitches(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
 	const steps = 20
 	for i := range steps {
 		r.schedule(t.Duration*time.Duration(i)/steps, func() {
-			for _, e := range in {
-				r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { d.Slowdown = 1 + (t.Size-1)*float64(i+1)/steps })
+			for _, exchange := range affected {
+				r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { faults.Slowdown = 1 + (t.Size-1)*float64(i+1)/steps })
 			}
 		})
 	}
 	return func() {
-		for _, e := range in {
-			r.switches[e].UpdateFaults(func(d *standin.SwitchFaults) { d.Slowdown = 1 })
-			r.restartSwitch(e, time.Second)
+		for _, exchange := range affected {
+			r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { faults.Slowdown = 1 })
+			r.restartSwitch(exchange, time.Second)
 		}
 	}
 }
 
-func restartSwitches(r *runner, t Trouble, in []int, _ *rand.Rand) func() {
-	for _, e := range in {
-		r.restartSwitch(e, seconds(t.Size))
+func restartSwitches(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+	for _, exchange := range affected {
+		r.restartSwitch(exchange, seconds(t.Size))
 	}
 	return nil
 }
--- a/internal/day/virtual_test.go
+++ b/internal/day/virtual_test.go
@@ -42,69 +42,69 @@
 	killed      bool
 }
 
-func (v *virtualNet) launch(e int, siteFile, routing, plant string) (Process, error) {
-	s, err := site.Read(siteFile)
+func (v *virtualNet) launch(exchangeNumber int, siteFile, routing, plant string) (Process, error) {
+	config, err := site.Read(siteFile)
 	if err != nil {
 		return nil, err
 	}
-	s.Disk = v.disk
-	s.ControlAddress = "" // control commands are method calls here
-	p := &inProcess{ready: make(chan struct{}), done: make(chan struct{}), gate: &memnet.Gate{}}
+	config.Disk = v.disk
+	config.ControlAddress = "" // control commands are method calls here
+	started := &inProcess{ready: make(chan struct{}), done: make(chan struct{}), gate: &memnet.Gate{}}
 	build := control.DeciderBuilder(func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
 		return policy.New(d, x, now)
 	})
 	if routing == "random" {
 		build = baseline.NewBuilder(true)
 	}
-	var wrong *FaultyController
+	var faulty *FaultyController
 	if plant != "" {
-		var near []exchange.Neighbour
-		for _, n := range s.Neighbours {
-			near = append(near, n.Neighbour)
+		var neighbours []exchange.Neighbour
+		for _, n := range config.Neighbours {
+			neighbours = append(neighbours, n.Neighbour)
 		}
-		if wrong, err = NewFaultyController(plant, near); err != nil {
+		if faulty, err = NewFaultyController(plant, neighbours); err != nil {
 			return nil, err
 		}
-		build = wrong.WrapDecider(build)
+		build = faulty.WrapDecider(build)
 	}
-	p.server, err = control.New(s, build, func(_ context.Context, name string) (net.Conn, error) {
-		p.gate.Wait()
-		c, err := v.Dial(name)
+	started.server, err = control.New(config, build, func(_ context.Context, name string) (net.Conn, error) {
+		started.gate.Wait()
+		conn, err := v.Dial(name)
 		if err != nil {
 			return nil, err
 		}
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		c.(*memnet.Conn).Gate = p.gate
-		if p.conns = append(p.conns, c); p.killed {
-			c.Close()
+		started.mu.Lock()
+		defer started.mu.Unlock()
+		conn.(*memnet.Conn).Gate = started.gate
+		if started.conns = append(started.conns, conn); started.killed {
+			conn.Close()
 		}
-		return c, nil
+		return conn, nil
 	}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return nil, err
 	}
-	p.server.ListenPacket = func(address string) (net.PacketConn, error) {
-		c, err := v.ListenPacket(address)
+	started.server.ListenPacket = func(address string) (net.PacketConn, error) {
+		conn, err := v.ListenPacket(address)
 		if err == nil {
-			c.(*memnet.PacketConn).Gate = p.gate
-			p.mu.Lock()
-			p.socket = c
-			p.mu.Unlock()
+			conn.(*memnet.PacketConn).Gate = started.gate
+			started.mu.Lock()
+			started.socket = conn
+			started.mu.Unlock()
 		}
-		return c, err
+		return conn, err
 	}
-	if wrong != nil {
-		p.server.InterceptSend = wrong.InterceptSend
+	if faulty != nil {
+		started.server.InterceptSend = faulty.InterceptSend
 	}
-	p.server.OnReady = func() { close(p.ready) }
+	started.server.OnReady = func() { close(started.ready) }
 	ctx, cancel := context.WithCancel(context.Background())
-	p.drain = cancel
+	started.drain = cancel
 	go func() {
-		p.server.Run(ctx)
-		close(p.done)
+		started.server.Run(ctx)
+		close(started.done)
 	}()
-	return p, nil
+	return started, nil
 }
 
 func (p *inProcess) Ready() <-chan struct{}              { return p.ready }
@@ -136,58 +136,58 @@
 func (p *inProcess) Resume() { p.gate.Open() }
 
 // runVirtual runs a day in virtual time.
-func runVirtual(t *testing.T, name string, change func(*Script)) Report {
-	return runVirtualWithFault(t, name, "", change)
+func runVirtual(t *testing.T, name string, adjust func(*Script)) Report {
+	return runVirtualWithFault(t, name, "", adjust)
 }
 
-func runVirtualWithFault(t *testing.T, name, plant string, change func(*Script)) Report {
+func runVirtualWithFault(t *testing.T, name, plantedFault string, adjust func(*Script)) Report {
 	t.Helper()
-	s, err := Read("../../examples/days/" + name)
+	script, err := Read("../../examples/days/" + name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	change(&s)
-	var rep Report
+	adjust(&script)
+	var report Report
 	dir := t.TempDir()
 	if *keepDir != "" {
 		dir = *keepDir
 	}
 	synctest.Test(t, func(t *testing.T) {
-		v := &virtualNet{memnet.New(), memnet.NewDisk()}
-		rep, err = Run(context.Background(), s, Options{Launch: v.launch, Listen: v.Listen, Dial: v.Dial, ListenPacket: v.ListenPacket, PlantedFault: plant, Dir: dir, Progress: io.Discard})
+		network := &virtualNet{memnet.New(), memnet.NewDisk()}
+		report, err = Run(context.Background(), script, Options{Launch: network.launch, Listen: network.Listen, Dial: network.Dial, ListenPacket: network.ListenPacket, PlantedFault: plantedFault, Dir: dir, Progress: io.Discard})
 		if err != nil {
 			t.Error(err)
 		}
 	})
-	return rep
+	return report
 }
 
-func requireRulesHold(t *testing.T, rep Report, serviceLeast float64) {
+func requireRulesHold(t *testing.T, report Report, minService float64) {
 	t.Helper()
-	for i, b := range rep.Violations {
+	for i, violation := range report.Violations {
 		if i < 5 {
-			t.Errorf("rule %d broken at %.3f s: %s", b.Rule, float64(b.At)/1e6, b.Text)
+			t.Errorf("rule %d broken at %.3f s: %s", violation.Rule, float64(violation.At)/1e6, violation.Text)
 		}
 	}
-	if len(rep.Violations) > 0 || rep.Total.Offered == 0 || rep.Total.Service < serviceLeast {
-		t.Fatalf("%d violations, %d calls, service %.3f, want at least %.2f", len(rep.Violations), rep.Total.Offered, rep.Total.Service, serviceLeast)
+	if len(report.Violations) > 0 || report.Total.Offered == 0 || report.Total.Service < minService {
+		t.Fatalf("%d violations, %d calls, service %.3f, want at least %.2f", len(report.Violations), report.Total.Offered, report.Total.Service, minService)
 	}
 }
 
-func TestQuietDayServesNearlyAll(t *testing.T) {
+func TestQuietDayServesNearlyAllCalls(t *testing.T) {
 	requireRulesHold(t, runVirtual(t, "quiet.hcl", func(*Script) {}), 0.97)
 }
 
-func TestBadDayKeepsTheRules(t *testing.T) {
+func TestRulesHoldOnBadDay(t *testing.T) {
 	requireRulesHold(t, runVirtual(t, "bad.hcl", func(s *Script) { s.Duration = 61 * time.Second }), 0.3)
 }
 
-func TestTheOtherTroublesKeepTheRules(t *testing.T) {
+func TestRulesHoldWithRemainingTroubles(t *testing.T) {
 	requireRulesHold(t, runVirtual(t, "wide.hcl", func(*Script) {}), 0.3)
 }
 
 // Checks the rules with each kind of trouble alone, on a small network.
-func TestEachTroubleAloneKeepsTheRules(t *testing.T) {
+func TestRulesHoldWithEachTroubleAlone(t *testing.T) {
 	sizes := map[string]float64{"slow": 4, "other_work": 0.7, "circuits_lost": 0.5, "answers_lost": 0.3, "chopped": 1, "load_jump": 2,
 		"hot_caller": 4, "ageing": 6, "mass_cut": 0.6, "leave_early": 0.4, "links_reset": 0.7}
 	for _, kind := range TroubleKinds() {
@@ -216,7 +216,7 @@
 
 // Loads a thousand number tables under load, one every 20 ms, each with other destinations for all numbers. Guards against
 // calls that are routed by two tables or not as their table says.
-func TestThousandTablesUnderLoadAndNoCallMixesTwo(t *testing.T) {
+func TestNoCallMixesTablesChangedUnderLoad(t *testing.T) {
 	rep := runVirtual(t, "quiet.hcl", func(s *Script) {
 		s.UseTables, s.Duration = true, 21*time.Second
 		s.Troubles = []Trouble{{Kind: "tables_change", Start: 200 * time.Millisecond, Duration: 20 * time.Second, Interval: 20 * time.Millisecond},
@@ -231,7 +231,7 @@
 }
 
 // The audit must find a controller that violates one rule on its sockets, and find nothing on the same day without it.
-func TestPlantedBreaksAreFound(t *testing.T) {
+func TestAuditFindsPlantedFaults(t *testing.T) {
 	requireRulesHold(t, runVirtual(t, "plant.hcl", func(*Script) {}), 0.3)
 	for plant, rule := range map[string]int{"answer": 1, "copy": 2, "drain": 3, "cold": 4, "release": 5} {
 		t.Run(plant, func(t *testing.T) {
@@ -256,7 +256,7 @@
 }
 
 // Checks calls from phones at gateways without faults: within an exchange, between two, and over tandems.
-func TestPhonesAtGatewaysOnAQuietDay(t *testing.T) {
+func TestPhonesOnQuietDay(t *testing.T) {
 	rep := runVirtual(t, "mgcp.hcl", func(s *Script) { s.Troubles, s.Duration = nil, 20*time.Second })
 	requireRulesHold(t, rep, 0.8)
 	if p := rep.Phones; p.Calls < 300 || float64(p.Established) < 0.7*float64(p.Calls) {
@@ -267,7 +267,7 @@
 }
 
 // Checks the rules with each fault of gateways, their users and their network alone.
-func TestEachTroubleOfGatewaysKeepsTheRules(t *testing.T) {
+func TestRulesHoldWithEachGatewayFault(t *testing.T) {
 	sizes := map[string]float64{"loss": 0.05, "double": 0.5, "late": 0.3, "truncated": 0.1, "two_answers": 0.5, "flash": 0.5, "hang_up": 0.5, "trickle": 0.5, "glare": 0.5}
 	for _, how := range troubleKinds["gateways"].how {
 		t.Run(how, func(t *testing.T) {
@@ -290,15 +290,15 @@
 
 var mgcpDuration = flag.Duration("mgcp", 0, "length of the MGCP day, with its troubles repeated; 0: as in its file")
 
-func TestMGCPDayKeepsTheRules(t *testing.T) {
+func TestRulesHoldOnMGCPDay(t *testing.T) {
 	rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
-		round, all := s.Duration, s.Troubles
-		for from := round; from < *mgcpDuration; from += round {
-			for _, tr := range all {
-				tr.Start += from
-				s.Troubles = append(s.Troubles, tr)
+		length, troubles := s.Duration, s.Troubles
+		for from := length; from < *mgcpDuration; from += length {
+			for _, trouble := range troubles {
+				trouble.Start += from
+				s.Troubles = append(s.Troubles, trouble)
 			}
-			s.Duration = from + round
+			s.Duration = from + length
 		}
 	})
 	requireRulesHold(t, rep, 0.3)
@@ -307,25 +307,25 @@
 
 // Established calls must survive the kill of their controller. With the ledger hardly any is disconnected, without it all
 // of the controller's calls are.
-func TestStandingCallsOutliveKills(t *testing.T) {
-	cut := map[bool]int{}
-	for _, kept := range []bool{true, false} {
+func TestEstablishedCallsSurviveKills(t *testing.T) {
+	disconnections := map[bool]int{}
+	for _, withLedger := range []bool{true, false} {
 		rep := runVirtual(t, "quiet.hcl", func(s *Script) {
-			s.UseLedger, s.Duration = kept, 20*time.Second
+			s.UseLedger, s.Duration = withLedger, 20*time.Second
 			s.Troubles = []Trouble{{Kind: "controllers_kill", Start: 6 * time.Second, Fraction: 0.5, Size: 0.5}, {Kind: "controllers_kill", Start: 12 * time.Second, Fraction: 1, Size: 0.5}}
 		})
 		requireRulesHold(t, rep, 0.3)
-		cut[kept] = rep.Disconnections
-		t.Logf("ledger %v: %d disconnections, %+v", kept, rep.Disconnections, rep.Total)
+		disconnections[withLedger] = rep.Disconnections
+		t.Logf("ledger %v: %d disconnections, %+v", withLedger, rep.Disconnections, rep.Total)
 	}
-	if cut[false] < 10 || cut[true] > cut[false]/20 {
-		t.Fatalf("%d calls were disconnected with the ledger, %d without", cut[true], cut[false])
+	if disconnections[false] < 10 || disconnections[true] > disconnections[false]/20 {
+		t.Fatalf("%d calls were disconnected with the ledger, %d without", disconnections[true], disconnections[false])
 	}
 }
 
 // Kills a controller every 500 ms, 110 times in all, and restarts it after 200 ms. The rules must hold, and hardly any
 // established call may be disconnected: only one that is too recent to be in the ledger may be.
-func TestHundredKillsUnderLoad(t *testing.T) {
+func TestRepeatedKillsUnderLoad(t *testing.T) {
 	rep := runVirtual(t, "quiet.hcl", func(s *Script) {
 		s.UseLedger, s.Duration = true, 60*time.Second
 		for i := range 110 {
@@ -334,14 +334,14 @@
 	})
 	requireRulesHold(t, rep, 0.2)
 	t.Logf("%d disconnections, %+v", rep.Disconnections, rep.Total)
-	if stood := rep.Total.Established + rep.Total.Late; rep.Disconnections > stood/50 {
-		t.Fatalf("%d of %d established calls were disconnected", rep.Disconnections, stood)
+	if established := rep.Total.Established + rep.Total.Late; rep.Disconnections > established/50 {
+		t.Fatalf("%d of %d established calls were disconnected", rep.Disconnections, established)
 	}
 }
 
 // All switches hang for 3 s. After 0.6 s, with over a hundred set-ups from phones in progress, all controllers are killed. The
 // audit of the gateways must delete what they left: a minute later there is no connection without a call.
-func TestControllersKilledWithAHundredSetUpsInFlight(t *testing.T) {
+func TestControllersKilledDuringSetUps(t *testing.T) {
 	rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
 		s.ExchangeCount, s.Duration, s.Gateways.CallRate, s.Gateways.LocalShare, s.Gateways.Endpoints, s.Gateways.LastCall = 8, 75*time.Second, 1000, 0, 300, 7*time.Second
 		s.Troubles = []Trouble{{Kind: "hung", Start: 4 * time.Second, Duration: 3 * time.Second, Fraction: 1}, {Kind: "controllers_kill", Start: 4600 * time.Millisecond, Fraction: 1, Size: 0.5}}
--- a/internal/hclread/hclread.go
+++ b/internal/hclread/hclread.go
@@ -116,31 +116,31 @@
 func (b *Block) Has(name string) bool { return b.body.Attributes[name] != nil }
 
 // Float reads a number within a range. The default is standard; NaN makes the attribute mandatory.
-func (b *Block) Float(name string, least, most, standard float64) float64 {
+func (b *Block) Float(name string, minimum, maximum, defaultValue float64) float64 {
 	v, at, ok := b.attribute(name, cty.Number)
 	if !ok {
-		if math.IsNaN(standard) && !b.Has(name) {
+		if math.IsNaN(defaultValue) && !b.Has(name) {
 			b.AddError("%s is missing", name)
 		}
-		return standard
+		return defaultValue
 	}
 	f, _ := v.AsBigFloat().Float64()
-	if f < least || f > most {
-		b.addDiagnostic(at, "%s is %v, it can be %v to %v", name, f, least, most)
-		return least
+	if f < minimum || f > maximum {
+		b.addDiagnostic(at, "%s is %v, it can be %v to %v", name, f, minimum, maximum)
+		return minimum
 	}
 	return f
 }
 
 // Int reads an integer within a range. The default is standard; a value below least makes the attribute mandatory.
-func (b *Block) Int(name string, least, most, standard int) int {
-	std := float64(standard)
-	if standard < least {
-		std = math.NaN()
+func (b *Block) Int(name string, minimum, maximum, defaultValue int) int {
+	floatDefault := float64(defaultValue)
+	if defaultValue < minimum {
+		floatDefault = math.NaN()
 	}
-	f := b.Float(name, float64(least), float64(most), std)
+	f := b.Float(name, float64(minimum), float64(maximum), floatDefault)
 	if math.IsNaN(f) {
-		return least
+		return minimum
 	}
 	if f != math.Trunc(f) {
 		b.AddErrorAt(name, "%s is %v, it must be an integer", name, f)
@@ -149,13 +149,13 @@
 }
 
 // Text reads a string. With must, the attribute is mandatory.
-func (b *Block) Text(name string, must bool, standard string) string {
+func (b *Block) Text(name string, required bool, defaultValue string) string {
 	v, _, ok := b.attribute(name, cty.String)
 	if !ok {
-		if must && !b.Has(name) {
+		if required && !b.Has(name) {
 			b.AddError("%s is missing", name)
 		}
-		return standard
+		return defaultValue
 	}
 	return v.AsString()
 }
@@ -172,7 +172,7 @@
 	if diags.HasErrors() {
 		return nil
 	}
-	var all []string
+	var texts []string
 	if !v.CanIterateElements() {
 		b.AddErrorAt(name, "%s must be a list of strings", name)
 		return nil
@@ -182,50 +182,50 @@
 			b.AddErrorAt(name, "%s must be a list of strings", name)
 			return nil
 		}
-		all = append(all, e.AsString())
+		texts = append(texts, e.AsString())
 	}
-	return all
+	return texts
 }
 
 // OneOf reads a string that must be one of the given values.
-func (b *Block) OneOf(name, standard string, of ...string) string {
-	s := b.Text(name, false, standard)
-	for _, o := range of {
-		if s == o {
+func (b *Block) OneOf(name, defaultValue string, values ...string) string {
+	s := b.Text(name, false, defaultValue)
+	for _, value := range values {
+		if s == value {
 			return s
 		}
 	}
-	b.AddErrorAt(name, "%s is %q, it can be %s", name, s, strings.Join(of, ", "))
-	return standard
+	b.AddErrorAt(name, "%s is %q, it can be %s", name, s, strings.Join(values, ", "))
+	return defaultValue
 }
 
 // Bool reads a boolean.
-func (b *Block) Bool(name string, standard bool) bool {
+func (b *Block) Bool(name string, defaultValue bool) bool {
 	if v, _, ok := b.attribute(name, cty.Bool); ok {
 		return v.True()
 	}
-	return standard
+	return defaultValue
 }
 
 // Duration reads a duration such as "1.2s" within a range. The default is standard; a negative value makes the attribute
 // mandatory.
-func (b *Block) Duration(name string, least, most, standard time.Duration) policy.Tenths {
+func (b *Block) Duration(name string, minimum, maximum, defaultValue time.Duration) policy.Tenths {
 	v, at, ok := b.attribute(name, cty.String)
-	d := standard
+	d := defaultValue
 	if ok {
 		var err error
 		if d, err = time.ParseDuration(v.AsString()); err != nil {
 			b.addDiagnostic(at, "%s is %q, not a span such as \"1.2s\"", name, v.AsString())
-			d = least
-		} else if d < least || d > most {
-			b.addDiagnostic(at, "%s is %v, it can be %v to %v", name, d, least, most)
-			d = least
+			d = minimum
+		} else if d < minimum || d > maximum {
+			b.addDiagnostic(at, "%s is %v, it can be %v to %v", name, d, minimum, maximum)
+			d = minimum
 		}
-	} else if standard < 0 {
+	} else if defaultValue < 0 {
 		if !b.Has(name) {
 			b.AddError("%s is missing", name)
 		}
-		d = least
+		d = minimum
 	}
 	return policy.Tenths((d + 100*time.Microsecond - 1) / (100 * time.Microsecond))
 }
@@ -252,33 +252,33 @@
 // Blocks returns the blocks of a type, which have one label each if labelled, else none.
 func (b *Block) Blocks(kind string, labelled bool) []*Block {
 	b.used[kind] = true
-	var all []*Block
+	var blocks []*Block
 	for _, inner := range b.body.Blocks {
 		if inner.Type != kind {
 			continue
 		}
-		n := &Block{file: b.file, body: inner.Body, location: inner.DefRange(), used: map[string]bool{}}
-		if want := 0; len(inner.Labels) != want && !labelled || labelled && len(inner.Labels) != 1 {
-			n.AddError("%s must have %d labels", kind, map[bool]int{true: 1}[labelled])
+		block := &Block{file: b.file, body: inner.Body, location: inner.DefRange(), used: map[string]bool{}}
+		if labels := 0; len(inner.Labels) != labels && !labelled || labelled && len(inner.Labels) != 1 {
+			block.AddError("%s must have %d labels", kind, map[bool]int{true: 1}[labelled])
 		}
 		if len(inner.Labels) > 0 {
-			n.Label = inner.Labels[0]
+			block.Label = inner.Labels[0]
 		}
-		all = append(all, n)
+		blocks = append(blocks, block)
 	}
-	return all
+	return blocks
 }
 
 // SingleBlock returns the only block of a type, or an empty one. With must, the block is mandatory.
-func (b *Block) SingleBlock(kind string, must bool) *Block {
-	all := b.Blocks(kind, false)
-	if len(all) > 1 {
-		all[1].AddError("block %s is defined twice", kind)
+func (b *Block) SingleBlock(kind string, required bool) *Block {
+	blocks := b.Blocks(kind, false)
+	if len(blocks) > 1 {
+		blocks[1].AddError("block %s is defined twice", kind)
 	}
-	if len(all) > 0 {
-		return all[0]
+	if len(blocks) > 0 {
+		return blocks[0]
 	}
-	if must {
+	if required {
 		b.AddError("block %s is missing", kind)
 	}
 	return &Block{file: b.file, body: &hclsyntax.Body{}, location: b.location, used: map[string]bool{}}
--- a/internal/memnet/disk.go
+++ b/internal/memnet/disk.go
@@ -25,13 +25,17 @@
 func NewDisk() *Disk { return &Disk{files: map[string]*inode{}} }
 
 // SetFailure makes all operations but reads fail with err from now on; nil ends that.
-func (d *Disk) SetFailure(err error) { d.mu.Lock(); d.failure = err; d.mu.Unlock() }
+func (d *Disk) SetFailure(failure error) { d.mu.Lock(); d.failure = failure; d.mu.Unlock() }
 
 // OnSync sets a function that each sync calls first; nil: none.
 func (d *Disk) OnSync(wait func()) { d.mu.Lock(); d.onSync = wait; d.mu.Unlock() }
 
 // Put sets the content of a file.
-func (d *Disk) Put(name string, b []byte) { d.mu.Lock(); d.files[name] = &inode{b}; d.mu.Unlock() }
+func (d *Disk) Put(name string, data []byte) {
+	d.mu.Lock()
+	d.files[name] = &inode{data}
+	d.mu.Unlock()
+}
 
 // Get returns the content of a file, or nil if there is none.
 func (d *Disk) Get(name string) []byte {
@@ -43,11 +47,11 @@
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b, ok := d.files[name]
+	node, ok := d.files[name]
 	if !ok {
 		return nil, fmt.Errorf("read %s: %w", name, os.ErrNotExist)
 	}
-	return append([]byte(nil), b.data...), nil
+	return append([]byte(nil), node.data...), nil
 }
 
 // Create implements ledger.Disk.
@@ -57,9 +61,9 @@
 	if d.failure != nil {
 		return nil, d.failure
 	}
-	n := &inode{}
-	d.files[name] = n
-	return &file{disk: d, inode: n}, nil
+	node := &inode{}
+	d.files[name] = node
+	return &file{disk: d, inode: node}, nil
 }
 
 // Rename implements ledger.Disk.
@@ -69,12 +73,12 @@
 	if d.failure != nil {
 		return d.failure
 	}
-	b, ok := d.files[from]
+	node, ok := d.files[from]
 	if !ok {
 		return errors.New("rename: no such file")
 	}
 	delete(d.files, from)
-	d.files[to] = b
+	d.files[to] = node
 	return nil
 }
 
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -74,16 +74,16 @@
 // Dial connects to a listener. It fails at once if there is none.
 func (m *Net) Dial(name string) (net.Conn, error) {
 	m.mu.Lock()
-	d := m.listeners[name]
+	remote := m.listeners[name]
 	m.mu.Unlock()
-	if d == nil {
+	if remote == nil {
 		return nil, errors.New("connection refused")
 	}
 	here, there := connectedPair()
 	select {
-	case d.incoming <- there:
+	case remote.incoming <- there:
 		return here, nil
-	case <-d.closed:
+	case <-remote.closed:
 		return nil, errors.New("connection refused")
 	}
 }
--- a/internal/memnet/packet.go
+++ b/internal/memnet/packet.go
@@ -28,7 +28,7 @@
 
 // ListenPacket opens a datagram socket; port 0 chooses a port.
 func (m *Net) ListenPacket(name string) (net.PacketConn, error) {
-	at, err := netip.ParseAddrPort(name)
+	address, err := netip.ParseAddrPort(name)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -37,17 +37,17 @@
 	if m.sockets == nil {
 		m.sockets = map[netip.AddrPort]*PacketConn{}
 	}
-	for at.Port() == 0 || m.sockets[at] != nil {
-		if at.Port() != 0 {
+	for address.Port() == 0 || m.sockets[address] != nil {
+		if address.Port() != 0 {
 			return nil, fmt.Errorf("listen %s: address in use", name)
 		}
 		m.lastPort++
-		if next := netip.AddrPortFrom(at.Addr(), uint16(10000+m.lastPort)); m.sockets[next] == nil {
-			at = next
+		if next := netip.AddrPortFrom(address.Addr(), uint16(10000+m.lastPort)); m.sockets[next] == nil {
+			address = next
 		}
 	}
-	p := &PacketConn{network: m, address: net.UDPAddrFromAddrPort(at), incoming: make(chan datagram, maxUnreadDatagrams), closed: make(chan struct{})}
-	m.sockets[at] = p
+	p := &PacketConn{network: m, address: net.UDPAddrFromAddrPort(address), incoming: make(chan datagram, maxUnreadDatagrams), closed: make(chan struct{})}
+	m.sockets[address] = p
 	return p, nil
 }
 
@@ -75,16 +75,16 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	at, err := netip.ParseAddrPort(to.String())
+	address, err := netip.ParseAddrPort(to.String())
 	if err != nil {
 		return 0, fmt.Errorf("write: %w", err)
 	}
 	p.network.mu.Lock()
-	far := p.network.sockets[at]
+	remote := p.network.sockets[address]
 	p.network.mu.Unlock()
-	if far != nil {
+	if remote != nil {
 		select {
-		case far.incoming <- datagram{append([]byte(nil), b...), p.address}:
+		case remote.incoming <- datagram{append([]byte(nil), b...), p.address}:
 		default:
 		}
 	}
--- a/internal/seeded/damage.go
+++ b/internal/seeded/damage.go
@@ -11,27 +11,27 @@
 //
 // The seed is fixed, so that a test run does not fail by chance for an unrelated change. Fuzzing with `go test -fuzz` uses
 // the same check and corpus and searches further.
-func ForEachMutation(t *testing.T, corpus [][]byte, many int, check func(t *testing.T, in []byte)) {
+func ForEachMutation(t *testing.T, corpus [][]byte, count int, check func(t *testing.T, in []byte)) {
 	t.Helper()
 	if len(corpus) == 0 {
 		t.Fatal("empty corpus")
 	}
 	rng := rand.New(rand.NewPCG(1971, uint64(len(corpus))))
-	tell := func(in []byte) {
+	run := func(in []byte) {
 		check(t, slices.Clone(in))
 		if t.Failed() {
 			t.Fatalf("input %q", in)
 		}
 	}
 	for _, in := range corpus {
-		tell(in)
+		run(in)
 	}
-	for range many {
+	for range count {
 		in := slices.Clone(corpus[rng.IntN(len(corpus))])
 		for range 1 + rng.IntN(8) {
 			in = mutate(rng, in, corpus)
 		}
-		tell(in)
+		run(in)
 	}
 }
 
@@ -41,26 +41,26 @@
 	if len(in) == 0 {
 		return []byte{byte(rng.Uint32())}
 	}
-	at := rng.IntN(len(in))
-	upTo := at + 1 + rng.IntN(min(8, len(in)-at))
+	start := rng.IntN(len(in))
+	end := start + 1 + rng.IntN(min(8, len(in)-start))
 	switch rng.IntN(8) {
 	case 0:
-		in[at] ^= 1 << rng.IntN(8)
+		in[start] ^= 1 << rng.IntN(8)
 	case 1:
-		in[at] = byte(rng.Uint32())
+		in[start] = byte(rng.Uint32())
 	case 2:
-		in[at] = boundaryBytes[rng.IntN(len(boundaryBytes))]
+		in[start] = boundaryBytes[rng.IntN(len(boundaryBytes))]
 	case 3:
-		in = slices.Insert(in, at, byte(rng.Uint32()))
+		in = slices.Insert(in, start, byte(rng.Uint32()))
 	case 4:
-		in = slices.Delete(in, at, upTo)
+		in = slices.Delete(in, start, end)
 	case 5:
-		in = slices.Insert(in, rng.IntN(len(in)+1), slices.Clone(in[at:upTo])...)
+		in = slices.Insert(in, rng.IntN(len(in)+1), slices.Clone(in[start:end])...)
 	case 6:
-		in = in[:at]
+		in = in[:start]
 	case 7:
 		if other := corpus[rng.IntN(len(corpus))]; len(other) > 0 {
-			in = append(in[:at], other[rng.IntN(len(other)):]...)
+			in = append(in[:start], other[rng.IntN(len(other)):]...)
 		}
 	}
 	return in
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -36,180 +36,180 @@
 	return s, f.Err()
 }
 
-func parse(b *hclread.Block) control.Config {
-	var s control.Config
-	d := &s.Deployment
-	s.ExchangeCount = b.Int("exchanges", 2, maxExchanges, 1)
-	d.OwnExchange = b.Int("exchange", 0, maxExchanges-1, -1)
-	if d.OwnExchange >= s.ExchangeCount {
-		b.AddErrorAt("exchange", "exchange %d is out of range: exchanges are numbered below %d", d.OwnExchange, s.ExchangeCount)
-	}
-	d.Seed = uint64(b.Int("seed", 0, math.MaxInt32, 1))
-	s.OwnSwitchAddress = b.Address("own_switch", false)
-	s.RegisterAddress = b.Address("register", false)
-	ParseRules(b, d)
-	queues := b.SingleBlock("queues", false)
-	s.InboxSize = queues.Int("inbox", 16, 1<<20, 8192)
-	s.MaxLinkOctets = queues.Int("link_octets", 4096, 1<<30, 1<<20)
+func parse(root *hclread.Block) control.Config {
+	var config control.Config
+	deployment := &config.Deployment
+	config.ExchangeCount = root.Int("exchanges", 2, maxExchanges, 1)
+	deployment.OwnExchange = root.Int("exchange", 0, maxExchanges-1, -1)
+	if deployment.OwnExchange >= config.ExchangeCount {
+		root.AddErrorAt("exchange", "exchange %d is out of range: exchanges are numbered below %d", deployment.OwnExchange, config.ExchangeCount)
+	}
+	deployment.Seed = uint64(root.Int("seed", 0, math.MaxInt32, 1))
+	config.OwnSwitchAddress = root.Address("own_switch", false)
+	config.RegisterAddress = root.Address("register", false)
+	ParseRules(root, deployment)
+	queues := root.SingleBlock("queues", false)
+	config.InboxSize = queues.Int("inbox", 16, 1<<20, 8192)
+	config.MaxLinkOctets = queues.Int("link_octets", 4096, 1<<30, 1<<20)
 	queues.CheckUnknown()
-	s.LedgerFile = b.Text("ledger", false, "")
-	if b.Has("control") {
-		s.ControlAddress = b.Address("control", true)
+	config.LedgerFile = root.Text("ledger", false, "")
+	if root.Has("control") {
+		config.ControlAddress = root.Address("control", true)
 	}
-	if all := b.Blocks("numbers", false); len(all) > 0 {
-		s.NumberAnalysis = parseNumberAnalysis(b.SingleBlock("numbers", false))
+	if blocks := root.Blocks("numbers", false); len(blocks) > 0 {
+		config.NumberAnalysis = parseNumberAnalysis(root.SingleBlock("numbers", false))
 	}
-	names := map[string]int{}
-	d.Bearers = ParseBearers(b, func(n *hclread.Block) { names[n.Label] = len(names) })
-	if len(b.Blocks("gateways", false)) > 0 {
-		s.Gateways = parseGateways(b.SingleBlock("gateways", false), d, names)
+	bearerIndex := map[string]int{}
+	deployment.Bearers = ParseBearers(root, func(block *hclread.Block) { bearerIndex[block.Label] = len(bearerIndex) })
+	if len(root.Blocks("gateways", false)) > 0 {
+		config.Gateways = parseGateways(root.SingleBlock("gateways", false), deployment, bearerIndex)
 	}
 	seen := map[int]bool{}
-	for _, n := range b.Blocks("neighbour", true) {
-		near := control.Neighbour{Neighbour: exchange.Neighbour{Number: n.Int("exchange", 0, maxExchanges-1, -1),
-			Circuits: n.Int("circuits", 1, circuit.MaxCircuits, 0)}, Address: n.Address("address", false)}
+	for _, block := range root.Blocks("neighbour", true) {
+		neighbour := control.Neighbour{Neighbour: exchange.Neighbour{Number: block.Int("exchange", 0, maxExchanges-1, -1),
+			Circuits: block.Int("circuits", 1, circuit.MaxCircuits, 0)}, Address: block.Address("address", false)}
 		switch {
-		case near.Number >= s.ExchangeCount:
-			n.AddErrorAt("exchange", "the group %q has no far end: exchanges are numbered below %d", n.Label, s.ExchangeCount)
-		case near.Number == d.OwnExchange:
-			n.AddErrorAt("exchange", "the group %q leads to this exchange itself", n.Label)
-		case seen[near.Number]:
-			n.AddErrorAt("exchange", "exchange %d already has a trunk group", near.Number)
+		case neighbour.Number >= config.ExchangeCount:
+			block.AddErrorAt("exchange", "the group %q has no far end: exchanges are numbered below %d", block.Label, config.ExchangeCount)
+		case neighbour.Number == deployment.OwnExchange:
+			block.AddErrorAt("exchange", "the group %q leads to this exchange itself", block.Label)
+		case seen[neighbour.Number]:
+			block.AddErrorAt("exchange", "exchange %d already has a trunk group", neighbour.Number)
 		}
-		seen[near.Number] = true
-		s.Neighbours = append(s.Neighbours, near)
-		n.CheckUnknown()
+		seen[neighbour.Number] = true
+		config.Neighbours = append(config.Neighbours, neighbour)
+		block.CheckUnknown()
 	}
-	b.CheckUnknown()
-	return s
+	root.CheckUnknown()
+	return config
 }
 
 // ParseRules reads the settings of tries, releases, drains and cold starts, which site and day files share.
-func ParseRules(b *hclread.Block, d *policy.Deployment) {
-	d.MaxTries = b.Int("tries", 1, 16, 4)
-	d.ReleaseTime = b.Duration("release_time", 0, time.Minute, 300*time.Millisecond)
-	d.MaxRetryAfter = b.Duration("come_back_most", 0, time.Hour, 0)
-	d.DrainGrace = b.Duration("drain_grace", 0, time.Minute, 250*time.Millisecond)
-	d.CancelsAllowed = b.Bool("cancels", true)
-	cold := b.SingleBlock("cold", false)
-	d.InitialCapacity = cold.Float("from", 0.01, 1, 0.3)
-	d.RampTime = cold.Duration("ramp", 0, time.Hour, 14*time.Second)
-	d.OverloadMultiple = cold.Float("fall_multiple", 1, 100, 3)
-	d.OverloadWindow = cold.Duration("fall_window", time.Millisecond, time.Minute, 1500*time.Millisecond)
+func ParseRules(root *hclread.Block, deployment *policy.Deployment) {
+	deployment.MaxTries = root.Int("tries", 1, 16, 4)
+	deployment.ReleaseTime = root.Duration("release_time", 0, time.Minute, 300*time.Millisecond)
+	deployment.MaxRetryAfter = root.Duration("come_back_most", 0, time.Hour, 0)
+	deployment.DrainGrace = root.Duration("drain_grace", 0, time.Minute, 250*time.Millisecond)
+	deployment.CancelsAllowed = root.Bool("cancels", true)
+	cold := root.SingleBlock("cold", false)
+	deployment.InitialCapacity = cold.Float("from", 0.01, 1, 0.3)
+	deployment.RampTime = cold.Duration("ramp", 0, time.Hour, 14*time.Second)
+	deployment.OverloadMultiple = cold.Float("fall_multiple", 1, 100, 3)
+	deployment.OverloadWindow = cold.Duration("fall_window", time.Millisecond, time.Minute, 1500*time.Millisecond)
 	cold.CheckUnknown()
 }
 
 // ParseBearers reads the bearer types in file order; more reads further settings of a block and may be nil.
-func ParseBearers(b *hclread.Block, more func(*hclread.Block)) []policy.Bearer {
-	var all []policy.Bearer
+func ParseBearers(root *hclread.Block, readMore func(*hclread.Block)) []policy.Bearer {
+	var bearers []policy.Bearer
 	seen := map[string]bool{}
-	for _, n := range b.Blocks("bearer", true) {
-		if seen[n.Label] {
-			n.AddError("bearer type %q is defined twice", n.Label)
+	for _, block := range root.Blocks("bearer", true) {
+		if seen[block.Label] {
+			block.AddError("bearer type %q is defined twice", block.Label)
 		}
-		seen[n.Label] = true
-		t := policy.Bearer{Revenue: n.Float("revenue", 0, 1e6, math.NaN()), LateShare: n.Float("late_share", 0, 1, 0),
-			GoSTarget: n.Duration("gos_target", time.Millisecond, maxDuration, -1), AbandonTime: n.Duration("abandon", time.Millisecond, maxDuration, -1)}
-		if t.GoSTarget > t.AbandonTime {
-			n.AddErrorAt("gos_target", "gos_target is longer than abandon")
+		seen[block.Label] = true
+		bearer := policy.Bearer{Revenue: block.Float("revenue", 0, 1e6, math.NaN()), LateShare: block.Float("late_share", 0, 1, 0),
+			GoSTarget: block.Duration("gos_target", time.Millisecond, maxDuration, -1), AbandonTime: block.Duration("abandon", time.Millisecond, maxDuration, -1)}
+		if bearer.GoSTarget > bearer.AbandonTime {
+			block.AddErrorAt("gos_target", "gos_target is longer than abandon")
 		}
-		all = append(all, t)
-		if more != nil {
-			more(n)
+		bearers = append(bearers, bearer)
+		if readMore != nil {
+			readMore(block)
 		}
-		n.CheckUnknown()
+		block.CheckUnknown()
 	}
-	if len(all) == 0 || len(all) > 255 {
-		b.AddError("%d bearer types, there must be 1 to 255", len(all))
+	if len(bearers) == 0 || len(bearers) > 255 {
+		root.AddError("%d bearer types, there must be 1 to 255", len(bearers))
 	}
-	return all
+	return bearers
 }
 
 // parseGateways reads the settings of MGCP gateways.
-func parseGateways(b *hclread.Block, d *policy.Deployment, bearers map[string]int) *control.Gateways {
-	g := &control.Gateways{ListenAddress: b.Address("listen", false)}
-	g.OwnExchange, g.PointCode, g.Seed = d.OwnExchange, exchange.PointCode(d.OwnExchange), d.Seed
-	g.MaxDialTime = b.Duration("dial_most", time.Second, time.Hour, 20*time.Second)
-	g.MaxRingTime = b.Duration("ring_most", time.Second, time.Hour, time.Minute)
-	g.RestartRate = b.Float("restarts_per_second", 0.1, 1e6, 200)
-	g.MaxQueuedRestarts = b.Int("restarts_queue", 1, 1<<20, 16384)
-	g.MediaAddress = b.Text("media", false, "127.0.0.1")
-	if _, err := netip.ParseAddr(g.MediaAddress); err != nil {
-		b.AddErrorAt("media", "%q is not an address", g.MediaAddress)
+func parseGateways(b *hclread.Block, deployment *policy.Deployment, bearers map[string]int) *control.Gateways {
+	gateways := &control.Gateways{ListenAddress: b.Address("listen", false)}
+	gateways.OwnExchange, gateways.PointCode, gateways.Seed = deployment.OwnExchange, exchange.PointCode(deployment.OwnExchange), deployment.Seed
+	gateways.MaxDialTime = b.Duration("dial_most", time.Second, time.Hour, 20*time.Second)
+	gateways.MaxRingTime = b.Duration("ring_most", time.Second, time.Hour, time.Minute)
+	gateways.RestartRate = b.Float("restarts_per_second", 0.1, 1e6, 200)
+	gateways.MaxQueuedRestarts = b.Int("restarts_queue", 1, 1<<20, 16384)
+	gateways.MediaAddress = b.Text("media", false, "127.0.0.1")
+	if _, err := netip.ParseAddr(gateways.MediaAddress); err != nil {
+		b.AddErrorAt("media", "%q is not an address", gateways.MediaAddress)
 	}
 	var err error
-	if g.DigitMap, err = mgcp.ParseDigitMap(b.Text("digit_map", false, "(xxxxxxxxx)")); err != nil {
+	if gateways.DigitMap, err = mgcp.ParseDigitMap(b.Text("digit_map", false, "(xxxxxxxxx)")); err != nil {
 		b.AddErrorAt("digit_map", "%v", err)
 	}
-	g.NotifiedEntities = b.TextList("notified")
-	g.OwnEntityIndex = b.Int("notified_self", 0, max(0, len(g.NotifiedEntities)-1), 0)
-	for _, t := range d.Bearers {
-		g.AbandonTimes = append(g.AbandonTimes, t.AbandonTime)
-		if g.GoSTarget == 0 || t.GoSTarget < g.GoSTarget {
-			g.GoSTarget = t.GoSTarget
+	gateways.NotifiedEntities = b.TextList("notified")
+	gateways.OwnEntityIndex = b.Int("notified_self", 0, max(0, len(gateways.NotifiedEntities)-1), 0)
+	for _, bearerType := range deployment.Bearers {
+		gateways.AbandonTimes = append(gateways.AbandonTimes, bearerType.AbandonTime)
+		if gateways.GoSTarget == 0 || bearerType.GoSTarget < gateways.GoSTarget {
+			gateways.GoSTarget = bearerType.GoSTarget
 		}
 	}
-	names, lines := map[string]bool{}, map[int]string{}
-	for _, n := range b.Blocks("gateway", true) {
-		one := callagent.Gateway{Name: n.Text("name", false, n.Label), Endpoints: n.Int("endpoints", 1, 4096, 0), Width: n.Int("width", 1, isup.MaxWidth, 1),
-			FirstLine: n.Int("first_line", 0, maxLines-1, -1)}
-		for _, text := range n.TextList("addresses") {
-			at, err := netip.ParseAddrPort(text)
+	names, lineOwners := map[string]bool{}, map[int]string{}
+	for _, block := range b.Blocks("gateway", true) {
+		gateway := callagent.Gateway{Name: block.Text("name", false, block.Label), Endpoints: block.Int("endpoints", 1, 4096, 0), Width: block.Int("width", 1, isup.MaxWidth, 1),
+			FirstLine: block.Int("first_line", 0, maxLines-1, -1)}
+		for _, text := range block.TextList("addresses") {
+			address, err := netip.ParseAddrPort(text)
 			if err != nil {
-				n.AddErrorAt("addresses", "%q is not an address with a port", text)
+				block.AddErrorAt("addresses", "%q is not an address with a port", text)
 			}
-			one.Addresses = append(one.Addresses, at)
+			gateway.Addresses = append(gateway.Addresses, address)
 		}
-		bearer, ok := bearers[n.Text("bearer", true, "")]
+		bearer, ok := bearers[block.Text("bearer", true, "")]
 		if !ok {
-			n.AddErrorAt("bearer", "unknown bearer type")
+			block.AddErrorAt("bearer", "unknown bearer type")
 		}
-		one.BearerIndex = bearer
+		gateway.BearerIndex = bearer
 		switch {
-		case names[strings.ToLower(one.Name)]:
-			n.AddError("gateway %q is defined twice", one.Name)
-		case one.FirstLine+one.Endpoints > maxLines:
-			n.AddErrorAt("endpoints", "lines %d to %d are out of range: lines are numbered below %d", one.FirstLine, one.FirstLine+one.Endpoints-1, maxLines)
+		case names[strings.ToLower(gateway.Name)]:
+			block.AddError("gateway %q is defined twice", gateway.Name)
+		case gateway.FirstLine+gateway.Endpoints > maxLines:
+			block.AddErrorAt("endpoints", "lines %d to %d are out of range: lines are numbered below %d", gateway.FirstLine, gateway.FirstLine+gateway.Endpoints-1, maxLines)
 		}
-		names[strings.ToLower(one.Name)] = true
-		for line := one.FirstLine; line < one.FirstLine+one.Endpoints; line++ {
-			if other, taken := lines[line]; taken {
-				n.AddErrorAt("first_line", "line %d already belongs to gateway %q", line, other)
+		names[strings.ToLower(gateway.Name)] = true
+		for line := gateway.FirstLine; line < gateway.FirstLine+gateway.Endpoints; line++ {
+			if other, taken := lineOwners[line]; taken {
+				block.AddErrorAt("first_line", "line %d already belongs to gateway %q", line, other)
 				break
 			}
-			lines[line] = n.Label
+			lineOwners[line] = block.Label
 		}
-		n.CheckUnknown()
-		g.Gateways = append(g.Gateways, one)
+		block.CheckUnknown()
+		gateways.Gateways = append(gateways.Gateways, gateway)
 	}
-	if len(lines) > maxEndpoints {
-		b.AddError("%d endpoints, the maximum is %d", len(lines), maxEndpoints)
+	if len(lineOwners) > maxEndpoints {
+		b.AddError("%d endpoints, the maximum is %d", len(lineOwners), maxEndpoints)
 	}
 	b.CheckUnknown()
-	return g
+	return gateways
 }
 
 // parseNumberAnalysis reads the settings of number analysis.
 func parseNumberAnalysis(b *hclread.Block) *control.NumberAnalysis {
-	n := &control.NumberAnalysis{StoreFolder: b.Text("store", true, ""), InitialTable: b.Text("table", false, ""), MaxCallers: b.Int("callers", 1, 1<<24, 100000),
+	analysis := &control.NumberAnalysis{StoreFolder: b.Text("store", true, ""), InitialTable: b.Text("table", false, ""), MaxCallers: b.Int("callers", 1, 1<<24, 100000),
 		Trial: numbers.Trial{Window: b.Duration("trial_window", 0, maxDuration, time.Minute), MaxIncrease: b.Float("trial_bound", 0, 1, 0.2),
 			MinFailures: b.Int("trial_least", 1, 1<<30, 20)}}
-	p := b.SingleBlock("portability", false)
-	if n.ENUMServers = p.TextList("servers"); len(n.ENUMServers) != 0 && len(n.ENUMServers) != 2 {
-		p.AddErrorAt("servers", "%d servers, there must be two (a single one is listed twice)", len(n.ENUMServers))
+	portability := b.SingleBlock("portability", false)
+	if analysis.ENUMServers = portability.TextList("servers"); len(analysis.ENUMServers) != 0 && len(analysis.ENUMServers) != 2 {
+		portability.AddErrorAt("servers", "%d servers, there must be two (a single one is listed twice)", len(analysis.ENUMServers))
 	}
-	for _, a := range n.ENUMServers {
-		if _, err := netip.ParseAddrPort(a); err != nil {
-			p.AddErrorAt("servers", "%q is not an address with a port", a)
+	for _, address := range analysis.ENUMServers {
+		if _, err := netip.ParseAddrPort(address); err != nil {
+			portability.AddErrorAt("servers", "%q is not an address with a port", address)
 		}
 	}
-	if n.ENUMZone = p.Text("zone", false, "e164.arpa."); !strings.HasSuffix(n.ENUMZone, ".") {
-		n.ENUMZone += "."
+	if analysis.ENUMZone = portability.Text("zone", false, "e164.arpa."); !strings.HasSuffix(analysis.ENUMZone, ".") {
+		analysis.ENUMZone += "."
 	}
-	n.Limits = numbers.ResolverLimits{MaxKnown: p.Int("known", 1, 1<<26, 100000), MaxUnknown: p.Int("unknown", 1, 1<<26, 10000),
-		MaxAge: p.Duration("age", time.Second, maxDuration, time.Hour), MaxPending: p.Int("out", 1, 1<<16, 256),
-		QueryTimeout: p.Duration("time_out", time.Millisecond, time.Minute, time.Second), RetryRatio: p.Float("retry_share", 0, 1, 0.1)}
-	p.CheckUnknown()
+	analysis.Limits = numbers.ResolverLimits{MaxKnown: portability.Int("known", 1, 1<<26, 100000), MaxUnknown: portability.Int("unknown", 1, 1<<26, 10000),
+		MaxAge: portability.Duration("age", time.Second, maxDuration, time.Hour), MaxPending: portability.Int("out", 1, 1<<16, 256),
+		QueryTimeout: portability.Duration("time_out", time.Millisecond, time.Minute, time.Second), RetryRatio: portability.Float("retry_share", 0, 1, 0.1)}
+	portability.CheckUnknown()
 	b.CheckUnknown()
-	return n
+	return analysis
 }
