--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -23,8 +23,8 @@
 	return append(events, Event{At: 100000 * ms, Kind: ListEntrySent})
 }
 
-func eventAt(t int64, k Kind, site, peer int) Event {
-	return Event{At: t * ms, Kind: k, Site: site, Peer: peer, Ref: testCall, CIC: 1}
+func eventAt(t int64, kind Kind, site, peer int) Event {
+	return Event{At: t * ms, Kind: kind, Site: site, Peer: peer, Ref: testCall, CIC: 1}
 }
 
 func callResponse(t int64, m isup.Type) Event {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -42,89 +42,89 @@
 }
 
 // Offer sends or blocks a call at once.
-func (p *Router) Offer(now policy.Tenths, offer policy.Call) bool {
+func (r *Router) Offer(now policy.Tenths, offer policy.Call) bool {
 	c := &call{offer: offer, deadline: now + offer.TTL}
-	p.calls[offer.ID] = c
-	p.route(now, c, true)
+	r.calls[offer.ID] = c
+	r.route(now, c, true)
 	return true
 }
 
-func (p *Router) route(now policy.Tenths, c *call, direct bool) {
+func (r *Router) route(now policy.Tenths, c *call, direct bool) {
 	var tandems []uint32
-	for _, id := range p.switchOrder {
-		candidate := p.switches[id]
-		if !candidate.ready || candidate.number == p.deployment.OwnExchange || candidate.freeCircuits < c.offer.Width {
+	for _, id := range r.switchOrder {
+		candidate := r.switches[id]
+		if !candidate.ready || candidate.number == r.deployment.OwnExchange || candidate.freeCircuits < c.offer.Width {
 			continue
 		}
 		if candidate.number == c.offer.Dest && direct {
-			p.send(now, c, id)
+			r.send(now, c, id)
 			return
 		}
 		if candidate.number != c.offer.Dest {
 			tandems = append(tandems, id)
 		}
 	}
-	if p.useTandem && !c.offer.Transit && c.tries < 2 && len(tandems) > 0 {
-		p.send(now, c, tandems[p.random.IntN(len(tandems))])
+	if r.useTandem && !c.offer.Transit && c.tries < 2 && len(tandems) > 0 {
+		r.send(now, c, tandems[r.random.IntN(len(tandems))])
 		return
 	}
-	delete(p.calls, c.offer.ID)
-	p.executor.Block(c.offer.ID, 0)
+	delete(r.calls, c.offer.ID)
+	r.executor.Block(c.offer.ID, 0)
 }
 
-func (p *Router) send(now policy.Tenths, c *call, to uint32) {
+func (r *Router) send(now policy.Tenths, c *call, to uint32) {
 	c.tries++
-	p.switches[to].freeCircuits -= c.offer.Width
-	p.executor.Send(c.offer.ID, to, c.deadline-now)
+	r.switches[to].freeCircuits -= c.offer.Width
+	r.executor.Send(c.offer.ID, to, c.deadline-now)
 }
 
 // Answered removes the call, since its end needs no decision.
-func (p *Router) Answered(_ policy.Tenths, id uint32, _ int) { delete(p.calls, id) }
+func (r *Router) Answered(_ policy.Tenths, id uint32, _ int) { delete(r.calls, id) }
 
 // TryEnded tries a tandem if the route try did not reach the switch, and otherwise aborts the call.
-func (p *Router) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
-	c := p.calls[id]
+func (r *Router) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
+	c := r.calls[id]
 	switch {
 	case c == nil:
 	case final:
-		delete(p.calls, id)
+		delete(r.calls, id)
 	case end == policy.Blocked || end == policy.Unsent || end == policy.Unreachable:
-		p.route(now, c, false)
+		r.route(now, c, false)
 	default:
-		delete(p.calls, id)
-		p.executor.Abort(id)
+		delete(r.calls, id)
+		r.executor.Abort(id)
 	}
 }
 
 // LoadReported stores the number of free circuits towards a switch.
-func (p *Router) LoadReported(_ policy.Tenths, sw uint32, rep policy.LoadReport) {
-	if target := p.switches[sw]; target != nil && rep.Free >= 0 {
+func (r *Router) LoadReported(_ policy.Tenths, sw uint32, rep policy.LoadReport) {
+	if target := r.switches[sw]; target != nil && rep.Free >= 0 {
 		target.freeCircuits = rep.Free
 	}
 }
 
 // Abandoned removes the call.
-func (p *Router) Abandoned(_ policy.Tenths, id uint32) { delete(p.calls, id) }
+func (r *Router) Abandoned(_ policy.Tenths, id uint32) { delete(r.calls, id) }
 
 // TimerExpired does nothing, since a Router sets no timers.
-func (p *Router) TimerExpired(policy.Tenths, uint64) {}
+func (r *Router) TimerExpired(policy.Tenths, uint64) {}
 
 // ListLost does nothing: the last list stays in use.
-func (p *Router) ListLost(policy.Tenths) {}
+func (r *Router) ListLost(policy.Tenths) {}
 
 // ListReceived stores which switches are ready.
-func (p *Router) ListReceived(_ policy.Tenths, full bool, list []policy.Switch) {
+func (r *Router) ListReceived(_ policy.Tenths, full bool, list []policy.Switch) {
 	if full {
-		for _, known := range p.switches {
+		for _, known := range r.switches {
 			known.ready = false
 		}
 	}
 	for _, s := range list {
-		known := p.switches[s.ID]
+		known := r.switches[s.ID]
 		if known == nil {
 			known = &switchState{}
-			p.switches[s.ID] = known
-			p.switchOrder = append(p.switchOrder, s.ID)
+			r.switches[s.ID] = known
+			r.switchOrder = append(r.switchOrder, s.ID)
 		}
 		known.number, known.ready = s.Number, s.Ready
 	}
--- a/internal/day/file.go
+++ b/internal/day/file.go
@@ -66,13 +66,13 @@
 
 // Read reads a day file. The error has a line for each fault.
 func Read(name string) (Script, error) {
-	f, b, err := hclread.Open(name)
+	file, root, err := hclread.Open(name)
 	if err != nil {
 		return Script{}, err
 	}
-	s := parse(b)
-	s.Name = name
-	return s, f.Err()
+	script := parse(root)
+	script.Name = name
+	return script, file.Err()
 }
 
 func parse(root *hclread.Block) Script {
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -31,20 +31,20 @@
 	DisconnectedDelay time.Duration
 }
 
-func parseGateways(b *hclread.Block, script Script) Gateways {
-	gateways := Gateways{PerExchange: b.Int("each", 1, 10000, 0), Endpoints: b.Int("endpoints", 1, 512, 0), CallRate: b.Float("calls_per_second", 0.01, 1e5, 1),
-		LastCall: duration(b.Duration("until", 0, maxDuration, maxDuration)), LocalShare: b.Float("near", 0, 1, 0.2), HoldingTime: duration(b.Duration("holding", time.Millisecond, time.Hour, 3*time.Second)),
-		DigitInterval: duration(b.Duration("digit", 0, time.Minute, 5*time.Millisecond)), MeanAnswerDelay: duration(b.Duration("pick_up", 0, time.Minute, 500*time.Millisecond)),
-		MaxRestartDelay:   duration(b.Duration("restart_wait", 0, time.Hour, 500*time.Millisecond)),
-		DisconnectedDelay: duration(b.Duration("disconnected", time.Millisecond, time.Hour, time.Second))}
-	name := b.Text("bearer", true, "")
+func parseGateways(block *hclread.Block, script Script) Gateways {
+	gateways := Gateways{PerExchange: block.Int("each", 1, 10000, 0), Endpoints: block.Int("endpoints", 1, 512, 0), CallRate: block.Float("calls_per_second", 0.01, 1e5, 1),
+		LastCall: duration(block.Duration("until", 0, maxDuration, maxDuration)), LocalShare: block.Float("near", 0, 1, 0.2), HoldingTime: duration(block.Duration("holding", time.Millisecond, time.Hour, 3*time.Second)),
+		DigitInterval: duration(block.Duration("digit", 0, time.Minute, 5*time.Millisecond)), MeanAnswerDelay: duration(block.Duration("pick_up", 0, time.Minute, 500*time.Millisecond)),
+		MaxRestartDelay:   duration(block.Duration("restart_wait", 0, time.Hour, 500*time.Millisecond)),
+		DisconnectedDelay: duration(block.Duration("disconnected", time.Millisecond, time.Hour, time.Second))}
+	name := block.Text("bearer", true, "")
 	if gateways.Bearer = slices.IndexFunc(script.Bearers, func(bearer Bearer) bool { return bearer.Name == name }); gateways.Bearer < 0 {
-		b.AddErrorAt("bearer", "unknown bearer type %q", name)
+		block.AddErrorAt("bearer", "unknown bearer type %q", name)
 	}
 	if gateways.PerExchange*gateways.Endpoints > 100000 {
-		b.AddError("%d phones at an exchange, 100000 at most", gateways.PerExchange*gateways.Endpoints)
+		block.AddError("%d phones at an exchange, 100000 at most", gateways.PerExchange*gateways.Endpoints)
 	}
-	b.CheckUnknown()
+	block.CheckUnknown()
 	return gateways
 }
 
@@ -79,7 +79,7 @@
 	for e := range calls {
 		calls[e] = make([][]*standin.PhoneCall, settings.PerExchange)
 	}
-	patience := duration(r.script.Deployment.Bearers[settings.Bearer].AbandonTime)
+	abandonTime := duration(r.script.Deployment.Bearers[settings.Bearer].AbandonTime)
 	for at := time.Duration(0); ; {
 		at += time.Duration(random.ExpFloat64() / settings.CallRate * float64(time.Second))
 		if at > min(r.script.Duration, settings.LastCall) {
@@ -91,7 +91,7 @@
 		}
 		line := firstPhoneLine + random.IntN(settings.PerExchange*settings.Endpoints)
 		gateway := random.IntN(settings.PerExchange)
-		call := &standin.PhoneCall{StartTime: r.script.SettleTime + at, Phone: random.IntN(settings.Endpoints), Digits: exchange.LineNumber(to, uint32(line)), AbandonTime: patience,
+		call := &standin.PhoneCall{StartTime: r.script.SettleTime + at, Phone: random.IntN(settings.Endpoints), Digits: exchange.LineNumber(to, uint32(line)), AbandonTime: abandonTime,
 			HoldingTime: time.Duration(random.ExpFloat64() * float64(settings.HoldingTime))}
 		calls[from][gateway] = append(calls[from][gateway], call)
 		network.calls = append(network.calls, call)
--- a/internal/day/plant.go
+++ b/internal/day/plant.go
@@ -30,12 +30,12 @@
 }
 
 // WrapDecider wraps a builder of deciders, so that the decider violates a rule.
-func (w *FaultyController) WrapDecider(build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
+func (f *FaultyController) WrapDecider(build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider) func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider {
 	return func(deployment policy.Deployment, executor policy.Executor, now policy.Tenths) exchange.Decider {
-		if w.kind == "release" {
+		if f.kind == "release" {
 			deployment.ReleaseTime = 0
 		}
-		return &faultyDecider{Decider: build(deployment, executor, now), controller: w}
+		return &faultyDecider{Decider: build(deployment, executor, now), controller: f}
 	}
 }
 
@@ -53,9 +53,9 @@
 			changed[i].Ready = true
 		}
 		if d.controller.kind == "cold" && changed[i].Ready && now-changed[i].BootAt < 20000 && now > 20000 {
-			for j, n := range d.controller.neighbours {
-				if n.Number == changed[i].Number && !d.controller.planted {
-					d.controller.floodTarget = j
+			for index, neighbour := range d.controller.neighbours {
+				if neighbour.Number == changed[i].Number && !d.controller.planted {
+					d.controller.floodTarget = index
 				}
 			}
 		}
@@ -64,21 +64,21 @@
 }
 
 // InterceptSend sends a message of the controller, and once the messages of the planted fault.
-func (w *FaultyController) InterceptSend(to exchange.Hop, message isup.Message, send func(exchange.Hop, isup.Message)) {
+func (f *FaultyController) InterceptSend(to exchange.Hop, message isup.Message, send func(exchange.Hop, isup.Message)) {
 	send(to, message)
 	switch {
-	case w.kind == "answer" && !w.planted && to.Side == exchange.Line && to.Point < exchange.FirstCalledPoint && message.Type == isup.REL:
-		w.planted = true
+	case f.kind == "answer" && !f.planted && to.Side == exchange.Line && to.Point < exchange.FirstCalledPoint && message.Type == isup.REL:
+		f.planted = true
 		send(to, message)
-	case w.kind == "copy" && !w.planted && to.Side == exchange.Succeeding && message.Type == isup.IAM && len(w.neighbours) > 1:
-		w.planted = true
-		to.Peer = (to.Peer + 1) % len(w.neighbours)
+	case f.kind == "copy" && !f.planted && to.Side == exchange.Succeeding && message.Type == isup.IAM && len(f.neighbours) > 1:
+		f.planted = true
+		to.Peer = (to.Peer + 1) % len(f.neighbours)
 		send(to, message)
-	case w.kind == "cold" && w.floodTarget >= 0:
-		to := exchange.Hop{Side: exchange.Succeeding, Peer: w.floodTarget}
-		w.floodTarget, w.planted = -1, true
+	case f.kind == "cold" && f.floodTarget >= 0:
+		to := exchange.Hop{Side: exchange.Succeeding, Peer: f.floodTarget}
+		f.floodTarget, f.planted = -1, true
 		for i := range uint32(600) {
-			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(w.neighbours[to.Peer].Number, i), HopCounter: 1,
+			send(to, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: exchange.LineNumber(f.neighbours[to.Peer].Number, i), HopCounter: 1,
 				Ref: isup.Reference{Point: 999, Identity: i + 1}, UserInfo: isup.UserInfo{Present: isup.PartCall}})
 		}
 	}
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -40,7 +40,7 @@
 	ready, done    chan struct{}
 }
 
-func startProcess(program string, exchange int, siteFile, routing, plant string) (Process, error) {
+func startProcess(program string, exchange int, siteFile, routing, plantedFault string) (Process, error) {
 	logFile, err := os.OpenFile(filepath.Join(filepath.Dir(siteFile), fmt.Sprintf("controller-%d.log", exchange)),
 		os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -51,8 +51,8 @@
 	if routing != "" {
 		args = append(args, "--routing", routing)
 	}
-	if plant != "" {
-		args = append(args, "--plant", plant)
+	if plantedFault != "" {
+		args = append(args, "--plant", plantedFault)
 	}
 	config, err := site.Read(siteFile)
 	if err != nil {
--- a/internal/day/report.go
+++ b/internal/day/report.go
@@ -24,23 +24,23 @@
 	revenueEarned, revenueOffered float64
 }
 
-func (w *Row) add(caller *standin.Caller, revenue float64, gosTarget time.Duration) {
-	w.Offered++
-	w.revenueOffered += revenue
+func (r *Row) add(caller *standin.Caller, revenue float64, gosTarget time.Duration) {
+	r.Offered++
+	r.revenueOffered += revenue
 	switch {
 	case caller.EstablishedAt > 0 && caller.Disconnected:
-		w.Disconnected++
+		r.Disconnected++
 	case caller.EstablishedAt > 0 && caller.EstablishedAt-caller.StartTime <= gosTarget:
-		w.Established++
-		w.revenueEarned += revenue
+		r.Established++
+		r.revenueEarned += revenue
 	case caller.EstablishedAt > 0:
-		w.Late++
+		r.Late++
 	case caller.Refused > 0:
-		w.Refused++
+		r.Refused++
 	default:
-		w.Failed++
+		r.Failed++
 	}
-	w.Service = w.revenueEarned / w.revenueOffered
+	r.Service = r.revenueEarned / r.revenueOffered
 }
 
 // Report holds the results of a day.
@@ -64,8 +64,8 @@
 
 func countCallers(script Script, callers []*standin.Caller) Report {
 	report := Report{Total: Row{Name: "all"}}
-	for _, b := range script.Bearers {
-		report.Bearers = append(report.Bearers, Row{Name: b.Name})
+	for _, bearer := range script.Bearers {
+		report.Bearers = append(report.Bearers, Row{Name: bearer.Name})
 	}
 	for at := time.Duration(0); at < script.Duration; at += reportWindow {
 		report.Windows = append(report.Windows, Row{Name: fmt.Sprintf("%.0f s", at.Seconds())})
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -247,10 +247,10 @@
 }
 
 // schedule runs do after a delay, unless the day ends first.
-func (r *runner) schedule(d time.Duration, do func()) {
+func (r *runner) schedule(d time.Duration, run func()) {
 	r.wg.Go(func() {
 		if r.sleep(d) {
-			do()
+			run()
 		}
 	})
 }
--- a/internal/day/sitefile.go
+++ b/internal/day/sitefile.go
@@ -13,32 +13,34 @@
 // siteFile returns the settings file of one exchange.
 func (r *runner) siteFile(exchange int) []byte {
 	file := hclwrite.NewEmptyFile()
-	b := file.Body()
-	setText := func(b *hclwrite.Body, name, value string) { b.SetAttributeValue(name, cty.StringVal(value)) }
-	setInt := func(b *hclwrite.Body, name string, value int) {
-		b.SetAttributeValue(name, cty.NumberIntVal(int64(value)))
+	body := file.Body()
+	setText := func(body *hclwrite.Body, name, value string) { body.SetAttributeValue(name, cty.StringVal(value)) }
+	setInt := func(body *hclwrite.Body, name string, value int) {
+		body.SetAttributeValue(name, cty.NumberIntVal(int64(value)))
 	}
-	setFloat := func(b *hclwrite.Body, name string, value float64) {
-		b.SetAttributeValue(name, cty.NumberFloatVal(value))
+	setFloat := func(body *hclwrite.Body, name string, value float64) {
+		body.SetAttributeValue(name, cty.NumberFloatVal(value))
+	}
+	setDuration := func(body *hclwrite.Body, name string, value policy.Tenths) {
+		setText(body, name, duration(value).String())
 	}
-	setDuration := func(b *hclwrite.Body, name string, value policy.Tenths) { setText(b, name, duration(value).String()) }
 	deployment := r.script.Deployment
-	setInt(b, "exchange", exchange)
-	setInt(b, "exchanges", r.script.ExchangeCount)
-	setInt(b, "seed", int(r.script.Seed)*1000+exchange)
-	setText(b, "own_switch", r.switchAddresses[exchange])
-	setText(b, "register", r.registerAddress)
-	setInt(b, "tries", deployment.MaxTries)
-	setDuration(b, "release_time", deployment.ReleaseTime)
-	setDuration(b, "come_back_most", deployment.MaxRetryAfter)
-	setDuration(b, "drain_grace", deployment.DrainGrace)
-	b.SetAttributeValue("cancels", cty.BoolVal(deployment.CancelsAllowed))
+	setInt(body, "exchange", exchange)
+	setInt(body, "exchanges", r.script.ExchangeCount)
+	setInt(body, "seed", int(r.script.Seed)*1000+exchange)
+	setText(body, "own_switch", r.switchAddresses[exchange])
+	setText(body, "register", r.registerAddress)
+	setInt(body, "tries", deployment.MaxTries)
+	setDuration(body, "release_time", deployment.ReleaseTime)
+	setDuration(body, "come_back_most", deployment.MaxRetryAfter)
+	setDuration(body, "drain_grace", deployment.DrainGrace)
+	body.SetAttributeValue("cancels", cty.BoolVal(deployment.CancelsAllowed))
 	if r.script.UseLedger {
-		setText(b, "ledger", filepath.Join(r.dir, fmt.Sprintf("ledger-%d", exchange)))
+		setText(body, "ledger", filepath.Join(r.dir, fmt.Sprintf("ledger-%d", exchange)))
 	}
 	if r.script.UseTables {
-		setText(b, "control", r.controlAddresses[exchange])
-		block := b.AppendNewBlock("numbers", nil).Body()
+		setText(body, "control", r.controlAddresses[exchange])
+		block := body.AppendNewBlock("numbers", nil).Body()
 		setText(block, "store", filepath.Join(r.dir, fmt.Sprintf("tables-%d", exchange)))
 		setText(block, "table", r.tableFile(1))
 		if r.portability != nil {
@@ -47,14 +49,14 @@
 			setText(portability, "zone", enumZone)
 		}
 	}
-	r.writeGateways(exchange, b)
-	cold := b.AppendNewBlock("cold", nil).Body()
+	r.writeGateways(exchange, body)
+	cold := body.AppendNewBlock("cold", nil).Body()
 	setFloat(cold, "from", deployment.InitialCapacity)
 	setDuration(cold, "ramp", deployment.RampTime)
 	setFloat(cold, "fall_multiple", deployment.OverloadMultiple)
 	setDuration(cold, "fall_window", deployment.OverloadWindow)
 	for i, bearer := range deployment.Bearers {
-		block := b.AppendNewBlock("bearer", []string{r.script.Bearers[i].Name}).Body()
+		block := body.AppendNewBlock("bearer", []string{r.script.Bearers[i].Name}).Body()
 		setFloat(block, "revenue", bearer.Revenue)
 		setFloat(block, "late_share", bearer.LateShare)
 		setDuration(block, "gos_target", bearer.GoSTarget)
@@ -62,7 +64,7 @@
 	}
 	for neighbour, address := range r.switchAddresses {
 		if neighbour != exchange {
-			block := b.AppendNewBlock("neighbour", []string{fmt.Sprintf("exchange-%d", neighbour)}).Body()
+			block := body.AppendNewBlock("neighbour", []string{fmt.Sprintf("exchange-%d", neighbour)}).Body()
 			setInt(block, "exchange", neighbour)
 			setInt(block, "circuits", r.plan.circuits[exchange][neighbour])
 			setText(block, "address", address)
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -14,23 +14,25 @@
 	minSize, maxSize float64
 	sizeMeaning      string // meaning of the size
 	how              []string
-	start            func(r *runner, t Trouble, in []int, chance *rand.Rand) func()
+	start            func(r *runner, trouble Trouble, in []int, chance *rand.Rand) func()
 }
 
 var troubleKinds map[string]troubleKind
 
 func init() {
 	troubleKinds = map[string]troubleKind{
-		"load_jump":         {0, 100, "factor of the call rate", nil, nil},
-		"hot_caller":        {0, 1000, "factor of the call rate of some exchanges", nil, nil},
-		"circuits_lost":     {0, 1, "share of the circuits between some exchanges and the others", nil, loseCircuits},
-		"mass_cut":          {0, 1, "share of established calls disconnected", nil, disconnectCalls},
-		"slow":              {1, 1000, "times slower", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.Slowdown = t.Size })},
-		"other_work":        {0, 0.99, "share of the processor taken", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.OtherLoad = t.Size })},
-		"hung":              {0, 1e6, "not used", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.Hung = true })},
-		"half_open":         {0, 1e6, "not used", nil, halfOpen},
-		"chopped":           {1, 4096, "octets a write", nil, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.MaxWriteSize = int(t.Size) })},
-		"answers_lost":      {0, 1, "share of answers lost", []string{"silence", "reset"}, switchFault(func(d *standin.SwitchFaults, t Trouble) { d.AnswerLossRatio, d.ResetOnLoss = t.Size, t.How == "reset" })},
+		"load_jump":     {0, 100, "factor of the call rate", nil, nil},
+		"hot_caller":    {0, 1000, "factor of the call rate of some exchanges", nil, nil},
+		"circuits_lost": {0, 1, "share of the circuits between some exchanges and the others", nil, loseCircuits},
+		"mass_cut":      {0, 1, "share of established calls disconnected", nil, disconnectCalls},
+		"slow":          {1, 1000, "times slower", nil, switchFault(func(d *standin.SwitchFaults, trouble Trouble) { d.Slowdown = trouble.Size })},
+		"other_work":    {0, 0.99, "share of the processor taken", nil, switchFault(func(d *standin.SwitchFaults, trouble Trouble) { d.OtherLoad = trouble.Size })},
+		"hung":          {0, 1e6, "not used", nil, switchFault(func(d *standin.SwitchFaults, trouble Trouble) { d.Hung = true })},
+		"half_open":     {0, 1e6, "not used", nil, halfOpen},
+		"chopped":       {1, 4096, "octets a write", nil, switchFault(func(d *standin.SwitchFaults, trouble Trouble) { d.MaxWriteSize = int(trouble.Size) })},
+		"answers_lost": {0, 1, "share of answers lost", []string{"silence", "reset"}, switchFault(func(d *standin.SwitchFaults, trouble Trouble) {
+			d.AnswerLossRatio, d.ResetOnLoss = trouble.Size, trouble.How == "reset"
+		})},
 		"links_reset":       {0, 1, "share of a switch's links reset", nil, resetLinks},
 		"list_late":         {0, 1000, "additional delay in seconds", nil, delayList},
 		"list_wrong":        {0, 1e6, "not used", []string{"short", "repeated", "contradictory", "stale"}, corruptList},
@@ -82,7 +84,7 @@
 	}
 }
 
-func loseCircuits(r *runner, t Trouble, affected []int, random *rand.Rand) func() {
+func loseCircuits(r *runner, trouble Trouble, affected []int, random *rand.Rand) func() {
 	isAffected := map[int]bool{}
 	for _, exchange := range affected {
 		isAffected[exchange] = true
@@ -100,7 +102,7 @@
 		var cics []uint16
 		if b < a { // the same circuits at both exchanges
 			for i := range r.plan.circuits[a][b] {
-				if random.Float64() < t.Size {
+				if random.Float64() < trouble.Size {
 					cics = append(cics, uint16(i/31*32+i%31+1))
 				}
 			}
@@ -111,39 +113,39 @@
 	return func() { forEachPair(func(a, b int) { r.switches[a].SetLostCircuits(b, nil) }) }
 }
 
-func disconnectCalls(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
+func disconnectCalls(r *runner, trouble Trouble, _ []int, _ *rand.Rand) func() {
 	for _, s := range r.switches {
-		s.DisconnectCalls(t.Size)
+		s.DisconnectCalls(trouble.Size)
 	}
 	return nil
 }
 
-func resetLinks(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+func resetLinks(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	for _, exchange := range affected {
-		r.switches[exchange].ResetLinks(t.Size)
+		r.switches[exchange].ResetLinks(trouble.Size)
 	}
 	return nil
 }
 
-func delayList(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
-	r.register.SetDelay(r.script.ListDelay + time.Duration(t.Size*float64(time.Second)))
+func delayList(r *runner, trouble Trouble, _ []int, _ *rand.Rand) func() {
+	r.register.SetDelay(r.script.ListDelay + time.Duration(trouble.Size*float64(time.Second)))
 	return func() { r.register.SetDelay(r.script.ListDelay) }
 }
 
-func corruptList(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
-	r.register.SetFault(t.How)
+func corruptList(r *runner, trouble Trouble, _ []int, _ *rand.Rand) func() {
+	r.register.SetFault(trouble.How)
 	return func() { r.register.SetFault("") }
 }
 
-func abandonEarly(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
-	r.subscribers.SetEarlyAbandonRatio(t.Size)
+func abandonEarly(r *runner, trouble Trouble, _ []int, _ *rand.Rand) func() {
+	r.subscribers.SetEarlyAbandonRatio(trouble.Size)
 	return func() { r.subscribers.SetEarlyAbandonRatio(0) }
 }
 
-func disturbPortability(r *runner, t Trouble, _ []int, _ *rand.Rand) func() {
-	fault, delay := t.How, time.Duration(0)
+func disturbPortability(r *runner, trouble Trouble, _ []int, _ *rand.Rand) func() {
+	fault, delay := trouble.How, time.Duration(0)
 	if fault == "late" {
-		fault, delay = "", seconds(t.Size)
+		fault, delay = "", seconds(trouble.Size)
 	}
 	r.portability.SetFault(fault, delay)
 	return func() { r.portability.SetFault("", 0) }
@@ -151,11 +153,11 @@
 
 func seconds(f float64) time.Duration { return time.Duration(f * float64(time.Second)) }
 
-func killControllers(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+func killControllers(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	for _, exchange := range affected {
 		r.controllers[exchange].kill()
 	}
-	r.schedule(seconds(t.Size), func() {
+	r.schedule(seconds(trouble.Size), func() {
 		for _, exchange := range affected {
 			r.startController(exchange)
 		}
@@ -163,11 +165,11 @@
 	return nil
 }
 
-func rollControllers(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+func rollControllers(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	for i, exchange := range affected {
-		r.schedule(t.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
+		r.schedule(trouble.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
 			r.controllers[exchange].process().Drain()
-			r.schedule(seconds(t.Size), func() {
+			r.schedule(seconds(trouble.Size), func() {
 				r.controllers[exchange].kill()
 				r.startController(exchange)
 			})
@@ -176,11 +178,11 @@
 	return nil
 }
 
-func pauseControllers(r *runner, t Trouble, affected []int, random *rand.Rand) func() {
+func pauseControllers(r *runner, trouble Trouble, affected []int, random *rand.Rand) func() {
 	for _, exchange := range affected {
-		for start := time.Duration(random.Float64() * float64(t.Interval)); start < t.Duration; start += t.Interval {
+		for start := time.Duration(random.Float64() * float64(trouble.Interval)); start < trouble.Duration; start += trouble.Interval {
 			r.schedule(start, func() { r.controllers[exchange].pause() })
-			r.schedule(start+seconds(t.Size), func() { r.controllers[exchange].resume() })
+			r.schedule(start+seconds(trouble.Size), func() { r.controllers[exchange].resume() })
 		}
 	}
 	return nil
@@ -191,22 +193,22 @@
 	r.schedule(downTime, func() { r.startSwitch(exchange) })
 }
 
-func drainSwitches(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+func drainSwitches(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	for i, exchange := range affected {
-		r.schedule(t.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
+		r.schedule(trouble.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
 			r.switches[exchange].SetDraining(true)
-			r.schedule(seconds(t.Size), func() { r.restartSwitch(exchange, time.Second) })
+			r.schedule(seconds(trouble.Size), func() { r.restartSwitch(exchange, time.Second) })
 		})
 	}
 	return nil
 }
 
-func ageSwitches(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+func ageSwitches(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	const steps = 20
 	for i := range steps {
-		r.schedule(t.Duration*time.Duration(i)/steps, func() {
+		r.schedule(trouble.Duration*time.Duration(i)/steps, func() {
 			for _, exchange := range affected {
-				r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { faults.Slowdown = 1 + (t.Size-1)*float64(i+1)/steps })
+				r.switches[exchange].UpdateFaults(func(faults *standin.SwitchFaults) { faults.Slowdown = 1 + (trouble.Size-1)*float64(i+1)/steps })
 			}
 		})
 	}
@@ -218,9 +220,9 @@
 	}
 }
 
-func restartSwitches(r *runner, t Trouble, affected []int, _ *rand.Rand) func() {
+func restartSwitches(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	for _, exchange := range affected {
-		r.restartSwitch(exchange, seconds(t.Size))
+		r.restartSwitch(exchange, seconds(trouble.Size))
 	}
 	return nil
 }
--- a/internal/day/virtual_test.go
+++ b/internal/day/virtual_test.go
@@ -42,7 +42,7 @@
 	killed      bool
 }
 
-func (v *virtualNet) launch(exchangeNumber int, siteFile, routing, plant string) (Process, error) {
+func (v *virtualNet) launch(exchangeNumber int, siteFile, routing, plantedFault string) (Process, error) {
 	config, err := site.Read(siteFile)
 	if err != nil {
 		return nil, err
@@ -57,12 +57,12 @@
 		build = baseline.NewBuilder(true)
 	}
 	var faulty *FaultyController
-	if plant != "" {
+	if plantedFault != "" {
 		var neighbours []exchange.Neighbour
 		for _, n := range config.Neighbours {
 			neighbours = append(neighbours, n.Neighbour)
 		}
-		if faulty, err = NewFaultyController(plant, neighbours); err != nil {
+		if faulty, err = NewFaultyController(plantedFault, neighbours); err != nil {
 			return nil, err
 		}
 		build = faulty.WrapDecider(build)
@@ -217,31 +217,31 @@
 // Loads a thousand number tables under load, one every 20 ms, each with other destinations for all numbers. Guards against
 // calls that are routed by two tables or not as their table says.
 func TestNoCallMixesTablesChangedUnderLoad(t *testing.T) {
-	rep := runVirtual(t, "quiet.hcl", func(s *Script) {
+	report := runVirtual(t, "quiet.hcl", func(s *Script) {
 		s.UseTables, s.Duration = true, 21*time.Second
 		s.Troubles = []Trouble{{Kind: "tables_change", Start: 200 * time.Millisecond, Duration: 20 * time.Second, Interval: 20 * time.Millisecond},
 			{Kind: "slow", Start: 5 * time.Second, Duration: 5 * time.Second, Fraction: 0.5, Size: 3},
 			{Kind: "links_reset", Start: 8 * time.Second, Fraction: 1, Size: 1},
 			{Kind: "controllers_kill", Start: 12 * time.Second, Fraction: 0.25, Size: 1}}
 	})
-	requireRulesHold(t, rep, 0.2)
-	if rep.MixedCalls > 0 || rep.TableVersions < 200 {
-		t.Fatalf("%d calls mixed tables; %d tables were in use", rep.MixedCalls, rep.TableVersions)
+	requireRulesHold(t, report, 0.2)
+	if report.MixedCalls > 0 || report.TableVersions < 200 {
+		t.Fatalf("%d calls mixed tables; %d tables were in use", report.MixedCalls, report.TableVersions)
 	}
 }
 
 // The audit must find a controller that violates one rule on its sockets, and find nothing on the same day without it.
 func TestAuditFindsPlantedFaults(t *testing.T) {
 	requireRulesHold(t, runVirtual(t, "plant.hcl", func(*Script) {}), 0.3)
-	for plant, rule := range map[string]int{"answer": 1, "copy": 2, "drain": 3, "cold": 4, "release": 5} {
-		t.Run(plant, func(t *testing.T) {
-			rep := runVirtualWithFault(t, "plant.hcl", plant, func(*Script) {})
-			for _, b := range rep.Violations {
-				if b.Rule == rule {
+	for plantedFault, rule := range map[string]int{"answer": 1, "copy": 2, "drain": 3, "cold": 4, "release": 5} {
+		t.Run(plantedFault, func(t *testing.T) {
+			report := runVirtualWithFault(t, "plant.hcl", plantedFault, func(*Script) {})
+			for _, violation := range report.Violations {
+				if violation.Rule == rule {
 					return
 				}
 			}
-			t.Fatalf("planted fault not found in %v", rep.Violations)
+			t.Fatalf("planted fault not found in %v", report.Violations)
 		})
 	}
 }
@@ -257,12 +257,12 @@
 
 // Checks calls from phones at gateways without faults: within an exchange, between two, and over tandems.
 func TestPhonesOnQuietDay(t *testing.T) {
-	rep := runVirtual(t, "mgcp.hcl", func(s *Script) { s.Troubles, s.Duration = nil, 20*time.Second })
-	requireRulesHold(t, rep, 0.8)
-	if p := rep.Phones; p.Calls < 300 || float64(p.Established) < 0.7*float64(p.Calls) {
-		t.Fatalf("%+v", p)
+	report := runVirtual(t, "mgcp.hcl", func(s *Script) { s.Troubles, s.Duration = nil, 20*time.Second })
+	requireRulesHold(t, report, 0.8)
+	if phones := report.Phones; phones.Calls < 300 || float64(phones.Established) < 0.7*float64(phones.Calls) {
+		t.Fatalf("%+v", phones)
 	} else {
-		t.Logf("%+v", p)
+		t.Logf("%+v", phones)
 	}
 }
 
@@ -275,14 +275,14 @@
 			if !ok {
 				size = 1
 			}
-			rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
+			report := runVirtual(t, "mgcp.hcl", func(s *Script) {
 				s.Duration, s.Troubles = 20*time.Second, []Trouble{{Kind: "gateways", Start: 4 * time.Second, Duration: 8 * time.Second, Fraction: 0.5, Size: size, How: how}}
 			})
-			requireRulesHold(t, rep, 0.8)
-			if p := rep.Phones; float64(p.Established) < 0.4*float64(p.Calls) || p.Calls < 300 {
-				t.Fatalf("%+v", p)
+			requireRulesHold(t, report, 0.8)
+			if phones := report.Phones; float64(phones.Established) < 0.4*float64(phones.Calls) || phones.Calls < 300 {
+				t.Fatalf("%+v", phones)
 			} else {
-				t.Logf("%+v", p)
+				t.Logf("%+v", phones)
 			}
 		})
 	}
@@ -291,7 +291,7 @@
 var mgcpDuration = flag.Duration("mgcp", 0, "length of the MGCP day, with its troubles repeated; 0: as in its file")
 
 func TestRulesHoldOnMGCPDay(t *testing.T) {
-	rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
+	report := runVirtual(t, "mgcp.hcl", func(s *Script) {
 		length, troubles := s.Duration, s.Troubles
 		for from := length; from < *mgcpDuration; from += length {
 			for _, trouble := range troubles {
@@ -301,8 +301,8 @@
 			s.Duration = from + length
 		}
 	})
-	requireRulesHold(t, rep, 0.3)
-	t.Logf("%+v", rep.Phones)
+	requireRulesHold(t, report, 0.3)
+	t.Logf("%+v", report.Phones)
 }
 
 // Established calls must survive the kill of their controller. With the ledger hardly any is disconnected, without it all
@@ -310,13 +310,13 @@
 func TestEstablishedCallsSurviveKills(t *testing.T) {
 	disconnections := map[bool]int{}
 	for _, withLedger := range []bool{true, false} {
-		rep := runVirtual(t, "quiet.hcl", func(s *Script) {
+		report := runVirtual(t, "quiet.hcl", func(s *Script) {
 			s.UseLedger, s.Duration = withLedger, 20*time.Second
 			s.Troubles = []Trouble{{Kind: "controllers_kill", Start: 6 * time.Second, Fraction: 0.5, Size: 0.5}, {Kind: "controllers_kill", Start: 12 * time.Second, Fraction: 1, Size: 0.5}}
 		})
-		requireRulesHold(t, rep, 0.3)
-		disconnections[withLedger] = rep.Disconnections
-		t.Logf("ledger %v: %d disconnections, %+v", withLedger, rep.Disconnections, rep.Total)
+		requireRulesHold(t, report, 0.3)
+		disconnections[withLedger] = report.Disconnections
+		t.Logf("ledger %v: %d disconnections, %+v", withLedger, report.Disconnections, report.Total)
 	}
 	if disconnections[false] < 10 || disconnections[true] > disconnections[false]/20 {
 		t.Fatalf("%d calls were disconnected with the ledger, %d without", disconnections[true], disconnections[false])
@@ -326,42 +326,42 @@
 // Kills a controller every 500 ms, 110 times in all, and restarts it after 200 ms. The rules must hold, and hardly any
 // established call may be disconnected: only one that is too recent to be in the ledger may be.
 func TestRepeatedKillsUnderLoad(t *testing.T) {
-	rep := runVirtual(t, "quiet.hcl", func(s *Script) {
+	report := runVirtual(t, "quiet.hcl", func(s *Script) {
 		s.UseLedger, s.Duration = true, 60*time.Second
 		for i := range 110 {
 			s.Troubles = append(s.Troubles, Trouble{Kind: "controllers_kill", Start: 2*time.Second + time.Duration(i)*500*time.Millisecond, Fraction: 0.25, Size: 0.2})
 		}
 	})
-	requireRulesHold(t, rep, 0.2)
-	t.Logf("%d disconnections, %+v", rep.Disconnections, rep.Total)
-	if established := rep.Total.Established + rep.Total.Late; rep.Disconnections > established/50 {
-		t.Fatalf("%d of %d established calls were disconnected", rep.Disconnections, established)
+	requireRulesHold(t, report, 0.2)
+	t.Logf("%d disconnections, %+v", report.Disconnections, report.Total)
+	if established := report.Total.Established + report.Total.Late; report.Disconnections > established/50 {
+		t.Fatalf("%d of %d established calls were disconnected", report.Disconnections, established)
 	}
 }
 
 // All switches hang for 3 s. After 0.6 s, with over a hundred set-ups from phones in progress, all controllers are killed. The
 // audit of the gateways must delete what they left: a minute later there is no connection without a call.
 func TestControllersKilledDuringSetUps(t *testing.T) {
-	rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
+	report := runVirtual(t, "mgcp.hcl", func(s *Script) {
 		s.ExchangeCount, s.Duration, s.Gateways.CallRate, s.Gateways.LocalShare, s.Gateways.Endpoints, s.Gateways.LastCall = 8, 75*time.Second, 1000, 0, 300, 7*time.Second
 		s.Troubles = []Trouble{{Kind: "hung", Start: 4 * time.Second, Duration: 3 * time.Second, Fraction: 1}, {Kind: "controllers_kill", Start: 4600 * time.Millisecond, Fraction: 1, Size: 0.5}}
 	})
-	requireRulesHold(t, rep, 0.5)
-	if p := rep.Phones; p.Abandoned < 100 || p.Established < p.Calls/2 {
-		t.Fatalf("%+v", p)
+	requireRulesHold(t, report, 0.5)
+	if phones := report.Phones; phones.Abandoned < 100 || phones.Established < phones.Calls/2 {
+		t.Fatalf("%+v", phones)
 	}
 }
 
 // Checks that a neighbour that stops responding does not harm calls from phones that are being set up to it.
 func TestNeighboursSilentDuringSetUpsFromPhones(t *testing.T) {
 	for _, kind := range []string{"hung", "half_open"} {
-		rep := runVirtual(t, "mgcp.hcl", func(s *Script) {
+		report := runVirtual(t, "mgcp.hcl", func(s *Script) {
 			s.Duration, s.Gateways.LocalShare = 25*time.Second, 0
 			s.Troubles = []Trouble{{Kind: kind, Start: 4 * time.Second, Duration: 8 * time.Second, Fraction: 0.5}}
 		})
-		requireRulesHold(t, rep, 0.2)
-		if p := rep.Phones; p.Calls < 400 || p.Established < p.Calls/4 {
-			t.Fatalf("%s: %+v", kind, p)
+		requireRulesHold(t, report, 0.2)
+		if phones := report.Phones; phones.Calls < 400 || phones.Established < phones.Calls/4 {
+			t.Fatalf("%s: %+v", kind, phones)
 		}
 	}
 }
--- a/internal/hclread/hclread.go
+++ b/internal/hclread/hclread.go
@@ -30,22 +30,22 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("read settings: %w", err)
 	}
-	f, b := Parse(name, src)
-	return f, b, nil
+	file, root := Parse(name, src)
+	return file, root, nil
 }
 
 // Parse parses the content of a file and returns its top-level block.
 func Parse(name string, src []byte) (*File, *Block) {
-	f := &File{}
-	parsed, diags := hclsyntax.ParseConfig(src, name, hcl.InitialPos)
-	f.diagnostics = append(f.diagnostics, diags...)
-	b := &Block{file: f, location: hcl.Range{Filename: name, Start: hcl.InitialPos}, used: map[string]bool{}}
-	if parsed != nil && !diags.HasErrors() {
-		b.body = parsed.Body.(*hclsyntax.Body)
+	file := &File{}
+	parsed, diagnostics := hclsyntax.ParseConfig(src, name, hcl.InitialPos)
+	file.diagnostics = append(file.diagnostics, diagnostics...)
+	root := &Block{file: file, location: hcl.Range{Filename: name, Start: hcl.InitialPos}, used: map[string]bool{}}
+	if parsed != nil && !diagnostics.HasErrors() {
+		root.body = parsed.Body.(*hclsyntax.Body)
 	} else {
-		b.body = &hclsyntax.Body{}
+		root.body = &hclsyntax.Body{}
 	}
-	return f, b
+	return file, root
 }
 
 // Err returns all errors found, one per line, or nil.
@@ -54,14 +54,14 @@
 		return nil
 	}
 	var lines []string
-	for _, d := range f.diagnostics {
+	for _, diagnostic := range f.diagnostics {
 		at := ""
-		if d.Subject != nil {
-			at = fmt.Sprintf("%s:%d,%d: ", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column)
+		if diagnostic.Subject != nil {
+			at = fmt.Sprintf("%s:%d,%d: ", diagnostic.Subject.Filename, diagnostic.Subject.Start.Line, diagnostic.Subject.Start.Column)
 		}
-		text := d.Summary
-		if d.Detail != "" {
-			text += ": " + d.Detail
+		text := diagnostic.Summary
+		if diagnostic.Detail != "" {
+			text += ": " + diagnostic.Detail
 		}
 		lines = append(lines, at+text)
 	}
@@ -83,8 +83,8 @@
 // AddErrorAt adds an error at the position of an attribute, or of the block without it.
 func (b *Block) AddErrorAt(name, format string, args ...any) {
 	at := b.location
-	if a := b.body.Attributes[name]; a != nil {
-		at = a.Expr.Range()
+	if attribute := b.body.Attributes[name]; attribute != nil {
+		at = attribute.Expr.Range()
 	}
 	b.addDiagnostic(at, format, args...)
 }
@@ -95,21 +95,21 @@
 
 func (b *Block) attribute(name string, kind cty.Type) (cty.Value, hcl.Range, bool) {
 	b.used[name] = true
-	a := b.body.Attributes[name]
-	if a == nil {
+	attribute := b.body.Attributes[name]
+	if attribute == nil {
 		return cty.NilVal, b.location, false
 	}
-	at := a.Expr.Range()
-	v, diags := a.Expr.Value(nil)
-	if diags.HasErrors() {
-		b.file.diagnostics = append(b.file.diagnostics, diags...)
+	at := attribute.Expr.Range()
+	value, diagnostics := attribute.Expr.Value(nil)
+	if diagnostics.HasErrors() {
+		b.file.diagnostics = append(b.file.diagnostics, diagnostics...)
 		return cty.NilVal, at, false
 	}
-	if v.IsNull() || !v.IsKnown() || v.Type() != kind {
+	if value.IsNull() || !value.IsKnown() || value.Type() != kind {
 		b.addDiagnostic(at, "%s must be a %s", name, kind.FriendlyName())
 		return cty.NilVal, at, false
 	}
-	return v, at, true
+	return value, at, true
 }
 
 // Has reports whether the block has an attribute.
@@ -163,26 +163,26 @@
 // TextList reads a list of strings.
 func (b *Block) TextList(name string) []string {
 	b.used[name] = true
-	a := b.body.Attributes[name]
-	if a == nil {
+	attribute := b.body.Attributes[name]
+	if attribute == nil {
 		return nil
 	}
-	v, diags := a.Expr.Value(nil)
-	b.file.diagnostics = append(b.file.diagnostics, diags...)
-	if diags.HasErrors() {
+	value, diagnostics := attribute.Expr.Value(nil)
+	b.file.diagnostics = append(b.file.diagnostics, diagnostics...)
+	if diagnostics.HasErrors() {
 		return nil
 	}
 	var texts []string
-	if !v.CanIterateElements() {
+	if !value.CanIterateElements() {
 		b.AddErrorAt(name, "%s must be a list of strings", name)
 		return nil
 	}
-	for _, e := range v.AsValueSlice() {
-		if e.Type() != cty.String || e.IsNull() {
+	for _, element := range value.AsValueSlice() {
+		if element.Type() != cty.String || element.IsNull() {
 			b.AddErrorAt(name, "%s must be a list of strings", name)
 			return nil
 		}
-		texts = append(texts, e.AsString())
+		texts = append(texts, element.AsString())
 	}
 	return texts
 }
@@ -210,12 +210,12 @@
 // Duration reads a duration such as "1.2s" within a range. The default is standard; a negative value makes the attribute
 // mandatory.
 func (b *Block) Duration(name string, minimum, maximum, defaultValue time.Duration) policy.Tenths {
-	v, at, ok := b.attribute(name, cty.String)
+	value, at, ok := b.attribute(name, cty.String)
 	d := defaultValue
 	if ok {
 		var err error
-		if d, err = time.ParseDuration(v.AsString()); err != nil {
-			b.addDiagnostic(at, "%s is %q, not a span such as \"1.2s\"", name, v.AsString())
+		if d, err = time.ParseDuration(value.AsString()); err != nil {
+			b.addDiagnostic(at, "%s is %q, not a span such as \"1.2s\"", name, value.AsString())
 			d = minimum
 		} else if d < minimum || d > maximum {
 			b.addDiagnostic(at, "%s is %v, it can be %v to %v", name, d, minimum, maximum)
@@ -239,12 +239,12 @@
 		}
 		return ""
 	}
-	a, err := netip.ParseAddrPort(v.AsString())
+	address, err := netip.ParseAddrPort(v.AsString())
 	switch {
 	case err != nil:
 		b.addDiagnostic(at, "%s is %q, not an address with a port such as \"127.0.0.1:2905\"", name, v.AsString())
-	case loopback && !a.Addr().IsLoopback():
-		b.addDiagnostic(at, "%s is %s, which is not a loopback address", name, a)
+	case loopback && !address.Addr().IsLoopback():
+		b.addDiagnostic(at, "%s is %s, which is not a loopback address", name, address)
 	}
 	return v.AsString()
 }
--- a/internal/memnet/disk.go
+++ b/internal/memnet/disk.go
@@ -87,14 +87,14 @@
 	inode *inode
 }
 
-func (f *file) Write(b []byte) (int, error) {
+func (f *file) Write(data []byte) (int, error) {
 	f.disk.mu.Lock()
 	defer f.disk.mu.Unlock()
 	if f.disk.failure != nil {
 		return 0, f.disk.failure
 	}
-	f.inode.data = append(f.inode.data, b...)
-	return len(b), nil
+	f.inode.data = append(f.inode.data, data...)
+	return len(data), nil
 }
 
 func (f *file) Sync() error {
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -37,45 +37,45 @@
 func (a address) Network() string { return "memory" }
 func (a address) String() string  { return string(a) }
 
-func (d *listener) Accept() (net.Conn, error) {
+func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-d.incoming:
+	case c := <-l.incoming:
 		return c, nil
-	case <-d.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (d *listener) Addr() net.Addr { return address(d.name) }
-func (d *listener) Close() error {
-	d.once.Do(func() {
-		d.network.mu.Lock()
-		delete(d.network.listeners, d.name)
-		d.network.mu.Unlock()
-		close(d.closed)
+func (l *listener) Addr() net.Addr { return address(l.name) }
+func (l *listener) Close() error {
+	l.once.Do(func() {
+		l.network.mu.Lock()
+		delete(l.network.listeners, l.name)
+		l.network.mu.Unlock()
+		close(l.closed)
 	})
 	return nil
 }
 
 // Listen opens a listener; "" chooses an address.
-func (m *Net) Listen(name string) (net.Listener, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+func (n *Net) Listen(name string) (net.Listener, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	if name == "" {
-		m.lastPort++
-		name = fmt.Sprintf("127.0.0.1:%d", m.lastPort)
+		n.lastPort++
+		name = fmt.Sprintf("127.0.0.1:%d", n.lastPort)
 	}
-	if m.listeners[name] != nil {
+	if n.listeners[name] != nil {
 		return nil, errors.New("address in use")
 	}
-	m.listeners[name] = &listener{network: m, name: name, incoming: make(chan net.Conn), closed: make(chan struct{})}
-	return m.listeners[name], nil
+	n.listeners[name] = &listener{network: n, name: name, incoming: make(chan net.Conn), closed: make(chan struct{})}
+	return n.listeners[name], nil
 }
 
 // Dial connects to a listener. It fails at once if there is none.
-func (m *Net) Dial(name string) (net.Conn, error) {
-	m.mu.Lock()
-	remote := m.listeners[name]
-	m.mu.Unlock()
+func (n *Net) Dial(name string) (net.Conn, error) {
+	n.mu.Lock()
+	remote := n.listeners[name]
+	n.mu.Unlock()
 	if remote == nil {
 		return nil, errors.New("connection refused")
 	}
@@ -118,19 +118,19 @@
 	Gate    *Gate // if set, reads and writes block while it is closed
 }
 
-func (e *Conn) Read(b []byte) (int, error) {
+func (c *Conn) Read(b []byte) (int, error) {
 	for {
-		if e.Gate != nil {
-			e.Gate.Wait()
+		if c.Gate != nil {
+			c.Gate.Wait()
 		}
-		e.in.mu.Lock()
-		n := copy(b, e.in.buf)
-		e.in.buf = e.in.buf[n:]
-		closed, late := e.in.closed, e.in.deadlinePassed
+		c.in.mu.Lock()
+		n := copy(b, c.in.buf)
+		c.in.buf = c.in.buf[n:]
+		closed, late := c.in.closed, c.in.deadlinePassed
 		if closed || late {
-			e.in.signal()
+			c.in.signal()
 		}
-		e.in.mu.Unlock()
+		c.in.mu.Unlock()
 		if late {
 			return 0, os.ErrDeadlineExceeded
 		}
@@ -140,26 +140,26 @@
 		if closed {
 			return 0, io.EOF
 		}
-		<-e.in.changed
+		<-c.in.changed
 	}
 }
 
-func (e *Conn) Write(b []byte) (int, error) {
-	if e.Gate != nil {
-		e.Gate.Wait()
+func (c *Conn) Write(b []byte) (int, error) {
+	if c.Gate != nil {
+		c.Gate.Wait()
 	}
-	e.out.mu.Lock()
-	defer e.out.mu.Unlock()
-	if e.out.closed {
+	c.out.mu.Lock()
+	defer c.out.mu.Unlock()
+	if c.out.closed {
 		return 0, io.ErrClosedPipe
 	}
-	e.out.buf = append(e.out.buf, b...)
-	e.out.signal()
+	c.out.buf = append(c.out.buf, b...)
+	c.out.signal()
 	return len(b), nil
 }
 
-func (e *Conn) Close() error {
-	for _, p := range []*pipe{e.in, e.out} {
+func (c *Conn) Close() error {
+	for _, p := range []*pipe{c.in, c.out} {
 		p.mu.Lock()
 		p.closed = true
 		p.signal()
@@ -167,37 +167,37 @@
 	}
 	return nil
 }
-func (e *Conn) LocalAddr() net.Addr         { return address("here") }
-func (e *Conn) RemoteAddr() net.Addr        { return address("there") }
-func (e *Conn) SetDeadline(time.Time) error { return nil }
+func (c *Conn) LocalAddr() net.Addr         { return address("here") }
+func (c *Conn) RemoteAddr() net.Addr        { return address("there") }
+func (c *Conn) SetDeadline(time.Time) error { return nil }
 
 // CloseWrite closes the connection for writing only, like a half-closed socket.
-func (e *Conn) CloseWrite() error {
-	e.out.mu.Lock()
-	defer e.out.mu.Unlock()
-	e.out.closed = true
-	e.out.signal()
+func (c *Conn) CloseWrite() error {
+	c.out.mu.Lock()
+	defer c.out.mu.Unlock()
+	c.out.closed = true
+	c.out.signal()
 	return nil
 }
 
 // SetReadDeadline makes reads fail from a given time on; the zero time clears the deadline.
-func (e *Conn) SetReadDeadline(at time.Time) error {
-	e.in.mu.Lock()
-	defer e.in.mu.Unlock()
-	if e.in.deadlinePassed = false; e.in.timer != nil {
-		e.in.timer.Stop()
+func (c *Conn) SetReadDeadline(at time.Time) error {
+	c.in.mu.Lock()
+	defer c.in.mu.Unlock()
+	if c.in.deadlinePassed = false; c.in.timer != nil {
+		c.in.timer.Stop()
 	}
 	if !at.IsZero() {
-		e.in.timer = time.AfterFunc(time.Until(at), func() {
-			e.in.mu.Lock()
-			defer e.in.mu.Unlock()
-			e.in.deadlinePassed = true
-			e.in.signal()
+		c.in.timer = time.AfterFunc(time.Until(at), func() {
+			c.in.mu.Lock()
+			defer c.in.mu.Unlock()
+			c.in.deadlinePassed = true
+			c.in.signal()
 		})
 	}
 	return nil
 }
-func (e *Conn) SetWriteDeadline(time.Time) error { return nil }
+func (c *Conn) SetWriteDeadline(time.Time) error { return nil }
 
 // Gate blocks the I/O of a party while it is closed, as SIGSTOP blocks a process.
 type Gate struct {
--- a/internal/memnet/packet.go
+++ b/internal/memnet/packet.go
@@ -27,27 +27,27 @@
 }
 
 // ListenPacket opens a datagram socket; port 0 chooses a port.
-func (m *Net) ListenPacket(name string) (net.PacketConn, error) {
+func (n *Net) ListenPacket(name string) (net.PacketConn, error) {
 	address, err := netip.ParseAddrPort(name)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.sockets == nil {
-		m.sockets = map[netip.AddrPort]*PacketConn{}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.sockets == nil {
+		n.sockets = map[netip.AddrPort]*PacketConn{}
 	}
-	for address.Port() == 0 || m.sockets[address] != nil {
+	for address.Port() == 0 || n.sockets[address] != nil {
 		if address.Port() != 0 {
 			return nil, fmt.Errorf("listen %s: address in use", name)
 		}
-		m.lastPort++
-		if next := netip.AddrPortFrom(address.Addr(), uint16(10000+m.lastPort)); m.sockets[next] == nil {
+		n.lastPort++
+		if next := netip.AddrPortFrom(address.Addr(), uint16(10000+n.lastPort)); n.sockets[next] == nil {
 			address = next
 		}
 	}
-	p := &PacketConn{network: m, address: net.UDPAddrFromAddrPort(address), incoming: make(chan datagram, maxUnreadDatagrams), closed: make(chan struct{})}
-	m.sockets[address] = p
+	p := &PacketConn{network: n, address: net.UDPAddrFromAddrPort(address), incoming: make(chan datagram, maxUnreadDatagrams), closed: make(chan struct{})}
+	n.sockets[address] = p
 	return p, nil
 }
 
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -28,12 +28,12 @@
 
 // Read reads a site file. The error has a line for each fault, with file, line, column and reason.
 func Read(name string) (control.Config, error) {
-	f, b, err := hclread.Open(name)
+	file, root, err := hclread.Open(name)
 	if err != nil {
 		return control.Config{}, err
 	}
-	s := parse(b)
-	return s, f.Err()
+	config := parse(root)
+	return config, file.Err()
 }
 
 func parse(root *hclread.Block) control.Config {
@@ -126,23 +126,23 @@
 }
 
 // parseGateways reads the settings of MGCP gateways.
-func parseGateways(b *hclread.Block, deployment *policy.Deployment, bearers map[string]int) *control.Gateways {
-	gateways := &control.Gateways{ListenAddress: b.Address("listen", false)}
+func parseGateways(root *hclread.Block, deployment *policy.Deployment, bearers map[string]int) *control.Gateways {
+	gateways := &control.Gateways{ListenAddress: root.Address("listen", false)}
 	gateways.OwnExchange, gateways.PointCode, gateways.Seed = deployment.OwnExchange, exchange.PointCode(deployment.OwnExchange), deployment.Seed
-	gateways.MaxDialTime = b.Duration("dial_most", time.Second, time.Hour, 20*time.Second)
-	gateways.MaxRingTime = b.Duration("ring_most", time.Second, time.Hour, time.Minute)
-	gateways.RestartRate = b.Float("restarts_per_second", 0.1, 1e6, 200)
-	gateways.MaxQueuedRestarts = b.Int("restarts_queue", 1, 1<<20, 16384)
-	gateways.MediaAddress = b.Text("media", false, "127.0.0.1")
+	gateways.MaxDialTime = root.Duration("dial_most", time.Second, time.Hour, 20*time.Second)
+	gateways.MaxRingTime = root.Duration("ring_most", time.Second, time.Hour, time.Minute)
+	gateways.RestartRate = root.Float("restarts_per_second", 0.1, 1e6, 200)
+	gateways.MaxQueuedRestarts = root.Int("restarts_queue", 1, 1<<20, 16384)
+	gateways.MediaAddress = root.Text("media", false, "127.0.0.1")
 	if _, err := netip.ParseAddr(gateways.MediaAddress); err != nil {
-		b.AddErrorAt("media", "%q is not an address", gateways.MediaAddress)
+		root.AddErrorAt("media", "%q is not an address", gateways.MediaAddress)
 	}
 	var err error
-	if gateways.DigitMap, err = mgcp.ParseDigitMap(b.Text("digit_map", false, "(xxxxxxxxx)")); err != nil {
-		b.AddErrorAt("digit_map", "%v", err)
+	if gateways.DigitMap, err = mgcp.ParseDigitMap(root.Text("digit_map", false, "(xxxxxxxxx)")); err != nil {
+		root.AddErrorAt("digit_map", "%v", err)
 	}
-	gateways.NotifiedEntities = b.TextList("notified")
-	gateways.OwnEntityIndex = b.Int("notified_self", 0, max(0, len(gateways.NotifiedEntities)-1), 0)
+	gateways.NotifiedEntities = root.TextList("notified")
+	gateways.OwnEntityIndex = root.Int("notified_self", 0, max(0, len(gateways.NotifiedEntities)-1), 0)
 	for _, bearerType := range deployment.Bearers {
 		gateways.AbandonTimes = append(gateways.AbandonTimes, bearerType.AbandonTime)
 		if gateways.GoSTarget == 0 || bearerType.GoSTarget < gateways.GoSTarget {
@@ -150,7 +150,7 @@
 		}
 	}
 	names, lineOwners := map[string]bool{}, map[int]string{}
-	for _, block := range b.Blocks("gateway", true) {
+	for _, block := range root.Blocks("gateway", true) {
 		gateway := callagent.Gateway{Name: block.Text("name", false, block.Label), Endpoints: block.Int("endpoints", 1, 4096, 0), Width: block.Int("width", 1, isup.MaxWidth, 1),
 			FirstLine: block.Int("first_line", 0, maxLines-1, -1)}
 		for _, text := range block.TextList("addresses") {
@@ -183,18 +183,18 @@
 		gateways.Gateways = append(gateways.Gateways, gateway)
 	}
 	if len(lineOwners) > maxEndpoints {
-		b.AddError("%d endpoints, the maximum is %d", len(lineOwners), maxEndpoints)
+		root.AddError("%d endpoints, the maximum is %d", len(lineOwners), maxEndpoints)
 	}
-	b.CheckUnknown()
+	root.CheckUnknown()
 	return gateways
 }
 
 // parseNumberAnalysis reads the settings of number analysis.
-func parseNumberAnalysis(b *hclread.Block) *control.NumberAnalysis {
-	analysis := &control.NumberAnalysis{StoreFolder: b.Text("store", true, ""), InitialTable: b.Text("table", false, ""), MaxCallers: b.Int("callers", 1, 1<<24, 100000),
-		Trial: numbers.Trial{Window: b.Duration("trial_window", 0, maxDuration, time.Minute), MaxIncrease: b.Float("trial_bound", 0, 1, 0.2),
-			MinFailures: b.Int("trial_least", 1, 1<<30, 20)}}
-	portability := b.SingleBlock("portability", false)
+func parseNumberAnalysis(root *hclread.Block) *control.NumberAnalysis {
+	analysis := &control.NumberAnalysis{StoreFolder: root.Text("store", true, ""), InitialTable: root.Text("table", false, ""), MaxCallers: root.Int("callers", 1, 1<<24, 100000),
+		Trial: numbers.Trial{Window: root.Duration("trial_window", 0, maxDuration, time.Minute), MaxIncrease: root.Float("trial_bound", 0, 1, 0.2),
+			MinFailures: root.Int("trial_least", 1, 1<<30, 20)}}
+	portability := root.SingleBlock("portability", false)
 	if analysis.ENUMServers = portability.TextList("servers"); len(analysis.ENUMServers) != 0 && len(analysis.ENUMServers) != 2 {
 		portability.AddErrorAt("servers", "%d servers, there must be two (a single one is listed twice)", len(analysis.ENUMServers))
 	}
@@ -210,6 +210,6 @@
 		MaxAge: portability.Duration("age", time.Second, maxDuration, time.Hour), MaxPending: portability.Int("out", 1, 1<<16, 256),
 		QueryTimeout: portability.Duration("time_out", time.Millisecond, time.Minute, time.Second), RetryRatio: portability.Float("retry_share", 0, 1, 0.1)}
 	portability.CheckUnknown()
-	b.CheckUnknown()
+	root.CheckUnknown()
 	return analysis
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -182,7 +182,7 @@
 }
 
 // Restart switches the gateway off and on, which deletes its connections. With elsewhere it comes back at another address.
-func (g *Gateway) Restart(elsewhere bool) {
+func (g *Gateway) Restart(newAddress bool) {
 	g.UpdateFaults(func(*GatewayFaults) {
 		for i := range g.phones {
 			current := &g.phones[i]
@@ -195,7 +195,7 @@
 			g.phones[i] = phone{userActions: current.userActions + 1}
 		}
 		conn := g.conn
-		if elsewhere {
+		if newAddress {
 			if next, err := g.listen(); err == nil {
 				conn = next
 				g.conn.Close()
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -250,7 +250,7 @@
 
 // runProcessor executes the queued jobs one by one, answers and releases first.
 func (s *Switch) runProcessor(stop, wake chan struct{}) {
-	idleFrom := time.Now()
+	freeAt := time.Now()
 	for {
 		s.mu.Lock()
 		var next job
@@ -265,7 +265,7 @@
 				return
 			case <-wake:
 			}
-			idleFrom = maxTime(idleFrom, time.Now())
+			freeAt = maxTime(freeAt, time.Now())
 			continue
 		}
 		next = (*queue)[0]
@@ -278,8 +278,8 @@
 		}
 		duration := time.Duration(float64(next.cost) / s.capacity())
 		s.mu.Unlock()
-		idleFrom = maxTime(idleFrom, time.Now().Add(-2*time.Millisecond)).Add(duration) // catch up after an overlong sleep
-		if d := time.Until(idleFrom); d > 0 {
+		freeAt = maxTime(freeAt, time.Now().Add(-2*time.Millisecond)).Add(duration) // catch up after an overlong sleep
+		if d := time.Until(freeAt); d > 0 {
 			select {
 			case <-stop:
 				return
@@ -534,8 +534,8 @@
 	for now.Sub(s.coldSetUps[0]) > s.processor.OverloadWindow {
 		s.coldSetUps = s.coldSetUps[1:]
 	}
-	capacity := s.processor.OverloadWindow.Seconds() / s.processor.SetUpTime.Seconds()
-	if maxSetUps := s.processor.OverloadMultiple * s.capacity() * capacity; float64(len(s.coldSetUps)) <= maxSetUps*1.3+10 {
+	warmSetUps := s.processor.OverloadWindow.Seconds() / s.processor.SetUpTime.Seconds()
+	if maxSetUps := s.processor.OverloadMultiple * s.capacity() * warmSetUps; float64(len(s.coldSetUps)) <= maxSetUps*1.3+10 {
 		return false
 	}
 	go s.Stop()
