--- a/internal/audit/checker.go
+++ b/internal/audit/checker.go
@@ -20,20 +20,23 @@
 // Violation is one case of a broken rule.
 type Violation struct {
 	Rule int
-	At   int64 // microseconds
+	At   int64 // microseconds since the start of the log
 	Text string
 }
 
+// callKey identifies a call as sent by one controller.
 type callKey struct {
 	ref        isup.Reference
 	controller int // exchange that sends the call: its origin or a tandem
 }
 
+// tryKey identifies a route try by its circuit.
 type tryKey struct {
 	toSwitch, controller int
 	cic                  uint16
 }
 
+// offeredCall is a call that a subscriber offered to a controller.
 type offeredCall struct {
 	site                    int
 	offeredAt, deadline     int64
@@ -41,6 +44,7 @@
 	established             bool
 }
 
+// callTries is the state of a call's route tries from one controller.
 type callTries struct {
 	open       map[tryKey]uint32 // route tries in progress, and their circuits as a bit mask
 	sentAt     map[tryKey]int64  // when the switch read the set-up
@@ -50,6 +54,7 @@
 
 type interval struct{ start, end int64 }
 
+// checker holds the state of a check while it reads a log.
 type checker struct {
 	parameters       [parameterCount]int64
 	calls            map[isup.Reference]*offeredCall
@@ -99,6 +104,7 @@
 	c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
+// handle processes one event.
 func (c *checker) handle(e Event) {
 	switch e.Kind {
 	case Parameter:
@@ -129,18 +135,18 @@
 		c.closeTry(e, false)
 	case ResetReceived, ResetDelivered:
 		if e.Kind == ResetDelivered {
-			at := [2]int{e.Site, e.Peer}
-			c.deliveredResets[at] = append(c.deliveredResets[at], e)
+			route := [2]int{e.Site, e.Peer}
+			c.deliveredResets[route] = append(c.deliveredResets[route], e)
 		}
-		at, by := e.Site, e.Peer
+		number, controller := e.Site, e.Peer
 		if e.Kind == ResetDelivered {
-			at, by = by, at
+			number, controller = controller, number
 		}
 		for cic := e.CIC; cic <= e.CIC+uint16(e.Value); cic++ {
-			c.closeTry(Event{At: e.At, Site: at, Peer: by, CIC: cic}, true)
+			c.closeTry(Event{At: e.At, Site: number, Peer: controller, CIC: cic}, true)
 			for try, call := range c.openTries { // a reset of one circuit ends a multirate call
-				if state := c.callTries[call]; try.toSwitch == at && try.controller == by && try.cic/32 == cic/32 && state != nil && state.open[try]&(1<<(cic%32-1)) != 0 {
-					c.closeTry(Event{At: e.At, Site: at, Peer: by, CIC: try.cic}, true)
+				if state := c.callTries[call]; try.toSwitch == number && try.controller == controller && try.cic/32 == cic/32 && state != nil && state.open[try]&(1<<(cic%32-1)) != 0 {
+					c.closeTry(Event{At: e.At, Site: number, Peer: controller, CIC: try.cic}, true)
 				}
 			}
 		}
@@ -168,9 +174,9 @@
 	case ControllerResumed:
 		if state := c.pauses[e.Site]; len(state) > 0 && state[len(state)-1].end == math.MaxInt64 {
 			state[len(state)-1].end = e.At
-			for at, setUps := range c.deliveredSetUps { // set-ups written during the pause are read now
+			for route, setUps := range c.deliveredSetUps { // set-ups written during the pause are read now
 				for i := range setUps {
-					if at[0] == e.Site && setUps[i].At >= state[len(state)-1].start-Margin {
+					if route[0] == e.Site && setUps[i].At >= state[len(state)-1].start-Margin {
 						setUps[i].At = e.At
 						c.dropYieldedTries(setUps[i])
 					}
@@ -182,10 +188,10 @@
 		delete(c.notReadySince, e.Site)
 		delete(c.lists, e.Site)
 		delete(c.unreadLists, e.Site)
-		for try, by := range c.openTries { // its route tries have no owner any more
+		for try, call := range c.openTries { // its route tries have no owner any more
 			if try.controller == e.Site {
 				delete(c.openTries, try)
-				delete(c.callTries, by)
+				delete(c.callTries, call)
 			}
 		}
 	}
@@ -269,7 +275,7 @@
 	return false
 }
 
-// checkUnanswered checks rule 1 for a call without a response.
+// checkUnanswered checks rule 1 at the end of the log: a call without a response must have a reason.
 func (c *checker) checkUnanswered(ref isup.Reference, last int64) {
 	call := c.calls[ref]
 	abandonedEarly := call.abandonedAt != 0 && call.abandonedAt < call.deadline-Margin
@@ -339,6 +345,7 @@
 	}
 }
 
+// circuitBits returns the circuits of a set-up as a bit mask within their multiplex.
 func circuitBits(e Event) uint32 {
 	if e.Slots != 0 {
 		return e.Slots
--- a/internal/audit/log.go
+++ b/internal/audit/log.go
@@ -21,7 +21,7 @@
 const (
 	Parameter         Kind = 'r' // Site: which parameter of the rules (ParameterDrainGrace, ...); Value: its value
 	SwitchStarted     Kind = 'l' // Value: rate of a warm switch, in thousandths of a set-up per second; CIC 1: it starts cold
-	CallOffered       Kind = 'o' // a call written to the controller of Site; Value: time left in microseconds
+	CallOffered       Kind = 'o' // a call written to the controller of Site; Slots: first three digits dialled, Value: time left in microseconds
 	CallerReleased    Kind = 'x' // the caller's release written to that controller
 	CallResponse      Kind = 'a' // the controller's response read from its socket; CIC: message type
 	TryReceived       Kind = 't' // a set-up from the controller of Peer read at switch Site, with CIC and Slots
@@ -36,7 +36,7 @@
 	ControllerPaused  Kind = 'p' // controller Site is paused
 	ControllerResumed Kind = 'g' // controller Site runs again
 	ControllerKilled  Kind = 'q' // controller Site, or the link to its own switch, is gone
-	DayEnded          Kind = 'E' // later events belong to the shutdown and aren't checked
+	DayEnded          Kind = 'E' // later events belong to the shutdown and are not checked
 
 	// Phones at gateways. Site: exchange, Peer: gateway, CIC: endpoint, Ref: the call that the user makes.
 	NumberDialled      Kind = 'D' // the last digit was dialled; Value: how long the caller waits, in microseconds
@@ -44,10 +44,10 @@
 	PhoneOutcome       Kind = 'F' // Slots 1: speech both ways, 2: a tone for a failed call (Value)
 	HangUpAcknowledged Kind = 'U' // the call agent acknowledged the notification of the hang-up
 	ConnectionChanged  Kind = 'C' // Slots: serial number of the connection; Value 1: created, 0: deleted
-	ToneRequested      Kind = 'S' // Value: tone code; Slots bit 0: the phone is off hook, bit 1: a hook change isn't acknowledged yet
+	ToneRequested      Kind = 'S' // Value: tone code; Slots bit 0: the phone is off hook, bit 1: a hook change is not acknowledged yet
 	HookChanged        Kind = 'H' // Value 1: off hook, 0: on hook
 	PhoneOutcomeLost   Kind = 'N' // the simulated network lost or delayed a command that carries the outcome of the call
-	GatewayDown        Kind = 'G' // Value 1: the gateway restarts or can't reach its call agent, 0: it has registered
+	GatewayDown        Kind = 'G' // Value 1: the gateway restarts or cannot reach its call agent, 0: it has registered
 )
 
 // Parameters of the rules. Durations are in microseconds.
@@ -61,11 +61,11 @@
 	parameterCount
 )
 
-// Event is one line of the log.
+// Event is one line of the log. The meaning of its fields depends on the kind.
 type Event struct {
 	At    int64 // microseconds since the start of the log
 	Kind  Kind
-	Site  int
+	Site  int // exchange
 	Peer  int
 	Ref   isup.Reference
 	CIC   uint16
--- a/internal/audit/phone_checker.go
+++ b/internal/audit/phone_checker.go
@@ -10,7 +10,7 @@
 // Rules for phones at gateways, in addition to rule 1.
 const (
 	ruleStaleConnection = 6 // a connection exists long after its call
-	ruleWrongTone       = 7 // a tone doesn't fit the hook state
+	ruleWrongTone       = 7 // a tone does not fit the hook state
 )
 
 // MaxOnHookConnectionTime is how long a connection may exist at a phone that is on hook, in microseconds. It covers a
@@ -45,6 +45,7 @@
 	outages   map[[2]int][]interval
 }
 
+// phoneOf returns the key and the state of the phone of an event.
 func (p *phoneChecker) phoneOf(e Event) (phoneKey, *phoneState) {
 	key := phoneKey{e.Site, e.Peer, int(e.CIC)}
 	state := p.phones[key]
@@ -101,6 +102,7 @@
 	return true
 }
 
+// checkCallEvent checks rule 1 for an event of a phone's call.
 func (p *phoneChecker) checkCallEvent(call *phoneCall, e Event) {
 	switch e.Kind {
 	case NumberAcknowledged:
--- a/internal/day/file.go
+++ b/internal/day/file.go
@@ -61,7 +61,7 @@
 
 const maxDuration = 24 * time.Hour
 
-// duration converts tenths of a millisecond.
+// duration converts a time in tenths of a millisecond.
 func duration(t policy.Tenths) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
 // Read reads a day file. The error has a line for each fault.
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -42,7 +42,7 @@
 		block.AddErrorAt("bearer", "unknown bearer type %q", name)
 	}
 	if gateways.PerExchange*gateways.Endpoints > 100000 {
-		block.AddError("%d phones at an exchange, 100000 at most", gateways.PerExchange*gateways.Endpoints)
+		block.AddError("%d phones at an exchange, the maximum is 100000", gateways.PerExchange*gateways.Endpoints)
 	}
 	block.CheckUnknown()
 	return gateways
@@ -56,6 +56,7 @@
 	calls      []*standin.PhoneCall
 }
 
+// firstPhoneLine is the line number of an exchange's first phone.
 const firstPhoneLine = 100
 
 // createGateways opens the sockets of the gateways and draws the calls of their users.
@@ -69,7 +70,7 @@
 	for range r.script.ExchangeCount {
 		agent, err := open()
 		if err != nil {
-			return fmt.Errorf("call agent's address: %w", err)
+			return fmt.Errorf("address of call agent: %w", err)
 		}
 		network.callAgents = append(network.callAgents, agent.LocalAddr().String())
 		agent.Close()
@@ -80,9 +81,9 @@
 		calls[e] = make([][]*standin.PhoneCall, settings.PerExchange)
 	}
 	abandonTime := duration(r.script.Deployment.Bearers[settings.Bearer].AbandonTime)
-	for at := time.Duration(0); ; {
-		at += time.Duration(random.ExpFloat64() / settings.CallRate * float64(time.Second))
-		if at > min(r.script.Duration, settings.LastCall) {
+	for start := time.Duration(0); ; {
+		start += time.Duration(random.ExpFloat64() / settings.CallRate * float64(time.Second))
+		if start > min(r.script.Duration, settings.LastCall) {
 			break
 		}
 		from, to := random.IntN(r.script.ExchangeCount), random.IntN(r.script.ExchangeCount)
@@ -91,7 +92,7 @@
 		}
 		line := firstPhoneLine + random.IntN(settings.PerExchange*settings.Endpoints)
 		gateway := random.IntN(settings.PerExchange)
-		call := &standin.PhoneCall{StartTime: r.script.SettleTime + at, Phone: random.IntN(settings.Endpoints), Digits: exchange.LineNumber(to, uint32(line)), AbandonTime: abandonTime,
+		call := &standin.PhoneCall{StartTime: r.script.SettleTime + start, Phone: random.IntN(settings.Endpoints), Digits: exchange.LineNumber(to, uint32(line)), AbandonTime: abandonTime,
 			HoldingTime: time.Duration(random.ExpFloat64() * float64(settings.HoldingTime))}
 		calls[from][gateway] = append(calls[from][gateway], call)
 		network.calls = append(network.calls, call)
@@ -99,31 +100,31 @@
 	for e := range r.script.ExchangeCount {
 		agent, err := netip.ParseAddrPort(network.callAgents[e])
 		if err != nil {
-			return fmt.Errorf("call agent's address: %w", err)
+			return fmt.Errorf("address of call agent: %w", err)
 		}
 		var row []*standin.Gateway
-		var at []netip.AddrPort
+		var addresses []netip.AddrPort
 		for gateway := range settings.PerExchange {
 			socket, err := open()
 			if err != nil {
-				return fmt.Errorf("gateway's socket: %w", err)
+				return fmt.Errorf("socket of gateway: %w", err)
 			}
 			address, err := netip.ParseAddrPort(socket.LocalAddr().String())
 			if err != nil {
-				return fmt.Errorf("gateway's address: %w", err)
+				return fmt.Errorf("address of gateway: %w", err)
 			}
-			at = append(at, address)
+			addresses = append(addresses, address)
 			config := standin.GatewayConfig{Exchange: e, Number: gateway, Name: gatewayName(e, gateway), PhoneCount: settings.Endpoints, CallAgents: []netip.AddrPort{agent},
 				DigitInterval: settings.DigitInterval, MeanAnswerDelay: settings.MeanAnswerDelay, MaxRestartDelay: settings.MaxRestartDelay, DisconnectedDelay: settings.DisconnectedDelay}
 			row = append(row, standin.NewGateway(config, calls[e][gateway], r.script.Seed, func() (net.PacketConn, error) {
-				if call := socket; call != nil {
+				if opened := socket; opened != nil {
 					socket = nil
-					return call, nil
+					return opened, nil
 				}
 				return open()
 			}, r.log))
 		}
-		network.gateways, network.addresses = append(network.gateways, row), append(network.addresses, at)
+		network.gateways, network.addresses = append(network.gateways, row), append(network.addresses, addresses)
 	}
 	return nil
 }
--- a/internal/day/planted_fault.go
+++ b/internal/day/planted_fault.go
@@ -19,7 +19,7 @@
 	neighbours  []exchange.Neighbour
 }
 
-// NewFaultyController returns the violation of one kind, for a controller with neighbours near.
+// NewFaultyController returns a planted fault of one kind, for a controller with the given neighbours.
 func NewFaultyController(kind string, neighbours []exchange.Neighbour) (*FaultyController, error) {
 	for _, k := range PlantedFaults {
 		if k == kind {
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -79,14 +79,22 @@
 	return started, nil
 }
 
-// Ready returns a channel that closes when the exchange is in service, Done one that closes when the process has ended.
+// Ready returns a channel that is closed when the exchange is in service.
 func (p *controllerProcess) Ready() <-chan struct{} { return p.ready }
-func (p *controllerProcess) Done() <-chan struct{}  { return p.done }
 
-// Kill, Drain, Pause and Resume send the corresponding signal.
-func (p *controllerProcess) Kill()   { p.cmd.Process.Signal(syscall.SIGKILL) }
-func (p *controllerProcess) Drain()  { p.cmd.Process.Signal(syscall.SIGTERM) }
-func (p *controllerProcess) Pause()  { p.cmd.Process.Signal(syscall.SIGSTOP) }
+// Done returns a channel that is closed when the process has ended.
+func (p *controllerProcess) Done() <-chan struct{} { return p.done }
+
+// Kill ends the process at once.
+func (p *controllerProcess) Kill() { p.cmd.Process.Signal(syscall.SIGKILL) }
+
+// Drain makes the controller drain and end.
+func (p *controllerProcess) Drain() { p.cmd.Process.Signal(syscall.SIGTERM) }
+
+// Pause stops the execution of the process.
+func (p *controllerProcess) Pause() { p.cmd.Process.Signal(syscall.SIGSTOP) }
+
+// Resume continues the execution of the process.
 func (p *controllerProcess) Resume() { p.cmd.Process.Signal(syscall.SIGCONT) }
 
 // Load makes the process load a number table.
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -18,10 +18,10 @@
 
 // Process is one process of an exchange's controller.
 type Process interface {
-	Ready() <-chan struct{}
-	Done() <-chan struct{}
+	Ready() <-chan struct{} // closed when the exchange is in service
+	Done() <-chan struct{}  // closed when the process has ended
 	Kill()
-	Drain()
+	Drain()                  // ends in good order
 	Load(table string) error // loads a number table at once
 	Pause()                  // stops execution until Resume
 	Resume()
@@ -126,6 +126,7 @@
 	return events, nil
 }
 
+// play runs the day from the start of the stand-ins to the end of the calls.
 func (r *runner) play() error {
 	deployment := r.script.Deployment
 	for parameter, value := range map[int]int64{audit.ParameterDrainGrace: duration(deployment.DrainGrace).Microseconds(), audit.ParameterReleaseTime: duration(deployment.ReleaseTime).Microseconds(),
@@ -237,6 +238,7 @@
 	return context.Cause(r.ctx)
 }
 
+// sleep waits and returns false if the day ends first.
 func (r *runner) sleep(d time.Duration) bool {
 	select {
 	case <-r.ctx.Done():
@@ -246,7 +248,7 @@
 	}
 }
 
-// schedule runs do after a delay, unless the day ends first.
+// schedule runs a function after a delay, unless the day ends first.
 func (r *runner) schedule(d time.Duration, run func()) {
 	r.wg.Go(func() {
 		if r.sleep(d) {
--- a/internal/day/tables.go
+++ b/internal/day/tables.go
@@ -37,6 +37,7 @@
 	return nil
 }
 
+// enumZone is the zone of the ENUM queries for ported numbers.
 const enumZone = "e164.test."
 
 // startPortability starts a server by which a share of the callers' numbers is ported to the exchange after next.
@@ -97,6 +98,7 @@
 	return len(seen), len(violating)
 }
 
+// freeAddress returns a loopback address with a port that is free at the moment.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -41,7 +41,7 @@
 		"controllers_stall": {0.001, 1000, "seconds of each pause", nil, pauseControllers},
 		"controllers_roll":  {0, 1000, "seconds until each restart", nil, rollControllers},
 		"drain":             {0, 1000, "seconds between drain and restart", nil, drainSwitches},
-		"ageing":            {1, 1000, "times slower at the end, before a restart within a second", nil, ageSwitches},
+		"ageing":            {1, 1000, "times slower at the end, then a restart with one second of outage", nil, ageSwitches},
 		"gateways":          {0, 60, "share, or seconds late", []string{"loss", "double", "late", "truncated", "two_answers", "reused_ids", "cut", "flash", "hang_up", "trickle", "glare", "restart", "moved"}, disturbGateways},
 		"portability":       {0, 60, "seconds late", []string{"late", "silent", "truncated", "wrong", "contradictory", "other"}, disturbPortability},
 		"tables_change":     {0, 1e6, "not used", nil, changeTables},
--- a/internal/hclread/hclread.go
+++ b/internal/hclread/hclread.go
@@ -115,7 +115,7 @@
 // Has reports whether the block has an attribute.
 func (b *Block) Has(name string) bool { return b.body.Attributes[name] != nil }
 
-// Float reads a number within a range. The default is standard; NaN makes the attribute mandatory.
+// Float reads a number within a range. A default of NaN makes the attribute mandatory.
 func (b *Block) Float(name string, minimum, maximum, defaultValue float64) float64 {
 	v, at, ok := b.attribute(name, cty.Number)
 	if !ok {
@@ -132,7 +132,7 @@
 	return f
 }
 
-// Int reads an integer within a range. The default is standard; a value below least makes the attribute mandatory.
+// Int reads an integer within a range. A default below the minimum makes the attribute mandatory.
 func (b *Block) Int(name string, minimum, maximum, defaultValue int) int {
 	floatDefault := float64(defaultValue)
 	if defaultValue < minimum {
@@ -148,7 +148,7 @@
 	return int(f)
 }
 
-// Text reads a string. With must, the attribute is mandatory.
+// Text reads a string.
 func (b *Block) Text(name string, required bool, defaultValue string) string {
 	v, _, ok := b.attribute(name, cty.String)
 	if !ok {
@@ -207,8 +207,7 @@
 	return defaultValue
 }
 
-// Duration reads a duration such as "1.2s" within a range. The default is standard; a negative value makes the attribute
-// mandatory.
+// Duration reads a duration such as "1.2s" within a range. A negative default makes the attribute mandatory.
 func (b *Block) Duration(name string, minimum, maximum, defaultValue time.Duration) policy.Tenths {
 	value, at, ok := b.attribute(name, cty.String)
 	d := defaultValue
@@ -269,7 +268,7 @@
 	return blocks
 }
 
-// SingleBlock returns the only block of a type, or an empty one. With must, the block is mandatory.
+// SingleBlock returns the only block of a type, or an empty one if there is none.
 func (b *Block) SingleBlock(kind string, required bool) *Block {
 	blocks := b.Blocks(kind, false)
 	if len(blocks) > 1 {
--- a/internal/memnet/disk.go
+++ b/internal/memnet/disk.go
@@ -24,7 +24,7 @@
 // NewDisk returns an empty disk.
 func NewDisk() *Disk { return &Disk{files: map[string]*inode{}} }
 
-// SetFailure makes all operations but reads fail with err from now on; nil ends that.
+// SetFailure makes all operations but reads fail with the given error from now on; nil ends that.
 func (d *Disk) SetFailure(failure error) { d.mu.Lock(); d.failure = failure; d.mu.Unlock() }
 
 // OnSync sets a function that each sync calls first; nil: none.
@@ -82,6 +82,7 @@
 	return nil
 }
 
+// file is an open file.
 type file struct {
 	disk  *Disk
 	inode *inode
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -94,13 +94,14 @@
 	return &Conn{in: a, out: b}, &Conn{in: b, out: a}
 }
 
+// pipe is one direction of a connection.
 type pipe struct {
 	mu             sync.Mutex
 	buf            []byte
 	closed         bool
 	deadlinePassed bool // the read deadline
 	timer          *time.Timer
-	changed        chan struct{}
+	changed        chan struct{} // wakes the reader
 }
 
 func newPipe() *pipe { return &pipe{changed: make(chan struct{}, 1)} }
--- a/internal/seeded/mutation.go
+++ b/internal/seeded/mutation.go
@@ -9,8 +9,8 @@
 // ForEachMutation calls check with every input of the corpus, then with many inputs made from them by one to eight
 // mutations: octets changed, inserted, deleted or duplicated, boundary values put in, and the tail of another input appended.
 //
-// The seed is fixed, so that a test run does not fail by chance for an unrelated change. Fuzzing with `go test -fuzz` uses
-// the same check and corpus and searches further.
+// The seed is fixed, because a time-limited fuzz run draws new inputs each time: it can fail on a change for a fault that is
+// months old, and pass the next day. `go test -fuzz` searches further with the same check and corpus.
 func ForEachMutation(t *testing.T, corpus [][]byte, count int, check func(t *testing.T, in []byte)) {
 	t.Helper()
 	if len(corpus) == 0 {
@@ -35,8 +35,10 @@
 	}
 }
 
+// boundaryBytes are values at the limits of ranges and separators of text protocols.
 var boundaryBytes = []byte{0, 1, 2, 0x7f, 0x80, 0xff, ' ', '\r', '\n', '0', '9', ':', '-'}
 
+// mutate returns the input with one random mutation.
 func mutate(rng *rand.Rand, in []byte, corpus [][]byte) []byte {
 	if len(in) == 0 {
 		return []byte{byte(rng.Uint32())}
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -72,7 +72,7 @@
 		case neighbour.Number >= config.ExchangeCount:
 			block.AddErrorAt("exchange", "the group %q has no far end: exchanges are numbered below %d", block.Label, config.ExchangeCount)
 		case neighbour.Number == deployment.OwnExchange:
-			block.AddErrorAt("exchange", "the group %q leads to this exchange itself", block.Label)
+			block.AddErrorAt("exchange", "the group %q leads to its own exchange", block.Label)
 		case seen[neighbour.Number]:
 			block.AddErrorAt("exchange", "exchange %d already has a trunk group", neighbour.Number)
 		}
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -59,6 +59,7 @@
 	twoWay     bool
 }
 
+// phone is the state of one endpoint and its user.
 type phone struct {
 	offHook           bool
 	requestID         string
@@ -83,6 +84,7 @@
 	userActions       int // counts user actions, which makes earlier timers void
 }
 
+// timerEntry is a function that runs at a given time.
 type timerEntry struct {
 	at     time.Time
 	serial int
@@ -173,7 +175,7 @@
 	g.wg.Wait()
 }
 
-// UpdateFaults runs do with the faults in the gateway's goroutine.
+// UpdateFaults changes the faults of the gateway. update runs in the gateway's goroutine.
 func (g *Gateway) UpdateFaults(update func(faults *GatewayFaults)) {
 	select {
 	case g.commands <- func() { update(&g.faults); g.logReachability() }:
@@ -181,7 +183,7 @@
 	}
 }
 
-// Restart switches the gateway off and on, which deletes its connections. With elsewhere it comes back at another address.
+// Restart switches the gateway off and on, which deletes its connections. With newAddress it gets another address.
 func (g *Gateway) Restart(newAddress bool) {
 	g.UpdateFaults(func(*GatewayFaults) {
 		for i := range g.phones {
@@ -205,6 +207,7 @@
 	})
 }
 
+// boot starts a new incarnation of the gateway on conn.
 func (g *Gateway) boot(conn net.PacketConn) {
 	if conn != g.conn {
 		g.conn = conn
@@ -407,6 +410,7 @@
 	})
 }
 
+// startDisconnectedProcedure starts the disconnected procedure (RFC 3435, 4.4.7) after a lost call agent.
 func (g *Gateway) startDisconnectedProcedure() {
 	if g.unregistered {
 		return
--- a/internal/standin/gateway_phones.go
+++ b/internal/standin/gateway_phones.go
@@ -229,8 +229,8 @@
 func (g *Gateway) simulateUserReaction(i int) {
 	phone := &g.phones[i]
 	twoWay := false
-	for _, call := range phone.connections {
-		twoWay = twoWay || call.twoWay
+	for _, connection := range phone.connections {
+		twoWay = twoWay || connection.twoWay
 	}
 	call := phone.call
 	switch {
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -44,13 +44,13 @@
 	told     bool
 }
 
-// NewRegister returns a register that publishes a change of the switches after late.
+// NewRegister returns a register that looks at the switches at each interval and publishes a change after a delay.
 func NewRegister(switches []*Switch, circuits [][]int, delay, interval time.Duration, log *audit.Log) *Register {
 	return &Register{switches: switches, circuits: circuits, delay: delay, interval: interval, log: log, clients: map[*client]bool{},
 		stop: make(chan struct{})}
 }
 
-// Start serves controllers on ln.
+// Start serves controllers on a listener.
 func (r *Register) Start(listener net.Listener) {
 	r.listener = listener
 	r.wg.Go(func() {
--- a/internal/standin/subscribers.go
+++ b/internal/standin/subscribers.go
@@ -44,6 +44,7 @@
 	GoSTargets           []time.Duration
 }
 
+// attempt is one dial of a caller.
 type attempt struct {
 	caller      *Caller
 	cic         uint16
@@ -51,6 +52,7 @@
 	ended       bool
 }
 
+// action is a scheduled action of a caller.
 type action struct {
 	at        time.Duration
 	kind      byte // 'd' dial, 'l' abandon, 'h' hang up
@@ -67,6 +69,7 @@
 func (s *actionHeap) Push(x any)        { *s = append(*s, x.(action)) }
 func (s *actionHeap) Pop() any          { n := len(*s) - 1; x := (*s)[n]; *s = (*s)[:n]; return x }
 
+// linkEvent is a received message, a new connection or the loss of one.
 type linkEvent struct {
 	exchange int
 	message  isup.Message
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -41,6 +41,7 @@
 	MaxWriteSize    int     // octets per write; 0: no limit
 }
 
+// job is work of the processor.
 type job struct {
 	cost      time.Duration
 	run       func(wait time.Duration)
@@ -53,6 +54,7 @@
 	cic       uint16
 }
 
+// peer is a connected controller or the subscribers.
 type peer struct {
 	conn      net.Conn
 	pointCode uint32
