--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -119,12 +119,12 @@
 
 func TestColdSwitchBudgetCountsAllSetUps(t *testing.T) {
 	for _, c := range []struct {
-		setups int
-		told   bool
-		broken bool
+		setups   int
+		informed bool
+		broken   bool
 	}{{20, true, false}, {60, true, true}, {60, false, false}} {
 		log := []Event{{At: 500 * ms, Kind: SwitchStarted, Site: 3, CIC: 1, Value: 20_000}, callResponse(1500, isup.REL)} // 20 set-ups per second when warm
-		if c.told {
+		if c.informed {
 			for controller := range 5 {
 				log = append(log, Event{At: 600 * ms, Kind: ListEntrySent, Site: controller, Peer: 3, CIC: 1, Value: 1}, Event{At: 601 * ms, Kind: ListAcknowledged, Site: controller, Value: 1})
 			}
@@ -134,7 +134,7 @@
 		}
 		got := Check(dayLog(log...))
 		if (len(got) > 0) != c.broken || c.broken && got[0].Rule != 4 {
-			t.Errorf("%d set-ups, controllers informed %v: %v", c.setups, c.told, got)
+			t.Errorf("%d set-ups, controllers informed %v: %v", c.setups, c.informed, got)
 		}
 	}
 }
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -334,14 +334,14 @@
 	messages, _ := mgcp.Decode(data)
 	for _, m := range messages {
 		local, _, _ := strings.Cut(m.Endpoint, "@")
-		i, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/"))
-		if err != nil || i < 1 || i > len(g.phones) || !g.phones[i-1].waiting {
+		number, err := strconv.Atoi(strings.TrimPrefix(local, "aaln/"))
+		if err != nil || number < 1 || number > len(g.phones) || !g.phones[number-1].waiting {
 			continue
 		}
 		mode, _ := m.Param("M")
 		tone, _ := m.Param("S")
 		if mode == "sendrecv" || tone == "L/bz" || tone == "L/ro" || tone == "G/cg" {
-			g.logEvent(audit.PhoneOutcomeLost, i-1, g.phones[i-1].callRef, 0, 0)
+			g.logEvent(audit.PhoneOutcomeLost, number-1, g.phones[number-1].callRef, 0, 0)
 		}
 	}
 }
