--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -49,6 +49,7 @@
 	return true
 }
 
+// route sends a call on the direct trunk group if that is allowed, else to a tandem, or blocks it.
 func (r *Router) route(now policy.Tenths, c *call, direct bool) {
 	var tandems []uint32
 	for _, id := range r.switchOrder {
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -31,6 +31,7 @@
 	DisconnectedDelay time.Duration
 }
 
+// parseGateways reads the settings of gateways.
 func parseGateways(block *hclread.Block, script Script) Gateways {
 	gateways := Gateways{PerExchange: block.Int("each", 1, 10000, 0), Endpoints: block.Int("endpoints", 1, 512, 0), CallRate: block.Float("calls_per_second", 0.01, 1e5, 1),
 		LastCall: duration(block.Duration("until", 0, maxDuration, maxDuration)), LocalShare: block.Float("near", 0, 1, 0.2), HoldingTime: duration(block.Duration("holding", time.Millisecond, time.Hour, 3*time.Second)),
@@ -229,6 +230,7 @@
 	P99SetUpTime    time.Duration `json:"p99_ns"`
 }
 
+// countPhoneCalls counts the outcomes of calls.
 func countPhoneCalls(calls []*standin.PhoneCall) PhoneRow {
 	var row PhoneRow
 	var setUpTimes []time.Duration
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -61,6 +61,7 @@
 	return drawn
 }
 
+// newMatrix returns a square matrix.
 func newMatrix[T any](n int) [][]T {
 	rows := make([][]T, n)
 	for i := range rows {
@@ -76,6 +77,7 @@
 	exchanges  map[int]bool // exchanges of the additional callers; nil: all
 }
 
+// drawCallers draws the callers of a day, with the surges of its troubles.
 func drawCallers(script Script, trafficShares [][]float64, bearerShares float64, random *rand.Rand) []*standin.Caller {
 	var surges []surge
 	for _, t := range script.Troubles {
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -19,8 +19,8 @@
 
 // OnLoopback returns options by which the controllers run as processes of a program, and all connections use loopback.
 func OnLoopback(program string, options Options) Options {
-	options.Launch = func(exchange int, siteFile, routing, plant string) (Process, error) {
-		return startProcess(program, exchange, siteFile, routing, plant)
+	options.Launch = func(exchange int, siteFile, routing, plantedFault string) (Process, error) {
+		return startProcess(program, exchange, siteFile, routing, plantedFault)
 	}
 	options.Listen = func(address string) (net.Listener, error) {
 		if address == "" {
@@ -40,11 +40,12 @@
 	ready, done    chan struct{}
 }
 
+// startProcess starts the controller of an exchange, with its output in a log next to the site file.
 func startProcess(program string, exchange int, siteFile, routing, plantedFault string) (Process, error) {
 	logFile, err := os.OpenFile(filepath.Join(filepath.Dir(siteFile), fmt.Sprintf("controller-%d.log", exchange)),
 		os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, fmt.Errorf("open log of controller: %w", err)
+		return nil, fmt.Errorf("open controller log: %w", err)
 	}
 	defer logFile.Close()
 	args := []string{"serve", "-f", siteFile}
--- a/internal/day/report.go
+++ b/internal/day/report.go
@@ -60,8 +60,10 @@
 	MaxDialDelay       time.Duration // longest delay of a subscriber's dial after its planned time
 }
 
+// reportWindow is the length of a row of the report.
 const reportWindow = 10 * time.Second
 
+// countCallers returns a report with the outcomes of the callers.
 func countCallers(script Script, callers []*standin.Caller) Report {
 	report := Report{Total: Row{Name: "all"}}
 	for _, bearer := range script.Bearers {
@@ -131,4 +133,5 @@
 	return err
 }
 
+// round rounds to four decimals.
 func round(f float64) float64 { return float64(int(f*10000+0.5)) / 10000 }
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -30,7 +30,7 @@
 
 // Options are the options of one run.
 type Options struct {
-	Launch       func(exchange int, siteFile, routing, plant string) (Process, error)
+	Launch       func(exchange int, siteFile, routing, plantedFault string) (Process, error)
 	Listen       func(address string) (net.Listener, error) // "" chooses an address
 	Dial         func(address string) (net.Conn, error)
 	ListenPacket func(address string) (net.PacketConn, error) // datagram sockets; port 0 chooses a port
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -59,6 +59,7 @@
 	return names
 }
 
+// switchFault returns a trouble that sets a fault of the affected switches.
 func switchFault(set func(*standin.SwitchFaults, Trouble)) func(*runner, Trouble, []int, *rand.Rand) func() {
 	return func(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 		for _, exchange := range affected {
@@ -84,6 +85,7 @@
 	}
 }
 
+// loseCircuits takes circuits between the affected exchanges and the others out of service.
 func loseCircuits(r *runner, trouble Trouble, affected []int, random *rand.Rand) func() {
 	isAffected := map[int]bool{}
 	for _, exchange := range affected {
@@ -165,6 +167,7 @@
 	return nil
 }
 
+// rollControllers drains and restarts the affected controllers one after the other.
 func rollControllers(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	for i, exchange := range affected {
 		r.schedule(trouble.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
@@ -193,6 +196,7 @@
 	r.schedule(downTime, func() { r.startSwitch(exchange) })
 }
 
+// drainSwitches drains and restarts the affected switches one after the other.
 func drainSwitches(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	for i, exchange := range affected {
 		r.schedule(trouble.Duration*time.Duration(i)/time.Duration(len(affected)), func() {
@@ -203,6 +207,7 @@
 	return nil
 }
 
+// ageSwitches slows the affected switches down step by step and restarts them at the end.
 func ageSwitches(r *runner, trouble Trouble, affected []int, _ *rand.Rand) func() {
 	const steps = 20
 	for i := range steps {
--- a/internal/day/virtual_test.go
+++ b/internal/day/virtual_test.go
@@ -140,6 +140,7 @@
 	return runVirtualWithFault(t, name, "", adjust)
 }
 
+// runVirtualWithFault runs a day in virtual time with a planted fault.
 func runVirtualWithFault(t *testing.T, name, plantedFault string, adjust func(*Script)) Report {
 	t.Helper()
 	script, err := Read("../../examples/days/" + name)
@@ -162,6 +163,7 @@
 	return report
 }
 
+// requireRulesHold fails the test on violations, a day without calls, or too low a service.
 func requireRulesHold(t *testing.T, report Report, minService float64) {
 	t.Helper()
 	for i, violation := range report.Violations {
@@ -191,7 +193,7 @@
 	sizes := map[string]float64{"slow": 4, "other_work": 0.7, "circuits_lost": 0.5, "answers_lost": 0.3, "chopped": 1, "load_jump": 2,
 		"hot_caller": 4, "ageing": 6, "mass_cut": 0.6, "leave_early": 0.4, "links_reset": 0.7}
 	for _, kind := range TroubleKinds() {
-		if kind == "portability" || kind == "tables_change" || kind == "gateways" { // these need tables, gateways or real sockets and have tests of their own
+		if kind == "portability" || kind == "tables_change" || kind == "gateways" { // these need tables, sockets or gateways, and days of their own
 			continue
 		}
 		hows := troubleKinds[kind].how
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -140,7 +140,6 @@
 	staleCommand          bool // the command being executed is older than the time that transactions are stored
 	serial                uint32
 	incarnation           int
-	nextTry               time.Time
 }
 
 type datagram struct {
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -33,15 +33,16 @@
 	wg           sync.WaitGroup
 }
 
+// observation is the status of all switches at one time.
 type observation struct {
 	at      time.Time
 	entries []membership.Entry
 }
 
+// client is a connected controller.
 type client struct {
 	conn     net.Conn
 	exchange int
-	told     bool
 }
 
 // NewRegister returns a register that looks at the switches at each interval and publishes a change after a delay.
@@ -97,6 +98,7 @@
 	return entries
 }
 
+// publishChanges observes the switches and publishes their status after the delay.
 func (r *Register) publishChanges() {
 	for round := 0; ; round++ {
 		now, entries := time.Now(), r.observe()
--- a/internal/standin/switch.go
+++ b/internal/standin/switch.go
@@ -216,12 +216,14 @@
 	}
 }
 
+// disconnect releases a call from another exchange at both ends.
 func (s *Switch) disconnect(pointCode uint32, firstCIC uint16) {
 	s.log.Add(audit.Event{Kind: audit.TryResponse, Site: s.Number, Peer: int(pointCode) - 1, CIC: firstCIC, Value: int64(isup.REL)})
 	s.sendToBothEnds(pointCode, isup.REL, firstCIC)
 	delete(s.busyCircuits[pointCode], firstCIC)
 }
 
+// sendToBothEnds sends a message on a circuit to the own and the remote controller.
 func (s *Switch) sendToBothEnds(pointCode uint32, messageType isup.Type, cic uint16) {
 	own := uint32(exchange.PointCode(s.Number))
 	message := isup.Message{CIC: cic, Type: messageType, Cause: isup.NetworkOutOfOrder, Location: isup.LocalNetwork}
@@ -356,6 +358,7 @@
 	}
 }
 
+// serve reads the messages of one connection.
 func (s *Switch) serve(conn net.Conn) {
 	defer conn.Close()
 	s.mu.Lock()
