--- a/internal/audit/checker.go
+++ b/internal/audit/checker.go
@@ -239,11 +239,11 @@
 	case call == nil:
 		c.report(1, e.At, "exchange %d responds to call %v, which it was not offered", e.Site, e.Ref)
 	case call.answeredAt != 0 && !call.established:
-		c.report(1, e.At, "call %v got two responses", e.Ref)
+		c.report(1, e.At, "call %v is answered twice", e.Ref)
 	case call.answeredAt != 0: // an established call ends
 		call.established = false
 		if isup.Type(e.CIC) == isup.ANM {
-			c.report(1, e.At, "call %v got two responses", e.Ref)
+			c.report(1, e.At, "call %v is answered twice", e.Ref)
 		}
 	case call.abandonedAt != 0 && e.At > c.readTime(call.site, call.abandonedAt)+Margin:
 		c.report(1, e.At, "call %v got its response %d ms after its caller released", e.Ref, (e.At-call.abandonedAt)/1000)
