--- a/internal/b2bua/abandoned_call_test.go
+++ b/internal/b2bua/abandoned_call_test.go
@@ -6,7 +6,8 @@
 	"indigodrift/internal/sip"
 )
 
-// In these tests a caller has abandoned the call, and Carrier.Left reports it before the agent receives the event.
+// In these tests a caller has abandoned the call, and Transport.Abandoned reports it before the agent receives
+// the event.
 
 func TestNoTryStartsForAnAbandonedCall(t *testing.T) {
 	h := newHarness(t)
@@ -23,8 +24,8 @@
 	}
 }
 
-// Guards against answering a caller that has left: a set-up that cannot be carried would otherwise be refused at
-// once.
+// Guards against answering a caller that has abandoned the call: a set-up that cannot be carried would otherwise be
+// refused at once.
 func TestNothingIsSentForAnAbandonedCall(t *testing.T) {
 	h := newHarness(t)
 	conn := h.connectCaller()
--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -145,7 +145,7 @@
 	calls            map[uint64]*trackedCall
 	byHandle         map[uint32]*trackedCall
 	ended            []*trackedCall // oldest first
-	openCalls        int            // calls that are neither established nor over
+	openCalls        int            // calls that are neither established nor ended
 	establishedCalls int
 	bodyOctets       int // octets of session descriptions
 	maxOpenCalls     int
@@ -196,7 +196,7 @@
 // Unanswered returns the number of calls without a final answer.
 func (a *Agent) Unanswered() int { return a.openCalls }
 
-// Tick runs the timers that have fallen due. stalled is the end of the last stall of this process, 0 if there was
+// Tick runs the timers that have fallen due. stallEndedAt is the end of the last stall of this process, 0 if there was
 // none.
 func (a *Agent) Tick(now, stallEndedAt policy.Tenths) {
 	a.now = now
--- a/internal/b2bua/b2bua_test.go
+++ b/internal/b2bua/b2bua_test.go
@@ -33,7 +33,7 @@
 	conn := h.connectCaller()
 	call := h.sendSetUp(conn, 1, 1500)
 	if call.tryConn == 0 || call.trySwitch != 1 {
-		t.Fatalf("not sent: %+v, notes %v", call, h.logged)
+		t.Fatalf("not sent: %+v, logged %v", call, h.logged)
 	}
 	h.answer(call, sip.OK)
 	if !call.answered {
@@ -657,7 +657,8 @@
 	case 22, 23: // a switch releases what an earlier try established, while a later one is out, established or still to come
 		if conn := link(); conn != 0 {
 			switchID := h.links[conn]
-			known := func(call *observedCall) bool { id, _ := parseID(call.id); return h.agent.calls[id] != nil } // otherwise any caller may receive the release
+			// The release of a call that the agent does not know may go to any caller.
+			known := func(call *observedCall) bool { id, _ := parseID(call.id); return h.agent.calls[id] != nil }
 			if call := pick("left", func(call *observedCall) bool { return call.earlierTries[switchID] && known(call) }); call != nil {
 				delete(call.earlierTries, switchID)
 				delete(call.orphanedTries, switchID)
--- a/internal/b2bua/bounds.go
+++ b/internal/b2bua/bounds.go
@@ -2,7 +2,7 @@
 
 // Bounds limits what the agent may hold.
 type Bounds struct {
-	Calls   int // calls that are neither established nor over
+	Calls   int // calls that are neither established nor ended
 	Octets  int // of session descriptions
 	Callers int // connections of callers
 	Links   int // connections to switches, dials included
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -8,8 +8,8 @@
 	"indigodrift/policy"
 )
 
-// CallerConnected adds a new connection of a caller. It returns false when there is no room for it and it has to be
-// closed.
+// CallerConnected adds a new connection of a caller. It returns false if the connection limit is reached and the new
+// connection has to be closed.
 func (a *Agent) CallerConnected(now policy.Tenths, conn ConnID) bool {
 	a.now = now
 	if len(a.callers.conns) >= a.callers.limit {
--- a/internal/b2bua/controller_group_test.go
+++ b/internal/b2bua/controller_group_test.go
@@ -163,14 +163,15 @@
 		}
 		strength := settings.InitialCapacity + (1-settings.InitialCapacity)*float64(max(0, last-settings.OverloadWindow-g.slowStartTimes[id]))/float64(settings.RampTime)
 		if capacity := settings.OverloadMultiple * strength * 2 * carried * float64(settings.OverloadWindow) / 10000; float64(n) > capacity+2*math.Sqrt(capacity)+2 {
-			g.t.Fatalf("%d set-ups in a fall window to switch %d in slow start, which can carry %.1f", n, id, capacity)
+			g.t.Fatalf("%d set-ups in an overload window to switch %d in slow start, which can carry %.1f", n, id, capacity)
 		}
 	}
 }
 
 // Each of several controllers at the same switches keeps the rules and its bounds at each step, and a switch in
 // slow start receives no more set-ups than it can carry from all of them together. The random actions include
-// restarts, drains, whole and partial lists received late, resets, repeated answers, and callers that leave.
+// restarts, drains, whole and partial lists received late, resets, repeated answers, and abandoned
+// calls.
 func TestInvariantsHoldForSeveralControllers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := newControllerGroup(t, rapid.IntRange(2, 5).Draw(t, "controllers"))
--- a/internal/b2bua/harness_test.go
+++ b/internal/b2bua/harness_test.go
@@ -98,7 +98,7 @@
 	unacknowledgedAnswers []sentMessage            // answers that callers have not acknowledged
 	setUpConns            map[ConnID]bool          // connections on which set-ups came
 	openedAt              map[ConnID]policy.Tenths // callers' connections
-	abandonedIDs          map[string]bool          // ids whose callers have left without an event to the agent
+	abandonedIDs          map[string]bool          // ids whose callers have abandoned the call without an event to the agent
 	onSetUp               func(switchID uint32)    // called for each set-up to a switch
 	acknowledged          map[ConnID]bool          // callers on these have acknowledged an answer
 	unresponsive          map[ConnID]bool          // callers on these answer no release
--- a/internal/b2bua/record.go
+++ b/internal/b2bua/record.go
@@ -14,7 +14,7 @@
 	ReleasePending                      // no connection can take a release at present
 	ReleaseUnanswered                   // no answer to a release came in time
 	ReleaseLate                         // a release was confirmed later than the platform allows
-	ReleaseDropped                      // a release was abandoned unconfirmed
+	ReleaseDropped                      // a release was dropped unconfirmed
 	ReleaseUnknown                      // a switch released an unknown call
 	ReleaseIgnored                      // a switch released a call that is not established there
 	SwitchConnProbed                    // a connection to a switch is probed with a keepalive
--- a/internal/b2bua/remote_switch.go
+++ b/internal/b2bua/remote_switch.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// A connection to a switch is probed with an OPTIONS keepalive after keepaliveInterval without a message, or
-	// after busyKeepaliveInterval while a set-up is out on it. The process at the other end answers at once, so the
+	// A connection to a switch is probed with an OPTIONS keepalive when it opens, after keepaliveInterval without a
+	// message, and after busyKeepaliveInterval while a set-up is out on it. The process at the other end answers at once, so the
 	// answer takes one round-trip time, which each keepalive measures. After half of keepaliveRoundTrips round trips
 	// without an answer the connection takes no new set-up and another one is opened; after all of them it counts as
 	// lost. Keeping a dead connection longer recovers nothing, and its set-ups make the switch look slow.
@@ -21,7 +21,7 @@
 	keepaliveRoundTrips     = 4
 	minKeepaliveTimeout     = policy.Tenths(1200)  // tolerates a short stall of the switch
 	initialKeepaliveTimeout = policy.Tenths(6000)  // before the first round trip is measured
-	maxKeepaliveTimeout     = policy.Tenths(20000) // keeps the connections of a slow network
+	maxKeepaliveTimeout     = policy.Tenths(20000) // on a slow network, connections must not be closed again and again
 
 	// silentLinkRetention is how long a silent connection is kept if no set-up was written on it since its last
 	// message; one with set-ups is closed, which abandons them. A switch that hung and recovers still sends its
@@ -103,7 +103,8 @@
 // further measurement.
 func (rs *remoteSwitch) keepaliveAnswered(link *switchLink, now policy.Tenths, id string) {
 	if link.keepaliveID != "" && id == link.keepaliveID {
-		link.sentReleases = slices.DeleteFunc(link.sentReleases, func(release sentRelease) bool { return release.sentAt < link.keepaliveSentAt }) // read by the switch before the keepalive
+		// The switch has read the releases that were sent before the keepalive.
+		link.sentReleases = slices.DeleteFunc(link.sentReleases, func(release sentRelease) bool { return release.sentAt < link.keepaliveSentAt })
 		rs.roundTrip, rs.roundTripMeasured, link.keepaliveID = max(now-link.keepaliveSentAt, rs.roundTrip-rs.roundTrip/8), true, ""
 	}
 }
--- a/internal/b2bua/route_try.go
+++ b/internal/b2bua/route_try.go
@@ -29,7 +29,7 @@
 
 func (s tryState) String() string { return tryStateNames[s] }
 
-// tryEvent is an event in the life of a try.
+// tryEvent is an event that may change the state of a try.
 type tryEvent uint8
 
 const (
--- a/internal/b2bua/state_table_test.go
+++ b/internal/b2bua/state_table_test.go
@@ -23,7 +23,8 @@
 	sc := &stateCase{harness: newHarness(t)}
 	sc.completeDials(9, 9)
 	sc.callerConn, sc.otherConn = sc.connectCaller(), sc.connectCaller()
-	sc.agent.FromCaller(sc.now, sc.now, sc.otherConn, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", "")) // marks it as a connection with set-ups
+	// A set-up marks it as a connection with set-ups.
+	sc.agent.FromCaller(sc.now, sc.now, sc.otherConn, invite("00000000000000bb", "voice", 1000, "dest:9;width:1;via:-1", ""))
 	return sc
 }
 
--- a/internal/b2bua/switch_release.go
+++ b/internal/b2bua/switch_release.go
@@ -39,7 +39,8 @@
 		call = &trackedCall{id: id, callID: msg.CallID, uri: msg.URI, state: Ended}
 		a.retain(call)
 		a.releaseCaller(call, cause)
-	case call.state == Established && (call.lastSwitch() == remote.entry.ID || isCallEndCause(cause) && (call.adopted || call.mayHaveReached(remote.entry.ID))): // the tries of an adopted call are not known
+	// The earlier tries of an adopted call are not known, so it may have reached any switch.
+	case call.state == Established && (call.lastSwitch() == remote.entry.ID || isCallEndCause(cause) && (call.adopted || call.mayHaveReached(remote.entry.ID))):
 		a.handleEstablishedRelease(call, remote, cause, report)
 	case (call.state == Offered || call.state == Trying) && isCallEndCause(cause) && call.mayHaveReached(remote.entry.ID):
 		a.handleUnansweredRelease(call, conn, remote, cause, report)
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment parses the operators' settings object into the policy's view of its deployment. The test bench's first
-// message (internal/wire) and the platform's configuration (internal/platform) contain the same object.
+// Package deployment parses the operators' settings object into the policy's view of its deployment. The simulator's message that
+// starts a controller (internal/wire) and the platform's configuration (internal/platform) contain the same object.
 package deployment
 
 import (
@@ -17,7 +17,7 @@
 	Policy          policy.Deployment
 	BearerNames     []string      // names of the bearer types, in the order of the policy's list
 	LoadReportNames []string      // names of the values in a load report
-	DialTimeout     policy.Tenths // 0 if not set
+	DialTimeout     policy.Tenths // to open a connection, 0 if not set
 	MaxOpenCalls    int           // limit of concurrent open calls, 0 if not set
 	MaxTriesPerConn int           // limit of concurrent route tries on one connection, 0 if not set
 }
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -52,7 +52,7 @@
 }
 
 // enqueue queues a message. A CANCEL removes its set-up from the queue if that is not written yet: the try would begin long after
-// its caller has left. It returns false if the queue is full, and closes the connection.
+// its caller has abandoned the call. It returns false if the queue is full, and closes the connection.
 func (c *connection) enqueue(m *sip.Message) bool {
 	c.mu.Lock()
 	if !c.closing && !(m.Method == sip.Cancel && c.removeSetUp(m)) {
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -225,7 +225,7 @@
 			return
 		}
 		if m.Method == sip.Invite {
-			t.Fatalf("a try began for a caller that has left: %+v", m)
+			t.Fatalf("a try began for an abandoned call: %+v", m)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 	return sip.Message{Method: sip.Cancel, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1}
 }
 
-// departures are the ways in which a caller can leave: what it writes after its set-up and how it ends its connection.
+// departures are the ways in which a caller can abandon a call: what it writes after its set-up and how it ends its connection.
 var departures = []struct {
 	name  string
 	after []byte
@@ -264,7 +264,7 @@
 	return all
 }
 
-// depart makes a caller leave: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
+// depart makes a caller abandon its call: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
 // all of that.
 func (h *gatedHarness) depart(c net.Conn, serverConn *gatedConn, after []byte, end func(*net.TCPConn) error) {
 	h.t.Helper()
@@ -286,8 +286,8 @@
 	time.Sleep(20 * time.Millisecond)
 }
 
-// departWhileStopped makes a caller leave while the event loop is stopped. A malformed message is queued between the event that
-// would begin a try and the event of the departure. The event loop is stopped there again, so that a set-up sent by mistake has
+// departWhileStopped makes a caller abandon its call while the event loop is stopped. A malformed message is queued between the
+// event that would begin a try and the event of the abandonment. The event loop is stopped there again, so that a set-up sent by mistake has
 // time to be written.
 func (h *gatedHarness) departWhileStopped(leave func(), sw *siptest.Peer) {
 	h.t.Helper()
@@ -304,7 +304,7 @@
 	expectNoSetUp(h.t, sw)
 }
 
-// forEachDeparture runs a subtest for each way to leave; leave makes the caller leave.
+// forEachDeparture runs a subtest for each way to abandon a call; leave makes the caller do so.
 func forEachDeparture(t *testing.T, test func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func())) {
 	for _, departure := range departures {
 		t.Run(departure.name, func(t *testing.T) {
@@ -327,7 +327,7 @@
 	})
 }
 
-// Guards against a retry by timer while the caller's departure waits in the inbox: queued events are handled before timers.
+// Guards against a retry by timer while the event of the abandonment waits in the inbox: queued events are handled before timers.
 func TestNoRetryForCallerThatLeft(t *testing.T) {
 	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
 		c.Write(encode(setUp(callID1, 3000)))
@@ -452,7 +452,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if now := runtime.NumGoroutine(); now > before+10 {
-		t.Errorf("%d goroutines, %d before 200 callers connected and left", now, before)
+		t.Errorf("%d goroutines, %d before 200 callers connected and disconnected", now, before)
 	}
 }
 
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -1,6 +1,6 @@
 // Package platform runs a call controller on the platform: it listens for callers, keeps connections to switches, follows
 // the notice board and drains at shutdown. It makes no routing decisions. One goroutine, the event loop, owns the
-// back-to-back user agent (internal/b2bua) and the policy module inside it; the goroutines of connections only pass messages.
+// back-to-back user agent (internal/b2bua) and the policy inside it; the goroutines of connections only pass messages.
 package platform
 
 import (
@@ -25,7 +25,7 @@
 
 const (
 	// inboxSize bounds the events that wait for the event loop; beyond it readers block, and TCP holds the senders back. On a
-	// quarter of a core a message takes up to 0.5 ms, and a caller's departure must be noticed within 100 ms.
+	// quarter of a core a message takes up to 0.5 ms, and a call that its caller abandons must be known as abandoned within 100 ms.
 	inboxSize = 128
 
 	descriptionMemoryDivisor = 8                      // callers' descriptions may take 1/8 of the memory limit
@@ -33,7 +33,7 @@
 	memoryTargetShare        = 0.75                   // share of the memory limit from which the garbage collector works harder
 	defaultDialTimeout       = 500 * time.Millisecond // where the settings have none
 	summaryInterval          = 10 * time.Second
-	maxNotesPerSummary       = 40 // log lines between two summaries; further ones are counted
+	maxNotesPerSummary       = 40 // warnings logged between two summaries; further ones are counted
 
 	// At a planned restart the platform kills the process 700 ms after the longest abandon time, capped at 3 s, and starts it
 	// again no sooner. The process serves until shortly before, since transit calls arrive as long as it runs and releases of
@@ -107,13 +107,13 @@
 	boardConnected bool
 	stall          lag.StallDetector
 	stalls         int // stalls since the last summary
-	noteCount      int // log lines since the last summary
+	noteCount      int // warnings since the last summary
 	// recordCounts counts the records of each kind since the last summary.
 	recordCounts map[b2bua.RecordKind]int
 	suppressed   int // log lines left out since the last summary
 }
 
-// New returns a call controller; build creates its policy module.
+// New returns a call controller; build creates its policy.
 func New(config Config, build func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider, dial Dialer,
 	log *slog.Logger) *Server {
 	maxCallers, maxLinks := b2bua.Descriptors(config.Limits.Sockets)
@@ -466,7 +466,8 @@
 		case err != nil:
 			s.post(event{kind: switchDisconnected, connID: conn.id, err: err})
 			return
-		case !s.post(event{kind: switchMessage, connID: conn.id, message: m}): // also while the connection is being closed, since a release may cross the close
+		// Messages are passed on also while the connection is being closed, since a release may cross the close.
+		case !s.post(event{kind: switchMessage, connID: conn.id, message: m}):
 			return
 		}
 	}
@@ -493,7 +494,7 @@
 	}
 }
 
-// allowNote reports whether one more line may be logged before the next summary.
+// allowNote reports whether one more warning may be logged before the next summary.
 func (s *Server) allowNote() bool {
 	if s.noteCount++; s.noteCount > maxNotesPerSummary {
 		s.suppressed++
--- a/internal/sip/siptest/peer.go
+++ b/internal/sip/siptest/peer.go
@@ -38,11 +38,13 @@
 	return p
 }
 
+// Send sends a message.
 func (p *Peer) Send(m sip.Message) { p.SendRaw(string(sip.Append(nil, &m))) }
 
 // SendRaw sends a text that need not be a valid message.
 func (p *Peer) SendRaw(text string) { p.conn.Write([]byte(text)) }
 
+// Close closes the connection.
 func (p *Peer) Close() { p.conn.Close() }
 
 // Answer accepts the set-up m with a 200 response and a session description.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -836,7 +836,7 @@
 // Abandoned reports that the caller has abandoned the call, which needs no answer any more. A try that is older
 // than the usual answer time, or late enough for shedding, then counts as answered after the GoS target. Otherwise
 // the latest answers would never count where callers abandon early, and the remote switches would look fast and be
-// overloaded. A younger try shows nothing: its caller left for another reason.
+// overloaded. A younger try shows nothing: its caller abandoned the call for another reason.
 func (c *Controller) Abandoned(now Tenths, callID uint32) {
 	if call := c.calls[callID]; call != nil {
 		gosTarget := c.bearers[call.request.Bearer].gosTarget
--- a/policy/types.go
+++ b/policy/types.go
@@ -42,7 +42,7 @@
 	Blocked                     // turned back, or a processor or pool was overloaded
 	TimedOut                    // not answered in time
 	Unreachable                 // the switch could not be reached
-	Disconnected                // the set-up or the established call was cut off
+	Disconnected                // the set-up or the established call was interrupted
 	Cancelled                   // cancelled by the controller
 	Unsent                      // not sent by this exchange
 )
