--- a/cmd/indigodrift/platform_test.go
+++ b/cmd/indigodrift/platform_test.go
@@ -213,7 +213,7 @@
 		establish(caller, sw, ids[i], 1)
 	}
 
-	added := board.Switch{ID: 0xa2, Cell: 2, Address: env.switches[1].Addr().String()}
+	added := board.Switch{ID: 0xa2, Exchange: 2, Address: env.switches[1].Addr().String()}
 	env.publish(boardConn, 2, added)
 	sw2 := env.acceptLink(1)
 	time.Sleep(50 * time.Millisecond)
--- a/internal/b2bua/b2bua.go
+++ b/internal/b2bua/b2bua.go
@@ -85,7 +85,7 @@
 	callerConnID ConnID // connection on which its set-up came
 	callID       string
 	uri          string
-	class        string
+	bearerType   string
 	cseq         uint32 // of the caller's set-up
 	body         []byte // the caller's session description, until the call is established
 	deadline     policy.Tenths
--- a/internal/b2bua/b2bua_test.go
+++ b/internal/b2bua/b2bua_test.go
@@ -294,7 +294,7 @@
 func TestNewSwitchAtTheAddressOfADrainingOne(t *testing.T) {
 	h, conn, call := establishedCall(t)
 	old := h.mustLinkTo(1)
-	h.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining}, board.Switch{ID: 9, Cell: 1, Address: "10.0.0.2:1"})
+	h.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1", State: board.Draining}, board.Switch{ID: 9, Exchange: 1, Address: "10.0.0.2:1"})
 	h.completeDials(10, 10)
 	newLink := h.mustLinkTo(9)
 	if newLink == 0 || h.closed[old] != "" || call.callerReleases != 0 {
@@ -308,7 +308,7 @@
 	if h.agent.FromSwitch(h.now, newLink, h.newRelease(call.id, 16)); call.callerReleases != 0 {
 		t.Error("the new switch released a call of the old one")
 	}
-	h.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone})
+	h.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1", State: board.Gone})
 	if call.callerReleases != 1 || next.callerReleases != 0 || h.closed[old] == "" || h.closed[newLink] != "" {
 		t.Errorf("old call released %d times, new one %d; connections closed %v", call.callerReleases, next.callerReleases, h.closed)
 	}
@@ -318,10 +318,10 @@
 // release.
 func TestCallsOfALostSwitchAreReleased(t *testing.T) {
 	for name, lose := range map[string]func(h *harness){
-		"gone":       func(h *harness) { h.updateSwitches(false, board.Switch{ID: 1, Cell: 1, State: board.Gone}) },
-		"not listed": func(h *harness) { h.updateSwitches(true, board.Switch{ID: 2, Cell: 2, Address: "10.0.0.3:1"}) },
+		"gone":       func(h *harness) { h.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, State: board.Gone}) },
+		"not listed": func(h *harness) { h.updateSwitches(true, board.Switch{ID: 2, Exchange: 2, Address: "10.0.0.3:1"}) },
 		"has restarted": func(h *harness) {
-			h.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", StartedMS: int64(h.now)/10 + 1})
+			h.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1", StartedMS: int64(h.now)/10 + 1})
 		},
 		"refuses": func(h *harness) { h.disconnectLink(h.mustLinkTo(1)); h.completeDial(true, false) },
 		"silent": func(h *harness) {
@@ -486,7 +486,7 @@
 	link := h.mustLinkTo(1)
 	h.disconnectLink(link)
 	h.sendSetUp(conn, 1, 1500)
-	h.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining})
+	h.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1", State: board.Draining})
 	h.completeDials(10, 10) // the harness fails if a set-up goes there
 }
 
@@ -627,7 +627,7 @@
 		}
 	case 18:
 		id := uint32(rapid.IntRange(1, 3).Draw(t, "switch"))
-		entry := board.Switch{ID: id, Cell: int(id), Address: "10.0.0.9:1", State: board.State(rapid.IntRange(0, 2).Draw(t, "state"))}
+		entry := board.Switch{ID: id, Exchange: int(id), Address: "10.0.0.9:1", State: board.State(rapid.IntRange(0, 2).Draw(t, "state"))}
 		if rapid.Bool().Draw(t, "anew") {
 			entry.StartedMS = int64(h.now) / 10
 		}
--- a/internal/b2bua/bounds_test.go
+++ b/internal/b2bua/bounds_test.go
@@ -25,7 +25,7 @@
 	h := newHarnessWithBounds(t, Bounds{Calls: 200, Octets: 1 << 16, Callers: 6, Links: links})
 	var list []board.Switch
 	for i := range switches {
-		list = append(list, board.Switch{ID: uint32(i), Cell: i, Address: fmt.Sprintf("10.0.1.%d:1", i)})
+		list = append(list, board.Switch{ID: uint32(i), Exchange: i, Address: fmt.Sprintf("10.0.1.%d:1", i)})
 	}
 	for len(h.dials) > 0 { // those of the harness's own list
 		h.completeDial(true, false)
@@ -61,7 +61,7 @@
 	call := h.sendSetUp(conn, 1, 1000)
 	h.answer(call, sip.OK)
 	h.disconnectLink(call.establishedConn)
-	h.updateSwitches(false, board.Switch{ID: 4, Cell: 4, Address: "10.0.1.4:1"}) // the new switch needs a connection as well
+	h.updateSwitches(false, board.Switch{ID: 4, Exchange: 4, Address: "10.0.1.4:1"}) // the new switch needs a connection as well
 	if len(h.dials) != 1 {
 		t.Fatalf("%d dials", len(h.dials))
 	}
--- a/internal/b2bua/callers.go
+++ b/internal/b2bua/callers.go
@@ -184,7 +184,7 @@
 		return
 	}
 	a.markSetUpSeen(caller)
-	call := &trackedCall{id: parsed.id, callerConnID: caller.conn, callID: msg.CallID, uri: msg.URI, class: msg.Get(fieldClass), cseq: msg.CSeq, body: msg.Body,
+	call := &trackedCall{id: parsed.id, callerConnID: caller.conn, callID: msg.CallID, uri: msg.URI, bearerType: msg.Get(fieldClass), cseq: msg.CSeq, body: msg.Body,
 		deadline: receivedAt + parsed.request.TTL - answerMargin}
 	if a.transport.Abandoned(call.callerConnID, call.callID) { // the CANCEL or the end of the connection follows
 		call.body, call.state = nil, Ended
--- a/internal/b2bua/controller_group_test.go
+++ b/internal/b2bua/controller_group_test.go
@@ -35,7 +35,7 @@
 	group := &controllerGroup{t: t, restarted: make([]bool, n), undelivered: make([][]board.Event, n), listed: map[int]board.Switch{}, slowStartTimes: map[uint32]policy.Tenths{},
 		setUpTimes: map[uint32][]policy.Tenths{}, lastSwitchID: 100}
 	for cell := 1; cell <= 3; cell++ {
-		group.listed[cell] = board.Switch{ID: uint32(cell), Cell: cell, Address: fmt.Sprintf("10.0.0.%d:1", cell+1)}
+		group.listed[cell] = board.Switch{ID: uint32(cell), Exchange: cell, Address: fmt.Sprintf("10.0.0.%d:1", cell+1)}
 	}
 	for range n {
 		h := group.start(17e12)
@@ -95,7 +95,7 @@
 	switch kind := rapid.IntRange(0, 4).Draw(g.t, "tells"); {
 	case kind <= 1 || !ok:
 		g.lastSwitchID++
-		replacement := board.Switch{ID: g.lastSwitchID, Cell: cell, Address: fmt.Sprintf("10.0.1.%d:1", g.lastSwitchID), StartedMS: int64(g.controllers[0].now) / 10}
+		replacement := board.Switch{ID: g.lastSwitchID, Exchange: cell, Address: fmt.Sprintf("10.0.1.%d:1", g.lastSwitchID), StartedMS: int64(g.controllers[0].now) / 10}
 		if ok && kind == 1 { // it takes over the address of the old one
 			replacement.Address, entry.State = entry.Address, board.Gone
 			event.Switches = append(event.Switches, entry)
@@ -161,8 +161,8 @@
 				n++
 			}
 		}
-		strength := settings.InitialCapacity + (1-settings.InitialCapacity)*float64(max(0, last-settings.OverloadWindow-g.slowStartTimes[id]))/float64(settings.RampTime)
-		if capacity := settings.OverloadMultiple * strength * 2 * carried * float64(settings.OverloadWindow) / 10000; float64(n) > capacity+2*math.Sqrt(capacity)+2 {
+		capacityShare := settings.InitialCapacity + (1-settings.InitialCapacity)*float64(max(0, last-settings.OverloadWindow-g.slowStartTimes[id]))/float64(settings.RampTime)
+		if capacity := settings.OverloadMultiple * capacityShare * 2 * carried * float64(settings.OverloadWindow) / 10000; float64(n) > capacity+2*math.Sqrt(capacity)+2 {
 			g.t.Fatalf("%d set-ups in an overload window to switch %d in slow start, which can carry %.1f", n, id, capacity)
 		}
 	}
--- a/internal/b2bua/harness_test.go
+++ b/internal/b2bua/harness_test.go
@@ -67,7 +67,7 @@
 	seq      uint32
 }
 
-func (c *observedCall) noteEarlierTry(switchID uint32) {
+func (c *observedCall) recordEarlierTry(switchID uint32) {
 	if c.earlierTries == nil {
 		c.earlierTries, c.orphanedTries = map[uint32]bool{}, map[uint32]bool{}
 	}
@@ -127,8 +127,8 @@
 		func(d policy.Deployment, output policy.Executor, now policy.Tenths) exchange.Decider {
 			return policy.New(d, output, now)
 		})
-	h.updateSwitches(true, board.Switch{ID: 0, Cell: 0, Address: "10.0.0.1:1"}, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1"},
-		board.Switch{ID: 2, Cell: 2, Address: "10.0.0.3:1"}, board.Switch{ID: 3, Cell: 3, Address: "10.0.0.4:1"})
+	h.updateSwitches(true, board.Switch{ID: 0, Exchange: 0, Address: "10.0.0.1:1"}, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1"},
+		board.Switch{ID: 2, Exchange: 2, Address: "10.0.0.3:1"}, board.Switch{ID: 3, Exchange: 3, Address: "10.0.0.4:1"})
 	return h
 }
 
@@ -262,13 +262,13 @@
 	for _, id := range h.order {
 		if call := h.calls[id]; call.tryConn == conn {
 			call.tryConn, call.notBefore = 0, h.now+releaseTime
-			call.noteEarlierTry(call.trySwitch)
+			call.recordEarlierTry(call.trySwitch)
 		}
 	}
 }
 
-func invite(id, class string, expiresMS int, info string, body string) *sip.Message {
-	msg := siptest.SetUp(id, class, expiresMS, info, body)
+func invite(id, bearerType string, expiresMS int, info string, body string) *sip.Message {
+	msg := siptest.SetUp(id, bearerType, expiresMS, info, body)
 	return &msg
 }
 
@@ -411,7 +411,7 @@
 	case sip.Cancel:
 		if call.tryConn == conn && msg.CSeq == call.trySeq {
 			call.abandonedTries = append(call.abandonedTries, abandonedTryRef{conn, switchID, msg.CSeq})
-			call.noteEarlierTry(switchID)
+			call.recordEarlierTry(switchID)
 			call.tryConn, call.notBefore = 0, h.now+releaseTime
 		}
 	case sip.Bye:
--- a/internal/b2bua/link_recovery_test.go
+++ b/internal/b2bua/link_recovery_test.go
@@ -273,8 +273,8 @@
 	for len(h.dials) > 0 {
 		h.completeDial(true, false)
 	}
-	old := board.Switch{ID: 7, Cell: 2, Address: "10.0.0.7:1"}
-	gone, next := old, board.Switch{ID: 8, Cell: 2, Address: "10.0.0.7:1", StartedMS: int64(h.now) / 10}
+	old := board.Switch{ID: 7, Exchange: 2, Address: "10.0.0.7:1"}
+	gone, next := old, board.Switch{ID: 8, Exchange: 2, Address: "10.0.0.7:1", StartedMS: int64(h.now) / 10}
 	gone.State = board.Gone
 	h.agent.Bootstrap(h.now, []board.Event{{Number: 2, Complete: true, Switches: []board.Switch{old}}, {Number: 3, Switches: []board.Switch{gone, next}}})
 	if len(h.dials) != 1 || h.dials[0].switchID != 8 {
@@ -291,7 +291,7 @@
 	}
 	obsoleteDial := h.dials[0]
 	h.dials = nil
-	h.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone}, board.Switch{ID: 9, Cell: 1, Address: "10.0.0.2:1"})
+	h.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1", State: board.Gone}, board.Switch{ID: 9, Exchange: 1, Address: "10.0.0.2:1"})
 	h.completeDials(9, 9)
 	conn := h.newConn()
 	h.agent.DialDone(h.now, obsoleteDial.switchID, obsoleteDial.dialID, conn, false)
--- a/internal/b2bua/parse.go
+++ b/internal/b2bua/parse.go
@@ -65,9 +65,9 @@
 		return parsed, fmt.Errorf("called number: %w", err)
 	}
 	parsed.request.Dest, parsed.request.Width, parsed.request.AdvisedTandem, parsed.request.Bearer = -1, 1, -1, -1
-	class := msg.Get(fieldClass)
+	bearerType := msg.Get(fieldClass)
 	for i, name := range settings.BearerNames {
-		if name == class {
+		if name == bearerType {
 			parsed.request.Bearer = i
 		}
 	}
@@ -107,7 +107,7 @@
 		return parsed, nil
 	}
 	if parsed.request.Bearer < 0 {
-		return parsed, setUpError("%s %.40q is not configured", fieldClass, class)
+		return parsed, setUpError("%s %.40q is not configured", fieldClass, bearerType)
 	}
 	if parsed.request.Dest < 0 || parsed.request.Width < 1 {
 		return parsed, setUpError("%s lacks a destination or a circuit", fieldInfo)
--- a/internal/b2bua/remote_switch.go
+++ b/internal/b2bua/remote_switch.go
@@ -213,7 +213,7 @@
 
 // shouldConnect reports whether connections to a switch are to be kept open.
 func (a *Agent) shouldConnect(remote *remoteSwitch) bool {
-	return remote.entry.Cell != a.settings.Policy.OwnExchange && remote.entry.State != board.Gone
+	return remote.entry.Exchange != a.settings.Policy.OwnExchange && remote.entry.State != board.Gone
 }
 
 // DialDone handles the result of a dial: a connection, a refusal (no process listens at the address), or a timeout.
@@ -458,7 +458,7 @@
 	var list []policy.Switch
 	for _, entry := range event.Switches {
 		listed[entry.ID] = true
-		list = append(list, policy.Switch{ID: entry.ID, Number: entry.Cell, Ready: entry.State == board.Ready,
+		list = append(list, policy.Switch{ID: entry.ID, Number: entry.Exchange, Ready: entry.State == board.Ready,
 			Draining: entry.State == board.Draining, BootAt: startTime(entry)})
 	}
 	a.decider.ListReceived(now, event.Complete, list)
--- a/internal/b2bua/state_table_test.go
+++ b/internal/b2bua/state_table_test.go
@@ -132,10 +132,10 @@
 		}
 	}},
 	{"switch drains", func(sc *stateCase) {
-		sc.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Draining})
+		sc.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1", State: board.Draining})
 	}},
 	{"switch is gone", func(sc *stateCase) {
-		sc.updateSwitches(false, board.Switch{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone})
+		sc.updateSwitches(false, board.Switch{ID: 1, Exchange: 1, Address: "10.0.0.2:1", State: board.Gone})
 	}},
 	{"deadline of the caller passes", func(sc *stateCase) { sc.advanceTime(20000) }},
 	{"the process ends", func(sc *stateCase) { sc.agent.FailOpenCalls(sc.now) }},
--- a/internal/b2bua/try.go
+++ b/internal/b2bua/try.go
@@ -56,7 +56,7 @@
 	a.advance(try, eventWrite, "written")
 	call, timeLeft := try.call, max(1, (try.deadline-a.now)/10)
 	a.transport.Write(link.conn, &sip.Message{Method: sip.Invite, URI: call.uri, CallID: call.callID, CSeq: try.cseq(),
-		Fields: []sip.Field{{Name: fieldClass, Value: call.class}, {Name: fieldExpires, Value: strconv.FormatInt(int64(timeLeft), 10)}},
+		Fields: []sip.Field{{Name: fieldClass, Value: call.bearerType}, {Name: fieldExpires, Value: strconv.FormatInt(int64(timeLeft), 10)}},
 		Body:   call.body})
 }
 
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -29,7 +29,7 @@
 	ID        uint32
 	Address   string // host:port
 	State     State
-	Cell      int   // number of the exchange
+	Exchange  int   // number of the exchange
 	StartedMS int64 // Unix time in milliseconds if it started later than the network, 0 otherwise
 }
 
@@ -96,7 +96,7 @@
 		if _, err := io.ReadFull(r, record[:]); err != nil {
 			return e, false, fmt.Errorf("read record: %w", err)
 		}
-		s := Switch{ID: binary.BigEndian.Uint32(record[:]), State: State(record[10]), Cell: int(binary.BigEndian.Uint16(record[13:])),
+		s := Switch{ID: binary.BigEndian.Uint32(record[:]), State: State(record[10]), Exchange: int(binary.BigEndian.Uint16(record[13:])),
 			Address:   netip.AddrPortFrom(netip.AddrFrom4([4]byte(record[4:8])), binary.BigEndian.Uint16(record[8:])).String(),
 			StartedMS: int64(binary.BigEndian.Uint64(record[19:]))}
 		if s.State > Gone || s.StartedMS < 0 {
@@ -125,7 +125,7 @@
 		b = append(b, addrPort.Addr().AsSlice()...)
 		b = binary.BigEndian.AppendUint16(b, addrPort.Port())
 		b = append(b, byte(s.State), 0, 0)
-		b = binary.BigEndian.AppendUint16(b, uint16(s.Cell))
+		b = binary.BigEndian.AppendUint16(b, uint16(s.Exchange))
 		b = binary.BigEndian.AppendUint32(b, 1000) // weight of a full-sized switch, in thousandths
 		b = binary.BigEndian.AppendUint64(b, uint64(s.StartedMS))
 	}
@@ -178,7 +178,7 @@
 				return nil, fmt.Errorf("%w: event %d: switch %s: state %q, address %q", ErrMalformed, notice.Rev, instance.InstanceID,
 					instance.Lifecycle, instance.HostPort)
 			}
-			e.Switches = append(e.Switches, Switch{ID: id, Address: instance.HostPort, State: state, Cell: instance.Cell,
+			e.Switches = append(e.Switches, Switch{ID: id, Address: instance.HostPort, State: state, Exchange: instance.Cell,
 				StartedMS: int64(instance.StartedAtMS)})
 		}
 		events = append(events, e)
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -30,7 +30,7 @@
 	in := []byte{0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 42, 2,
 		0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x13, 0xc4, 1, 1, 2, 0, 3, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0, 5}
 	e, isEvent, err := ReadFrame(bytes.NewReader(in))
-	want := Event{Number: 42, Switches: []Switch{{ID: 0xc41f7a, Address: "10.1.0.9:5060", State: Draining, Cell: 3, StartedMS: 5}}}
+	want := Event{Number: 42, Switches: []Switch{{ID: 0xc41f7a, Address: "10.1.0.9:5060", State: Draining, Exchange: 3, StartedMS: 5}}}
 	if err != nil || !isEvent || !reflect.DeepEqual(e, want) {
 		t.Fatalf("%+v %v %v", e, isEvent, err)
 	}
@@ -52,7 +52,7 @@
 	events, err := ParseInitialEvents([]byte(`{"rev":2,"notices":[{"rev":1,"pool":{"reset":true,"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:5060",
 "cell":2,"lifecycle":"in_service","startedAtMs":0,"weight":1.0}]}},{"rev":2,"pool":{"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:5060",
 "cell":2,"lifecycle":"terminating","startedAtMs":7}]}}]}`))
-	one := Switch{ID: 0xc41f7a, Address: "10.1.0.9:5060", Cell: 2}
+	one := Switch{ID: 0xc41f7a, Address: "10.1.0.9:5060", Exchange: 2}
 	two := one
 	two.State, two.StartedMS = Draining, 7
 	want := []Event{{1, true, []Switch{one}}, {2, false, []Switch{two}}}
@@ -73,7 +73,7 @@
 	e := Event{Number: number, Complete: rapid.Bool().Draw(t, "whole")}
 	for range rapid.IntRange(0, 4).Draw(t, "switches") {
 		e.Switches = append(e.Switches, Switch{ID: rapid.Uint32().Draw(t, "id"), Address: "10.0.0.1:5060",
-			State: State(rapid.IntRange(0, 2).Draw(t, "state")), Cell: rapid.IntRange(0, 65535).Draw(t, "cell"),
+			State: State(rapid.IntRange(0, 2).Draw(t, "state")), Exchange: rapid.IntRange(0, 65535).Draw(t, "cell"),
 			StartedMS: rapid.Int64Min(0).Draw(t, "started")})
 	}
 	return e
--- a/internal/board/client.go
+++ b/internal/board/client.go
@@ -27,7 +27,7 @@
 type Client struct {
 	Dial       func(ctx context.Context, address string) (net.Conn, error)
 	OnEvent    func(Event)              // called for each event once, in order
-	OnStatus   func(up bool, why error) // called when the connection is established or lost
+	OnStatus   func(up bool, err error) // called when the connection is established or lost
 	Addresses  <-chan string            // new addresses of the board
 	Seed       uint64                   // of the random retry delays, which spread the clients of a failed board
 	lastNumber uint64
--- a/internal/platform/connection.go
+++ b/internal/platform/connection.go
@@ -121,8 +121,8 @@
 	delete(c.unhandledCancels, callID)
 }
 
-// callerLeft reports whether the peer has closed the connection or cancelled a call, even if the event loop has not seen that.
-func (c *connection) callerLeft(callID string) bool {
+// abandoned reports whether the peer has closed the connection or cancelled a call, even if the event loop has not seen that.
+func (c *connection) abandoned(callID string) bool {
 	if c.inputEnded.Load() {
 		return true
 	}
--- a/internal/platform/load_test.go
+++ b/internal/platform/load_test.go
@@ -145,7 +145,7 @@
 			t.Errorf("the switch received %+v", m)
 		}
 		h.shutDown()
-		if lines := strings.Count(h.log.String(), "message is refused"); lines == 0 || lines > maxNotesPerSummary {
+		if lines := strings.Count(h.log.String(), "message is refused"); lines == 0 || lines > maxWarningsPerSummary {
 			t.Errorf("%d log lines for one flood", lines)
 		}
 	})
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -242,8 +242,8 @@
 	return sip.Message{Method: sip.Cancel, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1}
 }
 
-// departures are the ways in which a caller can abandon a call: what it writes after its set-up and how it ends its connection.
-var departures = []struct {
+// abandonments are the ways in which a caller can abandon a call: what it writes after its set-up and how it ends its connection.
+var abandonments = []struct {
 	name  string
 	after []byte
 	end   func(*net.TCPConn) error
@@ -264,9 +264,9 @@
 	return all
 }
 
-// depart makes a caller abandon its call: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
+// abandon makes a caller abandon its call: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
 // all of that.
-func (h *gatedHarness) depart(c net.Conn, serverConn *gatedConn, after []byte, end func(*net.TCPConn) error) {
+func (h *gatedHarness) abandon(c net.Conn, serverConn *gatedConn, after []byte, end func(*net.TCPConn) error) {
 	h.t.Helper()
 	for len(after) > 0 {
 		n := (len(after) + 1) / 2
@@ -286,15 +286,15 @@
 	time.Sleep(20 * time.Millisecond)
 }
 
-// departWhileStopped makes a caller abandon its call while the event loop is stopped. A malformed message is queued between the
+// abandonWhileStopped makes a caller abandon its call while the event loop is stopped. A malformed message is queued between the
 // event that would begin a try and the event of the abandonment. The event loop is stopped there again, so that a set-up sent by mistake has
 // time to be written.
-func (h *gatedHarness) departWhileStopped(leave func(), sw *siptest.Peer) {
+func (h *gatedHarness) abandonWhileStopped(abandon func(), sw *siptest.Peer) {
 	h.t.Helper()
 	time.Sleep(20 * time.Millisecond)
 	h.sendMalformed()
 	time.Sleep(20 * time.Millisecond)
-	leave()
+	abandon()
 	h.log.letThrough <- struct{}{}
 	h.log.waitBlocked(h.t)
 	h.log.letThrough <- struct{}{}
@@ -304,32 +304,32 @@
 	expectNoSetUp(h.t, sw)
 }
 
-// forEachDeparture runs a subtest for each way to abandon a call; leave makes the caller do so.
-func forEachDeparture(t *testing.T, test func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func())) {
-	for _, departure := range departures {
-		t.Run(departure.name, func(t *testing.T) {
+// forEachAbandonment runs a subtest for each way to abandon a call; leave makes the caller do so.
+func forEachAbandonment(t *testing.T, test func(h *gatedHarness, c net.Conn, serverConn *gatedConn, abandon func())) {
+	for _, abandonment := range abandonments {
+		t.Run(abandonment.name, func(t *testing.T) {
 			t.Parallel()
 			h := newGatedHarness(t, "300.0")
 			defer h.shutDown()
 			c, serverConn := h.connectCaller()
 			defer c.Close()
-			test(h, c, serverConn, func() { h.depart(c, serverConn, departure.after, departure.end) })
+			test(h, c, serverConn, func() { h.abandon(c, serverConn, abandonment.after, abandonment.end) })
 		})
 	}
 }
 
-func TestNoTryForCallerThatLeftBeforeItsSetUpIsHandled(t *testing.T) {
-	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
+func TestNoTryForCallAbandonedBeforeItsSetUpIsHandled(t *testing.T) {
+	forEachAbandonment(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, abandon func()) {
 		h.stopEventLoop()
 		c.Write(encode(setUp(callID1, 3000)))
 		serverConn.waitRead(h.t, encode(setUp(callID1, 3000)))
-		h.departWhileStopped(leave, h.sw)
+		h.abandonWhileStopped(abandon, h.sw)
 	})
 }
 
 // Guards against a retry by timer while the event of the abandonment waits in the inbox: queued events are handled before timers.
-func TestNoRetryForCallerThatLeft(t *testing.T) {
-	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
+func TestNoRetryForAbandonedCall(t *testing.T) {
+	forEachAbandonment(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, abandon func()) {
 		c.Write(encode(setUp(callID1, 3000)))
 		m := h.sw.Expect(sip.Invite)
 		h.stopEventLoop()
@@ -337,14 +337,14 @@
 		h.sw.Send(timeout)
 		h.switchConn.waitRead(h.t, encode(timeout))
 		time.Sleep(20 * time.Millisecond)
-		leave()
+		abandon()
 		h.log.Open()
 		expectNoSetUp(h.t, h.sw)
 	})
 }
 
-func TestNoTryOnConnectionEstablishedAfterCallerLeft(t *testing.T) {
-	forEachDeparture(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, leave func()) {
+func TestNoTryOnConnectionEstablishedAfterAbandonment(t *testing.T) {
+	forEachAbandonment(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, abandon func()) {
 		h.dialGate.Close()
 		h.sw.Close()
 		h.switchConn.waitEnded(h.t)
@@ -353,7 +353,7 @@
 		next := h.acceptSwitch()
 		h.stopEventLoop()
 		h.dialGate.Open() // the connection is up, but the event loop has not handled that yet
-		h.departWhileStopped(leave, next)
+		h.abandonWhileStopped(abandon, next)
 	})
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -322,7 +322,7 @@
 		config.Board = "board2"
 		h.reload <- config
 		c := <-moved
-		frame, err := board.AppendFrame(nil, board.Event{Number: 2, Switches: []board.Switch{{ID: 1, Cell: 1, Address: "10.0.0.2:1", State: board.Gone}}})
+		frame, err := board.AppendFrame(nil, board.Event{Number: 2, Switches: []board.Switch{{ID: 1, Exchange: 1, Address: "10.0.0.2:1", State: board.Gone}}})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -33,7 +33,7 @@
 	memoryTargetShare        = 0.75                   // share of the memory limit from which the garbage collector works harder
 	defaultDialTimeout       = 500 * time.Millisecond // where the settings have none
 	summaryInterval          = 10 * time.Second
-	maxNotesPerSummary       = 40 // warnings logged between two summaries; further ones are counted
+	maxWarningsPerSummary    = 40 // warnings logged between two summaries; further ones are counted
 
 	// At a planned restart the platform kills the process 700 ms after the longest abandon time, capped at 3 s, and starts it
 	// again no sooner. The process serves until shortly before, since transit calls arrive as long as it runs and releases of
@@ -76,7 +76,7 @@
 	readAt     policy.Tenths // when the message, or the first part of it, was read
 	err        error
 	switchID   uint32
-	ticket     uint32
+	dialID     uint32
 	refused    bool
 	boardEvent board.Event
 	connected  bool
@@ -107,7 +107,7 @@
 	boardConnected bool
 	stall          lag.StallDetector
 	stalls         int // stalls since the last summary
-	noteCount      int // warnings since the last summary
+	warningCount   int // warnings since the last summary
 	// recordCounts counts the records of each kind since the last summary.
 	recordCounts map[b2bua.RecordKind]int
 	suppressed   int // log lines left out since the last summary
@@ -244,7 +244,7 @@
 	defer timer.Stop()
 	drainRequested, listenerClosed := ctx.Done(), (<-chan struct{})(nil)
 	var stopListening, failOpenCalls, quietPeriodOver <-chan time.Time
-	takenBefore := uint64(0) // accepted calls when the last quiet period began
+	acceptedBefore := uint64(0) // accepted calls when the last quiet period began
 	for {
 		now := s.now()
 		due := s.agent.NextTick()
@@ -254,12 +254,12 @@
 		timer.Reset(s.timeUntil(due))
 		select {
 		case e := <-s.inbox:
-			s.noteWake(due)
+			s.detectStall(due)
 			s.handle(e)
 		case <-timer.C:
-			s.noteWake(due)
+			s.detectStall(due)
 		case <-drainRequested:
-			s.noteWake(due)
+			s.detectStall(due)
 			drainRequested = nil
 			longestAbandon := time.Duration(0)
 			for _, bearer := range s.config.Settings.Policy.Bearers {
@@ -270,16 +270,16 @@
 			failOpenCalls = time.After(timeToKill - shutdownMargin)
 			s.log.Info("draining", "unanswered", s.agent.Unanswered())
 		case <-stopListening:
-			s.noteWake(due)
+			s.detectStall(due)
 			listenerClosed = s.listenerClosed
 			stopAccepting(ln)
 		case <-listenerClosed:
-			s.noteWake(due)
+			s.detectStall(due)
 			listenerClosed, quietPeriodOver = nil, time.After(quietPeriod)
 		case <-quietPeriodOver:
-			s.noteWake(due)
-			if taken := s.agent.Accepted(); taken != takenBefore || s.agent.Unanswered() > 0 {
-				takenBefore, quietPeriodOver = taken, time.After(quietPeriod)
+			s.detectStall(due)
+			if accepted := s.agent.Accepted(); accepted != acceptedBefore || s.agent.Unanswered() > 0 {
+				acceptedBefore, quietPeriodOver = accepted, time.After(quietPeriod)
 				break
 			}
 			return
@@ -288,10 +288,10 @@
 			s.agent.FailOpenCalls(s.now())
 			return
 		case config := <-reload:
-			s.noteWake(due)
+			s.detectStall(due)
 			s.reload(config)
 		case <-summaryTicker.C:
-			s.noteWake(due)
+			s.detectStall(due)
 			s.logSummary()
 		}
 		s.handleQueued() // messages before timers: a message may make a timer void
@@ -320,8 +320,8 @@
 	}
 }
 
-// noteWake counts a stall if the event loop woke too long after due.
-func (s *Server) noteWake(due policy.Tenths) {
+// detectStall counts a stall if the event loop woke too long after due.
+func (s *Server) detectStall(due policy.Tenths) {
 	if s.stall.Woke(s.now(), due) {
 		s.stalls++
 	}
@@ -359,7 +359,7 @@
 			s.log.Debug("switch connected", "conn", e.connID, "switch", board.FormatID(e.switchID))
 			s.serveConn(e.conn, s.readSwitch, s.switchSlots)
 		}
-		s.agent.DialDone(now, e.switchID, e.ticket, e.connID, e.refused)
+		s.agent.DialDone(now, e.switchID, e.dialID, e.connID, e.refused)
 	case switchDisconnected:
 		if s.switchConns[e.connID] != nil {
 			s.log.Debug("switch connection: end of stream", "conn", e.connID, "err", e.err)
@@ -489,14 +489,14 @@
 
 // warn logs a warning, within the limit between two summaries.
 func (s *Server) warn(text string) {
-	if s.allowNote() {
+	if s.allowWarning() {
 		s.log.Warn(text)
 	}
 }
 
-// allowNote reports whether one more warning may be logged before the next summary.
-func (s *Server) allowNote() bool {
-	if s.noteCount++; s.noteCount > maxNotesPerSummary {
+// allowWarning reports whether one more warning may be logged before the next summary.
+func (s *Server) allowWarning() bool {
+	if s.warningCount++; s.warningCount > maxWarningsPerSummary {
 		s.suppressed++
 		return false
 	}
@@ -505,19 +505,19 @@
 
 // logSummary logs the controller's counters and its view of the switches, to be compared with the traffic on the sockets.
 func (s *Server) logSummary() {
-	tally, open, standing, over, callers, late := s.agent.Counts()
+	counts, openCalls, establishedCalls, retained, callers, lateness := s.agent.Counts()
 	releases, tries := s.agent.ReleaseCounts(), s.agent.TryCounts()
 	memory := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(memory)
-	s.log.Info("summary", "taken", tally.Accepted, "stood", tally.Established, "blocked", tally.Blocked, "aborted", tally.Aborted, "left", tally.Abandoned,
-		"refused", tally.Refused, "released", tally.Released, "cut", tally.Disconnected, "crossed", tally.CancelCrossed, "open", open, "standing", standing, "over", over,
+	s.log.Info("summary", "taken", counts.Accepted, "stood", counts.Established, "blocked", counts.Blocked, "aborted", counts.Aborted, "left", counts.Abandoned,
+		"refused", counts.Refused, "released", counts.Released, "cut", counts.Disconnected, "crossed", counts.CancelCrossed, "open", openCalls, "standing", establishedCalls, "over", retained,
 		"callers", callers, "descriptors", len(s.callerConns)+len(s.switchConns), "far", s.agent.SwitchStatuses(), "list", s.lastBoardEvent,
-		"board", s.boardConnected, "late_ms", float64(late)/10, "stood_still", s.stalls,
+		"board", s.boardConnected, "late_ms", float64(lateness)/10, "stood_still", s.stalls,
 		"memory_kb", (memory[0].Value.Uint64()-memory[1].Value.Uint64())>>10, "unsaid", s.suppressed,
 		slog.Group("releases", "written", releases.Written, "repeated", releases.Repeated, "unanswered", releases.Unanswered, "confirmed", releases.Confirmed,
 			"late", releases.Late, "dropped", releases.Dropped, "unknown", releases.Unknown, "waiting", releases.Pending, "oldest_ms", float64(releases.OldestAge)/10),
 		slog.Group("tries", "written", tries.Written, "again", tries.Retries, "stood", tries.Answered, "refused", tries.Refused, "timed_out", tries.TimedOut,
 			"cancelled", tries.Cancelled, "lost", tries.Lost, "reset", tries.Reset, "answered_late", tries.AnsweredLate))
-	s.noteCount, s.suppressed, s.stalls = 0, 0, 0
+	s.warningCount, s.suppressed, s.stalls = 0, 0, 0
 	clear(s.recordCounts)
 }
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -35,19 +35,19 @@
 }
 
 // Close closes a connection after writing what is queued for it.
-func (t *transport) Close(id b2bua.ConnID, why string) {
+func (t *transport) Close(id b2bua.ConnID, reason string) {
 	if conn := t.conn(id); conn != nil {
 		conn.closeAfterWrite()
 		delete(t.callerConns, id)
 		delete(t.switchConns, id)
-		if s := (*Server)(t); s.allowNote() {
-			s.log.Warn("connection closed: "+why, "conn", id, "peer", conn.netConn.RemoteAddr())
+		if s := (*Server)(t); s.allowWarning() {
+			s.log.Warn("connection closed: "+reason, "conn", id, "peer", conn.netConn.RemoteAddr())
 		}
 	}
 }
 
 // Dial opens a connection to a switch.
-func (t *transport) Dial(switchID, ticket uint32, address string) {
+func (t *transport) Dial(switchID, dialID uint32, address string) {
 	s := (*Server)(t)
 	timeout := defaultDialTimeout
 	if configured := s.config.Settings.DialTimeout; configured > 0 {
@@ -56,14 +56,14 @@
 	select {
 	case s.switchSlots <- struct{}{}:
 	default: // many connections are being closed; their descriptors are free shortly
-		s.goroutines.Go(func() { s.post(event{kind: dialFinished, switchID: switchID, ticket: ticket}) })
+		s.goroutines.Go(func() { s.post(event{kind: dialFinished, switchID: switchID, dialID: dialID}) })
 		return
 	}
 	s.goroutines.Go(func() {
 		ctx, cancel := context.WithTimeout(s.runCtx, timeout)
 		defer cancel()
 		netConn, err := s.dial(ctx, address)
-		e := event{kind: dialFinished, switchID: switchID, ticket: ticket, refused: errors.Is(err, syscall.ECONNREFUSED)}
+		e := event{kind: dialFinished, switchID: switchID, dialID: dialID, refused: errors.Is(err, syscall.ECONNREFUSED)}
 		if err == nil {
 			e.conn = s.addConn(netConn, maxSwitchQueue)
 			e.connID = e.conn.id
@@ -81,7 +81,7 @@
 // Abandoned reports whether a caller has closed its connection or cancelled its call, even if that event is still in the inbox.
 func (t *transport) Abandoned(caller b2bua.ConnID, callID string) bool {
 	conn := t.callerConns[caller]
-	return conn == nil || conn.callerLeft(callID)
+	return conn == nil || conn.abandoned(callID)
 }
 
 // Log logs a line for operators.
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -135,7 +135,7 @@
 		notice.Pool.Reset = event.Complete
 		for _, sw := range event.Switches {
 			notice.Pool.Instances = append(notice.Pool.Instances,
-				instanceJSON{board.FormatID(sw.ID), sw.Address, sw.Cell, lifecycles[sw.State], sw.StartedMS})
+				instanceJSON{board.FormatID(sw.ID), sw.Address, sw.Exchange, lifecycles[sw.State], sw.StartedMS})
 		}
 		config.Known.Rev = event.Number
 		config.Known.Notices = append(config.Known.Notices, notice)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -55,9 +55,9 @@
 	case ReplaceSwitch:
 		h.replaceSwitch(f.Cell, true, f.Count%2 == 0)
 	case DrainSwitch:
-		h.publishChange(board.Switch{ID: sw.id, Cell: f.Cell, State: board.Draining, StartedMS: sw.startedMS})
+		h.publishChange(board.Switch{ID: sw.id, Exchange: f.Cell, State: board.Draining, StartedMS: sw.startedMS})
 		if h.sleepUnlessDone(f.Duration) && h.currentSwitch(f.Cell) == sw {
-			h.publishChange(board.Switch{ID: sw.id, Cell: f.Cell, State: board.Ready, StartedMS: sw.startedMS})
+			h.publishChange(board.Switch{ID: sw.id, Exchange: f.Cell, State: board.Ready, StartedMS: sw.startedMS})
 		}
 	case DisconnectCalls:
 		sw.DisconnectCalls()
@@ -138,7 +138,7 @@
 	h.replaceMutexes[cell].Lock() // one replacement at a time
 	defer h.replaceMutexes[cell].Unlock()
 	old := h.currentSwitch(cell)
-	gone := board.Switch{ID: old.id, Cell: cell, State: board.Gone, StartedMS: old.startedMS}
+	gone := board.Switch{ID: old.id, Exchange: cell, State: board.Gone, StartedMS: old.startedMS}
 	if drain {
 		draining := gone
 		draining.State = board.Draining
@@ -174,7 +174,7 @@
 		h.recordFailure(p.ReopenListener())
 	}
 	h.sleepUnlessDone(h.randomDuration(0, maxListDelay))
-	h.publishChange(board.Switch{ID: replacement.id, Cell: cell, State: board.Ready, StartedMS: replacement.startedMS})
+	h.publishChange(board.Switch{ID: replacement.id, Exchange: cell, State: board.Ready, StartedMS: replacement.startedMS})
 }
 
 // reload moves the board, writes a new configuration and sends SIGHUP, f.Count times.
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -85,7 +85,7 @@
 			proxy.OnClientClosed = func(remoteAddr string) { h.currentSwitch(cell).recordConnClosed(i, remoteAddr) }
 			h.switchProxies[cell] = append(h.switchProxies[cell], proxy)
 		}
-		entries = append(entries, board.Switch{ID: sw.id, Cell: cell})
+		entries = append(entries, board.Switch{ID: sw.id, Exchange: cell})
 	}
 	for i := range count {
 		b := newBoard(h.log, i, h.plan.DuplicateBoardEvents)
@@ -143,13 +143,13 @@
 func (h *harness) publishUpdate(complete bool, entries ...board.Switch) {
 	h.lastUpdate++
 	for _, sw := range entries {
-		h.log.Add(Event{Kind: ListChanged, Controller: -1, SwitchID: sw.ID, Cell: sw.Cell, Status: int(sw.State), Number: h.lastUpdate,
-			Detail: fmt.Sprintf("cell %d state %d", sw.Cell, sw.State), Duration: time.Duration(sw.StartedMS) * time.Millisecond})
+		h.log.Add(Event{Kind: ListChanged, Controller: -1, SwitchID: sw.ID, Cell: sw.Exchange, Status: int(sw.State), Number: h.lastUpdate,
+			Detail: fmt.Sprintf("cell %d state %d", sw.Exchange, sw.State), Duration: time.Duration(sw.StartedMS) * time.Millisecond})
 	}
 	for i, b := range h.boards {
 		event := board.Event{Number: h.lastUpdate, Complete: complete}
 		for _, sw := range entries {
-			sw.Address = h.switchProxies[sw.Cell][i].Address()
+			sw.Address = h.switchProxies[sw.Exchange][i].Address()
 			event.Switches = append(event.Switches, sw)
 		}
 		b.publish(event)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -77,7 +77,7 @@
 	start := record(eventSelect, uint32(3))
 	for name, c := range map[string]struct {
 		in   []byte
-		says string
+		want string
 	}{
 		"truncated":       {openingBatch()[:60], "unexpected EOF"},
 		"huge length":     {frame(0, "")[:8:8], "header"},
@@ -89,7 +89,7 @@
 		"too many":        {append(frame(0, "")[:12:12], 9, 0, 0, 0), "9 records do not fit"},
 		"unknown outcome": {append(openingBatch(), frame(1001, "", start, record(eventTryEnded, uint32(77), uint8(0), uint32(501), uint16(9)))...), "unknown outcome 9"},
 	} {
-		if _, err := serve(c.in); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := serve(c.in); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -178,15 +178,15 @@
 
 func TestHungSwitchGetsFewTries(t *testing.T) {
 	for _, c := range []struct {
-		gap         Tenths // between two of 40 calls
-		least, most int    // calls that may go to a switch that answers nothing: unanswered tries are the first sign
+		gap                Tenths // between two of 40 calls
+		minCalls, maxCalls int    // calls that may go to a switch that answers nothing: unanswered tries are the first sign
 	}{{100, 3, 12}, {1000, 8, 18}} {
 		h := newMesh(3, 200)
 		for id := uint32(0); id < 40; id++ {
 			h.offer(newCall(id, 0, 1))
 			h.advance(c.gap)
 		}
-		if n := len(h.sent); n < c.least || n > c.most || len(h.violations) > 0 {
+		if n := len(h.sent); n < c.minCalls || n > c.maxCalls || len(h.violations) > 0 {
 			t.Fatalf("%d of 40 calls went to a switch that answers nothing; violations: %v", n, h.violations)
 		}
 	}
@@ -456,8 +456,8 @@
 		lastID := uint32(0)
 		anySwitch := func(label string) Switch {
 			n := rapid.IntRange(0, 5).Draw(t, label)
-			life := rapid.IntRange(0, 9).Draw(t, "life") // mostly ready
-			s := Switch{ID: uint32(100 + n + 10*rapid.IntRange(0, 1).Draw(t, "machine")), Number: n, Ready: life > 2, Draining: life == 2}
+			lifecycle := rapid.IntRange(0, 9).Draw(t, "life") // mostly ready
+			s := Switch{ID: uint32(100 + n + 10*rapid.IntRange(0, 1).Draw(t, "machine")), Number: n, Ready: lifecycle > 2, Draining: lifecycle == 2}
 			if rapid.Bool().Draw(t, "restarted") {
 				s.BootAt = h.now
 			}
