--- a/internal/b2bua/controller_group_test.go
+++ b/internal/b2bua/controller_group_test.go
@@ -170,8 +170,7 @@
 
 // Each of several controllers at the same switches keeps the rules and its bounds at each step, and a switch in
 // slow start receives no more set-ups than it can carry from all of them together. The random actions include
-// restarts, drains, whole and partial lists received late, resets, repeated answers, and abandoned
-// calls.
+// restarts, drains, whole and partial lists received late, resets, repeated answers, and abandoned calls.
 func TestInvariantsHoldForSeveralControllers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := newControllerGroup(t, rapid.IntRange(2, 5).Draw(t, "controllers"))
--- a/internal/b2bua/record.go
+++ b/internal/b2bua/record.go
@@ -48,6 +48,7 @@
 	Reason string
 }
 
+// stateNames holds the names of the states in the log.
 var stateNames = [...]string{Offered: "offered", Trying: "trying", Established: "standing", Ended: "over"}
 
 func (s State) String() string { return stateNames[s] }
--- a/internal/b2bua/remote_switch.go
+++ b/internal/b2bua/remote_switch.go
@@ -12,10 +12,10 @@
 
 const (
 	// A connection to a switch is probed with an OPTIONS keepalive when it opens, after keepaliveInterval without a
-	// message, and after busyKeepaliveInterval while a set-up is out on it. The process at the other end answers at once, so the
-	// answer takes one round-trip time, which each keepalive measures. After half of keepaliveRoundTrips round trips
-	// without an answer the connection takes no new set-up and another one is opened; after all of them it counts as
-	// lost. Keeping a dead connection longer recovers nothing, and its set-ups make the switch look slow.
+	// message, and after busyKeepaliveInterval while a set-up is out on it. The process at the other end answers at
+	// once, so the answer takes one round-trip time, which each keepalive measures. After half of keepaliveRoundTrips
+	// round trips without an answer the connection takes no new set-up and another one is opened; after all of them it
+	// counts as lost. Keeping a dead connection longer recovers nothing, and its set-ups make the switch look slow.
 	keepaliveInterval       = policy.Tenths(8000)
 	busyKeepaliveInterval   = policy.Tenths(600)
 	keepaliveRoundTrips     = 4
--- a/internal/b2bua/route_try.go
+++ b/internal/b2bua/route_try.go
@@ -25,6 +25,7 @@
 	tryStateCount
 )
 
+// tryStateNames holds the names of the states in the log.
 var tryStateNames = [tryStateCount]string{"held", "waiting", "out", "standing", "abandoned", "established without a caller", "over", "failed"}
 
 func (s tryState) String() string { return tryStateNames[s] }
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -24,12 +24,12 @@
 	Gone
 )
 
-// Switch is one entry of the list. Zones, kinds and weights are not read: the policy doesn't use them.
+// Switch is one entry of the list. Zones, kinds and weights are not read, since the policy doesn't use them.
 type Switch struct {
 	ID        uint32
 	Address   string // host:port
 	State     State
-	Exchange  int   // number of the exchange
+	Exchange  int   // number of the exchange that it serves
 	StartedMS int64 // Unix time in milliseconds if it started later than the network, 0 otherwise
 }
 
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -242,7 +242,8 @@
 	return sip.Message{Method: sip.Cancel, URI: "sip:7f3a9c21e0b4d655@net", CallID: id, CSeq: 1}
 }
 
-// abandonments are the ways in which a caller can abandon a call: what it writes after its set-up and how it ends its connection.
+// abandonments are the ways in which a caller can abandon a call: what it writes after its set-up and how it ends its
+// connection.
 var abandonments = []struct {
 	name  string
 	after []byte
@@ -264,8 +265,8 @@
 	return all
 }
 
-// abandon makes a caller abandon its call: it writes its last octets in pieces and ends the connection. It returns once the reader has seen
-// all of that.
+// abandon makes a caller abandon its call: it writes its last octets in pieces and ends the connection. It returns once the
+// reader has seen all of that.
 func (h *gatedHarness) abandon(c net.Conn, serverConn *gatedConn, after []byte, end func(*net.TCPConn) error) {
 	h.t.Helper()
 	for len(after) > 0 {
@@ -287,8 +288,8 @@
 }
 
 // abandonWhileStopped makes a caller abandon its call while the event loop is stopped. A malformed message is queued between the
-// event that would begin a try and the event of the abandonment. The event loop is stopped there again, so that a set-up sent by mistake has
-// time to be written.
+// event that would begin a try and the event of the abandonment. The event loop is stopped there again, so that a set-up sent
+// by mistake has time to be written.
 func (h *gatedHarness) abandonWhileStopped(abandon func(), sw *siptest.Peer) {
 	h.t.Helper()
 	time.Sleep(20 * time.Millisecond)
@@ -304,7 +305,7 @@
 	expectNoSetUp(h.t, sw)
 }
 
-// forEachAbandonment runs a subtest for each way to abandon a call; leave makes the caller do so.
+// forEachAbandonment runs a subtest for each way to abandon a call; abandon makes the caller do so.
 func forEachAbandonment(t *testing.T, test func(h *gatedHarness, c net.Conn, serverConn *gatedConn, abandon func())) {
 	for _, abandonment := range abandonments {
 		t.Run(abandonment.name, func(t *testing.T) {
@@ -327,7 +328,8 @@
 	})
 }
 
-// Guards against a retry by timer while the event of the abandonment waits in the inbox: queued events are handled before timers.
+// Guards against a retry by timer while the event of the abandonment waits in the inbox: queued events are handled before
+// timers.
 func TestNoRetryForAbandonedCall(t *testing.T) {
 	forEachAbandonment(t, func(h *gatedHarness, c net.Conn, serverConn *gatedConn, abandon func()) {
 		c.Write(encode(setUp(callID1, 3000)))
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -25,7 +25,7 @@
 
 const (
 	// inboxSize bounds the events that wait for the event loop; beyond it readers block, and TCP holds the senders back. On a
-	// quarter of a core a message takes up to 0.5 ms, and a call that its caller abandons must be known as abandoned within 100 ms.
+	// quarter of a core a message takes up to 0.5 ms, and an abandoned call must be known as such within 100 ms.
 	inboxSize = 128
 
 	descriptionMemoryDivisor = 8                      // callers' descriptions may take 1/8 of the memory limit
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -32,7 +32,7 @@
 	Notify  = "NOTIFY"
 )
 
-// Status codes, their limits, and names of the Content-Length header field in lower case.
+// Status codes, the bounds of their classes, and the names of the Content-Length header field in lower case.
 const (
 	OK                       = 200
 	BadRequest               = 400
