--- a/internal/b2bua/controller_group_test.go
+++ b/internal/b2bua/controller_group_test.go
@@ -34,8 +34,8 @@
 func newControllerGroup(t *rapid.T, n int) *controllerGroup {
 	group := &controllerGroup{t: t, restarted: make([]bool, n), undelivered: make([][]board.Event, n), listed: map[int]board.Switch{}, slowStartTimes: map[uint32]policy.Tenths{},
 		setUpTimes: map[uint32][]policy.Tenths{}, lastSwitchID: 100}
-	for cell := 1; cell <= 3; cell++ {
-		group.listed[cell] = board.Switch{ID: uint32(cell), Exchange: cell, Address: fmt.Sprintf("10.0.0.%d:1", cell+1)}
+	for exchangeNumber := 1; exchangeNumber <= 3; exchangeNumber++ {
+		group.listed[exchangeNumber] = board.Switch{ID: uint32(exchangeNumber), Exchange: exchangeNumber, Address: fmt.Sprintf("10.0.0.%d:1", exchangeNumber+1)}
 	}
 	for range n {
 		h := group.start(17e12)
@@ -89,13 +89,13 @@
 // publish publishes an event: a switch replaced by one in slow start, drained or gone, or the whole list. Each
 // controller receives it later.
 func (g *controllerGroup) publish() {
-	cell := rapid.IntRange(1, 3).Draw(g.t, "cell")
+	exchangeNumber := rapid.IntRange(1, 3).Draw(g.t, "cell")
 	event := board.Event{}
-	entry, ok := g.listed[cell]
+	entry, ok := g.listed[exchangeNumber]
 	switch kind := rapid.IntRange(0, 4).Draw(g.t, "tells"); {
 	case kind <= 1 || !ok:
 		g.lastSwitchID++
-		replacement := board.Switch{ID: g.lastSwitchID, Exchange: cell, Address: fmt.Sprintf("10.0.1.%d:1", g.lastSwitchID), StartedMS: int64(g.controllers[0].now) / 10}
+		replacement := board.Switch{ID: g.lastSwitchID, Exchange: exchangeNumber, Address: fmt.Sprintf("10.0.1.%d:1", g.lastSwitchID), StartedMS: int64(g.controllers[0].now) / 10}
 		if ok && kind == 1 { // it takes over the address of the old one
 			replacement.Address, entry.State = entry.Address, board.Gone
 			event.Switches = append(event.Switches, entry)
@@ -103,20 +103,20 @@
 			entry.State = board.Draining
 			event.Switches = append(event.Switches, entry)
 		}
-		g.listed[cell], g.slowStartTimes[replacement.ID] = replacement, g.controllers[0].now
+		g.listed[exchangeNumber], g.slowStartTimes[replacement.ID] = replacement, g.controllers[0].now
 		event.Switches = append(event.Switches, replacement)
 	case kind == 2:
 		entry.State = board.Draining
 		event.Switches = append(event.Switches, entry)
-		delete(g.listed, cell)
+		delete(g.listed, exchangeNumber)
 	case kind == 3:
 		entry.State = board.Gone
 		event.Switches = append(event.Switches, entry)
-		delete(g.listed, cell)
+		delete(g.listed, exchangeNumber)
 	default:
 		event.Complete = true
-		for cell := 1; cell <= 3; cell++ {
-			if entry, ok := g.listed[cell]; ok {
+		for exchangeNumber := 1; exchangeNumber <= 3; exchangeNumber++ {
+			if entry, ok := g.listed[exchangeNumber]; ok {
 				event.Switches = append(event.Switches, entry)
 			}
 		}
@@ -185,14 +185,14 @@
 			case kind == stepSwitchUpdate:
 				group.publish()
 			case kind == maxStep+4: // many calls to the same exchange at once
-				cell := rapid.IntRange(1, 3).Draw(t, "called")
+				exchangeNumber := rapid.IntRange(1, 3).Draw(t, "called")
 				for _, h := range group.controllers {
 					h.completeDials(groupCircuits, groupCircuits)
 					if len(h.callers) == 0 {
 						h.connectCaller()
 					}
 					for range 3 {
-						h.sendSetUp(h.callers[0], cell, 1000)
+						h.sendSetUp(h.callers[0], exchangeNumber, 1000)
 					}
 				}
 			case kind <= maxStep:
--- a/internal/b2bua/silence_test.go
+++ b/internal/b2bua/silence_test.go
@@ -7,9 +7,9 @@
 )
 
 // passWithStalls lets time pass while this process stalls repeatedly.
-func (h *harness) passWithStalls(span, every policy.Tenths) {
+func (h *harness) passWithStalls(span, stallInterval policy.Tenths) {
 	for until := h.now + span; h.now < until; {
-		h.now += every
+		h.now += stallInterval
 		h.agent.Tick(h.now, h.now)
 	}
 }
@@ -17,10 +17,10 @@
 // Guards against calls that stay established indefinitely at a switch that is gone, because each stall of this process
 // restarted the silence timeout.
 func TestRepeatedStallsDoNotHideALostSwitch(t *testing.T) {
-	const toldAfterLoss = 80000 // the platform's limit where no release could be sent
+	const releaseLimit = 80000 // the platform's limit where no release could be sent
 	h, _, call := establishedCall(t)
 	h.silent[h.mustLinkTo(1)] = true
-	for range toldAfterLoss / 10000 {
+	for range releaseLimit / 10000 {
 		h.passWithStalls(10000, 700)
 		for len(h.dials) > 0 {
 			h.completeDial(false, false)
