--- a/internal/b2bua/harness_test.go
+++ b/internal/b2bua/harness_test.go
@@ -402,7 +402,7 @@
 		case h.unavailable[switchID]:
 			h.t.Fatalf("call %s: sent to switch %d, which is draining or gone", call.id, switchID)
 		case call.answers > 0 || call.abandoned || string(msg.Body) != call.body:
-			h.t.Fatalf("call %s: sent although over, or with %q", call.id, msg.Body)
+			h.t.Fatalf("call %s: sent although ended, or with %q", call.id, msg.Body)
 		}
 		call.tryConn, call.trySwitch, call.trySeq = conn, switchID, msg.CSeq
 		if h.onSetUp != nil {
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -26,7 +26,7 @@
 func (r seededMain) Run() int { return seeded.Run(r.M, 1000) }
 
 func TestReadFrame(t *testing.T) {
-	// length 36, number 42, changes; s-00c41f7a at 10.1.0.9:5060, draining, zone 1, kind 2, cell 3, weight 4, started 5
+	// length 36, number 42, changes; s-00c41f7a at 10.1.0.9:5060, draining, zone 1, kind 2, exchange 3, weight 4, started 5
 	in := []byte{0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 42, 2,
 		0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x13, 0xc4, 1, 1, 2, 0, 3, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0, 5}
 	e, isEvent, err := ReadFrame(bytes.NewReader(in))
@@ -175,7 +175,7 @@
 }
 
 // The board disconnects within an event, repeats events, leaves one out and falls silent. Each event must be passed on once, in
-// order, and the client must reconnect well before its events count as known: 2 s after a disconnect, 4 s after silence began.
+// order, and the client must reconnect well before it counts as knowing its events: 2 s after a disconnect, 4 s after silence began.
 func TestEachEventIsDeliveredOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &scriptedBoard{t: t, network: memnet.New()}
@@ -288,7 +288,7 @@
 }
 
 // A board disconnects all its clients at once. Their reconnects must be spread over time, and each must come well before the
-// board's events count as known.
+// client counts as knowing the board's events.
 func TestReconnectsAreSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const clients = 48
--- a/internal/board/client.go
+++ b/internal/board/client.go
@@ -11,12 +11,15 @@
 )
 
 const (
-	// silenceTimeout ends a connection without input. The board sends a keepalive frame each second. Its events count as known
-	// 4 s after it fell silent, so a dead connection is closed at about half of that.
+	// silenceTimeout ends a connection without input. The board sends a keepalive frame each second. A controller counts as
+	// knowing its events from 4 s after it fell silent, so a dead connection is closed at about half of that.
 	silenceTimeout = 2200 * time.Millisecond
 
-	dialTimeout       = time.Second
-	initialRetryDelay = 150 * time.Millisecond // events count as known 2 s after a disconnect, so the first retry comes well before
+	dialTimeout = time.Second
+
+	// initialRetryDelay makes the first retry come well before 2 s after a disconnect, from when on a controller counts as
+	// knowing the events of the board.
+	initialRetryDelay = 150 * time.Millisecond
 	maxRetryDelay     = time.Second
 )
 
@@ -55,7 +58,8 @@
 		}
 		c.OnStatus(false, err)
 		pause := jitter(delay)
-		if conn != nil && time.Since(start) > maxRetryDelay { // retries soon but at random times, since all clients of the board may have lost it
+		// After a longer connection the retry comes soon but at a random time, since all clients of the board may have lost it.
+		if conn != nil && time.Since(start) > maxRetryDelay {
 			delay, pause = initialRetryDelay, jitter(initialRetryDelay/2)
 		} else {
 			delay = min(2*delay, maxRetryDelay)
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -435,7 +435,8 @@
 	for {
 		m, err := reader.Read()
 		switch {
-		case err == nil && conn.isClosing() && m.Method != sip.Bye && m.CSeqMethod != sip.Bye: // closing here: only releases and their answers still count
+		// While the connection is being closed here, only releases and their answers still count.
+		case err == nil && conn.isClosing() && m.Method != sip.Bye && m.CSeqMethod != sip.Bye:
 			continue
 		case err == nil:
 			if m.Method == sip.Cancel {
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -185,7 +185,7 @@
 	const seeds = 4
 	for _, callsPerSecond := range []float64{1.5, 5} {
 		for _, n := range []int{5, 20, 30, 48} {
-			for _, scenario := range []string{"at once", "after a while", "most start anew", "usual"} {
+			for _, scenario := range []string{"at once", "after a while", "most restarted", "usual"} {
 				sent, meanLoad := 0, 0.0
 				for seed := range uint64(seeds) {
 					f := newFleet(n, callsPerSecond, seed)
@@ -194,7 +194,7 @@
 					switch scenario {
 					case "after a while":
 						f.advance(30000, 0.2)
-					case "most start anew":
+					case "most restarted":
 						f.advance(10000, 1)
 						for i := range f.harnesses {
 							if i%10 < 7 {
