--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -163,9 +163,9 @@
 				n++
 			}
 		}
-		strength := f.deployment.InitialCapacity + (1-f.deployment.InitialCapacity)*
+		capacityShare := f.deployment.InitialCapacity + (1-f.deployment.InitialCapacity)*
 			float64(last-f.deployment.OverloadWindow-f.bootAt)/float64(f.deployment.RampTime)
-		bearable := f.deployment.OverloadMultiple * max(f.deployment.InitialCapacity, strength) * 2 *
+		bearable := f.deployment.OverloadMultiple * max(f.deployment.InitialCapacity, capacityShare) * 2 *
 			f.callsPerSecond / usualLoad * float64(f.deployment.OverloadWindow) / 10000
 		load = max(load, float64(n)/bearable)
 		if windowExcess := float64(n) - bearable - 2*math.Sqrt(bearable) - 2; windowExcess > excess {
