--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -123,7 +123,8 @@
 		informed bool
 		broken   bool
 	}{{20, true, false}, {60, true, true}, {60, false, false}} {
-		log := []Event{{At: 500 * ms, Kind: SwitchStarted, Site: 3, CIC: 1, Value: 20_000}, callResponse(1500, isup.REL)} // 20 set-ups per second when warm
+		// The switch handles 20 set-ups per second when warm.
+		log := []Event{{At: 500 * ms, Kind: SwitchStarted, Site: 3, CIC: 1, Value: 20_000}, callResponse(1500, isup.REL)}
 		if c.informed {
 			for controller := range 5 {
 				log = append(log, Event{At: 600 * ms, Kind: ListEntrySent, Site: controller, Peer: 3, CIC: 1, Value: 1}, Event{At: 601 * ms, Kind: ListAcknowledged, Site: controller, Value: 1})
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -21,8 +21,8 @@
 	tries    int
 }
 
-// Router routes calls direct. With useTandem it tries a random tandem if the direct trunk group is full or the call could
-// not be sent on it.
+// Router routes calls direct. With useTandem it tries a random tandem if the direct trunk group is full, the call was turned
+// back on it, or it could not be sent.
 type Router struct {
 	deployment  policy.Deployment
 	executor    policy.Executor
@@ -82,7 +82,8 @@
 // Answered removes the call, since its end needs no decision.
 func (r *Router) Answered(_ policy.Tenths, id uint32, _ int) { delete(r.calls, id) }
 
-// TryEnded tries a tandem if the route try did not reach the switch, and otherwise aborts the call.
+// TryEnded tries a tandem if the route try was turned back or did not reach the switch, and otherwise aborts the call. A call
+// that has ended is only removed.
 func (r *Router) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
 	c := r.calls[id]
 	switch {
--- a/internal/day/planted_fault.go
+++ b/internal/day/planted_fault.go
@@ -63,7 +63,8 @@
 	d.Decider.ListReceived(now, full, changed)
 }
 
-// InterceptSend sends a message of the controller, and once the messages of the planted fault.
+// InterceptSend sends a message of the controller. At the first message that suits the planted fault it also sends the fault's
+// own messages, once.
 func (f *FaultyController) InterceptSend(to exchange.Hop, message isup.Message, send func(exchange.Hop, isup.Message)) {
 	send(to, message)
 	switch {
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -89,7 +89,7 @@
 // Kill ends the process at once.
 func (p *controllerProcess) Kill() { p.cmd.Process.Signal(syscall.SIGKILL) }
 
-// Drain makes the controller drain and end.
+// Drain starts a graceful shutdown of the controller.
 func (p *controllerProcess) Drain() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
 // Pause stops the execution of the process.
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -21,7 +21,7 @@
 	Ready() <-chan struct{} // closed when the exchange is in service
 	Done() <-chan struct{}  // closed when the process has ended
 	Kill()
-	Drain()                  // ends in good order
+	Drain()                  // starts a graceful shutdown
 	Load(table string) error // loads a number table at once
 	Pause()                  // stops execution until Resume
 	Resume()
--- a/internal/day/tables.go
+++ b/internal/day/tables.go
@@ -66,7 +66,7 @@
 			}
 			name := r.tableFile(r.tableVersion)
 			for _, c := range r.controllers {
-				r.wg.Go(func() { c.process().Load(name) }) // a stopped controller keeps its version, which its calls carry
+				r.wg.Go(func() { c.process().Load(name) }) // a controller that is down or paused keeps its version, which its calls carry
 			}
 		}
 	})
--- a/internal/day/virtual_test.go
+++ b/internal/day/virtual_test.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// The audit must find a controller that violates one rule on its sockets, and find nothing on the same day without it.
+// The audit must report the rule that a controller violates on its sockets, and nothing on the same day without the fault.
 func TestAuditFindsPlantedFaults(t *testing.T) {
 	requireRulesHold(t, runVirtual(t, "plant.hcl", func(*Script) {}), 0.3)
 	for plantedFault, rule := range map[string]int{"answer": 1, "copy": 2, "drain": 3, "cold": 4, "release": 5} {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -99,7 +99,7 @@
 	cold.CheckUnknown()
 }
 
-// ParseBearers reads the bearer types in file order; more reads further settings of a block and may be nil.
+// ParseBearers reads the bearer types in file order. readMore, if not nil, reads further settings of each block.
 func ParseBearers(root *hclread.Block, readMore func(*hclread.Block)) []policy.Bearer {
 	var bearers []policy.Bearer
 	seen := map[string]bool{}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -80,7 +80,7 @@
 	callerOpenedAt       map[int]time.Duration // by caller connection
 	callerClosedAt       map[int]time.Duration
 	callerConnController map[int]int  // controller of a caller connection
-	lifetimes            [][]interval // of the processes of each controller, from ready to exit
+	lifetimes            [][]interval // of each controller, from ready to exit
 	stalls               []Event
 	violations           []Violation
 	endTime              time.Duration
@@ -168,7 +168,7 @@
 	return total
 }
 
-// aliveThroughout reports whether one process of a controller was ready from one time to another.
+// aliveThroughout reports whether one incarnation of a controller was ready from one time to another.
 func (c *checker) aliveThroughout(controller int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.lifetimes[controller], func(lifetime interval) bool { return lifetime.from <= from && lifetime.to >= to })
 }
--- a/internal/soak/check_release.go
+++ b/internal/soak/check_release.go
@@ -48,13 +48,13 @@
 			}
 		}
 	}
-	knownAt := answer.At // time at which the controller last learned of the call
+	knownAt := answer.At // time at which the last incarnation of the controller learned of the call
 	for _, e := range call.events {
 		if e.Kind == EstablishedCallAnnounced {
 			knownAt = e.At
 		}
 	}
-	releaseLost := false // the controller process ended before it had to deliver a release, so the release may be lost
+	releaseLost := false // the controller's incarnation ended before it had to deliver a release, so the release may be lost
 	for _, e := range call.events {
 		if e.SwitchID != established.SwitchID || e.Number != established.Number {
 			if e.Kind == ReleaseSent && (e.Status == causeNormalClearing || e.Status == causeTemporaryFailure) && e.At < notifiedAt {
@@ -79,8 +79,8 @@
 	}
 }
 
-// exitedWithoutCallers reports whether the controller process that read a release at a time exited before it could deliver it, as no caller
-// connection was usable for long enough until then.
+// exitedWithoutCallers reports whether the controller's incarnation that read a release at a time exited before it could deliver it, as no
+// caller connection was usable for long enough until then.
 func (c *checker) exitedWithoutCallers(controller int, at time.Duration) bool {
 	for _, lifetime := range c.lifetimes[controller] {
 		if at < lifetime.from || at > lifetime.to || lifetime.to == never {
--- a/internal/standin/gateway_phones.go
+++ b/internal/standin/gateway_phones.go
@@ -41,7 +41,8 @@
 	default:
 		return mgcp.Message{Code: mgcp.CodeUnknownCommand}
 	}
-	if signals, _ := m.Param("S"); strings.HasPrefix(signals, "L/rg") && !phone.offHook && g.random.Float64() < g.faults.GlareRatio { // goes off hook to dial at the same moment
+	// The user may go off hook to dial at the moment at which the phone is told to ring.
+	if signals, _ := m.Param("S"); strings.HasPrefix(signals, "L/rg") && !phone.offHook && g.random.Float64() < g.faults.GlareRatio {
 		g.goOffHook(i)
 		g.scheduleUserAction(i, time.Second, func() { g.goOnHook(i) })
 	}
