--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -93,8 +93,8 @@
 		{"reported not ready, then ready", []Event{listEntry(100, 0, 1), listAck(150, 1), listEntry(900, 1, 2), listAck(910, 2), eventAt(1300, TryReceived, 3, 0), answered}, nil},
 	} {
 		var got []int
-		for _, b := range Check(dayLog(c.log...)) {
-			got = append(got, b.Rule)
+		for _, violation := range Check(dayLog(c.log...)) {
+			got = append(got, violation.Rule)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: rules %v broken, want %v", c.name, got, c.want)
@@ -119,7 +119,7 @@
 
 func TestColdSwitchBudgetCountsAllSetUps(t *testing.T) {
 	for _, c := range []struct {
-		setups   int
+		setUps   int
 		informed bool
 		broken   bool
 	}{{20, true, false}, {60, true, true}, {60, false, false}} {
@@ -130,12 +130,12 @@
 				log = append(log, Event{At: 600 * ms, Kind: ListEntrySent, Site: controller, Peer: 3, CIC: 1, Value: 1}, Event{At: 601 * ms, Kind: ListAcknowledged, Site: controller, Value: 1})
 			}
 		}
-		for n := range c.setups { // refused set-ups count as well: the log has no TryResponse
+		for n := range c.setUps { // refused set-ups count as well: the log has no TryResponse
 			log = append(log, Event{At: (2000 + int64(n)) * ms, Kind: TryReceived, Site: 3, Peer: n % 5, Ref: isup.Reference{Point: 9, Identity: uint32(n)}, CIC: uint16(n/31*32 + n%31 + 1)})
 		}
 		got := Check(dayLog(log...))
 		if (len(got) > 0) != c.broken || c.broken && got[0].Rule != 4 {
-			t.Errorf("%d set-ups, controllers informed %v: %v", c.setups, c.informed, got)
+			t.Errorf("%d set-ups, controllers informed %v: %v", c.setUps, c.informed, got)
 		}
 	}
 }
@@ -205,8 +205,8 @@
 		{"dial tone at a phone that is off hook", []Event{ev(1000, ToneRequested, 1, 1)}, nil},
 	} {
 		var got []int
-		for _, b := range Check(append(c.log, Event{At: 100000 * ms, Kind: ListAcknowledged})) {
-			got = append(got, b.Rule)
+		for _, violation := range Check(append(c.log, Event{At: 100000 * ms, Kind: ListAcknowledged})) {
+			got = append(got, violation.Rule)
 		}
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: rules %v broken, want %v", c.name, got, c.want)
--- a/internal/audit/checker.go
+++ b/internal/audit/checker.go
@@ -138,15 +138,15 @@
 			route := [2]int{e.Site, e.Peer}
 			c.deliveredResets[route] = append(c.deliveredResets[route], e)
 		}
-		number, controller := e.Site, e.Peer
+		toSwitch, controller := e.Site, e.Peer
 		if e.Kind == ResetDelivered {
-			number, controller = controller, number
+			toSwitch, controller = controller, toSwitch
 		}
 		for cic := e.CIC; cic <= e.CIC+uint16(e.Value); cic++ {
-			c.closeTry(Event{At: e.At, Site: number, Peer: controller, CIC: cic}, true)
+			c.closeTry(Event{At: e.At, Site: toSwitch, Peer: controller, CIC: cic}, true)
 			for try, call := range c.openTries { // a reset of one circuit ends a multirate call
-				if state := c.callTries[call]; try.toSwitch == number && try.controller == controller && try.cic/32 == cic/32 && state != nil && state.open[try]&(1<<(cic%32-1)) != 0 {
-					c.closeTry(Event{At: e.At, Site: number, Peer: controller, CIC: try.cic}, true)
+				if state := c.callTries[call]; try.toSwitch == toSwitch && try.controller == controller && try.cic/32 == cic/32 && state != nil && state.open[try]&(1<<(cic%32-1)) != 0 {
+					c.closeTry(Event{At: e.At, Site: toSwitch, Peer: controller, CIC: try.cic}, true)
 				}
 			}
 		}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -84,13 +84,13 @@
 
 // TryEnded tries a tandem if the route try was turned back or did not reach the switch, and otherwise aborts the call. A call
 // that has ended is only removed.
-func (r *Router) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, end policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
+func (r *Router) TryEnded(now policy.Tenths, id uint32, _ int, _ uint32, outcome policy.Outcome, final bool, _ policy.Reason, _ policy.Tenths, _ policy.LoadReport) {
 	c := r.calls[id]
 	switch {
 	case c == nil:
 	case final:
 		delete(r.calls, id)
-	case end == policy.Blocked || end == policy.Unsent || end == policy.Unreachable:
+	case outcome == policy.Blocked || outcome == policy.Unsent || outcome == policy.Unreachable:
 		r.route(now, c, false)
 	default:
 		delete(r.calls, id)
@@ -99,9 +99,9 @@
 }
 
 // LoadReported stores the number of free circuits towards a switch.
-func (r *Router) LoadReported(_ policy.Tenths, sw uint32, rep policy.LoadReport) {
-	if target := r.switches[sw]; target != nil && rep.Free >= 0 {
-		target.freeCircuits = rep.Free
+func (r *Router) LoadReported(_ policy.Tenths, sw uint32, report policy.LoadReport) {
+	if target := r.switches[sw]; target != nil && report.Free >= 0 {
+		target.freeCircuits = report.Free
 	}
 }
 
--- a/internal/day/gateways.go
+++ b/internal/day/gateways.go
@@ -78,8 +78,8 @@
 	}
 	random := rand.New(rand.NewPCG(r.script.Seed, 0x9a7e))
 	calls := make([][][]*standin.PhoneCall, r.script.ExchangeCount)
-	for e := range calls {
-		calls[e] = make([][]*standin.PhoneCall, settings.PerExchange)
+	for exchangeNumber := range calls {
+		calls[exchangeNumber] = make([][]*standin.PhoneCall, settings.PerExchange)
 	}
 	abandonTime := duration(r.script.Deployment.Bearers[settings.Bearer].AbandonTime)
 	for start := time.Duration(0); ; {
@@ -98,8 +98,8 @@
 		calls[from][gateway] = append(calls[from][gateway], call)
 		network.calls = append(network.calls, call)
 	}
-	for e := range r.script.ExchangeCount {
-		agent, err := netip.ParseAddrPort(network.callAgents[e])
+	for exchangeNumber := range r.script.ExchangeCount {
+		agent, err := netip.ParseAddrPort(network.callAgents[exchangeNumber])
 		if err != nil {
 			return fmt.Errorf("address of call agent: %w", err)
 		}
@@ -115,9 +115,9 @@
 				return fmt.Errorf("address of gateway: %w", err)
 			}
 			addresses = append(addresses, address)
-			config := standin.GatewayConfig{Exchange: e, Number: gateway, Name: gatewayName(e, gateway), PhoneCount: settings.Endpoints, CallAgents: []netip.AddrPort{agent},
+			config := standin.GatewayConfig{Exchange: exchangeNumber, Number: gateway, Name: gatewayName(exchangeNumber, gateway), PhoneCount: settings.Endpoints, CallAgents: []netip.AddrPort{agent},
 				DigitInterval: settings.DigitInterval, MeanAnswerDelay: settings.MeanAnswerDelay, MaxRestartDelay: settings.MaxRestartDelay, DisconnectedDelay: settings.DisconnectedDelay}
-			row = append(row, standin.NewGateway(config, calls[e][gateway], r.script.Seed, func() (net.PacketConn, error) {
+			row = append(row, standin.NewGateway(config, calls[exchangeNumber][gateway], r.script.Seed, func() (net.PacketConn, error) {
 				if opened := socket; opened != nil {
 					socket = nil
 					return opened, nil
@@ -234,17 +234,17 @@
 func countPhoneCalls(calls []*standin.PhoneCall) PhoneRow {
 	var row PhoneRow
 	var setUpTimes []time.Duration
-	for _, c := range calls {
+	for _, call := range calls {
 		switch {
-		case !c.Dialled:
+		case !call.Dialled:
 			row.Skipped++
 			continue
-		case c.SetUpTime > 0:
+		case call.SetUpTime > 0:
 			row.Established++
-			setUpTimes = append(setUpTimes, c.SetUpTime)
-		case c.Failed:
+			setUpTimes = append(setUpTimes, call.SetUpTime)
+		case call.Failed:
 			row.Failed++
-		case c.Refused:
+		case call.Refused:
 			row.Refused++
 		default:
 			row.Abandoned++
--- a/internal/day/standin.go
+++ b/internal/day/standin.go
@@ -14,7 +14,7 @@
 
 // RunStandin runs one stand-in of a day by itself until ctx ends: a switch, a register whose switches are all ready, or the
 // subscribers of switches that run elsewhere.
-func RunStandin(ctx context.Context, script Script, standinName string, number int, switches string, onListening func(address string)) error {
+func RunStandin(ctx context.Context, script Script, standinName string, number int, switchAddresses string, onListening func(address string)) error {
 	drawn := newPlan(script)
 	log := audit.NewLog(io.Discard)
 	if number < 0 || number >= script.ExchangeCount {
@@ -54,7 +54,7 @@
 		defer register.Stop()
 		<-ctx.Done()
 	case "subscribers":
-		addresses := strings.Split(switches, ",")
+		addresses := strings.Split(switchAddresses, ",")
 		if len(addresses) != script.ExchangeCount {
 			return fmt.Errorf("%d switch addresses for %d exchanges", len(addresses), script.ExchangeCount)
 		}
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -14,7 +14,7 @@
 	minSize, maxSize float64
 	sizeMeaning      string // meaning of the size
 	how              []string
-	start            func(r *runner, trouble Trouble, in []int, chance *rand.Rand) func()
+	start            func(r *runner, trouble Trouble, affected []int, random *rand.Rand) func()
 }
 
 var troubleKinds map[string]troubleKind
--- a/internal/hclread/hclread.go
+++ b/internal/hclread/hclread.go
@@ -55,15 +55,15 @@
 	}
 	var lines []string
 	for _, diagnostic := range f.diagnostics {
-		at := ""
+		position := ""
 		if diagnostic.Subject != nil {
-			at = fmt.Sprintf("%s:%d,%d: ", diagnostic.Subject.Filename, diagnostic.Subject.Start.Line, diagnostic.Subject.Start.Column)
+			position = fmt.Sprintf("%s:%d,%d: ", diagnostic.Subject.Filename, diagnostic.Subject.Start.Line, diagnostic.Subject.Start.Column)
 		}
 		text := diagnostic.Summary
 		if diagnostic.Detail != "" {
 			text += ": " + diagnostic.Detail
 		}
-		lines = append(lines, at+text)
+		lines = append(lines, position+text)
 	}
 	return errors.New(strings.Join(lines, "\n"))
 }
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -209,10 +209,10 @@
 // Wait blocks while the gate is closed.
 func (g *Gate) Wait() {
 	g.mu.Lock()
-	shut := g.closed
+	closed := g.closed
 	g.mu.Unlock()
-	if shut != nil {
-		<-shut
+	if closed != nil {
+		<-closed
 	}
 }
 
--- a/internal/soak/board.go
+++ b/internal/soak/board.go
@@ -179,12 +179,12 @@
 // truncateEvent closes the open connections in the middle of a frame.
 func (b *Board) truncateEvent() {
 	b.log.Add(Event{Kind: BoardLost, Controller: b.controller, Duration: truncationRecoveryTime, Detail: "closed within a frame"})
-	half := board.AppendKeepalive(nil, 1)
+	frame := board.AppendKeepalive(nil, 1)
 	b.mu.Lock()
 	conns := b.openConns()
 	b.mu.Unlock()
 	for _, c := range conns {
-		c.write(half[:len(half)/2])
+		c.write(frame[:len(frame)/2])
 		c.netConn.Close()
 	}
 	b.log.Add(Event{Kind: BoardRestored, Controller: b.controller})
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -80,7 +80,7 @@
 	callerOpenedAt       map[int]time.Duration // by caller connection
 	callerClosedAt       map[int]time.Duration
 	callerConnController map[int]int  // controller of a caller connection
-	lifetimes            [][]interval // of each controller, from ready to exit
+	incarnations         [][]interval // of each controller, from ready to exit
 	stalls               []Event
 	violations           []Violation
 	endTime              time.Duration
@@ -96,7 +96,7 @@
 func Check(plan Plan, events []Event) []Violation {
 	c := &checker{plan: plan, events: events, calls: map[string]*callHistory{}, lostAt: map[int]time.Duration{}, lostSilently: map[int]bool{},
 		cellOf: map[uint32]int{}, closedByController: map[int]time.Duration{}, callerOpenedAt: map[int]time.Duration{}, callerClosedAt: map[int]time.Duration{},
-		callerConnController: map[int]int{}, lifetimes: make([][]interval, plan.Controllers)}
+		callerConnController: map[int]int{}, incarnations: make([][]interval, plan.Controllers)}
 	if len(events) > 0 {
 		c.endTime = events[len(events)-1].At
 	}
@@ -142,14 +142,14 @@
 			c.callerClosedAt[e.ConnID] = e.At
 		case ControllerReady:
 			ready[e.Controller] = e.At
-			c.lifetimes[e.Controller] = append(c.lifetimes[e.Controller], interval{e.At, never})
+			c.incarnations[e.Controller] = append(c.incarnations[e.Controller], interval{e.At, never})
 		case ControllerExited:
-			if n := len(c.lifetimes[e.Controller]); n > 0 {
-				c.lifetimes[e.Controller][n-1].to = e.At
+			if n := len(c.incarnations[e.Controller]); n > 0 {
+				c.incarnations[e.Controller][n-1].to = e.At
 			}
 		case SignalSent:
-			if n := len(c.lifetimes[e.Controller]); n > 0 && e.Detail == "killed" {
-				c.lifetimes[e.Controller][n-1].to = min(c.lifetimes[e.Controller][n-1].to, e.At)
+			if n := len(c.incarnations[e.Controller]); n > 0 && e.Detail == "killed" {
+				c.incarnations[e.Controller][n-1].to = min(c.incarnations[e.Controller][n-1].to, e.At)
 			}
 		case HarnessStalled:
 			c.stalls = append(c.stalls, e)
@@ -170,7 +170,7 @@
 
 // aliveThroughout reports whether one incarnation of a controller was ready from one time to another.
 func (c *checker) aliveThroughout(controller int, from, to time.Duration) bool {
-	return slices.ContainsFunc(c.lifetimes[controller], func(lifetime interval) bool { return lifetime.from <= from && lifetime.to >= to })
+	return slices.ContainsFunc(c.incarnations[controller], func(incarnation interval) bool { return incarnation.from <= from && incarnation.to >= to })
 }
 
 // addViolation adds a violation, with the timeline of its call unless call is nil.
--- a/internal/soak/check_release.go
+++ b/internal/soak/check_release.go
@@ -82,12 +82,12 @@
 // exitedWithoutCallers reports whether the controller's incarnation that read a release at a time exited before it could deliver it, as no
 // caller connection was usable for long enough until then.
 func (c *checker) exitedWithoutCallers(controller int, at time.Duration) bool {
-	for _, lifetime := range c.lifetimes[controller] {
-		if at < lifetime.from || at > lifetime.to || lifetime.to == never {
+	for _, incarnation := range c.incarnations[controller] {
+		if at < incarnation.from || at > incarnation.to || incarnation.to == never {
 			continue
 		}
 		from, ok := c.callerConnUsableFrom(controller, at, releaseDeliveryTime+slack+maxProxyDelay)
-		return !ok || from+releaseDeliveryTime+slack+maxProxyDelay > lifetime.to
+		return !ok || from+releaseDeliveryTime+slack+maxProxyDelay > incarnation.to
 	}
 	return false
 }
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -141,8 +141,8 @@
 		plan := Plan{Controllers: 1, Switches: SwitchPlan{Circuits: 10, MaxHoldingTime: time.Second}}
 		violations := Check(plan, test.events)
 		found := Rule("")
-		for _, b := range violations {
-			if found = b.Rule; found == test.want {
+		for _, violation := range violations {
+			if found = violation.Rule; found == test.want {
 				break
 			}
 		}
@@ -160,8 +160,8 @@
 		events = append(events, Event{At: 2*time.Second + time.Duration(i)*ms, Kind: TryReceived, Controller: i % 2, SwitchID: switchID, CallID: callID, ConnID: 5})
 	}
 	found := false
-	for _, b := range Check(plan, events) {
-		found = found || b.Rule == RuleColdSwitch
+	for _, violation := range Check(plan, events) {
+		found = found || violation.Rule == RuleColdSwitch
 	}
 	if !found {
 		t.Error("overload of the cold switch not found")
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -19,45 +19,45 @@
 )
 
 // inject injects one fault.
-func (h *harness) inject(f Injection) {
-	h.log.Add(Event{Kind: FaultInjected, Controller: f.Controller, Detail: f.String()})
-	if f.Cell == f.Controller { // a controller doesn't connect to the switch of its own exchange
-		f.Cell = (f.Cell + 1) % h.plan.Controllers
+func (h *harness) inject(fault Injection) {
+	h.log.Add(Event{Kind: FaultInjected, Controller: fault.Controller, Detail: fault.String()})
+	if fault.Cell == fault.Controller { // a controller doesn't connect to the switch of its own exchange
+		fault.Cell = (fault.Cell + 1) % h.plan.Controllers
 	}
-	proxy, sw, noticeBoard := h.switchProxies[f.Cell][f.Controller], h.currentSwitch(f.Cell), h.boards[f.Controller]
-	switch f.Kind {
+	proxy, sw, noticeBoard := h.switchProxies[fault.Cell][fault.Controller], h.currentSwitch(fault.Cell), h.boards[fault.Controller]
+	switch fault.Kind {
 	case SilenceLinks:
-		sw.recordConnsLost(f.Controller, "", lossSilent)
+		sw.recordConnsLost(fault.Controller, "", lossSilent)
 		proxy.Silence()
 	case SilenceLink:
-		sw.recordConnLost(f.Controller, proxy.SilenceOne(), lossSilent)
+		sw.recordConnLost(fault.Controller, proxy.SilenceOne(), lossSilent)
 	case ResetLinks:
-		sw.recordConnsLost(f.Controller, "", lossReset)
+		sw.recordConnsLost(fault.Controller, "", lossReset)
 		proxy.Reset()
 	case ResetLink:
-		sw.recordConnLost(f.Controller, proxy.ResetOne(), lossReset)
+		sw.recordConnLost(fault.Controller, proxy.ResetOne(), lossReset)
 	case RefuseLinks:
 		proxy.CloseListener()
-		h.sleepUnlessDone(f.Duration)
+		h.sleepUnlessDone(fault.Duration)
 		h.recordFailure(proxy.ReopenListener())
 	case HangLinks:
 		proxy.SetHanging(true)
-		h.sleepUnlessDone(f.Duration)
+		h.sleepUnlessDone(fault.Duration)
 		proxy.SetHanging(false)
 	case PartitionSwitch:
-		h.partition(f.Cell, f.Duration)
+		h.partition(fault.Cell, fault.Duration)
 	case HangSwitch:
 		resume := sw.Hang()
-		h.sleepUnlessDone(f.Duration)
+		h.sleepUnlessDone(fault.Duration)
 		resume()
 	case KillSwitch:
-		h.replaceSwitch(f.Cell, false, f.Count%2 == 0)
+		h.replaceSwitch(fault.Cell, false, fault.Count%2 == 0)
 	case ReplaceSwitch:
-		h.replaceSwitch(f.Cell, true, f.Count%2 == 0)
+		h.replaceSwitch(fault.Cell, true, fault.Count%2 == 0)
 	case DrainSwitch:
-		h.publishChange(board.Switch{ID: sw.id, Exchange: f.Cell, State: board.Draining, StartedMS: sw.startedMS})
-		if h.sleepUnlessDone(f.Duration) && h.currentSwitch(f.Cell) == sw {
-			h.publishChange(board.Switch{ID: sw.id, Exchange: f.Cell, State: board.Ready, StartedMS: sw.startedMS})
+		h.publishChange(board.Switch{ID: sw.id, Exchange: fault.Cell, State: board.Draining, StartedMS: sw.startedMS})
+		if h.sleepUnlessDone(fault.Duration) && h.currentSwitch(fault.Cell) == sw {
+			h.publishChange(board.Switch{ID: sw.id, Exchange: fault.Cell, State: board.Ready, StartedMS: sw.startedMS})
 		}
 	case DisconnectCalls:
 		sw.DisconnectCalls()
@@ -67,38 +67,38 @@
 		noticeBoard.truncateEvent()
 	case StopBoard:
 		restart := noticeBoard.stop()
-		h.sleepUnlessDone(f.Duration)
+		h.sleepUnlessDone(fault.Duration)
 		h.recordFailure(restart())
 	case Reload:
-		h.reload(f)
+		h.reload(fault)
 	case Restart:
-		h.restart(f.Controller)
+		h.restart(fault.Controller)
 	case ReloadRestart:
-		f.Count = 1
-		h.reload(f)
-		h.restart(f.Controller)
+		fault.Count = 1
+		h.reload(fault)
+		h.restart(fault.Controller)
 	case KillController:
-		h.kill(f.Controller)
+		h.kill(fault.Controller)
 	case SilenceCallers:
-		h.callerGroups[f.Controller].disruptConns(true, h.callerProxies[f.Controller].Silence)
+		h.callerGroups[fault.Controller].disruptConns(true, h.callerProxies[fault.Controller].Silence)
 	case ResetCallers:
-		h.callerGroups[f.Controller].disruptConns(false, h.callerProxies[f.Controller].Reset)
+		h.callerGroups[fault.Controller].disruptConns(false, h.callerProxies[fault.Controller].Reset)
 	case IdleClients:
 		for range numIdleClients {
-			h.wg.Go(func() { connectIdle(h.controllers[f.Controller].listen, h.done) })
+			h.wg.Go(func() { connectIdle(h.controllers[fault.Controller].listen, h.done) })
 		}
 	case HalfCloseLink:
 		proxy.HalfCloseOne()
 	case CallBurst:
 		for range callsPerBurst {
-			h.wg.Go(h.callerGroups[f.Controller].placeNewCall)
+			h.wg.Go(h.callerGroups[fault.Controller].placeNewCall)
 		}
 	case SignalBurst:
-		h.signalBurst(f)
+		h.signalBurst(fault)
 	case BadClients:
-		for i := range 8 * f.Count {
-			random := rand.New(rand.NewPCG(h.plan.Seed, uint64(f.At)+uint64(i)))
-			h.wg.Go(func() { runBadClient(h.log, f.Controller, h.controllers[f.Controller].listen, random) })
+		for i := range 8 * fault.Count {
+			random := rand.New(rand.NewPCG(h.plan.Seed, uint64(fault.At)+uint64(i)))
+			h.wg.Go(func() { runBadClient(h.log, fault.Controller, h.controllers[fault.Controller].listen, random) })
 		}
 	}
 }
@@ -178,14 +178,14 @@
 }
 
 // reload moves the board, writes a new configuration and sends SIGHUP, f.Count times.
-func (h *harness) reload(f Injection) {
-	controller := h.controllers[f.Controller]
-	for range f.Count {
+func (h *harness) reload(fault Injection) {
+	controller := h.controllers[fault.Controller]
+	for range fault.Count {
 		h.mu.Lock()
 		h.boardMoves++
-		address := h.address(subnetBoard+h.boardMoves, f.Controller+1, boardPort)
+		address := h.address(subnetBoard+h.boardMoves, fault.Controller+1, boardPort)
 		h.mu.Unlock()
-		h.recordFailure(h.boards[f.Controller].move(address))
+		h.recordFailure(h.boards[fault.Controller].move(address))
 		h.recordFailure(controller.writeConfig())
 		controller.signal(syscall.SIGHUP)
 		if !h.sleepUnlessDone(h.randomDuration(50*time.Millisecond, 700*time.Millisecond)) {
@@ -195,17 +195,17 @@
 }
 
 // signalBurst sends SIGHUPs with and without a new configuration, then restarts the controller and sends more signals during the shutdown.
-func (h *harness) signalBurst(f Injection) {
-	f.Count = 1
+func (h *harness) signalBurst(fault Injection) {
+	fault.Count = 1
 	for range 2 {
-		h.reload(f)
-		h.controllers[f.Controller].signal(syscall.SIGHUP) // without a new configuration
+		h.reload(fault)
+		h.controllers[fault.Controller].signal(syscall.SIGHUP) // without a new configuration
 	}
 	time.AfterFunc(h.randomDuration(0, 100*time.Millisecond), func() {
-		h.controllers[f.Controller].signalIfExiting(syscall.SIGTERM)
-		h.controllers[f.Controller].signalIfExiting(syscall.SIGHUP)
+		h.controllers[fault.Controller].signalIfExiting(syscall.SIGTERM)
+		h.controllers[fault.Controller].signalIfExiting(syscall.SIGHUP)
 	})
-	h.restart(f.Controller)
+	h.restart(fault.Controller)
 }
 
 // restart restarts a controller as planned: SIGTERM, SIGKILL after killDelay, and a new process. Callers use open connections until the process
