--- a/internal/audit/checker.go
+++ b/internal/audit/checker.go
@@ -52,6 +52,7 @@
 	answered   bool
 }
 
+// interval is a period in microseconds since the start of the log.
 type interval struct{ start, end int64 }
 
 // checker holds the state of a check while it reads a log.
--- a/internal/audit/phone_checker.go
+++ b/internal/audit/phone_checker.go
@@ -20,8 +20,10 @@
 // minLostOutcomes is the number of copies of an outcome that the network must have lost before a call may end without one.
 const minLostOutcomes = 3
 
+// phoneKey identifies a phone by its exchange, its gateway and its endpoint.
 type phoneKey struct{ site, gateway, phone int }
 
+// phoneCall is a call that the user of a phone makes. Times are 0 until the event occurs.
 type phoneCall struct {
 	key                                            phoneKey
 	dialledAt, deadline                            int64
@@ -30,6 +32,7 @@
 	outcomeCount, outcome                          int
 }
 
+// phoneState is the hook state of a phone and its connections.
 type phoneState struct {
 	offHook     bool
 	onHookSince int64
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -9,12 +9,14 @@
 	"indigodrift/policy"
 )
 
+// switchState is what a Router knows about a switch.
 type switchState struct {
 	number       int
 	ready        bool
 	freeCircuits int
 }
 
+// call is a call that is not established yet.
 type call struct {
 	offer    policy.Call
 	deadline policy.Tenths
--- a/internal/day/tables.go
+++ b/internal/day/tables.go
@@ -17,7 +17,8 @@
 )
 
 // The number tables of a day route numbers with the three-digit prefix n to exchange n + version, modulo the number of
-// exchanges. Every version changes the destination of every number, so that a call routed by two versions shows.
+// exchanges. Every version changes the destination of every number, so that the audit log shows a call that is routed by
+// two versions.
 
 func (r *runner) tableFile(version int) string {
 	return filepath.Join(r.dir, fmt.Sprintf("table-%d.hcl", version))
--- a/internal/standin/gateway.go
+++ b/internal/standin/gateway.go
@@ -53,6 +53,7 @@
 	GlareRatio          float64 // share of incoming calls at which the user goes off hook to dial at the same moment
 }
 
+// connection is an MGCP connection at an endpoint.
 type connection struct {
 	id, callID string
 	serial     uint32
@@ -142,6 +143,7 @@
 	incarnation           int
 }
 
+// datagram is a received datagram.
 type datagram struct {
 	from netip.AddrPort
 	data []byte
