--- a/internal/callagent/callagent_test.go
+++ b/internal/callagent/callagent_test.go
@@ -65,7 +65,7 @@
 }
 func (o gatewayOutput) HandleOutcome(uint32, mgcp.Outcome, mgcp.Message) {}
 func (o gatewayOutput) HandleConflict(uint32, int, mgcp.Message)         {}
-func (h *harness) Note(string)                                           {}
+func (h *harness) Log(string)                                            {}
 func (h *harness) CallFailed(int, string)                                {}
 
 // transmit sends a message over the simulated network, which may lose or delay it.
@@ -433,7 +433,7 @@
 
 func (o fakeOutput) Send(to netip.AddrPort, msg mgcp.Message) { o.send(to, msg) }
 func (o fakeOutput) Offer(uint16, uint16, isup.Message)       {}
-func (o fakeOutput) Note(string)                              {}
+func (o fakeOutput) Log(string)                               {}
 func (o fakeOutput) CallFailed(int, string)                   {}
 
 // Guards against states without a transition for an incoming call, which the exchange waits to have answered, or for the loss of the
--- a/internal/callagent/config.go
+++ b/internal/callagent/config.go
@@ -42,6 +42,6 @@
 type Output interface {
 	Send(to netip.AddrPort, msg mgcp.Message)
 	Offer(point, cic uint16, msg isup.Message) // passes a message from the line side to the exchange
-	Note(text string)                          // logs an event
+	Log(text string)                           // logs an event
 	CallFailed(line int, reason string)        // reports why a call of a line failed
 }
--- a/internal/callagent/connection.go
+++ b/internal/callagent/connection.go
@@ -46,7 +46,7 @@
 	}
 	if !allowed {
 		a.Counts.InvalidTransitions++
-		a.output.Note(fmt.Sprintf("fault: invalid transition of the connection at %s from %v to %v", a.endpointName(i), line.connection, next))
+		a.output.Log(fmt.Sprintf("fault: invalid transition of the connection at %s from %v to %v", a.endpointName(i), line.connection, next))
 	}
 	line.connection = next
 }
--- a/internal/callagent/datagram.go
+++ b/internal/callagent/datagram.go
@@ -223,7 +223,7 @@
 	observed, _ := msg.Param("O")
 	events, err := mgcp.ParseEvents(observed)
 	if err != nil {
-		a.output.Note("gateway: " + a.endpointName(i) + " sent a malformed event list: " + err.Error())
+		a.output.Log("gateway: " + a.endpointName(i) + " sent a malformed event list: " + err.Error())
 		return
 	}
 	if line.transactionID != 0 && uint32(requestID) == line.requestID && line.notifiedID != line.requestID &&
--- a/internal/callagent/gateway.go
+++ b/internal/callagent/gateway.go
@@ -177,7 +177,7 @@
 	gateway := &a.gateways[gatewayIndex]
 	if gateway.presence.Lost(a.now) {
 		a.Counts.Lost++
-		a.output.Note("gateway " + gateway.Name + " is out of service: " + reason)
+		a.output.Log("gateway " + gateway.Name + " is out of service: " + reason)
 	}
 	a.resetGateway(gatewayIndex)
 	a.superviseGateway(gatewayIndex)
--- a/internal/callagent/reconcile.go
+++ b/internal/callagent/reconcile.go
@@ -138,7 +138,7 @@
 		a.endpointOutOfService(i)
 		return
 	case gateways.Failed:
-		a.output.Note("gateway: " + a.endpointName(i) + " answers " + string(command.verb) + " with " +
+		a.output.Log("gateway: " + a.endpointName(i) + " answers " + string(command.verb) + " with " +
 			strconv.Itoa(response.Code) + " " + response.Comment)
 		switch {
 		case deletesOrphan:
@@ -200,7 +200,7 @@
 		call.appliedSession = call.pendingSession
 		session, err := readSession(response.Session)
 		if call.localSession = session; err != nil || call.connectionID == "" {
-			a.output.Note("gateway: " + a.endpointName(i) + " created an unusable connection: " + sessionErrorText(err))
+			a.output.Log("gateway: " + a.endpointName(i) + " created an unusable connection: " + sessionErrorText(err))
 			if call == line.call {
 				a.handleEvent(i, connectionFailed, eventData{})
 				return
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -200,8 +200,8 @@
 	a.server.exchange.Receive(a.server.clock.Now(), exchange.Hop{Side: exchange.Line, Point: point}, m, 0)
 }
 
-// Note logs a notable event.
-func (a *agentAdapter) Note(text string) { a.server.log.Info(text) }
+// Log logs a notable event.
+func (a *agentAdapter) Log(text string) { a.server.log.Info(text) }
 
 // CallFailed logs why a call of a line failed.
 func (a *agentAdapter) CallFailed(line int, reason string) {
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -52,7 +52,7 @@
 }
 
 func (h *agentHarness) RequestSwitchList()           {}
-func (h *agentHarness) Note(string)                  {}
+func (h *agentHarness) Log(string)                   {}
 func (h *agentHarness) CallFailed(int, string)       {}
 func (h *agentHarness) ReportAnswer(exchange.Answer) {}
 func (h *agentHarness) Transmit(to exchange.Hop, m isup.Message) {
@@ -415,7 +415,7 @@
 	pending   []func()
 }
 
-func (e *directExchange) Note(string)            {}
+func (e *directExchange) Log(string)             {}
 func (e *directExchange) CallFailed(int, string) {}
 func (e *directExchange) Send(to netip.AddrPort, m mgcp.Message) {
 	b, _ := mgcp.Append(nil, m)
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -122,8 +122,8 @@
 // RequestSwitchList requests the full list of switches from the register.
 func (h *outputHandler) RequestSwitchList() { h.register.RequestList() }
 
-// Note logs a notable event.
-func (h *outputHandler) Note(text string) { h.log.Info(text) }
+// Log logs a notable event.
+func (h *outputHandler) Log(text string) { h.log.Info(text) }
 
 // ReportAnswer logs the final answer of a call.
 func (h *outputHandler) ReportAnswer(a exchange.Answer) {
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -20,7 +20,7 @@
 	}
 }
 func (s *lastSent) RequestSwitchList()  {}
-func (s *lastSent) Note(string)         {}
+func (s *lastSent) Log(string)          {}
 func (s *lastSent) ReportAnswer(Answer) {}
 
 // newTestExchange returns an exchange with one neighbour, links up and all circuits idle.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -87,7 +87,7 @@
 type Output interface {
 	Transmit(to Hop, msg isup.Message) // send a message
 	RequestSwitchList()                // request the whole switch list from the register
-	Note(text string)                  // write a line to the operator's log
+	Log(text string)                   // write a line to the operator's log
 	ReportAnswer(a Answer)             // report the final answer of a call, once
 }
 
@@ -347,7 +347,7 @@
 		return
 	}
 	if call.offered {
-		x.output.Note("call not answered before its abandon time")
+		x.output.Log("call not answered before its abandon time")
 		x.decider.Abandoned(x.now, id)
 	}
 	x.releaseTry(call, isup.TimerExpiry)
@@ -424,7 +424,7 @@
 		allowed = allowed || state == next
 	}
 	if !allowed {
-		x.output.Note(fmt.Sprintf("fault: call in state %d cannot change to state %d", call.state, next))
+		x.output.Log(fmt.Sprintf("fault: call in state %d cannot change to state %d", call.state, next))
 		return
 	}
 	if next == Ended {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -59,7 +59,7 @@
 }
 
 func (node *testNode) RequestSwitchList()    {}
-func (node *testNode) Note(text string)      { node.notes = append(node.notes, text) }
+func (node *testNode) Log(text string)       { node.notes = append(node.notes, text) }
 func (node *testNode) ReportAnswer(a Answer) {}
 
 // Transmit sends a message through the simulated network. A called line answers at once.
--- a/internal/exchange/executor.go
+++ b/internal/exchange/executor.go
@@ -14,7 +14,7 @@
 	x := (*Exchange)(e)
 	call := x.calls[id]
 	if call == nil || call.state != Offered {
-		x.output.Note("fault: route try requested for a call that has ended or already has a try in progress")
+		x.output.Log("fault: route try requested for a call that has ended or already has a try in progress")
 		return
 	}
 	call.tries++
@@ -92,4 +92,4 @@
 func (e *executor) Subscribe() { e.output.RequestSwitchList() }
 
 // Log writes a line to the operator's log.
-func (e *executor) Log(text string) { e.output.Note(text) }
+func (e *executor) Log(text string) { e.output.Log(text) }
--- a/internal/exchange/receive.go
+++ b/internal/exchange/receive.go
@@ -27,7 +27,7 @@
 	switch msg.Type {
 	case isup.IAM:
 		if call != nil {
-			x.output.Note("fault: set-up on a subscriber circuit that already has a call")
+			x.output.Log("fault: set-up on a subscriber circuit that already has a call")
 			return
 		}
 		x.lastCallID++
@@ -53,7 +53,7 @@
 	group := &x.groups[from.Peer]
 	state, id, known := group.circuits.State(msg.CIC)
 	if !known {
-		x.output.Note("fault: message for circuit " + strconv.Itoa(int(msg.CIC)) + ", which the trunk group to exchange " +
+		x.output.Log("fault: message for circuit " + strconv.Itoa(int(msg.CIC)) + ", which the trunk group to exchange " +
 			strconv.Itoa(group.number) + " does not have")
 		return
 	}
@@ -81,7 +81,7 @@
 	switch msg.Type {
 	case isup.IAM:
 		if from.Side != Preceding {
-			x.output.Note("fault: set-up received on a link that carries only set-ups of this exchange")
+			x.output.Log("fault: set-up received on a link that carries only set-ups of this exchange")
 			return
 		}
 		x.receiveSetUp(from, msg, age)
@@ -171,7 +171,7 @@
 	}
 	switch verdict {
 	case circuit.UnknownCircuit:
-		x.output.Note("fault: set-up for circuits that the trunk group to exchange " + strconv.Itoa(group.number) + " does not have")
+		x.output.Log("fault: set-up for circuits that the trunk group to exchange " + strconv.Itoa(group.number) + " does not have")
 		x.output.Transmit(from, isup.Message{CIC: msg.CIC, Type: isup.REL, Cause: isup.NoCircuit, Location: isup.LocalNetwork})
 	case circuit.Accepted:
 		for _, id := range yielded {
@@ -217,7 +217,7 @@
 		refuse(isup.Congestion)
 		return
 	case bearer >= len(x.deployment.Bearers) || msg.Width < 1:
-		x.output.Note("fault: call with an unknown bearer type or no circuits")
+		x.output.Log("fault: call with an unknown bearer type or no circuits")
 		refuse(isup.TemporaryFailure)
 		return
 	case transit && msg.HopCounter == 0:
--- a/internal/exchange/restore_test.go
+++ b/internal/exchange/restore_test.go
@@ -31,7 +31,7 @@
 	s.messages, s.hops = append(s.messages, m), append(s.hops, to)
 }
 func (s *sentMessages) RequestSwitchList()  {}
-func (s *sentMessages) Note(string)         {}
+func (s *sentMessages) Log(string)          {}
 func (s *sentMessages) ReportAnswer(Answer) {}
 
 // count returns the number of messages of a type.
