--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -217,7 +217,7 @@
 	b, _ := g.Seize(0, 7, 3)
 	g.SetUpReceived(0, 8, Assignment{CIC: 35}, 1)
 	if lost := g.ResetAll(1); !slices.Equal(lost, []uint32{7, 8}) || g.Free() != 0 {
-		t.Fatalf("lost %v, %d free (bundle %v)", lost, g.Free(), b)
+		t.Fatalf("lost %v, %d free (assignment %v)", lost, g.Free(), b)
 	}
 	due := g.Due(1)
 	if want := []DueMessage{{Type: isup.GRS, CIC: 1, Range: 30}, {Type: isup.GRS, CIC: 33, Range: 8}}; !slices.Equal(due, want) {
@@ -242,7 +242,7 @@
 	g.SetBlocked(1, true)
 	b, ok := g.Seize(0, 1, 1)
 	if _, again := g.Seize(0, 2, 1); !ok || b.CIC != 2 || again || g.Size() != 1 {
-		t.Fatalf("bundle %v, second seizure %v, size %d", b, again, g.Size())
+		t.Fatalf("assignment %v, second seizure %v, size %d", b, again, g.Size())
 	}
 }
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
 // Package control runs one exchange. A single goroutine, the event loop, owns the internal/exchange instance and its
-// decision module. The goroutines of the links pass received messages to it through one bounded queue, and sending never
-// blocks it. The package makes no decisions about calls.
+// decider. The goroutines of the links pass received messages to it through one bounded queue, and sending never blocks
+// it. The package makes no decisions about calls.
 package control
 
 import (
@@ -47,7 +47,7 @@
 	Disk             ledger.Disk     // nil: the local file system
 }
 
-// DeciderBuilder creates the decision module of an exchange.
+// DeciderBuilder creates the decider of an exchange.
 type DeciderBuilder func(policy.Deployment, policy.Executor, policy.Tenths) exchange.Decider
 
 // finalWriteDelay is the time between the end of a drain and the closing of the links. The writers hand the last answers to
@@ -110,8 +110,8 @@
 	OnReady          func() // called once when the own switch first answers
 	// ListenPacket opens the socket for MGCP gateways. Tests replace it with one in memory.
 	ListenPacket func(address string) (net.PacketConn, error)
-	// InterceptSend, if set, intercepts messages from the exchange to the links. Only scripted days set it, to break a rule on
-	// purpose.
+	// InterceptSend, if set, intercepts messages from the exchange to the links. Only scripted days set it, to plant a
+	// violation of a call rule.
 	InterceptSend func(to exchange.Hop, m isup.Message, send func(exchange.Hop, isup.Message))
 }
 
@@ -354,8 +354,8 @@
 			s.exchange.Listed(now, ev.list.Full, switches)
 			s.register.Ack(ev.list.Version)
 		case membership.Rejected:
-			// The decision module paces the next request: asking at once never ended with a register that kept sending
-			// bad lists.
+			// The decider paces the next request: requests sent at once went on without end when a register kept sending
+			// invalid lists.
 			s.exchange.ListLost(now)
 		}
 	case evAdvice:
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -53,7 +53,8 @@
 func newAgentAdapter(s *Server, settings *Gateways) *agentAdapter {
 	a := &agentAdapter{server: s, listenAddress: settings.ListenAddress, sendQueue: make(chan encodedMessage, maxQueuedDatagrams)}
 	agentSettings := settings.Config
-	agentSettings.Incarnation = uint32(time.Now().Unix()) // two starts within a second would share call IDs, but the first had no time to use any
+	// Two starts within a second would share call IDs, but the first would have had no time to use any.
+	agentSettings.Incarnation = uint32(time.Now().Unix())
 	a.agent = callagent.New(agentSettings, a, s.clock.Now())
 	return a
 }
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -163,7 +163,7 @@
 
 // BenchmarkCallByGatewayAndByTrunk times, in turn, the CPU work of a call from a telephone at a gateway to another exchange (off
 // hook, dial tone, number, connection, answer, hang-up) and of a transit call from trunk to trunk: decoding, call agent,
-// exchange, decision module, encoding.
+// exchange, decider, encoding.
 func BenchmarkCallByGatewayAndByTrunk(b *testing.B) {
 	h := newAgentHarness(1, 24)
 	if h.agent.CountLines(callagent.Idle) != 24 {
@@ -404,7 +404,7 @@
 	return c.LocalAddr().String()
 }
 
-// directExchange is the baseline: a call agent whose exchange connects its lines at once, without a decision module, circuits or
+// directExchange is the baseline: a call agent whose exchange connects its lines at once, without a decider, circuits or
 // switches.
 type directExchange struct {
 	agent     *callagent.Agent
--- a/internal/control/ledger.go
+++ b/internal/control/ledger.go
@@ -18,6 +18,7 @@
 	agent *agentAdapter
 }
 
+// Put stores a call unless one of its sides is at a gateway.
 func (s callStore) Put(call recovery.StoredCall) {
 	if s.agent.hasLine(call.In) || s.agent.hasLine(call.Out) {
 		return
--- a/internal/control/numbering.go
+++ b/internal/control/numbering.go
@@ -99,7 +99,7 @@
 	return source, table, err
 }
 
-// query looks up a number on a goroutine of its own. The inquirer limits how many queries are pending.
+// query looks up a number on a goroutine of its own. The portability resolver limits how many queries are pending.
 func (t *tableManager) query(id uint32, server int, number string) {
 	t.pendingQueries.Go(func() {
 		answer, err := t.enumClient.Query(t.ctx, server, number)
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -125,7 +125,9 @@
 	Ended                    // released, refused or failed
 )
 
-// transitions lists the states that may follow each state of a call.
+// transitions lists the states that may follow each state of a call. Analysing is followed by Ringing if the number belongs
+// to a line of this exchange, and by Established only for a call restored after a restart. Trying is followed by Offered when
+// the try has ended without an answer, so that the decider chooses again.
 var transitions = [...][]State{
 	Analysing:   {Offered, Ringing, Established, Ended},
 	Offered:     {Trying, Ended},
@@ -188,6 +190,7 @@
 	cic   uint16
 }
 
+// Kinds of timers.
 const (
 	dueTryTimeout   due.Kind = iota // a route try times out
 	dueAbandon                      // the caller abandons the call
@@ -354,7 +357,7 @@
 	x.finish(call, Failed, isup.TimerExpiry, 0)
 }
 
-// reportPending reports pending endings, portability replies and changed trunk groups to the decider until none is left.
+// reportPending reports pending try results, portability replies and changed trunk groups to the decider until none is left.
 func (x *Exchange) reportPending() {
 	for {
 		if len(x.pendingResults) > 0 {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -281,7 +281,7 @@
 	}
 }
 
-// noteTryEnd notes that a backward message or a reset ends the try on its circuits.
+// noteTryEnd records that a backward message or a reset ends the try on its circuits.
 func (net *testNetwork) noteTryEnd(arriving delivery) {
 	if arriving.msg.Type == isup.GRS || arriving.msg.Type == isup.RSC {
 		for _, c := range net.callers {
--- a/internal/exchange/executor.go
+++ b/internal/exchange/executor.go
@@ -53,7 +53,7 @@
 		return
 	}
 	cause := isup.NoCircuit
-	if call.request.Transit && call.lastCause == isup.Congestion { // the preceding exchange learns that the processor beyond is full
+	if call.request.Transit && call.lastCause == isup.Congestion { // tells the preceding exchange that a processor is overloaded
 		cause = isup.Congestion
 	}
 	if call.lastCause == isup.UserBusy {
--- a/internal/exchange/numbering.go
+++ b/internal/exchange/numbering.go
@@ -8,7 +8,7 @@
 	"indigodrift/policy"
 )
 
-// Numbering holds the number tables and the portability client of an exchange. An exchange without it takes the
+// Numbering holds the number tables and the portability resolver of an exchange. An exchange without it takes the
 // destination from the first digits of the called number.
 type Numbering struct {
 	Versions    *numbers.Versions
@@ -19,21 +19,21 @@
 	Changed     func(t *numbers.Table, why string) // called when a version takes effect; why: reason for a rollback, or ""
 }
 
-// portReply is a reply of the portability client that has not been handled yet.
+// portReply is a result of the portability resolver that has not been handled yet.
 type portReply struct {
 	call  uint32
 	port  numbers.Porting
 	known bool
 }
 
-// PortabilityNet implements numbers.PortabilityNet for an exchange. It sends queries through a function, and queues the replies for
-// the calls that wait for them.
+// PortabilityNet implements numbers.PortabilityNet for an exchange. It sends queries through a function, and queues the
+// results for the calls that wait for them.
 type PortabilityNet struct {
 	exchange *Exchange
 	query    func(id uint32, server int, number string)
 }
 
-// PortabilityNet returns the interface that the portability client of this exchange is to use.
+// PortabilityNet returns the interface that the portability resolver of this exchange is to use.
 func (x *Exchange) PortabilityNet(query func(id uint32, server int, number string)) *PortabilityNet {
 	return &PortabilityNet{x, query}
 }
@@ -41,7 +41,7 @@
 // Query sends a query to a portability server.
 func (n *PortabilityNet) Query(id uint32, server int, number string) { n.query(id, server, number) }
 
-// LookupDone queues the portability result for a call; it is handled after the portability client has returned.
+// LookupDone queues the portability result for a call; it is handled after the portability resolver has returned.
 func (n *PortabilityNet) LookupDone(call uint32, port numbers.Porting, known bool) {
 	n.exchange.portReplies = append(n.exchange.portReplies, portReply{call, port, known})
 }
@@ -151,7 +151,7 @@
 	return next
 }
 
-// tickNumbering puts a due table version into force and handles the timers of the portability client.
+// tickNumbering puts a due table version into force and handles the timers of the portability resolver.
 func (x *Exchange) tickNumbering() {
 	numbering := x.numbering
 	if numbering == nil {
--- a/internal/lag/stall.go
+++ b/internal/lag/stall.go
@@ -3,8 +3,8 @@
 import "indigodrift/policy"
 
 const (
-	minStall     = policy.Tenths(500)  // waking up later than planned by so much is a stall
-	timerHold    = policy.Tenths(200)  // after a stall timers are held for so long, while messages are read
+	minStall     = policy.Tenths(500)  // waking up this much later than planned is a stall
+	timerHold    = policy.Tenths(200)  // after a stall timers are held for this long, while messages are read
 	maxTimerHold = policy.Tenths(1000) // maximum total hold, however many stalls follow each other
 )
 
--- a/internal/ledger/frame.go
+++ b/internal/ledger/frame.go
@@ -17,6 +17,7 @@
 // Kind is the type of a frame.
 type Kind byte
 
+// Kinds of frames.
 const (
 	HeaderFrame      Kind = 'H' // the exchange that the file belongs to; the first frame
 	CallFrame        Kind = 'C' // a call and its phase
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -32,7 +32,7 @@
 	batchDelay        = 5 * time.Millisecond // changes within it are written together
 	heartbeatInterval = time.Second
 	minCompactSize    = 1 << 20 // octets; a smaller file is not compacted
-	compactRatio      = 4       // size of the file in snapshots at which it is compacted
+	compactRatio      = 4       // the file is compacted once it is this many times as large as a snapshot
 	initialRetryDelay = 200 * time.Millisecond
 	maxRetryDelay     = 5 * time.Second
 )
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,4 @@
-// Package membership validates the lists of switches from the register before the decision module sees them: it detects
+// Package membership validates the lists of switches from the register before the decider sees them: it detects
 // stale, truncated and contradictory lists, and works out when each switch started. It is pure. An invalid list is rejected as
 // a whole, with the reason, and the previous one stays in force. What a valid list says about draining or missing switches
 // takes effect at once.
@@ -55,13 +55,14 @@
 // Verdict is the result of validating a list.
 type Verdict uint8
 
+// Results of validating a list.
 const (
 	Accepted Verdict = iota
 	Stale            // stale or repeated: ignored
 	Rejected         // invalid: the full list should be requested
 )
 
-// Apply validates a list and, if it is accepted, puts it in force and returns the switches to report to the decision module.
+// Apply validates a list and, if it is accepted, puts it in force and returns the switches to report to the decider.
 // The remarks describe, for the log, what is wrong with the list or with single entries.
 func (v *View) Apply(now policy.Tenths, list List) (verdict Verdict, switches []policy.Switch, remarks []string) {
 	switch {
@@ -81,7 +82,8 @@
 		}
 		if previous, ok := v.switches[entry.ID]; ok && list.Epoch == v.epoch && entry.Incarnation < previous.entry.Incarnation {
 			remarks = append(remarks, fmt.Sprintf("switch %d has incarnation %d after incarnation %d", entry.ID, entry.Incarnation, previous.entry.Incarnation))
-			entry.Incarnation, entry.Ready = previous.entry.Incarnation, false // one of the two is wrong: no new calls until a list settles it
+			// One of the two is wrong: no new calls until a list resolves it.
+			entry.Incarnation, entry.Ready = previous.entry.Incarnation, false
 		}
 		if other, duplicate := merged[entry.ID]; duplicate {
 			if other != entry {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -45,7 +45,7 @@
 	_, switches, remarks := v.Apply(1000, fullList(1, newEntry(1, 1, 0), draining, newEntry(2, 3, 0), newEntry(7, 1, 0)))
 	want := []policy.Switch{{ID: 1, Number: 1, BootAt: 1000, Draining: true}, {ID: 2, Number: 2, BootAt: 1000, Ready: true}}
 	if !slices.Equal(switches, want) || len(remarks) != 2 {
-		t.Fatalf("switches %v, doubts %q", switches, remarks)
+		t.Fatalf("switches %v, remarks %q", switches, remarks)
 	}
 	if _, switches, _ = v.Apply(2000, fullList(2, newEntry(2, 2, 0))); switches[0].Ready {
 		t.Fatalf("a switch listed in an earlier incarnation counts as ready: %v", switches)
--- a/internal/reconnect/reconnect.go
+++ b/internal/reconnect/reconnect.go
@@ -11,7 +11,7 @@
 const (
 	initialDelay = policy.Tenths(2000)  // minimum delay after a failure
 	maxDelay     = policy.Tenths(60000) // maximum random part of the delay
-	stableTime   = policy.Tenths(50000) // a link that was up for so long starts again with the minimum delay
+	stableTime   = policy.Tenths(50000) // a link that was up for this long starts again with the minimum delay
 
 	// dialSpacing spreads the dials of an exchange over its links. Every exchange has about as many links as there are
 	// exchanges, so when the whole network starts or loses a switch at once, each switch gets one dial per dialSpacing. With
@@ -19,7 +19,7 @@
 	dialSpacing = policy.Tenths(30)
 
 	heartbeatInterval = policy.Tenths(10000)
-	silenceTimeout    = policy.Tenths(35000) // a link is dead after such a silence: three heartbeats and a margin
+	silenceTimeout    = policy.Tenths(35000) // a link is dead if nothing is received for this long: three heartbeats and a margin
 )
 
 // Backoff computes the delays between the dials of one link: exponential backoff with jitter.
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -70,7 +70,7 @@
 		diedAt = now
 	}
 	if heartbeats < 3 || diedAt < silenceTimeout || diedAt > silenceTimeout+1000 {
-		t.Fatalf("dead at %d after %d beats", diedAt, heartbeats)
+		t.Fatalf("dead at %d after %d heartbeats", diedAt, heartbeats)
 	}
 	if _, dead, _ := liveness.Check(diedAt, diedAt-10); dead {
 		t.Fatal("link is dead although this process was stalled until now")
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -15,8 +15,9 @@
 // Phase is the state of a stored call.
 type Phase uint8
 
+// Phases of a stored call.
 const (
-	SettingUp   Phase = iota // offered to the decision module, not answered yet
+	SettingUp   Phase = iota // offered to the decider, not answered yet
 	Established              // answered and not released
 )
 
@@ -51,6 +52,7 @@
 // Outcome is what happens to a stored call.
 type Outcome uint8
 
+// Outcomes of a stored call.
 const (
 	Continue     Outcome = iota // the call continues while its circuits are queried
 	AnswerFailed                // its caller still waits and is told once that it failed
@@ -58,6 +60,7 @@
 	Release                     // it was established and cannot continue: what remains of it is released
 )
 
+// String returns the outcome as logs and reports show it.
 func (o Outcome) String() string {
 	return [...]string{"still established", "answered as failed", "forgotten", "cut"}[o]
 }
@@ -170,6 +173,7 @@
 // LocalState is the state of a circuit at this exchange.
 type LocalState uint8
 
+// States of a circuit at this exchange.
 const (
 	Idle     LocalState = iota
 	Incoming            // carries a call from the neighbour
@@ -180,6 +184,7 @@
 // Action is what to do about one circuit after the neighbour has reported its state (CQR).
 type Action uint8
 
+// Actions after a circuit query.
 const (
 	NoAction     Action = iota
 	DropCall            // the neighbour released it during the downtime: the call here is over and nothing is sent
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// Guards against circuits that two ends never agree on: whatever state each end starts with, comparing and acting on the result
-// ends with both in agreement, and keeps a call only if both ends had it.
+// Guards against circuits that two ends never agree on: whatever state each end starts with, both agree after at most two rounds
+// of comparing and acting on the result, and a call continues only if both ends had it.
 func TestTwoEndsAgree(t *testing.T) {
 	indicator := map[LocalState]byte{Idle: isup.CircuitIdle, Incoming: isup.IncomingBusy, Outgoing: isup.OutgoingBusy, Clearing: isup.Transient}
 	for a := Idle; a <= Clearing; a++ {
--- a/internal/trunk/link.go
+++ b/internal/trunk/link.go
@@ -31,8 +31,8 @@
 // Handler receives the events of links, one call at a time for each link. The octets of a frame are valid until the method
 // returns.
 type Handler interface {
-	LinkUp(link int, g Handshake)
-	HandleFrame(link int, f m3ua.Frame) error // an error closes the link
+	LinkUp(link int, handshake Handshake)
+	HandleFrame(link int, frame m3ua.Frame) error // an error closes the link
 	LinkDown(link int, err error)
 }
 
@@ -97,7 +97,7 @@
 // Duration converts tenths of a millisecond to a time.Duration.
 func Duration(t policy.Tenths) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
-// serveOnce dials and serves one connection; up tells whether the link came up.
+// serveOnce dials and serves one connection. It returns whether the link came up, and why it ended.
 func (l *Link) serveOnce(ctx context.Context) (up bool, err error) {
 	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
