--- a/internal/circuit/circuit_test.go
+++ b/internal/circuit/circuit_test.go
@@ -268,9 +268,9 @@
 // The set-up that lost a dual seizure may be read late, after the winning call has ended. The release with
 // isup.FlagYielded makes the winner ignore it, while a later set-up is accepted.
 func TestLateSetUpThatLostADualSeizureIsIgnored(t *testing.T) {
-	keeper, loser := New(2, 1, 31), New(1, 2, 31) // only circuit 2 is free; the higher point code controls it
+	winner, loser := New(2, 1, 31), New(1, 2, 31) // only circuit 2 is free; the higher point code controls it
 	const cic = 2
-	for _, g := range []*Group{keeper, loser} {
+	for _, g := range []*Group{winner, loser} {
 		for i := range g.circuits {
 			g.SetBlocked(code(i), code(i) != cic)
 		}
@@ -279,14 +279,14 @@
 		}
 	}
 	v, lost, _ := loser.SetUpReceived(1100, 8, Assignment{CIC: cic}, 1)
-	if v != Accepted || len(lost) != 1 || !loser.Yielded(cic) || keeper.Yielded(cic) {
+	if v != Accepted || len(lost) != 1 || !loser.Yielded(cic) || winner.Yielded(cic) {
 		t.Fatal(v, lost)
 	}
 	loser.Release(1200, cic) // the call is refused
-	keeper.YieldReceived(1300, cic)
-	keeper.Cleared(1300, cic, true)
+	winner.YieldReceived(1300, cic)
+	winner.Cleared(1300, cic, true)
 	loser.Cleared(1400, cic, false)
-	if v, _, _ := keeper.SetUpReceived(9000, 9, Assignment{CIC: cic}, 1); v != NotIdle {
+	if v, _, _ := winner.SetUpReceived(9000, 9, Assignment{CIC: cic}, 1); v != NotIdle {
 		t.Fatalf("verdict %d on the yielded set-up", v)
 	}
 	if _, ok := loser.Seize(1300+ignoreInterval, 10, 1); ok {
@@ -295,7 +295,7 @@
 	if _, ok := loser.Seize(1400+yieldGuardInterval, 10, 1); !ok {
 		t.Fatal("never seized again")
 	}
-	if v, _, _ := keeper.SetUpReceived(1400+yieldGuardInterval, 10, Assignment{CIC: cic}, 1); v != Accepted {
+	if v, _, _ := winner.SetUpReceived(1400+yieldGuardInterval, 10, Assignment{CIC: cic}, 1); v != Accepted {
 		t.Fatalf("verdict %d on the next set-up", v)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -321,7 +321,7 @@
 // handle handles one event.
 func (s *Server) handle(ev event) {
 	now := s.clock.Now()
-	defer s.agent.settle(now)
+	defer s.agent.processQueue(now)
 	own := ev.link == len(s.links)-1
 	switch ev.kind {
 	case evMessage:
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestCallOfDepartedCallerIsIgnored(t *testing.T) {
+func TestAbandonedCallIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := startHarness(t, 64)
 		h.sendSetUp(1, 2, 30000, 100000) // sets the transmission time; refused, as there is no route
--- a/internal/control/gateways.go
+++ b/internal/control/gateways.go
@@ -158,8 +158,8 @@
 	return a.agent.LinesAwaitingResponse(now)
 }
 
-// settle lets the agent handle what the exchange sent to its lines during an event.
-func (a *agentAdapter) settle(now policy.Tenths) {
+// processQueue lets the agent handle what the exchange sent to its lines during an event.
+func (a *agentAdapter) processQueue(now policy.Tenths) {
 	if a != nil {
 		a.agent.ProcessQueue(now)
 	}
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -170,7 +170,7 @@
 		b.Fatal("the gateway did not come into service")
 	}
 	var byGateway, byTrunk time.Duration
-	spent := func(sum *time.Duration, do func()) {
+	addTime := func(sum *time.Duration, do func()) {
 		start := time.Now()
 		do()
 		*sum += time.Since(start)
@@ -179,12 +179,12 @@
 		return fmt.Appendf(nil, "NTFY %d aaln/1@gw0 MGCP 1.0\r\nX: %s\r\nO: %s\r\n", id, x, o)
 	}
 	trunkREL, _ := isup.Append(nil, isup.Message{CIC: 1, Type: isup.REL, Cause: isup.NormalClearing})
-	ahead := exchange.Hop{Side: exchange.Succeeding, Peer: 0}
+	succeeding := exchange.Hop{Side: exchange.Succeeding, Peer: 0}
 	id, calls := 0, 0
 	for b.Loop() {
 		calls++
 		h.now += 400
-		spent(&byGateway, func() { // counts the timers, the exchange's too, as part of the gateway call
+		addTime(&byGateway, func() { // counts the timers, the exchange's too, as part of the gateway call
 			for h.exchange.Next() <= h.now {
 				h.exchange.Tick(h.now)
 			}
@@ -198,9 +198,9 @@
 			}
 		}
 		step := func(text []byte) {
-			spent(&byGateway, func() { h.receiveDatagram(text) })
+			addTime(&byGateway, func() { h.receiveDatagram(text) })
 			for _, r := range h.responses() {
-				spent(&byGateway, func() { h.receiveDatagram(r) })
+				addTime(&byGateway, func() { h.receiveDatagram(r) })
 			}
 		}
 		id += 3
@@ -212,26 +212,30 @@
 		}
 		cic := h.setUp.CIC
 		anm, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.ANM, UserInfo: isup.UserInfo{Present: isup.PartSession, Session: sessionDescription}})
-		spent(&byGateway, func() { h.receiveTrunk(ahead, anm) })
+		addTime(&byGateway, func() { h.receiveTrunk(succeeding, anm) })
 		for _, r := range h.responses() {
-			spent(&byGateway, func() { h.receiveDatagram(r) })
+			addTime(&byGateway, func() { h.receiveDatagram(r) })
 		}
 		step(notify(id+2, h.requestID, "L/hu"))
 		rlc, _ := isup.Append(nil, isup.Message{CIC: cic, Type: isup.RLC})
-		spent(&byGateway, func() { h.receiveTrunk(ahead, rlc) })
+		addTime(&byGateway, func() { h.receiveTrunk(succeeding, rlc) })
 
 		iam, _ := isup.Append(nil, isup.Message{CIC: 1, Type: isup.IAM, Width: 1, Digits: "001000001", HopCounter: 2, Ref: isup.Reference{Point: 3, Identity: uint32(calls) & 0xffffff},
 			UserInfo: isup.UserInfo{Present: isup.PartTimeLeft | isup.PartCall, TimeLeft: 80000}})
-		behind := exchange.Hop{Side: exchange.Preceding, Peer: 1}
+		preceding := exchange.Hop{Side: exchange.Preceding, Peer: 1}
 		h.setUpHop = exchange.Hop{}
-		spent(&byTrunk, func() { h.receiveTrunk(behind, iam) })
+		addTime(&byTrunk, func() { h.receiveTrunk(preceding, iam) })
 		if h.setUpHop.Side != exchange.Succeeding {
 			b.Fatal("no set-up was sent on")
 		}
 		cic = h.setUp.CIC
 		anm, _ = isup.Append(nil, isup.Message{CIC: cic, Type: isup.ANM})
 		rlc, _ = isup.Append(nil, isup.Message{CIC: cic, Type: isup.RLC})
-		spent(&byTrunk, func() { h.receiveTrunk(ahead, anm); h.receiveTrunk(behind, trunkREL); h.receiveTrunk(ahead, rlc) })
+		addTime(&byTrunk, func() {
+			h.receiveTrunk(succeeding, anm)
+			h.receiveTrunk(preceding, trunkREL)
+			h.receiveTrunk(succeeding, rlc)
+		})
 	}
 	g, t := byGateway.Seconds()/float64(calls), byTrunk.Seconds()/float64(calls)
 	b.ReportMetric(g*1e6, "µs/call-by-gateway")
@@ -499,8 +503,8 @@
 				b.Fatal(err)
 			}
 			baseline := &directExchange{conn: conn, now: 1 << 32, otherSide: map[[2]uint16][2]uint16{}}
-			site := gatewaySettings(0, 2, phones, 1e6).Config
-			baseline.agent = callagent.New(site, baseline, baseline.now)
+			agentConfig := gatewaySettings(0, 2, phones, 1e6).Config
+			baseline.agent = callagent.New(agentConfig, baseline, baseline.now)
 			ctx, cancel := context.WithCancel(context.Background())
 			go baseline.run(ctx)
 			log := audit.NewLog(discard{})
@@ -532,7 +536,7 @@
 					if err := g.Start(); err != nil {
 						b.Fatal(err)
 					}
-					g.UpdateFaults(func(q *standin.GatewayFaults) { q.Network.LossRatio = loss })
+					g.UpdateFaults(func(quantile *standin.GatewayFaults) { quantile.Network.LossRatio = loss })
 					fleet = append(fleet, g)
 				}
 			}
@@ -552,11 +556,11 @@
 					b.Fatalf("%d of %d calls were established at loss %v on path %d", len(at[path]), calls, loss, path)
 				}
 			}
-			q := func(path, of int) float64 { return at[path][len(at[path])*of/100].Seconds() }
-			b.ReportMetric(q(0, 50)/q(1, 50), fmt.Sprintf("median-over-bare-loss%g", loss*100))
-			b.ReportMetric(q(0, 99)/q(1, 99), fmt.Sprintf("99th-over-bare-loss%g", loss*100))
-			b.ReportMetric(q(0, 50)*1e3, fmt.Sprintf("median-ms-loss%g", loss*100))
-			b.ReportMetric(q(0, 99)*1e3, fmt.Sprintf("99th-ms-loss%g", loss*100))
+			quantile := func(path, of int) float64 { return at[path][len(at[path])*of/100].Seconds() }
+			b.ReportMetric(quantile(0, 50)/quantile(1, 50), fmt.Sprintf("median-over-bare-loss%g", loss*100))
+			b.ReportMetric(quantile(0, 99)/quantile(1, 99), fmt.Sprintf("99th-over-bare-loss%g", loss*100))
+			b.ReportMetric(quantile(0, 50)*1e3, fmt.Sprintf("median-ms-loss%g", loss*100))
+			b.ReportMetric(quantile(0, 99)*1e3, fmt.Sprintf("99th-ms-loss%g", loss*100))
 		}
 	}
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -42,7 +42,7 @@
 	number      int
 	exchange    *Exchange
 	connects    int
-	notes       []string
+	logLines    []string
 	lastArrival map[int]policy.Tenths // time of the last message to each exchange, as links keep the order
 }
 
@@ -59,7 +59,7 @@
 }
 
 func (node *testNode) RequestSwitchList()    {}
-func (node *testNode) Log(text string)       { node.notes = append(node.notes, text) }
+func (node *testNode) Log(text string)       { node.logLines = append(node.logLines, text) }
 func (node *testNode) ReportAnswer(a Answer) {}
 
 // Transmit sends a message through the simulated network. A called line answers at once.
@@ -260,7 +260,7 @@
 				continue
 			}
 			if arriving.msg.Type == isup.ANM || arriving.msg.Type == isup.REL || arriving.msg.Type == isup.GRS || arriving.msg.Type == isup.RSC {
-				net.noteTryEnd(arriving)
+				net.recordTryEnd(arriving)
 			}
 			net.delivering = arriving
 			net.nodes[arriving.to].exchange.Receive(net.now, arriving.from, arriving.msg, 0)
@@ -281,8 +281,8 @@
 	}
 }
 
-// noteTryEnd records that a backward message or a reset ends the try on its circuits.
-func (net *testNetwork) noteTryEnd(arriving delivery) {
+// recordTryEnd records that a backward message or a reset ends the try on its circuits.
+func (net *testNetwork) recordTryEnd(arriving delivery) {
 	if arriving.msg.Type == isup.GRS || arriving.msg.Type == isup.RSC {
 		for _, c := range net.callers {
 			for cic := arriving.msg.CIC; cic <= arriving.msg.CIC+uint16(arriving.msg.Range); cic++ {
@@ -328,9 +328,9 @@
 		t.Fatalf("%d rule violations: %v", len(net.violations), net.violations[:min(3, len(net.violations))])
 	}
 	for _, node := range net.nodes {
-		for _, n := range node.notes {
-			if len(n) > 6 && n[:6] == "fault:" {
-				t.Fatalf("exchange %d: %s", node.number, n)
+		for _, line := range node.logLines {
+			if len(line) > 6 && line[:6] == "fault:" {
+				t.Fatalf("exchange %d: %s", node.number, line)
 			}
 		}
 	}
--- a/internal/exchange/numbering_test.go
+++ b/internal/exchange/numbering_test.go
@@ -207,7 +207,7 @@
 func TestTableWithoutADestinationIsRolledBackAndLeavesEstablishedCalls(t *testing.T) {
 	net := newTestNetwork(3, 20)
 	all := addNumbering(t, net)
-	standing := net.call(1, 2, 0, 1, 30000)
+	establishedCall := net.call(1, 2, 0, 1, 30000)
 	net.advanceWith(1000, all)
 	zone, _ := numbers.NewZone("UTC")
 	bad := &numbers.Table{Version: 2, Zone: zone}
@@ -221,8 +221,8 @@
 		net.call(1, 2, 0, 1, 30000)
 		net.advanceWith(200, all)
 	}
-	if v := net.nodes[1].exchange.numbering.Versions.Current().Version; v != 1 || !net.callers[standing].established {
-		t.Fatalf("version %d is in force, the call is established: %v", v, net.callers[standing].established)
+	if v := net.nodes[1].exchange.numbering.Versions.Current().Version; v != 1 || !net.callers[establishedCall].established {
+		t.Fatalf("version %d is in force, the call is established: %v", v, net.callers[establishedCall].established)
 	}
 	net.requireNoViolations(t)
 }
@@ -233,9 +233,9 @@
 	net := newTestNetwork(3, 20)
 	all := addNumbering(t, net)
 	zone, _ := numbers.NewZone("UTC")
-	turn := net.now/10000/60 + 1 // the next full minute
+	changeMinute := net.now/10000/60 + 1 // the next full minute
 	timed := func(version uint64, early, late int) *numbers.Table {
-		minute := int(turn % 1440)
+		minute := int(changeMinute % 1440)
 		table := &numbers.Table{Version: version, Zone: zone, Routes: []numbers.Route{{Name: "x", MinDigits: 9, MaxDigits: 9, Choices: []numbers.Choice{
 			{Schedule: &numbers.Schedule{FromMinute: minute, ToMinute: minute + 60}, Shares: []numbers.Share{{Weight: 1, Exchange: late}}},
 			{Shares: []numbers.Share{{Weight: 1, Exchange: early}}}}}}}
@@ -246,11 +246,11 @@
 	}
 	net.nodes[1].exchange.UpdateNumbering(net.now, func(n *Numbering) {
 		n.Versions.Load(timed(2, 0, 0), 0, 0, net.now)
-		if err := n.Versions.Load(timed(3, 1, 2), int64(turn*60), n.UnixSecond(net.now), net.now); err != nil {
+		if err := n.Versions.Load(timed(3, 1, 2), int64(changeMinute*60), n.UnixSecond(net.now), net.now); err != nil {
 			t.Fatal(err)
 		}
 	})
-	net.advanceWith(turn*600000-net.now-100, all)
+	net.advanceWith(changeMinute*600000-net.now-100, all)
 	before := net.call(1, 1, 0, 1, 30000)
 	net.advanceWith(100, all)
 	after := net.call(1, 1, 0, 1, 30000)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -66,42 +66,42 @@
 			if rapid.Bool().Draw(t, "line") {
 				return lineLeg(rapid.Uint16Max(5).Draw(t, "line's"))
 			}
-			p := trunkLeg(1, rapid.Uint16Range(1, 6).Draw(t, "cic"))
+			leg := trunkLeg(1, rapid.Uint16Range(1, 6).Draw(t, "cic"))
 			if rapid.Bool().Draw(t, "wide") {
-				p.Slots = 1<<(p.CIC-1) | 1<<p.CIC
+				leg.Slots = 1<<(leg.CIC-1) | 1<<leg.CIC
 			}
-			return p
+			return leg
 		}
 		for id := range uint32(rapid.IntRange(0, 10).Draw(t, "calls")) {
 			all = append(all, StoredCall{ID: id + 1, Phase: Established, In: drawLeg(), Out: drawLeg(), Since: wallNow - int64(rapid.IntRange(1, 50).Draw(t, "since"))})
 		}
 		got := Decide(wallNow, Process{SiteDigest: 7, LastHeartbeat: wallNow}, all, settings())
 		held := map[Leg]uint32{}
-		for _, v := range got {
-			if v.Outcome != Continue {
+		for _, decision := range got {
+			if decision.Outcome != Continue {
 				continue
 			}
-			for _, p := range append(singleCircuits(v.In), singleCircuits(v.Out)...) {
-				if other, twice := held[p]; twice && other != v.ID {
-					t.Fatalf("%+v is used by calls %d and %d", p, other, v.ID)
+			for _, leg := range append(singleCircuits(decision.In), singleCircuits(decision.Out)...) {
+				if other, twice := held[leg]; twice && other != decision.ID {
+					t.Fatalf("%+v is used by calls %d and %d", leg, other, decision.ID)
 				}
-				held[p] = v.ID
+				held[leg] = decision.ID
 			}
 		}
-		for _, v := range got { // each released call conflicts with one that entered its phase no earlier
-			if v.Outcome != Release {
+		for _, decision := range got { // each released call conflicts with one that entered its phase no earlier
+			if decision.Outcome != Release {
 				continue
 			}
-			if slices.ContainsFunc(singleCircuits(v.In), func(p Leg) bool { return slices.Contains(singleCircuits(v.Out), p) }) {
+			if slices.ContainsFunc(singleCircuits(decision.In), func(leg Leg) bool { return slices.Contains(singleCircuits(decision.Out), leg) }) {
 				continue // both its sides are the same circuit or line
 			}
-			rival := slices.ContainsFunc(got, func(o Decision) bool {
-				return o.ID != v.ID && o.Since >= v.Since && slices.ContainsFunc(append(singleCircuits(o.In), singleCircuits(o.Out)...), func(p Leg) bool {
-					return slices.Contains(append(singleCircuits(v.In), singleCircuits(v.Out)...), p)
+			conflict := slices.ContainsFunc(got, func(o Decision) bool {
+				return o.ID != decision.ID && o.Since >= decision.Since && slices.ContainsFunc(append(singleCircuits(o.In), singleCircuits(o.Out)...), func(leg Leg) bool {
+					return slices.Contains(append(singleCircuits(decision.In), singleCircuits(decision.Out)...), leg)
 				})
 			})
-			if !rival {
-				t.Fatalf("call %d was released without a conflict: %+v", v.ID, got)
+			if !conflict {
+				t.Fatalf("call %d was released without a conflict: %+v", decision.ID, got)
 			}
 		}
 	})
