--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -27,8 +27,8 @@
 // sessionDescription is the SDP body that gateways return for a connection.
 const sessionDescription = "v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 4000 RTP/AVP 0\r\n"
 
-// gatewaySettings returns settings with a number of gateways that have so many endpoints each. The rate limits how many gateways
-// a second are brought into service.
+// gatewaySettings returns settings with a number of gateways of equal size. rate is the limit of gateways that are brought into
+// service per second.
 func gatewaySettings(own, gateways, endpoints int, rate float64) *Gateways {
 	digitMap, _ := mgcp.ParseDigitMap("(xxxxxxxxx)")
 	settings := &Gateways{Config: callagent.Config{OwnExchange: own, PointCode: exchange.PointCode(own), DigitMap: digitMap, AbandonTimes: []policy.Tenths{90000}, GoSTarget: 12000, MaxDialTime: 200000,
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -94,7 +94,8 @@
 		s, stop := startWithTables(t, dir)
 		defer stop()
 		store := filepath.Join(dir, "store")
-		if err := errors.Join(os.Rename(store, store+"-away"), os.WriteFile(store, nil, 0o644)); err != nil { // a store that accepts no file
+		// The store accepts no file: its folder is replaced by a file.
+		if err := errors.Join(os.Rename(store, store+"-away"), os.WriteFile(store, nil, 0o644)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := s.Load(writeTable(t, dir, 2, 2), time.Now()); err == nil || inForce(s) != 1 {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -546,7 +546,7 @@
 	}
 }
 
-// Listed applies a validated list of switches.
+// Listed applies a validated list of switches, or a change to the previous list unless whole is set.
 func (x *Exchange) Listed(now policy.Tenths, whole bool, list []policy.Switch) {
 	x.now = now
 	if whole {
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -39,7 +39,8 @@
 }
 
 func TestFirstMessagesAfterAStallAreOld(t *testing.T) {
-	for _, c := range []struct{ read, want policy.Tenths }{{1010, 18990}, {20000, 19000}} { // the handshake was read at once, or after the stall
+	// The handshake is read at once, or after the stall.
+	for _, c := range []struct{ read, want policy.Tenths }{{1010, 18990}, {20000, 19000}} {
 		l := NewEstimator(1000, c.read, 500)
 		if got := l.Age(20000, 500); got != c.want {
 			t.Errorf("handshake read at %d: age %d, want %d", c.read, got, c.want)
--- a/internal/lag/stall_test.go
+++ b/internal/lag/stall_test.go
@@ -34,6 +34,6 @@
 		}
 	}
 	if ran < 30 {
-		t.Errorf("timers ran in %d of 100 turns", ran)
+		t.Errorf("timers ran in %d of 100 periods", ran)
 	}
 }
