--- a/internal/control/answer_bench_test.go
+++ b/internal/control/answer_bench_test.go
@@ -95,13 +95,13 @@
 	}
 	b.Cleanup(func() { ln.Close() })
 	go func() {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
 		var scratch, out, user []byte
 		for {
-			f, s, err := m3ua.Read(c, scratch)
+			f, s, err := m3ua.Read(conn, scratch)
 			if err != nil {
 				return
 			}
@@ -117,7 +117,7 @@
 				reply = m3ua.Frame{Kind: m3ua.Data, OPC: 1, DPC: exchange.FirstSubscriberPoint, UserData: user}
 			}
 			out, _ = m3ua.Append(out[:0], reply)
-			c.Write(out)
+			conn.Write(out)
 		}
 	}()
 	return ln.Addr().String()
@@ -154,7 +154,7 @@
 	reg := standin.NewRegister(switches, sizes, 0, 100*time.Millisecond, log)
 	reg.Start(registerListener)
 	b.Cleanup(reg.Stop)
-	var d net.Dialer
+	var dialer net.Dialer
 	var servers []*Server
 	for i := range n {
 		s := Config{Deployment: policy.Deployment{OwnExchange: i, Seed: uint64(i), MaxTries: 4, ReleaseTime: 3000, InitialCapacity: 1, OverloadMultiple: 3, OverloadWindow: 15000, RampTime: 1,
@@ -168,10 +168,10 @@
 		if change != nil {
 			change(i, &s)
 		}
-		server, err := New(s, func(d policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
-			return policy.New(d, x, now)
+		server, err := New(s, func(dialer policy.Deployment, x policy.Executor, now policy.Tenths) exchange.Decider {
+			return policy.New(dialer, x, now)
 		},
-			func(ctx context.Context, a string) (net.Conn, error) { return d.DialContext(ctx, "tcp", a) }, slog.New(slog.DiscardHandler))
+			func(ctx context.Context, a string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", a) }, slog.New(slog.DiscardHandler))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -351,7 +351,7 @@
 		}
 		switch verdict {
 		case membership.Accepted:
-			s.exchange.Listed(now, ev.list.Full, switches)
+			s.exchange.ListReceived(now, ev.list.Full, switches)
 			s.register.Ack(ev.list.Version)
 		case membership.Rejected:
 			// The decider paces the next request: requests sent at once went on without end when a register kept sending
--- a/internal/control/gateways_bench_test.go
+++ b/internal/control/gateways_bench_test.go
@@ -140,7 +140,7 @@
 			h.exchange.Receive(h.now, exchange.Hop{Side: exchange.Succeeding, Peer: peer}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1), Range: isup.CircuitsPerMultiplex - 1}, 0)
 		}
 	}
-	h.exchange.Listed(h.now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}, {ID: 6, Number: 2, Ready: true}})
+	h.exchange.ListReceived(h.now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}, {ID: 6, Number: 2, Ready: true}})
 	site := gatewaySettings(0, gateways, endpoints, 1e6).Config
 	for i := range site.Gateways {
 		site.Gateways[i].Addresses = []netip.AddrPort{gatewayAddress}
--- a/internal/control/numbering_test.go
+++ b/internal/control/numbering_test.go
@@ -149,7 +149,7 @@
 	defer func() { cancel(); <-ended; stop() }()
 	at := ln.Addr().String()
 	for _, c := range []struct {
-		o       Command
+		command Command
 		version uint64
 		fault   string
 	}{
@@ -157,9 +157,9 @@
 		{Command{Name: "load", File: filepath.Join(dir, "none")}, 2, "no such file"}, {Command{Name: "rollback"}, 1, ""},
 		{Command{Name: "load", File: writeTable(t, dir, 2, 2)}, 1, "taken back before: by order"}, {Command{Name: "dance"}, 1, "there are load, rollback, versions"},
 	} {
-		r, err := SendCommand(at, c.o)
-		if err != nil || r.Version != c.version || (c.fault == "") != (r.Error == "") || !strings.Contains(r.Error, c.fault) {
-			t.Errorf("%+v: %+v, %v", c.o, r, err)
+		reply, err := SendCommand(at, c.command)
+		if err != nil || reply.Version != c.version || (c.fault == "") != (reply.Error == "") || !strings.Contains(reply.Error, c.fault) {
+			t.Errorf("%+v: %+v, %v", c.command, reply, err)
 		}
 	}
 }
--- a/internal/exchange/bench_test.go
+++ b/internal/exchange/bench_test.go
@@ -35,7 +35,7 @@
 		x.Receive(now, Hop{Side: Succeeding}, isup.Message{Type: isup.GRA, CIC: uint16(first/isup.CircuitsPerMultiplex*32 + 1),
 			Range: isup.CircuitsPerMultiplex - 1}, 0)
 	}
-	x.Listed(now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}})
+	x.ListReceived(now, true, []policy.Switch{{ID: 5, Number: 1, Ready: true}})
 	return x, out, now
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -332,7 +332,7 @@
 			if len(x.withheldSwitches) > 0 && now >= x.coldHoldUntil {
 				list := x.withheldSwitches
 				x.withheldSwitches = nil
-				x.Listed(now, false, list)
+				x.ListReceived(now, false, list)
 			}
 			x.schedule(now+auditInterval, dueAudit, 0)
 		}
@@ -546,8 +546,8 @@
 	}
 }
 
-// Listed applies a validated list of switches, or a change to the previous list unless whole is set.
-func (x *Exchange) Listed(now policy.Tenths, whole bool, list []policy.Switch) {
+// ListReceived applies a validated list of switches, or a change to the previous list unless whole is set.
+func (x *Exchange) ListReceived(now policy.Tenths, whole bool, list []policy.Switch) {
 	x.now = now
 	if whole {
 		for i := range x.groups {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -196,7 +196,7 @@
 	node.exchange = New(d, neighbours, node, net.now, func(d policy.Deployment, e policy.Executor, now policy.Tenths) Decider {
 		return policy.New(d, e, now)
 	})
-	node.exchange.Listed(net.now, true, list)
+	node.exchange.ListReceived(net.now, true, list)
 }
 
 // connect brings up the links of an exchange.
--- a/internal/exchange/numbering_test.go
+++ b/internal/exchange/numbering_test.go
@@ -151,7 +151,7 @@
 // A late portability reply, received after the call was routed by the donor exchange or has ended, must not affect that
 // call. The next call to the number uses it.
 func TestLatePortabilityReply(t *testing.T) {
-	for _, over := range []bool{false, true} {
+	for _, ended := range []bool{false, true} {
 		net := newTestNetwork(3, 10)
 		all := addNumbering(t, net)
 		all[1].delay = 6000 // a call waits 3000 at most
@@ -162,19 +162,19 @@
 		if at := destinationOf(net, ref); at != 0 {
 			t.Fatalf("reached exchange %d without a reply, want the donor exchange 0", at)
 		}
-		if over {
+		if ended {
 			net.hangUp(ref)
 		}
-		if !over && !net.nodes[1].exchange.callsByID()[0].donorRouted {
+		if !ended && !net.nodes[1].exchange.callsByID()[0].donorRouted {
 			t.Fatal("call not marked as routed by the donor exchange")
 		}
 		net.advanceWith(4000, all)
-		if at := destinationOf(net, ref); over != (at == -1) {
-			t.Fatalf("call ended %v: after the late reply it is at exchange %d", over, at)
+		if at := destinationOf(net, ref); ended != (at == -1) {
+			t.Fatalf("call ended %v: after the late reply it is at exchange %d", ended, at)
 		}
 		net.nextCall = 0 // the same line again
 		net.callers = map[isup.Reference]*caller{}
-		if !over {
+		if !ended {
 			continue
 		}
 		again := net.call(1, 0, 0, 1, 30000)
--- a/internal/isup/isup_test.go
+++ b/internal/isup/isup_test.go
@@ -35,25 +35,25 @@
 		m.Range = rapid.Uint8Range(1, 31).Draw(t, "range")
 	}
 	if m.Type == IAM || m.Type == ACM || m.Type == ANM || m.Type == REL || m.Type == RLC {
-		s := &m.UserInfo
-		s.Present = PartSet(rapid.Uint8Max(63).Draw(t, "has"))
-		if s.Present&PartTimeLeft != 0 {
-			s.TimeLeft, s.SentAt = rapid.Uint32().Draw(t, "left"), rapid.Uint32().Draw(t, "stamp")
+		userInfo := &m.UserInfo
+		userInfo.Present = PartSet(rapid.Uint8Max(63).Draw(t, "has"))
+		if userInfo.Present&PartTimeLeft != 0 {
+			userInfo.TimeLeft, userInfo.SentAt = rapid.Uint32().Draw(t, "left"), rapid.Uint32().Draw(t, "stamp")
 		}
-		if s.Present&PartLoad != 0 {
-			s.Wait, s.HoldBack = rapid.Uint32().Draw(t, "wait"), rapid.Uint16().Draw(t, "hold back")
+		if userInfo.Present&PartLoad != 0 {
+			userInfo.Wait, userInfo.HoldBack = rapid.Uint32().Draw(t, "wait"), rapid.Uint16().Draw(t, "hold back")
 		}
-		if s.Present&PartRetryAfter != 0 {
-			s.RetryAfter = rapid.Uint32().Draw(t, "come back")
+		if userInfo.Present&PartRetryAfter != 0 {
+			userInfo.RetryAfter = rapid.Uint32().Draw(t, "come back")
 		}
-		if s.Present&PartSession != 0 {
-			s.Session = rapid.StringMatching(`[a-z=\n]{0,200}`).Draw(t, "session")
+		if userInfo.Present&PartSession != 0 {
+			userInfo.Session = rapid.StringMatching(`[a-z=\n]{0,200}`).Draw(t, "session")
 		}
-		if s.Present&PartRoute != 0 {
-			s.Dest, s.TableVersion = rapid.Uint16().Draw(t, "dest"), rapid.Uint64().Draw(t, "table")
+		if userInfo.Present&PartRoute != 0 {
+			userInfo.Dest, userInfo.TableVersion = rapid.Uint16().Draw(t, "dest"), rapid.Uint64().Draw(t, "table")
 		}
-		if s.Present&PartCall != 0 {
-			s.Bearer, s.Flags = rapid.Uint8().Draw(t, "bearer"), rapid.Uint8().Draw(t, "marks")
+		if userInfo.Present&PartCall != 0 {
+			userInfo.Bearer, userInfo.Flags = rapid.Uint8().Draw(t, "bearer"), rapid.Uint8().Draw(t, "marks")
 		}
 	}
 	return m
--- a/internal/ledger/format_test.go
+++ b/internal/ledger/format_test.go
@@ -24,18 +24,18 @@
 	call = append(call, 0, 1, 0, 0, 0, 77)                              // reference
 	call = append(call, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2, 0) // since, until
 	old = frame(old, call...)
-	c := Read(old)
+	contents := Read(old)
 	want := recovery.StoredCall{ID: 9, Phase: recovery.Established, In: recovery.Leg{Point: 0x2000, CIC: 5}, Out: recovery.Leg{Trunk: true, Number: 3, CIC: 33},
 		Ref: isup.Reference{Point: 1, Identity: 77}, Since: 256, Until: 512}
-	if c.UnreadReason != "" || c.Version != 1 || c.Process.SiteDigest != 7 || c.Calls[9] != want {
-		t.Fatalf("%+v", c)
+	if contents.UnreadReason != "" || contents.Version != 1 || contents.Process.SiteDigest != 7 || contents.Calls[9] != want {
+		t.Fatalf("%+v", contents)
 	}
-	again := Read(appendFrame(header(), Record{Kind: CallFrame, Call: c.Calls[9]}))
+	again := Read(appendFrame(header(), Record{Kind: CallFrame, Call: contents.Calls[9]}))
 	if again.Version != currentVersion || again.Calls[9] != want {
 		t.Fatalf("%+v", again)
 	}
 	old[len(magic)] = currentVersion // in the current format the same octets are not valid calls
-	if c := Read(old); c.UnreadReason == "" || len(c.Calls) != 0 {
-		t.Fatalf("%+v", c)
+	if contents := Read(old); contents.UnreadReason == "" || len(contents.Calls) != 0 {
+		t.Fatalf("%+v", contents)
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -34,14 +34,14 @@
 		t.Fatal(err)
 	}
 	go opened.Run()
-	live := map[uint32]recovery.StoredCall{}
+	stored := map[uint32]recovery.StoredCall{}
 	for range steps {
 		id := rapid.Uint32Range(1, 20).Draw(t, "id")
 		if rapid.Bool().Draw(t, "put") {
-			live[id] = randomCall(t, id)
-			opened.Put(live[id])
+			stored[id] = randomCall(t, id)
+			opened.Put(stored[id])
 		} else {
-			delete(live, id)
+			delete(stored, id)
 			opened.Drop(id)
 		}
 		time.Sleep(time.Duration(rapid.IntRange(0, 8).Draw(t, "ms")) * time.Millisecond)
@@ -49,7 +49,7 @@
 	opened.SetIncarnation(3, "4")
 	opened.SetIncarnation(-1, "2")
 	opened.Close()
-	return live, disk.Get("l")
+	return stored, disk.Get("l")
 }
 
 func checkInBubble(t *testing.T, do func(t *rapid.T)) {
@@ -61,10 +61,10 @@
 // Guards against calls or incarnations that are lost or left over in the file, however the changes were batched.
 func TestStoredCallsAreRead(t *testing.T) {
 	checkInBubble(t, func(t *rapid.T) {
-		live, file := runLedger(t, memnet.NewDisk(), rapid.IntRange(0, 60).Draw(t, "steps"))
-		c := ledger.Read(file)
-		if c.UnreadReason != "" || c.UnreadOctets != 0 || !maps.Equal(c.Calls, live) || c.Process.SiteDigest != 7 || c.Process.OwnIncarnation != "2" || c.Process.Incarnations[3] != "4" || c.Process.LastHeartbeat == 0 {
-			t.Fatalf("read %+v\nwant %+v", c, live)
+		stored, file := runLedger(t, memnet.NewDisk(), rapid.IntRange(0, 60).Draw(t, "steps"))
+		contents := ledger.Read(file)
+		if contents.UnreadReason != "" || contents.UnreadOctets != 0 || !maps.Equal(contents.Calls, stored) || contents.Process.SiteDigest != 7 || contents.Process.OwnIncarnation != "2" || contents.Process.Incarnations[3] != "4" || contents.Process.LastHeartbeat == 0 {
+			t.Fatalf("read %+v\nwant %+v", contents, stored)
 		}
 	})
 }
@@ -78,15 +78,15 @@
 		seen := map[recovery.StoredCall]bool{}
 		ends := map[int]bool{}
 		for n := 0; n <= len(file); n++ {
-			c := ledger.Read(file[:n])
-			if c.ReadOctets+c.UnreadOctets != n || c.Frames > complete.Frames {
-				t.Fatalf("truncated at %d: %+v", n, c)
+			contents := ledger.Read(file[:n])
+			if contents.ReadOctets+contents.UnreadOctets != n || contents.Frames > complete.Frames {
+				t.Fatalf("truncated at %d: %+v", n, contents)
 			}
-			if c.UnreadReason == "" {
+			if contents.UnreadReason == "" {
 				ends[n] = true
 			}
-			for _, k := range c.Calls {
-				seen[k] = true
+			for _, call := range contents.Calls {
+				seen[call] = true
 			}
 		}
 		if len(ends) != complete.Frames+1 {
@@ -95,13 +95,13 @@
 		bit := rapid.IntRange(0, 8*len(file)-1).Draw(t, "bit")
 		flipped := append([]byte(nil), file...)
 		flipped[bit/8] ^= 1 << (bit % 8)
-		c := ledger.Read(flipped)
-		if c.UnreadReason == "" || c.ReadOctets > bit/8 {
-			t.Fatalf("bit %d flipped, and %d of %d octets were read: %q", bit, c.ReadOctets, len(file), c.UnreadReason)
+		contents := ledger.Read(flipped)
+		if contents.UnreadReason == "" || contents.ReadOctets > bit/8 {
+			t.Fatalf("bit %d flipped, and %d of %d octets were read: %q", bit, contents.ReadOctets, len(file), contents.UnreadReason)
 		}
-		for _, k := range c.Calls {
-			if !seen[k] {
-				t.Fatalf("a call that was never stored: %+v", k)
+		for _, call := range contents.Calls {
+			if !seen[call] {
+				t.Fatalf("a call that was never stored: %+v", call)
 			}
 		}
 	})
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -11,8 +11,8 @@
 	return Entry{ID: id, Number: int(id), Incarnation: incarnation, Uptime: uptime, Ready: true}
 }
 
-func fullList(version uint64, lines ...Entry) List {
-	return List{Epoch: 1, Version: version, Full: true, Count: len(lines), Entries: lines}
+func fullList(version uint64, entries ...Entry) List {
+	return List{Epoch: 1, Version: version, Full: true, Count: len(entries), Entries: entries}
 }
 
 func TestInvalidLists(t *testing.T) {
@@ -21,7 +21,7 @@
 	gap := List{Epoch: 1, Version: 9, Count: 1, Entries: []Entry{newEntry(1, 1, 0)}}
 	for _, c := range []struct {
 		name string
-		l    List
+		list List
 		want Verdict
 	}{
 		{"stale", fullList(2, newEntry(1, 1, 0)), Stale}, {"repeated", fullList(3, newEntry(1, 1, 0)), Stale}, {"short", short, Rejected},
@@ -31,7 +31,7 @@
 	} {
 		v := NewView(5)
 		v.Apply(1000, fullList(3, newEntry(1, 1, 100), newEntry(2, 1, 100)))
-		got, switches, _ := v.Apply(2000, c.l)
+		got, switches, _ := v.Apply(2000, c.list)
 		if got != c.want || (got != Accepted) != (switches == nil) {
 			t.Errorf("%s: verdict %d, switches %v", c.name, got, switches)
 		}
--- a/internal/reconnect/reconnect_test.go
+++ b/internal/reconnect/reconnect_test.go
@@ -14,14 +14,14 @@
 		dials := make([]int, length/interval+1)
 		total := 0
 		for e := range uint64(exchanges) {
-			p := NewBackoff(e, exchanges)
+			backoff := NewBackoff(e, exchanges)
 			if !starting { // the links were up for long
-				p.NextDelay()
-				p.Up(1)
-				p.Down(1 + stableTime)
+				backoff.NextDelay()
+				backoff.Up(1)
+				backoff.Down(1 + stableTime)
 			}
-			for now := p.NextDelay(); now < length; now += p.NextDelay() {
-				p.Down(now)
+			for now := backoff.NextDelay(); now < length; now += backoff.NextDelay() {
+				backoff.Down(now)
 				dials[now/interval]++
 				total++
 			}
@@ -38,22 +38,22 @@
 }
 
 func TestLinkThatDropsAtOnceIsNotDialledAtFullSpeed(t *testing.T) {
-	p, now := NewBackoff(3, 1), policy.Tenths(1)
+	backoff, now := NewBackoff(3, 1), policy.Tenths(1)
 	dials := 0
 	for ; now < 600000; dials++ {
-		now += p.NextDelay()
-		p.Up(now)
+		now += backoff.NextDelay()
+		backoff.Up(now)
 		now += 100
-		p.Down(now)
+		backoff.Down(now)
 	}
 	if dials > 40 {
 		t.Fatalf("%d dials in a minute to a switch that accepts and drops", dials)
 	}
-	p.Up(now)
-	p.Down(now + stableTime)
-	p.failures = 0
-	if w := p.NextDelay(); w > 2*initialDelay {
-		t.Fatalf("delay of %d after a link was up for long", w)
+	backoff.Up(now)
+	backoff.Down(now + stableTime)
+	backoff.failures = 0
+	if delay := backoff.NextDelay(); delay > 2*initialDelay {
+		t.Fatalf("delay of %d after a link was up for long", delay)
 	}
 }
 
