--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -206,7 +206,7 @@
 	switchID uint32
 	outcome  policy.Outcome
 	reason   policy.Reason
-	wait     policy.Tenths
+	wait     policy.Tenths // wait that the switch hinted at by a retry-after time, 0 if none
 	final    bool
 	userInfo isup.UserInfo
 }
