--- a/cmd/indigodrift/day.go
+++ b/cmd/indigodrift/day.go
@@ -52,8 +52,8 @@
 		}}
 	run.Flags().Int64Var(&seed, "seed", -1, "seed that replaces the one in the file")
 	run.Flags().BoolVar(&onlyJSON, "json", false, "print only the last line")
-	run.Flags().StringVar(&options.Routing, "routing", "module", "routing: module, or a baseline, direct or random")
-	run.Flags().StringVar(&options.PlantedFault, "plant", "", "break a rule once on purpose: answer, copy, drain, cold, release")
+	run.Flags().StringVar(&options.Routing, "routing", "module", "routing: module, or one of the baselines direct and random")
+	run.Flags().StringVar(&options.PlantedFault, "plant", "", "inject one violation of a rule: answer, copy, drain, cold, release")
 	run.Flags().StringVar(&options.Dir, "keep", "", "folder for the audit log and the logs of the controllers")
 	list := &cobra.Command{Use: "list [FOLDER]", Short: "List the days in a folder, by default examples/days", Args: cobra.MaximumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -15,7 +15,7 @@
 )
 
 func newLedgerCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "ledger", Short: "Read the file that preserves calls over a restart"}
+	cmd := &cobra.Command{Use: "ledger", Short: "Inspect the file that preserves calls across a restart"}
 	readLedger := func(name string) (ledger.Contents, error) {
 		content, err := os.ReadFile(name)
 		if err != nil {
@@ -34,7 +34,7 @@
 		}
 		fmt.Printf("format %d, %d frames, %d octets read\n", contents.Version, contents.Frames, contents.ReadOctets)
 		fmt.Printf("%d calls stand, %d are being set up\n", phases[recovery.Established], phases[recovery.SettingUp])
-		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", formatTime(contents.Process.LastHeartbeat), contents.Process.OwnIncarnation, len(contents.Process.Incarnations))
+		fmt.Printf("last heartbeat %s; own switch incarnation %q; incarnations of %d remote switches known\n", formatTime(contents.Process.LastHeartbeat), contents.Process.OwnIncarnation, len(contents.Process.Incarnations))
 		if contents.UnreadReason != "" {
 			fmt.Printf("%d octets at the end were not read: %s\n", contents.UnreadOctets, contents.UnreadReason)
 		}
@@ -69,7 +69,7 @@
 		for _, call := range contents.Calls {
 			calls = append(calls, call)
 		}
-		slices.SortFunc(calls, func(a, content recovery.StoredCall) int { return int(int64(a.ID) - int64(content.ID)) })
+		slices.SortFunc(calls, func(a, b recovery.StoredCall) int { return int(int64(a.ID) - int64(b.ID)) })
 		if asJSON {
 			encoder := json.NewEncoder(os.Stdout)
 			for _, call := range calls {
--- a/cmd/indigodrift/platform_test.go
+++ b/cmd/indigodrift/platform_test.go
@@ -101,7 +101,7 @@
 	n := &platformNet{t: t, switches: [2]net.Listener{listen(), listen()}, board: listen(), subscriptions: make(chan uint64, 9), boardConns: make(chan net.Conn, 9)}
 	reserved := listen()
 	n.listen = reserved.Addr().String()
-	reserved.Close() // each controller process listens on this address
+	reserved.Close() // each incarnation of the controller listens on this address
 	go func() {
 		for {
 			conn, err := n.board.Accept()
@@ -178,7 +178,7 @@
 }
 
 // Runs the program against simulated switches, a board and callers: calls of several callers, a switch added by the board, a
-// kill with established calls, a new process that adopts them and forwards releases in both directions, a switch drained by
+// kill with established calls, a new incarnation that adopts them and forwards releases in both directions, a switch drained by
 // the board, and an orderly shutdown.
 func TestPlatformEndToEndWithRestartAfterKill(t *testing.T) {
 	env := newPlatformNet(t)
--- a/cmd/indigodrift/release_test.go
+++ b/cmd/indigodrift/release_test.go
@@ -117,7 +117,7 @@
 // Guards against a connection blocked for releases because its caller did not answer releases of calls unknown to it.
 func TestReleasesOfUnknownCallsDoNotBlockLaterReleases(t *testing.T) {
 	sw, callers, ids := establishCalls(t, 1, 6)
-	for i := range 3 { // calls of an earlier controller process, unknown to the callers
+	for i := range 3 { // calls of an earlier incarnation of the controller, unknown to the callers
 		sw.Send(siptest.Release(fmt.Sprintf("%016x", 0x900+i), 16))
 		sw.Expect("200")
 	}
--- a/cmd/indigodrift/serve.go
+++ b/cmd/indigodrift/serve.go
@@ -27,7 +27,7 @@
 	cmd.Flags().StringVar(&format, "log", "text", "log format: text or json")
 	cmd.Flags().StringVar(&level, "level", "info", "minimum log level: debug, info, warn, error")
 	cmd.Flags().StringVar(&routing, "routing", "module", "for scripted days: module, direct or random")
-	cmd.Flags().StringVar(&fault, "plant", "", "for scripted days: rule to break on purpose")
+	cmd.Flags().StringVar(&fault, "plant", "", "for scripted days: rule violation to inject")
 	cmd.MarkFlagRequired("file")
 	cmd.Flags().MarkHidden("routing")
 	cmd.Flags().MarkHidden("plant")
--- a/internal/callagent/agent.go
+++ b/internal/callagent/agent.go
@@ -49,7 +49,7 @@
 	gatewayByName    map[string]int
 	lineByNumber     map[int]int
 	gatewayByAddress map[netip.AddrPort]int
-	onConflict       func(mgcp.Message) // set while a response of an unknown transaction is handled
+	onConflict       func(mgcp.Message) // set while a response to an unknown transaction is handled
 	lineByCircuit    map[circuitKey]int // calls from the exchange to lines
 	queue            []queuedISUP
 	outstanding      map[uint32]outstandingCommand
@@ -99,7 +99,7 @@
 			a.lineByNumber[settings.FirstLine+n] = len(a.lines)
 			a.lines = append(a.lines, lineRecord{gateway: int32(i)})
 		}
-		if len(settings.Addresses) > 0 { // an earlier process may have served it
+		if len(settings.Addresses) > 0 { // an earlier incarnation may have served it
 			a.admit(i)
 		}
 	}
--- a/internal/callagent/command.go
+++ b/internal/callagent/command.go
@@ -38,7 +38,7 @@
 	}
 	id := gateway.sender.SendWithDeadline(a.now, msg, deadline)
 	a.outstanding[id] = command
-	// Not superviseGateway: it could audit the same line, which then had two commands outstanding.
+	// Not superviseGateway: it could audit the same line, which would then have two commands outstanding.
 	a.scheduleRetransmission(gatewayIndex)
 	return id
 }
--- a/internal/callagent/config.go
+++ b/internal/callagent/config.go
@@ -24,7 +24,7 @@
 	OwnExchange       int
 	PointCode         uint16
 	Seed              uint64 // of the jitter of retransmissions
-	Incarnation       uint32 // differs between starts of the process; call, transaction and request IDs start from it
+	Incarnation       uint32 // differs at each start of the process; call, transaction and request IDs start from it
 	Gateways          []Gateway
 	DigitMap          mgcp.DigitMap
 	AbandonTimes      []policy.Tenths // by bearer type
--- a/internal/callagent/isup.go
+++ b/internal/callagent/isup.go
@@ -57,7 +57,8 @@
 	a.processQueue()
 }
 
-// processQueue handles the queued messages. A nested call returns at once; the outer one handles its messages.
+// processQueue handles the queued messages. A nested invocation returns at once; the outer one handles its
+// messages.
 func (a *Agent) processQueue() {
 	if a.processing {
 		return
--- a/internal/callagent/line.go
+++ b/internal/callagent/line.go
@@ -278,14 +278,14 @@
 	a.playTone(i, tone)
 }
 
-// failSetUp ends a call that wasn't offered to the exchange.
+// failSetUp ends a call that hasn't been offered to the exchange.
 func (a *Agent) failSetUp(i int, _ eventData) {
 	a.Counts.Failed++
 	a.output.CallFailed(i, "the gateway did not create the connection in time")
 	a.playTone(i, gateways.Reorder)
 }
 
-// failCall ends a call that the exchange has.
+// failCall ends a call that has been offered to the exchange or came from it.
 func (a *Agent) failCall(i int, _ eventData) {
 	a.sendRelease(i, isup.NetworkOutOfOrder)
 	a.Counts.Failed++
--- a/internal/callagent/session.go
+++ b/internal/callagent/session.go
@@ -11,7 +11,7 @@
 )
 
 // readSession checks that a session description (RFC 4566) has an audio stream with a port and an address. A description that is
-// too long for an ISUP message is reduced to the address and port of the media.
+// too long for an ISUP message is reduced to the address and port of the media. The media itself doesn't pass through the program.
 func readSession(text []byte) (string, error) {
 	var session sdp.SessionDescription
 	if len(text) == 0 {
--- a/internal/numberfile/source.go
+++ b/internal/numberfile/source.go
@@ -50,7 +50,7 @@
 }
 
 // Table parses a source and builds its table for a network with a number of exchanges. The error has a line for each fault with
-// file, line and column.
+// file, line and column. A table with any fault is rejected as a whole.
 func (s Source) Table(exchangeCount int) (*numbers.Table, error) {
 	file, root := hclread.Parse(s.RulesFile, s.Rules)
 	t := &numbers.Table{Name: root.Text("name", false, ""), Version: uint64(root.Int("version", 1, math.MaxInt32, 0))}
--- a/internal/numbers/resolver.go
+++ b/internal/numbers/resolver.go
@@ -16,8 +16,9 @@
 
 // PortabilityNet is the output of a PortabilityResolver. Its methods must not call the resolver.
 type PortabilityNet interface {
-	Query(id uint32, server int, number string)          // sends a query to a server
-	LookupDone(call uint32, porting Porting, known bool) // reports the result to a call with a pending look-up; known is false if none came in time
+	Query(id uint32, server int, number string) // sends a query to a server
+	// LookupDone reports the result to a call with a pending look-up; known is false if none came in time.
+	LookupDone(call uint32, porting Porting, known bool)
 }
 
 // ResolverLimits are the limits of a PortabilityResolver.
@@ -214,8 +215,8 @@
 	return faster, false, true
 }
 
-// HandleAnswer handles the answer to a query. known is true if the server knows the number. age is how long the answer may be
-// cached, or 0 for the limit of the resolver. An answer for which no call waits any longer is cached as well.
+// HandleAnswer handles the answer to a query. known is true if the server knows the number. maxAge is how long the answer may
+// be cached, or 0 for the limit of the resolver. An answer for which no call waits any longer is cached as well.
 func (r *PortabilityResolver) HandleAnswer(now policy.Tenths, id uint32, porting Porting, known bool, maxAge policy.Tenths) {
 	q := r.byID[id]
 	if q == nil {
--- a/internal/numbers/table.go
+++ b/internal/numbers/table.go
@@ -221,7 +221,7 @@
 func (t *Table) route(result Result, caller string, unixTime int64, selectShare ShareSelector, lookupAllowed bool, tracef func(string, ...any)) Result {
 	index, matched, ok := t.routesByPrefix.Find(result.Number)
 	if !ok {
-		tracef("no prefix fits")
+		tracef("no prefix matches")
 		result.Cause = causeUnallocatedNumber
 		return result
 	}
@@ -234,7 +234,7 @@
 		result.Outcome, result.Cause = TooShort, causeInvalidFormat
 		return result
 	case len(result.Number) > route.MaxDigits:
-		tracef("%d digits, at most %d can be", len(result.Number), route.MaxDigits)
+		tracef("%d digits, at most %d are allowed", len(result.Number), route.MaxDigits)
 		result.Outcome, result.Cause = TooLong, causeInvalidFormat
 		return result
 	}
@@ -247,18 +247,18 @@
 	}
 	result.NeedsLookup = lookupAllowed && route.MayBePorted && !route.Emergency
 	if result.NeedsLookup {
-		tracef("portability is asked for; without an answer the route below holds")
+		tracef("a portability look-up is needed; without an answer the route below applies")
 	}
 	for i, choice := range route.Choices {
 		if choice.Schedule != nil && !choice.Schedule.Contains(t.Zone, t.Holidays, unixTime) {
-			tracef("choice %d does not hold now", i+1)
+			tracef("choice %d is not valid now", i+1)
 			continue
 		}
 		result.ChoiceIndex, result.Shares = i, choice.Shares
 		break
 	}
 	if result.ChoiceIndex < 0 {
-		tracef("no choice holds now")
+		tracef("no choice is valid now")
 		result.Cause = causeUnallocatedNumber
 		return result
 	}
--- a/internal/numbers/trie.go
+++ b/internal/numbers/trie.go
@@ -123,7 +123,8 @@
 		var nextLevel []span
 		for _, current := range level {
 			n, from, depth := &t.nodes[current.node], current.from, current.depth
-			for from < current.to && n.skippedCount < maxSkippedDigits && len(sorted[from].Digits) > depth && // sorted: what the first and last share, all share
+			// The prefixes are sorted: digits that the first and the last have in common are common to all.
+			for from < current.to && n.skippedCount < maxSkippedDigits && len(sorted[from].Digits) > depth &&
 				len(sorted[current.to-1].Digits) > depth && sorted[from].Digits[depth] == sorted[current.to-1].Digits[depth] {
 				value, _ := digitValue(sorted[from].Digits[depth])
 				n.skipped |= uint32(value) << (4 * n.skippedCount)
