--- a/cmd/indigodrift/day.go
+++ b/cmd/indigodrift/day.go
@@ -81,7 +81,7 @@
 func newAuditCommand() *cobra.Command {
 	return &cobra.Command{Use: "audit FILE...", Short: "Check recorded traffic against the rules", Args: cobra.MinimumNArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			breachCount := 0
+			violationCount := 0
 			for _, name := range args {
 				f, err := os.Open(name)
 				if err != nil {
@@ -92,14 +92,14 @@
 				if err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
-				breaches := audit.Check(events)
-				breachCount += len(breaches)
-				for _, breach := range breaches {
-					fmt.Printf("%s: rule %d broken at %.3f s: %s\n", name, breach.Rule, float64(breach.At)/1e6, breach.Text)
+				violations := audit.Check(events)
+				violationCount += len(violations)
+				for _, violation := range violations {
+					fmt.Printf("%s: rule %d broken at %.3f s: %s\n", name, violation.Rule, float64(violation.At)/1e6, violation.Text)
 				}
-				fmt.Printf("%s: %d events, %d breaches\n", name, len(events), len(breaches))
+				fmt.Printf("%s: %d events, %d breaches\n", name, len(events), len(violations))
 			}
-			if breachCount > 0 {
+			if violationCount > 0 {
 				return exitCode(1)
 			}
 			return nil
--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -84,9 +84,9 @@
 		for _, call := range calls {
 			phase, to := "being set up", "-"
 			if call.Phase == recovery.Established {
-				phase, to = "stands", formatPlace(call.Out)
+				phase, to = "stands", formatLeg(call.Out)
 			}
-			fmt.Fprintf(table, "%d\t%d/%d\t%s\t%s\t%s\t%s\n", call.ID, call.Ref.Point, call.Ref.Identity, phase, formatTime(call.Since), formatPlace(call.In), to)
+			fmt.Fprintf(table, "%d\t%d/%d\t%s\t%s\t%s\t%s\n", call.ID, call.Ref.Point, call.Ref.Identity, phase, formatTime(call.Since), formatLeg(call.In), to)
 		}
 		if err := table.Flush(); err != nil {
 			return fmt.Errorf("dump: %w", err)
@@ -103,9 +103,9 @@
 	return time.Unix(0, tenths*100_000).Format("2006-01-02 15:04:05.000")
 }
 
-func formatPlace(place recovery.Leg) string {
-	if place.Trunk {
-		return fmt.Sprintf("exchange %d circuit %d", place.Number, place.CIC)
+func formatLeg(leg recovery.Leg) string {
+	if leg.Trunk {
+		return fmt.Sprintf("exchange %d circuit %d", leg.Number, leg.CIC)
 	}
-	return fmt.Sprintf("line %04x/%d", place.Point, place.CIC)
+	return fmt.Sprintf("line %04x/%d", leg.Point, leg.CIC)
 }
--- a/cmd/indigodrift/main_test.go
+++ b/cmd/indigodrift/main_test.go
@@ -55,7 +55,7 @@
 	Established int `json:"stood"`
 	Refused     int `json:"refused"`
 	Failed      int `json:"failed"`
-	Breaches    int `json:"broken"`
+	Violations  int `json:"broken"`
 	Telephones  struct {
 		Calls       int `json:"calls"`
 		Established int `json:"stood"`
@@ -109,7 +109,7 @@
 }
 `)
 	out, err := programCommand("day", "run", file, "--json").Output()
-	if v := parseLastLine(t, out); err != nil || v.Breaches > 0 || v.Telephones.Calls < 100 || v.Telephones.Established < v.Telephones.Calls/3 {
+	if v := parseLastLine(t, out); err != nil || v.Violations > 0 || v.Telephones.Calls < 100 || v.Telephones.Established < v.Telephones.Calls/3 {
 		t.Fatalf("%v: %+v", err, v)
 	}
 }
@@ -145,7 +145,7 @@
 `)
 	dir := t.TempDir()
 	out, err := programCommand("day", "run", file, "--json", "--keep", dir).Output()
-	if v := parseLastLine(t, out); err != nil || v.Breaches > 0 || v.Offered < 60 || v.Established < v.Offered/4 {
+	if v := parseLastLine(t, out); err != nil || v.Violations > 0 || v.Offered < 60 || v.Established < v.Offered/4 {
 		t.Fatalf("%v: %+v", err, v)
 	}
 	ledgerFile := filepath.Join(dir, "ledger-1")
@@ -168,7 +168,7 @@
 	file := writeFile(t, "day.hcl", "length = \"3s\"\nsettle = \"1s\"\nexchanges = 2\ncalls_per_second = 40\nload = 3\n"+bearerSettings)
 	dir := t.TempDir()
 	out, err := programCommand("day", "run", file, "--json", "--plant", "answer", "--keep", dir).Output()
-	if v := parseLastLine(t, out); err == nil || v.Breaches == 0 {
+	if v := parseLastLine(t, out); err == nil || v.Violations == 0 {
 		t.Fatalf("%v: %+v", err, v)
 	}
 	audit, err := programCommand("audit", filepath.Join(dir, "audit.log")).Output()
--- a/internal/callagent/command.go
+++ b/internal/callagent/command.go
@@ -72,7 +72,7 @@
 type commandOutput Agent
 
 // Transmit sends a command, or the acknowledgement of a response, to the current address of its gateway.
-func (o *commandOutput) Transmit(msg mgcp.Message, repeat int) {
+func (o *commandOutput) Transmit(msg mgcp.Message, retransmission int) {
 	a := (*Agent)(o)
 	_, domain, _ := strings.Cut(msg.Endpoint, "@")
 	gatewayIndex, ok := a.gatewayByName[strings.ToLower(domain)]
--- a/internal/enum/enum_test.go
+++ b/internal/enum/enum_test.go
@@ -21,7 +21,7 @@
 	client := &Client{Servers: [2]string{server.Address, server.Address}, Zone: "e164.test.", Timeout: 300 * time.Millisecond}
 	for _, c := range []struct {
 		fault, number string
-		port          numbers.Porting
+		porting       numbers.Porting
 		known, valid  bool
 	}{
 		{"", "37129000001", numbers.Porting{Ported: true, RoutingNumber: "37167000000"}, true, true}, {"", "37129000002", numbers.Porting{}, false, true},
@@ -31,7 +31,7 @@
 	} {
 		server.SetFault(c.fault, 0)
 		answer, err := client.Query(context.Background(), 0, c.number)
-		if (err == nil) != c.valid || answer.Porting != c.port || answer.Known != c.known {
+		if (err == nil) != c.valid || answer.Porting != c.porting || answer.Known != c.known {
 			t.Errorf("%s %s: %+v, %v", c.fault, c.number, answer, err)
 		}
 	}
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -91,21 +91,21 @@
 // Compares digit maps with equivalent regular expressions on many digit strings.
 func TestDigitMapsAgainstRegexp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var options, expressions []string
+		var alternatives, expressions []string
 		for range rapid.IntRange(1, 4).Draw(t, "options") {
-			var option, expression strings.Builder
+			var alternative, expression strings.Builder
 			for range rapid.IntRange(1, 4).Draw(t, "signs") {
 				p := rapid.SampledFrom([][2]string{{"1", "1"}, {"x", "[0-9]"}, {"[2-4]", "[2-4]"}, {"x.", "[0-9]*"}, {"1.", "1*"}, {"*", `\*`}, {"[1#]", "[1#]"}}).Draw(t, "sign")
-				option.WriteString(p[0])
+				alternative.WriteString(p[0])
 				expression.WriteString(p[1])
 			}
 			if rapid.Bool().Draw(t, "timer") {
-				option.WriteByte('T')
+				alternative.WriteByte('T')
 				expression.WriteByte('T')
 			}
-			options, expressions = append(options, option.String()), append(expressions, expression.String())
+			alternatives, expressions = append(alternatives, alternative.String()), append(expressions, expression.String())
 		}
-		text := "(" + strings.Join(options, "|") + ")"
+		text := "(" + strings.Join(alternatives, "|") + ")"
 		digitMap, err := ParseDigitMap(text)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/mgcp/procedures.go
+++ b/internal/mgcp/procedures.go
@@ -28,9 +28,9 @@
 }
 
 // Start starts the procedure and returns the time of the first report, at random within the initial wait.
-func (d *DisconnectedProcedure) Start(now, first policy.Tenths, random *rand.Rand) policy.Tenths {
-	d.wait = first
-	return now + RestartDelay(first, random)
+func (d *DisconnectedProcedure) Start(now, initialWait policy.Tenths, random *rand.Rand) policy.Tenths {
+	d.wait = initialWait
+	return now + RestartDelay(initialWait, random)
 }
 
 // NextReport returns the time of the next report after an unanswered one. An event at an endpoint may bring it forward to
--- a/internal/numbers/numbers_test.go
+++ b/internal/numbers/numbers_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-func newTestTable(version uint64, entries []Route, prefixes ...Prefix) *Table {
+func newTestTable(version uint64, routes []Route, prefixes ...Prefix) *Table {
 	z, _ := NewZone("Europe/Riga")
-	t := &Table{Version: version, DialPlan: DialPlan{InternationalPrefix: "00", NationalPrefix: "", CountryCode: "371", MaxShortDigits: 3}, Zone: z, Routes: entries}
+	t := &Table{Version: version, DialPlan: DialPlan{InternationalPrefix: "00", NationalPrefix: "", CountryCode: "371", MaxShortDigits: 3}, Zone: z, Routes: routes}
 	if err := t.Build(prefixes, 10); err != nil {
 		panic(err)
 	}
