--- a/cmd/indigodrift/ledger.go
+++ b/cmd/indigodrift/ledger.go
@@ -34,7 +34,7 @@
 		}
 		fmt.Printf("format %d, %d frames, %d octets read\n", contents.Version, contents.Frames, contents.ReadOctets)
 		fmt.Printf("%d calls stand, %d are being set up\n", phases[recovery.Established], phases[recovery.SettingUp])
-		fmt.Printf("last heartbeat %s; own switch incarnation %q; incarnations of %d remote switches known\n", formatTime(contents.Process.LastHeartbeat), contents.Process.OwnIncarnation, len(contents.Process.Incarnations))
+		fmt.Printf("last sign of life %s; own switch in life %q, %d far switches known\n", formatTime(contents.Process.LastHeartbeat), contents.Process.OwnIncarnation, len(contents.Process.Incarnations))
 		if contents.UnreadReason != "" {
 			fmt.Printf("%d octets at the end were not read: %s\n", contents.UnreadOctets, contents.UnreadReason)
 		}
--- a/cmd/indigodrift/main_test.go
+++ b/cmd/indigodrift/main_test.go
@@ -71,7 +71,7 @@
 	return result
 }
 
-// Runs telephones at gateways with packet loss, gateway restarts and a controller process killed.
+// Runs telephones at gateways with packet loss, restarts of gateways and the kill of a controller.
 func TestTelephonesOnLoopbackWithFaults(t *testing.T) {
 	file := writeFile(t, "day.hcl", `
 length           = "8s"
--- a/internal/gateways/presence.go
+++ b/internal/gateways/presence.go
@@ -62,12 +62,16 @@
 // and not a lost gateway: with half of all datagrams lost, gateways with many calls were taken for lost.
 func (p *Presence) ReceivedSince(since policy.Tenths) bool { return p.lastReceived > since }
 
-// Join records that the gateway is being brought into service, Joined that it is in service.
+// Join records that the gateway is being brought into service.
 func (p *Presence) Join(now policy.Tenths) bool { p.Received(now); return p.setState(Joining) }
-func (p *Presence) Joined() bool                { return p.setState(Serving) }
 
-// Leave records that the gateway announced a graceful restart, CancelLeave that it cancelled it.
-func (p *Presence) Leave() bool       { return p.setState(Leaving) }
+// Joined records that the gateway is in service.
+func (p *Presence) Joined() bool { return p.setState(Serving) }
+
+// Leave records that the gateway announced a graceful restart.
+func (p *Presence) Leave() bool { return p.setState(Leaving) }
+
+// CancelLeave records that the gateway cancelled its graceful restart.
 func (p *Presence) CancelLeave() bool { return p.setState(Serving) }
 
 // Lost records that the gateway doesn't respond or left service. It returns true if the gateway wasn't absent before.
--- a/internal/mgcp/events_test.go
+++ b/internal/mgcp/events_test.go
@@ -16,7 +16,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m, 300) }
 
-// Every message of the corpus, written after the grammar, decodes and encodes to an equal message, and so do its events. Truncated
+// Every message of the corpus, which follows the grammar, decodes and encodes to an equal message, and so do its events. Truncated
 // within a line it is malformed.
 func TestCorpusOfMessages(t *testing.T) {
 	files, _ := filepath.Glob("testdata/corpus/*.txt")
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -60,7 +60,7 @@
 	})
 }
 
-// Messages written after the grammar of RFC 3435, appendix A, and malformed messages.
+// Decodes messages that follow the grammar of RFC 3435, appendix A, and rejects malformed ones.
 func TestDecodeFollowsGrammar(t *testing.T) {
 	for _, c := range []struct {
 		text string
--- a/internal/mgcp/transaction.go
+++ b/internal/mgcp/transaction.go
@@ -12,7 +12,7 @@
 
 // Times of RFC 3435, 3.5, in tenths of a millisecond.
 const (
-	TMax  = policy.Tenths(200000) // T-MAX: a command is retransmitted for so long at most
+	TMax  = policy.Tenths(200000) // T-MAX: a command is retransmitted for so long at most, then abandoned
 	THist = policy.Tenths(300000) // T-HIST: responses are stored and transaction IDs not reused for so long
 
 	longTransactionTimer   = policy.Tenths(50000) // between retransmissions after a provisional response
--- a/internal/numbers/table.go
+++ b/internal/numbers/table.go
@@ -19,6 +19,7 @@
 	Short              // a short code, analysed as dialled
 )
 
+// String returns the name of the kind for traces.
 func (k Kind) String() string { return [...]string{"national", "international", "short"}[k] }
 
 // DialPlan describes how numbers are dialled at an exchange.
@@ -41,6 +42,7 @@
 	TooLong                     // more digits than the route allows
 )
 
+// String returns the name of the outcome for traces.
 func (o Outcome) String() string {
 	return [...]string{"no route", "to an exchange", "announcement", "barred", "too short", "too long"}[o]
 }
@@ -221,7 +223,7 @@
 func (t *Table) route(result Result, caller string, unixTime int64, selectShare ShareSelector, lookupAllowed bool, tracef func(string, ...any)) Result {
 	index, matched, ok := t.routesByPrefix.Find(result.Number)
 	if !ok {
-		tracef("no prefix matches")
+		tracef("no prefix fits")
 		result.Cause = causeUnallocatedNumber
 		return result
 	}
@@ -234,7 +236,7 @@
 		result.Outcome, result.Cause = TooShort, causeInvalidFormat
 		return result
 	case len(result.Number) > route.MaxDigits:
-		tracef("%d digits, at most %d are allowed", len(result.Number), route.MaxDigits)
+		tracef("%d digits, at most %d can be", len(result.Number), route.MaxDigits)
 		result.Outcome, result.Cause = TooLong, causeInvalidFormat
 		return result
 	}
@@ -247,18 +249,18 @@
 	}
 	result.NeedsLookup = lookupAllowed && route.MayBePorted && !route.Emergency
 	if result.NeedsLookup {
-		tracef("a portability look-up is needed; without an answer the route below applies")
+		tracef("portability is asked for; without an answer the route below holds")
 	}
 	for i, choice := range route.Choices {
 		if choice.Schedule != nil && !choice.Schedule.Contains(t.Zone, t.Holidays, unixTime) {
-			tracef("choice %d is not valid now", i+1)
+			tracef("choice %d does not hold now", i+1)
 			continue
 		}
 		result.ChoiceIndex, result.Shares = i, choice.Shares
 		break
 	}
 	if result.ChoiceIndex < 0 {
-		tracef("no choice is valid now")
+		tracef("no choice holds now")
 		result.Cause = causeUnallocatedNumber
 		return result
 	}
